--- a/crates/decisions/src/book.rs
+++ b/crates/decisions/src/book.rs
@@ -2,8 +2,8 @@
 
 use crate::fleet::{Server, Slot};
 use crate::host::Id;
+use crate::peer_messages::{IgnoredMessages, Words};
 use crate::stats::{Histogram, Rate};
-use crate::words::{Unheard, Words};
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -128,7 +128,7 @@
     pub ended: Rate,
     pub lately: Rate,
     pub words: Words,
-    pub unheard: Unheard,
+    pub unheard: IgnoredMessages,
     /// What may still be told, in whole messages delivered.
     pub spare_words: f64,
     /// Idle connections that broke of late, and the shortest time that one had been idle.
--- a/crates/decisions/src/fleet.rs
+++ b/crates/decisions/src/fleet.rs
@@ -2,9 +2,9 @@
 //! cost goes by the window and not by the fleet. It owns the numbers of servers, the rings and the sums; it decides
 //! nothing: what a server is told to be, and what it counts, is `policy.rs`'s.
 
-use crate::host::{Id, Listed, State};
+use crate::host::{Id, Lifecycle, ListedServer};
+use crate::settings::SlowStart;
 use crate::stats::Histogram;
-use crate::terms::ColdRule;
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
@@ -77,7 +77,7 @@
 }
 
 impl Server {
-    pub fn new(entry: &Listed, verbs: usize, first_credit: f64, bound: f64, now: Duration) -> Self {
+    pub fn new(entry: &ListedServer, verbs: usize, first_credit: f64, bound: f64, now: Duration) -> Self {
         let (id, place, zone, cell) = (entry.server.clone(), hash(&entry.server), entry.zone, entry.cell);
         let verbs = (0..verbs).map(|_| VerbAt::default()).collect();
         let (slowness, by_list, listed, added) = (1.0, 1.0, 1.0, now);
@@ -118,10 +118,10 @@
     }
 
     /// How much of its full share it gets: all of it unless it started or returned of late.
-    pub fn ramp(&self, cold: &ColdRule, now: Duration) -> f64 {
+    pub fn ramp(&self, cold: &SlowStart, now: Duration) -> f64 {
         let Some(from) = self.ramp_from else { return 1.0 };
-        let done = now.saturating_sub(from).as_secs_f64() / cold.warm_after.as_secs_f64().max(1e-3);
-        (cold.share + (1.0 - cold.share) * done).min(1.0)
+        let done = now.saturating_sub(from).as_secs_f64() / cold.duration.as_secs_f64().max(1e-3);
+        (cold.initial_fraction + (1.0 - cold.initial_fraction) * done).min(1.0)
     }
 
     /// What it holds by a report no older than `young`, with what was sent there since.
@@ -144,8 +144,8 @@
     }
 
     /// When it started, where a list has news of that.
-    pub fn started(&mut self, entry: &Listed, new: bool) -> Option<Duration> {
-        let at = entry.up_since.filter(|at| new || self.up_since != Some(*at))?;
+    pub fn started(&mut self, entry: &ListedServer, new: bool) -> Option<Duration> {
+        let at = entry.started_at.filter(|at| new || self.up_since != Some(*at))?;
         self.up_since = Some(at);
         Some(at)
     }
@@ -393,7 +393,7 @@
 
 impl Fleet {
     /// What a whole list does not name is not ready.
-    pub fn only_listed(&mut self, entries: &[Listed]) {
+    pub fn only_listed(&mut self, entries: &[ListedServer]) {
         self.listing += 1;
         for entry in entries {
             if let Some(slot) = self.slot(&entry.server) {
@@ -417,10 +417,15 @@
     }
 
     /// A list tells that a server is ready, of this size; a new one comes as `new` makes it. Whether it is new.
-    pub fn take(&mut self, entry: &Listed, own_zone: u32, new: impl FnOnce() -> Server) -> (Slot, bool) {
+    pub fn take(
+        &mut self,
+        entry: &ListedServer,
+        own_zone: u32,
+        new: impl FnOnce() -> Server,
+    ) -> (Slot, bool) {
         let known = self.slot(&entry.server);
         let slot = known.unwrap_or_else(|| self.add(new()));
-        let nominal = if entry.nominal > 0.0 { entry.nominal } else { 1.0 };
+        let nominal = if entry.nominal_capacity > 0.0 { entry.nominal_capacity } else { 1.0 };
         if self[slot].ready {
             self.nominal -= self[slot].nominal;
         } else {
@@ -438,10 +443,17 @@
     }
 
     /// The entry by which a ready server was last told.
-    pub fn listed(&self, id: &Id) -> Option<Listed> {
+    pub fn listed(&self, id: &Id) -> Option<ListedServer> {
         let server = self.slot(id).map(|slot| &self[slot]).filter(|server| server.ready)?;
         let Server { zone, cell, nominal, up_since, .. } = *server;
-        Some(Listed { server: id.clone(), zone, cell, state: State::Ready, nominal, up_since })
+        Some(ListedServer {
+            server: id.clone(),
+            zone,
+            cell,
+            lifecycle: Lifecycle::Ready,
+            nominal_capacity: nominal,
+            started_at: up_since,
+        })
     }
 
     /// A list tells that a server is not ready.
@@ -594,18 +606,19 @@
 
     fn step(fleet: &mut Fleet, now: Duration, kind: u8, servers: &[u8]) {
         let id = |number: u8| Id::from(format!("s{number}"));
-        let entry = |number: &u8, state| Listed {
+        let entry = |number: &u8, state| ListedServer {
             server: id(*number),
             zone: u32::from(number % 2),
             cell: u32::from(number % 3),
-            state,
-            nominal: f64::from(number % 4),
-            up_since: None,
+            lifecycle: state,
+            nominal_capacity: f64::from(number % 4),
+            started_at: None,
         };
         let slots: Vec<Slot> = servers.iter().filter_map(|number| fleet.slot(&id(*number))).collect();
         match kind {
             0 | 1 => {
-                let entries: Vec<Listed> = servers.iter().map(|number| entry(number, State::Ready)).collect();
+                let entries: Vec<ListedServer> =
+                    servers.iter().map(|number| entry(number, Lifecycle::Ready)).collect();
                 if kind == 0 {
                     fleet.only_listed(&entries);
                 }
--- a/crates/decisions/src/overrides.rs
+++ b/crates/decisions/src/overrides.rs
@@ -1,7 +1,7 @@
 //! What operators said of single servers, beside what the list says of them: which are left out, and the last entry
 //! that the list told of each meanwhile. It owns these records; what follows from them is `policy.rs`'s to decide.
 
-use crate::host::{Id, Listed};
+use crate::host::{Id, ListedServer};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// New servers come under new ids all day: past so many the first are forgotten.
@@ -9,7 +9,7 @@
 
 #[derive(Debug, Default)]
 pub struct Overrides {
-    left_out: BTreeMap<Id, Option<Listed>>,
+    left_out: BTreeMap<Id, Option<ListedServer>>,
     /// The ids that lists have named, and their order.
     named: BTreeSet<Id>,
     in_order: VecDeque<Id>,
@@ -17,14 +17,14 @@
 
 impl Overrides {
     /// Takes an entry's word. Whether operators leave its server out.
-    pub fn told(&mut self, entry: &Listed) -> bool {
+    pub fn told(&mut self, entry: &ListedServer) -> bool {
         self.name(&entry.server);
         let last = self.left_out.get_mut(&entry.server);
         last.map(|last| *last = Some(entry.clone())).is_some()
     }
 
     /// A whole list: what it does not name is no longer listed.
-    pub fn only_listed(&mut self, entries: &[Listed]) {
+    pub fn only_listed(&mut self, entries: &[ListedServer]) {
         if !self.left_out.is_empty() {
             let listed: BTreeSet<&Id> = entries.iter().map(|entry| &entry.server).collect();
             self.left_out
@@ -58,14 +58,14 @@
     }
 
     /// Once out it stays so with what the list told last.
-    pub fn leave_out_if_known(&mut self, id: &Id, last: Option<Listed>) {
+    pub fn leave_out_if_known(&mut self, id: &Id, last: Option<ListedServer>) {
         if self.knows(id) {
             self.left_out.entry(id.clone()).or_insert(last);
         }
     }
 
     /// Its last entry, if it was left out and a list names it.
-    pub fn use_again(&mut self, id: &Id) -> Option<Listed> {
+    pub fn use_again(&mut self, id: &Id) -> Option<ListedServer> {
         self.left_out.remove(id).flatten()
     }
 }
--- a/crates/decisions/src/words.rs
+++ b/crates/decisions/src/peer_messages.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// The most that one message holds.
-pub const MOST: usize = 256;
+pub const MAX_MESSAGE_BYTES: usize = 256;
 const IDLE_BROKE: u8 = 1;
 const TRAFFIC: u8 = 2;
 /// With the verb's number added; of later verbs than these nothing is told.
@@ -12,7 +12,7 @@
 const VERB_ANSWERED: u8 = 128;
 
 /// Who hears a peer's words, one method for each.
-pub trait Hearer {
+pub trait PeerMessageHandler {
     fn idle_broke(&mut self, idle: Duration);
     /// `false`: it knows no such server.
     fn verb_went(&mut self, server: u32, verb: usize, answered: bool) -> bool;
@@ -25,7 +25,7 @@
 
 impl Words {
     fn add(&mut self, word: &[u8]) {
-        if self.0.len() + word.len() <= MOST {
+        if self.0.len() + word.len() <= MAX_MESSAGE_BYTES {
             self.0.extend(word);
         }
     }
@@ -62,24 +62,25 @@
 /// What of peers' words went for nothing: messages with a word that this version doesn't know or that is cut, and words
 /// of servers that this copy doesn't know.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Unheard {
-    pub garbled: u64,
-    pub strange: u64,
+pub struct IgnoredMessages {
+    pub malformed: u64,
+    pub unknown_server: u64,
 }
 
-impl Unheard {
-    pub fn add(&mut self, other: Unheard) {
-        (self.garbled, self.strange) = (self.garbled + other.garbled, self.strange + other.strange);
+impl IgnoredMessages {
+    pub fn add(&mut self, other: IgnoredMessages) {
+        (self.malformed, self.unknown_server) =
+            (self.malformed + other.malformed, self.unknown_server + other.unknown_server);
     }
 
     pub fn all(&self) -> u64 {
-        self.garbled + self.strange
+        self.malformed + self.unknown_server
     }
 }
 
 /// Reads a message up to its end or to the first word that this version doesn't know.
-pub fn read(mut bytes: &[u8], hearer: &mut impl Hearer) -> Unheard {
-    let mut unheard = Unheard::default();
+pub fn read(mut bytes: &[u8], hearer: &mut impl PeerMessageHandler) -> IgnoredMessages {
+    let mut unheard = IgnoredMessages::default();
     loop {
         bytes = match bytes {
             [IDLE_BROKE, a, b, rest @ ..] => {
@@ -89,13 +90,13 @@
             [kind @ VERB_FAILED..VERB_ANSWERED, a, b, c, rest @ ..] => {
                 let server = u32::from_be_bytes([0, *a, *b, *c]);
                 let known = hearer.verb_went(server, (kind - VERB_FAILED).into(), false);
-                unheard.strange += u64::from(!known);
+                unheard.unknown_server += u64::from(!known);
                 rest
             }
             [kind @ VERB_ANSWERED..192, a, b, c, rest @ ..] => {
                 let server = u32::from_be_bytes([0, *a, *b, *c]);
                 let known = hearer.verb_went(server, (kind - VERB_ANSWERED).into(), true);
-                unheard.strange += u64::from(!known);
+                unheard.unknown_server += u64::from(!known);
                 rest
             }
             [TRAFFIC, a, b, rest @ ..] => {
@@ -104,7 +105,7 @@
             }
             [] => return unheard,
             _ => {
-                unheard.garbled += 1;
+                unheard.malformed += 1;
                 return unheard;
             }
         };
@@ -118,7 +119,7 @@
     #[derive(Debug, Default, PartialEq)]
     struct Heard(Vec<String>);
 
-    impl Hearer for Heard {
+    impl PeerMessageHandler for Heard {
         fn idle_broke(&mut self, idle: Duration) {
             self.0.push(format!("broke {idle:?}"));
         }
@@ -145,14 +146,15 @@
         assert!(words.take().is_none());
         (0..100).for_each(|server| words.verb_went(server, 1, false));
         let bytes = words.take().expect("there are words");
-        assert_eq!(bytes.len(), MOST / 4 * 4);
+        assert_eq!(bytes.len(), MAX_MESSAGE_BYTES / 4 * 4);
         // Cut anywhere, or followed by what a later version says, the words before it are heard.
         for end in 0..bytes.len() {
             let (mut cut, mut later) = (Heard::default(), Heard::default());
             let unheard = read(&bytes[..end], &mut cut);
             assert_eq!(cut.0.len(), end / 4);
             // The first word is of a server that this hearer doesn't know.
-            let wanted = Unheard { garbled: u64::from(end % 4 > 0), strange: u64::from(end >= 4) };
+            let wanted =
+                IgnoredMessages { malformed: u64::from(end % 4 > 0), unknown_server: u64::from(end >= 4) };
             assert_eq!(unheard, wanted);
             read(&[&bytes[..end / 4 * 4], &[200, 1, 2, 3, 4]].concat(), &mut later);
             assert_eq!(later.0.len(), end / 4);
--- a/crates/decisions/src/policy.rs
+++ b/crates/decisions/src/policy.rs
@@ -4,11 +4,13 @@
 
 use crate::book::{Asking, Cmd, Fate, Relay, Seen, VerbRecord};
 use crate::fleet::{Fleet, Mark, Server, Slot};
-use crate::host::{Arrival, Ended, Host, Id, Listed, Load, Outcome, State};
+use crate::host::{
+    AttemptEnd, Event, Host, Id, Lifecycle, ListedServer, LoadReport, Outcome, RequestArrival,
+};
 use crate::overrides::Overrides;
+use crate::peer_messages::{self, PeerMessageHandler};
+use crate::settings::{DedupScope, RetrySafety, Settings};
 use crate::stats::{Average, Histogram, Rate, chance, drawn_from, shuffle};
-use crate::terms::{Group, Repeats, Terms};
-use crate::words::{self, Hearer};
 use crate::zones::Zones;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -122,7 +124,7 @@
 
 pub struct Policy<H: Host> {
     pub(crate) host: H,
-    pub(crate) terms: Terms,
+    pub(crate) terms: Settings,
     pub(crate) now: Duration,
     seed: u64,
     draws: u64,
@@ -149,11 +151,15 @@
 // Lifecycle
 
 impl<H: Host> Policy<H> {
-    pub fn start(host: H, terms: Terms, seed: u64, now: Duration) -> Self {
-        let verbs = vec![VerbRecord::default(); terms.verbs.len()];
+    pub fn start(host: H, terms: Settings, seed: u64, now: Duration) -> Self {
+        let verbs = vec![VerbRecord::default(); terms.classes.len()];
         let tenants = vec![Rate::default(); terms.quotas.len()];
-        let looks = (LOOKS_COST / terms.prices.check.max(1e-9)).min(LOOKS_MOST) as usize;
-        let looks = if terms.checks_tell && terms.allowed.checks && looks > 1 { looks } else { 0 };
+        let looks = (LOOKS_COST / terms.costs.health_check.max(1e-9)).min(LOOKS_MOST) as usize;
+        let looks = if terms.health_checks_report_load && terms.capabilities.health_checks && looks > 1 {
+            looks
+        } else {
+            0
+        };
         let (lately, breaks) = (Rate::over(crate::book::LATELY), Rate::over(BREAKS_SPAN));
         let mut policy = Policy {
             host,
@@ -179,26 +185,26 @@
             late: Duration::ZERO,
             weights: Vec::new(),
         };
-        if policy.terms.must_ask {
+        if policy.terms.polls_discovery {
             // Copies that start together must not all call the one list service at once.
             policy.asking.next = Some(now + Duration::from_secs_f64(policy.chance()));
         }
-        policy.host.wake_in(policy.sweep_span());
+        policy.host.wake_after(policy.sweep_span());
         policy
     }
 
     fn sweep_span(&self) -> Duration {
-        SWEEP.max(self.terms.resolution)
+        SWEEP.max(self.terms.timer_resolution)
     }
 
-    pub fn woken(&mut self, now: Duration) {
+    pub fn timer_fired(&mut self, now: Duration) {
         self.now = now;
         let late = now.saturating_sub(self.swept + self.sweep_span());
         (self.swept, self.late) = (now, late.max(self.late / 2));
-        self.host.wake_in(self.sweep_span());
+        self.host.wake_after(self.sweep_span());
         if self.asking.next.take_if(|at| *at <= now).is_some() {
             self.asking.began = now;
-            self.host.subscribe();
+            self.host.poll_discovery();
         }
         self.watch_relays();
         self.check_servers();
@@ -215,14 +221,14 @@
             return next;
         }
         let marks = self.fleet.marked().filter_map(|slot| self.fleet[slot].mark()).map(|mark| mark.next);
-        let checks = marks.filter(|_| self.terms.allowed.checks).min();
+        let checks = marks.filter(|_| self.terms.capabilities.health_checks).min();
         let due = self.choose_at.min(checks.unwrap_or(Duration::MAX));
         let due = due.min(self.asking.next.unwrap_or(Duration::MAX));
         next + self.sweep_span() * self.sweeps_between(next, due)
     }
 
     /// Sweeps that were due before then were left out: they would have decided nothing. When the next is due.
-    pub fn rested(&mut self, until: Duration) -> Duration {
+    pub fn skip_sweeps(&mut self, until: Duration) -> Duration {
         let sweeps = self.sweeps_between(self.swept + self.sweep_span(), until);
         self.swept += self.sweep_span() * sweeps;
         self.late /= 1 << sweeps.min(31);
@@ -236,14 +242,14 @@
     }
 
     fn tell_words(&mut self) {
-        let cost =
-            self.terms.balancers * self.seen.words.length().max(WORDS_LEAST) as f64 / words::MOST as f64;
+        let cost = self.terms.replicas * self.seen.words.length().max(WORDS_LEAST) as f64
+            / peer_messages::MAX_MESSAGE_BYTES as f64;
         self.seen.spare_words = self.seen.spare_words.min(WORDS_SAVED * cost);
         if self.seen.spare_words >= cost
             && let Some(words) = self.seen.words.take()
         {
             self.seen.spare_words -= cost;
-            self.host.tell(None, &words);
+            self.host.send_to_peers(None, &words);
         }
     }
 
@@ -253,24 +259,24 @@
 
     // The list of servers
 
-    pub fn list_cached(&mut self, now: Duration, entries: &[Listed]) {
+    pub fn endpoint_list_cached(&mut self, now: Duration, entries: &[ListedServer]) {
         self.now = now;
         self.fleet.only_listed(entries);
         self.overrides.only_listed(entries);
         self.take_entries(entries);
     }
 
-    pub fn list_told(&mut self, now: Duration, entries: &[Listed]) {
+    pub fn endpoint_list_received(&mut self, now: Duration, entries: &[ListedServer]) {
         self.asking = Asking::anew(now);
-        self.list_cached(now, entries);
+        self.endpoint_list_cached(now, entries);
     }
 
-    pub fn list_changed(&mut self, now: Duration, entries: &[Listed]) {
+    pub fn endpoint_list_changed(&mut self, now: Duration, entries: &[ListedServer]) {
         (self.now, self.asking) = (now, Asking::anew(now));
         self.take_entries(entries);
     }
 
-    fn take_entries(&mut self, entries: &[Listed]) {
+    fn take_entries(&mut self, entries: &[ListedServer]) {
         entries.iter().for_each(|entry| self.take_entry(entry));
         self.fleet.settle();
         self.choose_servers();
@@ -278,18 +284,18 @@
     }
 
     /// It was down, silent or broken.
-    pub fn list_call_failed(&mut self, now: Duration) {
+    pub fn discovery_poll_failed(&mut self, now: Duration) {
         self.asking.refusals = 0;
         let longest = PAUSE_FIRST * f64::from(1u32 << self.asking.failures.min(3));
         self.call_again(now, longest, CALLS_APART);
     }
 
     /// Discovery kept it waiting, and then said that it has too many.
-    pub fn list_call_refused(&mut self, now: Duration) {
+    pub fn discovery_poll_rejected(&mut self, now: Duration) {
         self.asking.refusals += 1;
         let longest = PAUSE_FIRST * f64::from(1u32 << self.asking.failures.min(4));
         let most = if self.asking.refusals < 2 { CALLS_APART } else { PAUSE_REFUSED };
-        self.call_again(now, longest.max(self.terms.balancers / REFUSED_EACH), most);
+        self.call_again(now, longest.max(self.terms.replicas / REFUSED_EACH), most);
     }
 
     /// Calls that all come again at once would fail again together.
@@ -303,21 +309,21 @@
         self.asking.next = Some(now + Duration::from_secs_f64(longest * (0.5 + 0.5 * self.chance())));
     }
 
-    fn take_entry(&mut self, entry: &Listed) {
-        if self.overrides.told(entry) || entry.state != State::Ready {
+    fn take_entry(&mut self, entry: &ListedServer) {
+        if self.overrides.told(entry) || entry.lifecycle != Lifecycle::Ready {
             return self.fleet.leave(&entry.server);
         }
-        let (first, now, verbs) = (self.chance(), self.now, self.terms.verbs.len());
+        let (first, now, verbs) = (self.chance(), self.now, self.terms.classes.len());
         let start = || Server::new(entry, verbs, first, BOUND_START, now);
         let (slot, new) = self.fleet.take(entry, self.terms.zone, start);
         let started = self.fleet[slot].started(entry, new);
-        if let Some(at) = started.filter(|at| *at + self.terms.cold.warm_after > now || !new) {
+        if let Some(at) = started.filter(|at| *at + self.terms.slow_start.duration > now || !new) {
             self.restarted(slot, at);
         }
     }
 
     /// Operators leave a server out, whatever the list says of it. `false`: no list ever named it.
-    pub fn leave_out(&mut self, now: Duration, id: &Id) -> bool {
+    pub fn exclude_server(&mut self, now: Duration, id: &Id) -> bool {
         self.now = now;
         self.overrides.leave_out_if_known(id, self.fleet.listed(id));
         self.fleet.leave(id);
@@ -326,7 +332,7 @@
     }
 
     /// They use it again since then. It was restarted meanwhile, whether the list says so or not.
-    pub fn use_again(&mut self, now: Duration, id: &Id, since: Duration) -> bool {
+    pub fn include_server(&mut self, now: Duration, id: &Id, since: Duration) -> bool {
         self.now = now;
         if let Some(last) = self.overrides.use_again(id) {
             self.take_entries(&[last]);
@@ -352,12 +358,13 @@
     fn choose_servers(&mut self) {
         self.choose_at = self.now + CHOOSE_EVERY;
         self.hold_left();
-        let priced = self.terms.prices.connection > 0.0;
-        let wanted = (self.asked() / SEEN_EACH).max(if priced { SERVERS_PRICED } else { SERVERS_LEAST });
+        let priced = self.terms.costs.connection > 0.0;
+        let wanted =
+            (self.request_rate() / SEEN_EACH).max(if priced { SERVERS_PRICED } else { SERVERS_LEAST });
         let (near, ready) = (self.near_in_use() as f64, self.fleet.ready() as f64);
         let from_far = (wanted * (1.0 - NEAR)).max(wanted - near).min(ready - near);
         let start = (f64::from(self.terms.ordinal) * GOLDEN).fract();
-        let (cold, now) = (&self.terms.cold, self.now);
+        let (cold, now) = (&self.terms.slow_start, self.now);
         let takes = |server: &Server| match server.mark() {
             Some(_) => 0.0,
             None if server.verbs.iter().any(|at| at.mark.is_some()) => VERB_MARKED_TAKES,
@@ -365,29 +372,30 @@
         };
         self.fleet.choose(start, wanted - from_far, from_far, takes);
         let chosen = self.fleet.window().len() as f64;
-        self.sharers = (self.terms.balancers * chosen / (ready.max(1.0) * self.part())).max(1.0);
+        self.sharers = (self.terms.replicas * chosen / (ready.max(1.0) * self.part())).max(1.0);
         self.tell_traffic();
         // What one of many copies knows cannot correct it if all of them crowd the large servers: the less it
         // sees of the whole, the nearer the weights come to plain sizes.
         self.fleet.size_up(self.crowding());
     }
 
-    pub fn asked(&self) -> f64 {
+    pub fn request_rate(&self) -> f64 {
         self.verbs.iter().map(|record| record.asked.per_s(self.now)).sum()
     }
 
     fn part(&self) -> f64 {
-        let part = |usual: f64| (self.asked() / usual.max(0.01)).clamp(PART_LEAST, self.terms.balancers);
+        let part =
+            |usual: f64| (self.request_rate() / usual.max(0.01)).clamp(PART_LEAST, self.terms.replicas);
         self.seen.usual_traffic.map_or(1.0, part)
     }
 
     fn tell_traffic(&mut self) {
-        let peers = self.terms.balancers as u32;
-        let tell = if self.terms.allowed.peers && peers > 1 { TELL_TRAFFIC } else { 0 };
-        let words = words::traffic(self.asked());
+        let peers = self.terms.replicas as u32;
+        let tell = if self.terms.capabilities.peer_messages && peers > 1 { TELL_TRAFFIC } else { 0 };
+        let words = peer_messages::traffic(self.request_rate());
         for _ in 0..tell {
             let on = 1 + (self.chance() * f64::from(peers - 1)) as u32;
-            self.host.tell(Some((self.terms.ordinal + on) % peers), &words);
+            self.host.send_to_peers(Some((self.terms.ordinal + on) % peers), &words);
         }
     }
 
@@ -397,25 +405,32 @@
 
     // Commands
 
-    pub fn peer_said(&mut self, now: Duration, _peer: u32, said: &[u8]) {
+    pub fn peer_message_received(&mut self, now: Duration, _peer: u32, said: &[u8]) {
         self.now = now;
-        let unheard = words::read(said, self);
+        let unheard = peer_messages::read(said, self);
         self.seen.unheard.add(unheard);
     }
 
-    pub fn cmd_came(&mut self, now: Duration, arrival: Arrival) {
+    pub fn request_arrived(&mut self, now: Duration, arrival: RequestArrival) {
         self.now = now;
-        let Some(verb) = self.terms.verbs.get(arrival.verb) else {
-            return self.host.terminate(&arrival.id);
+        let Some(verb) = self.terms.classes.get(arrival.class) else {
+            return self.host.fail(&arrival.id);
         };
-        let good_until = if arrival.coming { arrival.due } else { verb.good_until(now, arrival.due) };
-        self.verbs[arrival.verb].asked.add(now, 1.0);
+        let good_until =
+            if arrival.body_incomplete { arrival.deadline } else { verb.useful_until(now, arrival.deadline) };
+        self.verbs[arrival.class].asked.add(now, 1.0);
         self.spare_relays = (self.spare_relays + RELAY_SHARE).min(RELAY_BURST);
-        self.seen.spare_words += WORDS_COST / self.terms.prices.peer.max(WORDS_COST);
+        self.seen.spare_words += WORDS_COST / self.terms.costs.peer_message.max(WORDS_COST);
         let beyond = self.beyond_quota(arrival.tenant);
-        let size = self.verbs[arrival.verb].size_of(arrival.cost);
-        let cmd =
-            Cmd { verb: arrival.verb, good_until, coming: arrival.coming, beyond, size, ..Cmd::default() };
+        let size = self.verbs[arrival.class].size_of(arrival.declared_work);
+        let cmd = Cmd {
+            verb: arrival.class,
+            good_until,
+            coming: arrival.body_incomplete,
+            beyond,
+            size,
+            ..Cmd::default()
+        };
         self.cmds.insert(arrival.id.clone(), cmd);
         self.held.push(arrival.id.clone());
         self.spare_looks = (self.spare_looks + self.looks as f64).min(LOOKS_SAVED);
@@ -425,10 +440,10 @@
     }
 
     /// Its last byte has come. Until then the server it goes to had nothing to do for it.
-    pub fn body_came(&mut self, now: Duration, id: &Id, due: Duration) {
+    pub fn body_completed(&mut self, now: Duration, id: &Id, due: Duration) {
         self.now = now;
         let good_until =
-            |verb: usize| self.terms.verbs.get(verb).map_or(due, |verb| verb.good_until(now, due));
+            |verb: usize| self.terms.classes.get(verb).map_or(due, |verb| verb.useful_until(now, due));
         let begins = self.cmds.get_mut(id).and_then(|cmd| cmd.body_came(now, good_until));
         begins.into_iter().for_each(|(verb, slot, number)| self.begins(id, verb, slot, number));
     }
@@ -439,25 +454,25 @@
     }
 
     /// An answer broke off after it had begun, and its command is over.
-    pub fn answer_broke(&mut self, now: Duration, id: &Id, verb: usize) {
+    pub fn response_interrupted(&mut self, now: Duration, id: &Id, verb: usize) {
         self.now = now;
         self.fleet.slot(id).into_iter().for_each(|slot| self.tell_verb(slot, verb, false));
     }
 
-    pub fn client_left(&mut self, now: Duration, id: &Id) {
+    pub fn client_disconnected(&mut self, now: Duration, id: &Id) {
         self.now = now;
         self.held.retain(|held| held != id);
         self.close(id);
     }
 
-    pub fn answer_began(&mut self, now: Duration, id: &Id) {
+    pub fn response_started(&mut self, now: Duration, id: &Id) {
         self.now = now;
         self.cmds.get_mut(id).into_iter().for_each(|cmd| cmd.streaming = true);
     }
 
     /// Traffic past a tenant's share earns little: that part of it, by chance, ranks lower.
     fn beyond_quota(&mut self, tenant: usize) -> bool {
-        let copies = self.terms.balancers / self.part();
+        let copies = self.terms.replicas / self.part();
         let known = self.seen.tenants.get_mut(tenant).zip(self.terms.quotas.get(tenant));
         let Some((rate, quota)) = known.filter(|_| self.terms.tier == 0) else { return false };
         rate.add(self.now, 1.0);
@@ -466,7 +481,7 @@
     }
 
     fn left(&self, cmd: &Cmd) -> f64 {
-        let goal = self.terms.verbs.get(cmd.verb).map(|verb| verb.goal).filter(|_| cmd.coming);
+        let goal = self.terms.classes.get(cmd.verb).map(|verb| verb.latency_objective).filter(|_| cmd.coming);
         goal.unwrap_or(cmd.good_until.saturating_sub(self.now)).as_secs_f64()
     }
 
@@ -480,18 +495,19 @@
 
     /// What a command earns for each second that it keeps a place, more where its verb falls short.
     fn rank(&self, cmd: &Cmd) -> f64 {
-        let Some(verb) = self.terms.verbs.get(cmd.verb) else { return 0.0 };
+        let Some(verb) = self.terms.classes.get(cmd.verb) else { return 0.0 };
         let answered = self.verbs[cmd.verb].answered_share(self.now);
-        let short = 1.0 + WORST_VERB * self.terms.goal.worst_verb * (1.0 / answered.clamp(0.1, 1.0) - 1.0);
-        let time = if self.terms.utility_by_work { 1.0 } else { self.expected(cmd.verb).max(0.01) };
-        verb.utility * short * if cmd.beyond { self.terms.beyond_quota } else { 1.0 } / time
+        let short =
+            1.0 + WORST_VERB * self.terms.objective.worst_class * (1.0 / answered.clamp(0.1, 1.0) - 1.0);
+        let time = if self.terms.value_by_work { 1.0 } else { self.expected(cmd.verb).max(0.01) };
+        verb.value * short * if cmd.beyond { self.terms.over_quota_value } else { 1.0 } / time
     }
 
     /// Where few commands come to a copy at a time, low ranks leave a part of the room to high ones.
     fn part_of_room(&self, cmd: &Cmd) -> f64 {
         let ranks = (0..self.verbs.len()).map(|verb| self.rank(&Cmd { verb, ..Cmd::default() }));
         let low = 1.0 - (self.rank(cmd) / ranks.fold(1e-9, f64::max)).min(1.0);
-        if self.terms.allowed.peers { 1.0 - ROOM_KEPT * low } else { 1.0 }
+        if self.terms.capabilities.peer_messages { 1.0 - ROOM_KEPT * low } else { 1.0 }
     }
 
     fn place_held(&mut self) {
@@ -530,7 +546,7 @@
     }
 
     fn turnover(&self) -> f64 {
-        let goals = self.terms.verbs.iter().map(|verb| verb.goal.as_secs_f64());
+        let goals = self.terms.classes.iter().map(|verb| verb.latency_objective.as_secs_f64());
         let at_first = self.room() / (HOLD * goals.fold(f64::MAX, f64::min).max(1e-3));
         self.seen.turnover(self.now, (self.room() >= ROOM_STEADY).then_some(at_first))
     }
@@ -577,23 +593,29 @@
         self.seen.sent.add(self.now, 1.0);
         self.zones.sent(self.fleet[to].zone, self.now);
         if uncredited {
-            self.host.slow_start_violated(&server_id);
+            self.host.log(&Event::SlowStartViolated(server_id.clone()));
         }
-        self.host.relay(id, &server_id, not_past);
+        self.host.start_attempt(id, &server_id, not_past);
     }
 
-    fn repeats(&self, cmd: &Cmd) -> Repeats {
-        self.terms.verbs.get(cmd.verb).map_or(Repeats::Effectful, |verb| verb.repeats)
+    fn repeats(&self, cmd: &Cmd) -> RetrySafety {
+        self.terms.classes.get(cmd.verb).map_or(RetrySafety::NonIdempotent, |verb| verb.retry_safety)
     }
 
     fn give_up(&mut self, id: &Id) {
         let Some(cmd) = self.cmds.get(id).filter(|cmd| !cmd.finished) else { return };
-        let harmless = matches!(self.repeats(cmd), Repeats::Pure | Repeats::Receipted(Group::All));
+        let harmless = matches!(
+            self.repeats(cmd),
+            RetrySafety::Idempotent | RetrySafety::IdempotencyKeyed(DedupScope::All)
+        );
         if harmless || !cmd.may_have_run() {
-            let goal = self.terms.verbs.get(cmd.verb).map_or(Duration::ZERO, |verb| verb.goal);
-            self.host.decline(id, self.terms.allowed.come_back.map(|most| most.min(goal.mul_f64(COME_BACK))));
+            let goal = self.terms.classes.get(cmd.verb).map_or(Duration::ZERO, |verb| verb.latency_objective);
+            self.host.reject(
+                id,
+                self.terms.capabilities.max_retry_after.map(|most| most.min(goal.mul_f64(COME_BACK))),
+            );
         } else {
-            self.host.terminate(id);
+            self.host.fail(id);
         }
         self.close(id);
     }
@@ -603,8 +625,8 @@
         let Some(cmd) = self.cmds.get_mut(id) else { return };
         cmd.finished = true;
         for (number, relay) in (0u32..).zip(&cmd.relays) {
-            if relay.fate == Fate::Out && self.terms.allowed.cancel && !cmd.streaming {
-                self.host.cancel(id, number);
+            if relay.fate == Fate::Out && self.terms.capabilities.cancellation && !cmd.streaming {
+                self.host.cancel_attempt(id, number);
             }
         }
         if cmd.out() == 0 {
@@ -614,18 +636,18 @@
 
     fn may_relay(&self, cmd: &Cmd, zone: u32, cell: u32) -> bool {
         let over = cmd.finished || cmd.streaming || cmd.spent || cmd.good_until <= self.now;
-        let most = self.terms.allowed.relays as usize;
-        if over || cmd.relays.len() >= most || (cmd.out() > 0 && !self.terms.allowed.parallel) {
+        let most = self.terms.capabilities.max_attempts as usize;
+        if over || cmd.relays.len() >= most || (cmd.out() > 0 && !self.terms.capabilities.hedging) {
             return false;
         }
-        let memory = self.terms.verbs.get(cmd.verb).map_or(Duration::ZERO, |verb| verb.memory);
+        let memory = self.terms.classes.get(cmd.verb).map_or(Duration::ZERO, |verb| verb.dedup_window);
         match self.repeats(cmd) {
-            Repeats::Pure => true,
-            Repeats::Effectful => !cmd.may_have_run(),
-            Repeats::Receipted(group) => {
+            RetrySafety::Idempotent => true,
+            RetrySafety::NonIdempotent => !cmd.may_have_run(),
+            RetrySafety::IdempotencyKeyed(group) => {
                 cmd.relays.iter().filter(|r| r.fate != Fate::NeverRan).all(|relay| {
-                    group.holds((relay.zone, relay.cell), (zone, cell))
-                        && self.now + self.terms.resolution < relay.sent + memory
+                    group.covers((relay.zone, relay.cell), (zone, cell))
+                        && self.now + self.terms.timer_resolution < relay.sent + memory
                 })
             }
         }
@@ -638,16 +660,16 @@
         let idle = used.map_or(Duration::ZERO, |at| self.now.saturating_sub(at));
         let breaks =
             self.seen.breaks.count(self.now) >= BREAKS && idle.mul_f64(1.25) >= self.seen.break_after;
-        let pure = self.cmds.get(id).is_some_and(|cmd| self.repeats(cmd) == Repeats::Pure);
+        let pure = self.cmds.get(id).is_some_and(|cmd| self.repeats(cmd) == RetrySafety::Idempotent);
         if !breaks || (pure && self.chance() < IDLE_TRIALS) {
             return idle;
         }
-        self.host.let_go(&self.fleet[to].id);
+        self.host.close_idle_connections(&self.fleet[to].id);
         Duration::ZERO
     }
 }
 
-impl<H: Host> Hearer for Policy<H> {
+impl<H: Host> PeerMessageHandler for Policy<H> {
     fn idle_broke(&mut self, idle: Duration) {
         let none = self.seen.breaks.count(self.now) < 0.3;
         self.seen.break_after = if none { idle } else { self.seen.break_after.min(idle) };
@@ -667,17 +689,17 @@
 // Outcomes
 
 impl<H: Host> Policy<H> {
-    pub fn relay_ended(&mut self, now: Duration, ended: Ended) {
+    pub fn attempt_ended(&mut self, now: Duration, ended: AttemptEnd) {
         self.now = now;
-        let Some(cmd) = self.cmds.get_mut(&ended.cmd) else { return };
-        let relay = cmd.relays.get_mut(ended.relay as usize).filter(|relay| relay.fate == Fate::Out);
+        let Some(cmd) = self.cmds.get_mut(&ended.request) else { return };
+        let relay = cmd.relays.get_mut(ended.attempt as usize).filter(|relay| relay.fate == Fate::Out);
         let Some(relay) = relay else { return };
         relay.fate = if ended.outcome.never_ran() { Fate::NeverRan } else { Fate::MayHaveRun };
         let (idle, reset) = (relay.idle, ended.outcome == Outcome::Reset);
         let broke = reset && idle >= IDLE_LEAST && ended.latency <= BREAK_WITHIN;
         let (verb, overdue, slot, sent, zone) = (cmd.verb, relay.overdue, relay.slot, relay.sent, relay.zone);
         let (size, ahead, coming) = (cmd.size, relay.ahead, cmd.coming);
-        (cmd.finished, cmd.spent) = (cmd.finished || ended.closed, cmd.spent || ended.spent);
+        (cmd.finished, cmd.spent) = (cmd.finished || ended.request_closed, cmd.spent || ended.body_consumed);
         let in_time = now <= cmd.good_until;
         self.zones.ended(zone, sent, now, ended.outcome);
         self.seen.ended.add(now, 1.0);
@@ -701,7 +723,7 @@
             }
             self.count_answer(slot, verb, ended.latency, size, in_time);
         } else if broke {
-            if self.terms.allowed.peers && self.seen.breaks.count(now) < BREAKS_TOLD {
+            if self.terms.capabilities.peer_messages && self.seen.breaks.count(now) < BREAKS_TOLD {
                 self.seen.words.idle_broke(idle);
             }
             self.idle_broke(idle);
@@ -709,7 +731,7 @@
         } else {
             self.count_failure(slot, verb, ended.outcome, overdue);
         }
-        self.go_on(&ended.cmd);
+        self.go_on(&ended.request);
         self.place_held();
     }
 
@@ -733,9 +755,9 @@
         }
     }
 
-    fn take_report(&mut self, slot: Slot, load: Load) {
-        let figure = if self.looks > 0 { load.in_flight } else { load.queue.or(load.in_flight) };
-        self.fleet.reported(slot, load.util, figure, self.now);
+    fn take_report(&mut self, slot: Slot, load: LoadReport) {
+        let figure = if self.looks > 0 { load.in_flight } else { load.queued.or(load.in_flight) };
+        self.fleet.reported(slot, load.utilization, figure, self.now);
     }
 
     fn count_answer(&mut self, slot: Slot, verb: usize, latency: Duration, size: f64, in_time: bool) {
@@ -743,7 +765,9 @@
         let roomy = self.says_room();
         let server = &mut self.fleet[slot];
         let Some(record) = self.verbs.get_mut(verb) else { return };
-        let Some(goal) = self.terms.verbs.get(verb).map(|verb| verb.goal.as_secs_f64()) else { return };
+        let Some(goal) = self.terms.classes.get(verb).map(|verb| verb.latency_objective.as_secs_f64()) else {
+            return;
+        };
         let took = latency.as_secs_f64();
         // A bound that rises while it is not reached would let a later jam in.
         let here = f64::from(server.out() + 1) >= (server.bound / sharers).max(2.0);
@@ -783,13 +807,13 @@
         // never comes while all others come as in calm times: it is lost, not late.
         let calm = self.seen.strain.mean().is_some_and(|strain| strain < CALM);
         match outcome {
-            Outcome::Moot | Outcome::Cancelled => return,
+            Outcome::NotSent | Outcome::Cancelled => return,
             Outcome::Timeout if calm => self.cut_bound(slot, ERROR_WEIGHS),
-            Outcome::Timeout | Outcome::Full => self.cut_bound(slot, 1.0),
+            Outcome::Timeout | Outcome::Overloaded => self.cut_bound(slot, 1.0),
             Outcome::Error | Outcome::Reset => self.cut_bound(slot, ERROR_WEIGHS),
             _ => {}
         }
-        if outcome == Outcome::ConnectFailed && self.terms.allowed.peers {
+        if outcome == Outcome::ConnectFailed && self.terms.capabilities.peer_messages {
             self.missed(slot);
         } else if !counted && (outcome != Outcome::Timeout || self.looks == 0) {
             // Of a time-out after a look: by what it held, the server could not have answered yet.
@@ -799,7 +823,7 @@
 
     /// Other copies hear of it too, where they may: each alone sees too few of a verb at a server.
     fn tell_verb(&mut self, slot: Slot, verb: usize, answered: bool) {
-        if self.terms.allowed.peers {
+        if self.terms.capabilities.peer_messages {
             self.seen.words.verb_went(self.fleet[slot].name(), verb, answered);
         }
         self.count_verb(slot, verb, answered);
@@ -815,8 +839,8 @@
             return self.fleet.set_mark(slot, self.new_mark(slot));
         }
         let Some(at) = self.fleet[slot].verbs.get_mut(verb) else { return };
-        at.run += if self.terms.allowed.peers { 2 } else { 1 };
-        if !self.terms.allowed.peers && at.run >= MARK_AFTER {
+        at.run += if self.terms.capabilities.peer_messages { 2 } else { 1 };
+        if !self.terms.capabilities.peer_messages && at.run >= MARK_AFTER {
             self.mark(slot);
         } else if at.run >= 2 * MARK_AFTER {
             // A server that is slow for all verbs alike shows as held commands, and loses none.
@@ -842,7 +866,7 @@
     fn answered_again(&mut self, slot: Slot, verb: usize) {
         let Some(at) = self.fleet[slot].verbs.get_mut(verb) else { return };
         // Losses by chance come between answers: of many copies' words an answer makes good half a failure.
-        at.run = if self.terms.allowed.peers { at.run.saturating_sub(1) } else { 0 };
+        at.run = if self.terms.capabilities.peer_messages { at.run.saturating_sub(1) } else { 0 };
         if let Some(mark) = &mut at.mark {
             mark.passes += 1;
             if mark.passes >= RISE {
@@ -896,11 +920,12 @@
         if cmd.finished || self.spare_relays < 1.0 || self.left(cmd) < 1.5 * self.expected_of(cmd) {
             return;
         }
-        let (parallel, pure) = (self.terms.allowed.parallel, self.repeats(cmd) == Repeats::Pure);
+        let (parallel, pure) =
+            (self.terms.capabilities.hedging, self.repeats(cmd) == RetrySafety::Idempotent);
         let free = |server: &Server| server.mark().is_none() && !cmd.met(&server.id);
         let elsewhere = self.fleet.window().iter().any(|slot| free(&self.fleet[*slot]));
-        if !parallel && elsewhere && self.terms.allowed.cancel && pure {
-            self.host.cancel(id, number);
+        if !parallel && elsewhere && self.terms.capabilities.cancellation && pure {
+            self.host.cancel_attempt(id, number);
         } else if parallel && cmd.out() == 1 && self.place(id) {
             self.spare_relays -= 1.0;
         }
@@ -915,12 +940,13 @@
             return;
         }
         self.fleet.set_mark(slot, self.new_mark(slot));
-        self.host.note(&format!("mark {}", self.fleet[slot].id));
+        let ejected = self.fleet[slot].id.clone();
+        self.host.log(&Event::Ejected(ejected));
     }
 
     /// In a zone that the fleet has left it is looked at only when this copy has the turn.
     pub(crate) fn new_mark(&self, slot: Slot) -> Mark {
-        let wait = if self.terms.allowed.checks { CHECK_EVERY } else { TRIAL_AFTER };
+        let wait = if self.terms.capabilities.health_checks { CHECK_EVERY } else { TRIAL_AFTER };
         let next = if self.zones.left(self.fleet[slot].zone) { Duration::MAX } else { self.now + wait };
         Mark { passes: 0, next, trying: false }
     }
@@ -931,18 +957,19 @@
             // That it answers is told to the fleet, which takes the zone back or not.
             return self.fleet.set_mark(slot, self.new_mark(slot));
         }
-        let wait = if self.terms.allowed.checks { CHECK_EVERY } else { Duration::ZERO };
+        let wait = if self.terms.capabilities.health_checks { CHECK_EVERY } else { Duration::ZERO };
         let Some(mark) = self.fleet[slot].mark_mut() else { return };
         mark.passes += 1;
         (mark.trying, mark.next) = (false, now + wait);
         if mark.passes >= RISE {
             self.restarted(slot, now);
-            self.host.note(&format!("return {}", self.fleet[slot].id));
+            let returned = self.fleet[slot].id.clone();
+            self.host.log(&Event::Returned(returned));
         }
     }
 
     /// Its report counts only where each draw fetches its own: else it would be the last for long.
-    pub fn check_ended(&mut self, now: Duration, outcome: Outcome, id: &Id, load: Load) {
+    pub fn health_check_ended(&mut self, now: Duration, outcome: Outcome, id: &Id, load: LoadReport) {
         self.now = now;
         let Some(slot) = self.fleet.slot(id) else { return };
         self.fleet[slot].checking = false;
@@ -958,13 +985,13 @@
     }
 
     fn check_servers(&mut self) {
-        let checks = self.terms.allowed.checks;
+        let checks = self.terms.capabilities.health_checks;
         for slot in self.fleet.marked().collect::<Vec<_>>() {
             let server = &mut self.fleet[slot];
             let due = checks && server.mark().is_some_and(|mark| mark.next <= self.now);
             if due && server.ready() && !server.checking {
                 server.checking = true;
-                self.host.check(&server.id);
+                self.host.check_health(&server.id);
             }
         }
     }
@@ -972,12 +999,12 @@
     /// Rule 4: while a server ramps, a copy sends it at most the ramp's share of what others get on average.
     fn credit_cold(&mut self) {
         let chosen = self.fleet.window().len().max(1) as f64;
-        let others = (self.terms.may_live / self.terms.balancers).max(1.0);
+        let others = (self.terms.max_live_replicas / self.terms.replicas).max(1.0);
         // In a surge each takes itself for the largest: the floors of all together are those of even
         // parts at most.
-        let evenly = self.terms.balancers * chosen / (self.fleet.ready() as f64).max(1.0);
+        let evenly = self.terms.replicas * chosen / (self.fleet.ready() as f64).max(1.0);
         let usual = (self.seen.sent.per_s(self.now) / chosen).max(4.0 / (self.sharers.max(evenly) * others));
-        let (cold, now) = (&self.terms.cold, self.now);
+        let (cold, now) = (&self.terms.slow_start, self.now);
         self.fleet.each_ramping(now, |server| {
             let since = now.saturating_sub(server.credited).as_secs_f64().min(1.0);
             server.credited = now;
@@ -1000,7 +1027,7 @@
         let most = if cmd.rounds == 0 { FIRST_LOOKS } else { self.looks };
         let wanted = most.min(self.spare_looks as usize).min(among.len());
         shuffle(&mut among, || self.chance());
-        among.sort_by_key(|slot| !self.fleet[*slot].warm(now, self.terms.conn_idle));
+        among.sort_by_key(|slot| !self.fleet[*slot].warm(now, self.terms.idle_connection_timeout));
         among.truncate(wanted);
         let stale = |server: &Server| server.report().is_none_or(|(_, at)| at + FRESH < now);
         let looks: Vec<Slot> = among.iter().filter(|slot| stale(&self.fleet[**slot])).copied().collect();
@@ -1008,7 +1035,7 @@
             let server = &mut self.fleet[*slot];
             if !std::mem::replace(&mut server.checking, true) {
                 self.spare_looks -= 1.0;
-                self.host.check(&server.id);
+                self.host.check_health(&server.id);
             }
         }
         let Some(cmd) = self.cmds.get_mut(id) else { return false };
@@ -1022,7 +1049,7 @@
         !cmd.looks.is_empty() && self.now < cmd.look_until
     }
 
-    fn looked(&mut self, slot: Slot, outcome: Outcome, load: Load) {
+    fn looked(&mut self, slot: Slot, outcome: Outcome, load: LoadReport) {
         let server = &mut self.fleet[slot];
         if outcome == Outcome::Ok {
             (server.absent, server.missed) = (None, 0);
@@ -1039,9 +1066,9 @@
     /// Seconds to an answer by what the server is said to hold; none where no report for this draw says it.
     fn takes(&self, cmd: &Cmd, server: &Server) -> Option<f64> {
         let held = server.told(self.now, YOUNG)?;
-        let goal = self.terms.verbs.get(cmd.verb).map_or(0.0, |verb| verb.goal.as_secs_f64());
+        let goal = self.terms.classes.get(cmd.verb).map_or(0.0, |verb| verb.latency_objective.as_secs_f64());
         let turn = self.seen.turn.average().unwrap_or(goal / BOUND_START);
-        let slow = server.slowness.max(1.0) / server.ramp(&self.terms.cold, self.now);
+        let slow = server.slowness.max(1.0) / server.ramp(&self.terms.slow_start, self.now);
         Some(turn * slow * (held + cmd.size))
     }
 
@@ -1080,7 +1107,7 @@
         }
         let repeats = self.repeats(cmd);
         let first = cmd.relays.iter().find(|relay| relay.fate != Fate::NeverRan);
-        let first = first.filter(|_| repeats == Repeats::Receipted(Group::Cell));
+        let first = first.filter(|_| repeats == RetrySafety::IdempotencyKeyed(DedupScope::Cell));
         let power = self.crowding();
         let bound_to =
             first.map(|at| (at.zone, at.cell)).map(|(zone, cell)| self.fleet.sized_cell(zone, cell, power));
@@ -1105,7 +1132,7 @@
         awaited.map(|(slot, _)| *slot).or_else(|| drawn_from(&self.weights, drawn))
     }
 
-    fn fits(&self, cmd: &Cmd, repeats: Repeats, server: &Server, all_marked: bool) -> bool {
+    fn fits(&self, cmd: &Cmd, repeats: RetrySafety, server: &Server, all_marked: bool) -> bool {
         let ramps = server.ramp_from().is_some();
         let within = server.chosen() || !ramps;
         let cold = ramps && server.cold_credit < 1.0;
@@ -1116,8 +1143,8 @@
         }
         match server.mark() {
             Some(mark) if !all_marked => {
-                let trial = !self.terms.allowed.checks && !mark.trying && mark.next <= self.now;
-                trial && repeats == Repeats::Pure
+                let trial = !self.terms.capabilities.health_checks && !mark.trying && mark.next <= self.now;
+                trial && repeats == RetrySafety::Idempotent
             }
             _ if server.absent.is_some_and(|at| self.now < at + CHECK_EVERY) => false,
             _ if self.looks > 0 => self.in_time(cmd, server),
@@ -1127,7 +1154,7 @@
     }
 
     fn weight(&self, cmd: &Cmd, server: &Server, mean: f64) -> f64 {
-        let far = if server.zone == self.terms.zone { 0.0 } else { self.terms.prices.crossing };
+        let far = if server.zone == self.terms.zone { 0.0 } else { self.terms.costs.cross_zone };
         let price = (-far * CROSSING_AVERSION).exp() * self.zones.weight(server);
         if let Some(takes) = self.takes(cmd, server) {
             return price * takes.max(1e-6).powi(-LOOK_SHARPNESS);
@@ -1145,6 +1172,7 @@
         // A report that hides this copy's own, or whose server is silent, must not age to an even share.
         let figure = figure.max(own) + f64::from(server.overdue) * self.sharers;
         let by_size = server.by_list * pace.powi(SHARPNESS);
-        price * server.ramp(&self.terms.cold, self.now) * by_size / (1.0 + figure / size).powi(SHARPNESS)
+        price * server.ramp(&self.terms.slow_start, self.now) * by_size
+            / (1.0 + figure / size).powi(SHARPNESS)
     }
 }
--- a/crates/decisions/src/changed.rs
+++ b/crates/decisions/src/settings_change.rs
@@ -4,18 +4,18 @@
 
 use crate::host::Host;
 use crate::policy::Policy;
-use crate::terms::Verb;
+use crate::settings::RequestClass;
 use std::time::Duration;
 
 impl<H: Host> Policy<H> {
     /// Tenants' quotas (commands a second over all copies) and verbs by their numbers. Only goals, limits and utilities are
     /// taken: which verbs and tenants there are, and what may be repeated, is as it was at the start.
-    pub fn terms_changed(&mut self, now: Duration, quotas: &[f64], verbs: &[Verb]) {
+    pub fn settings_changed(&mut self, now: Duration, quotas: &[f64], verbs: &[RequestClass]) {
         self.now = now;
         self.terms.quotas.iter_mut().zip(quotas).for_each(|(quota, new)| *quota = *new);
-        for (verb, new) in self.terms.verbs.iter_mut().zip(verbs) {
-            (verb.goal, verb.limit) = (new.goal, new.limit);
-            (verb.utility, verb.overdue_utility) = (new.utility, new.overdue_utility);
+        for (verb, new) in self.terms.classes.iter_mut().zip(verbs) {
+            (verb.latency_objective, verb.time_limit) = (new.latency_objective, new.time_limit);
+            (verb.value, verb.late_value) = (new.value, new.late_value);
         }
     }
 }
--- a/crates/decisions/src/zones.rs
+++ b/crates/decisions/src/zones.rs
@@ -22,9 +22,9 @@
 
 /// A zone's share of what it would get, as the fleet has it: 0 where it is left.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ZoneShare {
+pub struct ZoneTraffic {
     pub zone: u32,
-    pub share: f64,
+    pub fraction: f64,
     /// In a zone that is left: a number that changes with each trial that is this copy's to make. In one that is in use: the
     /// same for a look at it, as others find it silent.
     pub trial: Option<u64>,
@@ -32,7 +32,7 @@
 
 /// How a zone looks from here.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ZoneSeen {
+pub struct ZoneObservation {
     pub zone: u32,
     /// Servers that the list tells as ready.
     pub ready: usize,
@@ -104,11 +104,11 @@
         let Some(zone) = self.at(zone) else { return };
         match outcome {
             // Whatever it answers, it is there.
-            Outcome::Ok | Outcome::Error | Outcome::Full => zone.answer(sent),
+            Outcome::Ok | Outcome::Error | Outcome::Overloaded => zone.answer(sent),
             _ if zone.answered.is_some_and(|answered| sent <= answered) => {}
             Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => zone.lose(now),
-            Outcome::Cancelled | Outcome::Moot if sent + LATE_LEAST <= now => zone.lose(now),
-            Outcome::Cancelled | Outcome::Moot => {
+            Outcome::Cancelled | Outcome::NotSent if sent + LATE_LEAST <= now => zone.lose(now),
+            Outcome::Cancelled | Outcome::NotSent => {
                 zone.open = zone.open.saturating_sub(1);
                 if zone.open == 0 && zone.lost == 0 {
                     zone.waiting = None;
@@ -120,7 +120,7 @@
     pub fn checked(&mut self, zone: u32, now: Duration, outcome: Outcome) {
         let Some(zone) = self.at(zone) else { return };
         match outcome {
-            Outcome::Ok | Outcome::Error | Outcome::Full => zone.answer(now),
+            Outcome::Ok | Outcome::Error | Outcome::Overloaded => zone.answer(now),
             Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset
                 if zone.share <= 0.0 || zone.looked_at.is_some_and(|at| now <= at + LOOK_FOR) =>
             {
@@ -157,9 +157,9 @@
 
 impl<H: Host> Policy<H> {
     /// What share each zone has by now. Those that are not named keep what they had.
-    pub fn zones_told(&mut self, now: Duration, told: &[ZoneShare]) {
+    pub fn zone_traffic_changed(&mut self, now: Duration, told: &[ZoneTraffic]) {
         self.now = now;
-        for ZoneShare { zone, share, trial } in told {
+        for ZoneTraffic { zone, fraction: share, trial } in told {
             let share = if share.is_finite() { share.clamp(0.0, 1.0) } else { 1.0 };
             if self.zones.at(*zone).is_none() {
                 let new = Zone {
@@ -196,13 +196,13 @@
     }
 
     /// How the zones look that shares were told of.
-    pub fn zones_seen(&mut self, now: Duration) -> Vec<ZoneSeen> {
+    pub fn zone_observations(&mut self, now: Duration) -> Vec<ZoneObservation> {
         let late = self.late_after();
-        let mut seen: Vec<ZoneSeen> = Vec::with_capacity(self.zones.0.len());
+        let mut seen: Vec<ZoneObservation> = Vec::with_capacity(self.zones.0.len());
         for zone in &self.zones.0 {
             let answered = zone.answered.map(|sent| now.saturating_sub(sent));
             let silent = zone.silent(now, late);
-            seen.push(ZoneSeen { zone: zone.zone, ready: 0, answered, silent, slow: false });
+            seen.push(ZoneObservation { zone: zone.zone, ready: 0, answered, silent, slow: false });
         }
         for server in self.fleet.ready_ones() {
             let zone = seen.iter_mut().find(|seen| seen.zone == server.zone);
@@ -268,13 +268,13 @@
     /// One server is checked at once, another with each look: others find the zone silent, and this copy does not know.
     fn look_at_one(&mut self, zone: u32, look: u64) {
         let slots = self.in_zone(zone);
-        if slots.is_empty() || !self.terms.allowed.checks {
+        if slots.is_empty() || !self.terms.capabilities.health_checks {
             return;
         }
         let slot = slots[(look % slots.len() as u64) as usize];
         if !std::mem::replace(&mut self.fleet[slot].checking, true) {
             let server = self.fleet[slot].id.clone();
-            self.host.check(&server);
+            self.host.check_health(&server);
         }
     }
 
--- a/crates/decisions/tests/decisions/changed.rs
+++ b/crates/decisions/tests/decisions/changed.rs
@@ -1,8 +1,8 @@
 //! Terms that change while commands are in hand.
 
 use crate::scripted::{Final, Scene, Taken, ms, terms};
-use landingspread_decisions::host::{Arrival, Id, Load, Outcome};
-use landingspread_decisions::terms::{Repeats, Verb};
+use landingspread_decisions::host::{Id, LoadReport, Outcome, RequestArrival};
+use landingspread_decisions::settings::{RequestClass, RetrySafety};
 use std::time::Duration;
 
 fn scene(extra: &str) -> Scene {
@@ -10,15 +10,15 @@
 }
 
 /// The four verbs of the script, the first with this goal and utility.
-fn verbs(goal: Duration, utility: f64) -> Vec<Verb> {
-    let mut verbs = terms("all", "").verbs;
-    (verbs[0].goal, verbs[0].utility) = (goal, utility);
+fn verbs(goal: Duration, utility: f64) -> Vec<RequestClass> {
+    let mut verbs = terms("all", "").classes;
+    (verbs[0].latency_objective, verbs[0].value) = (goal, utility);
     verbs
 }
 
-fn changed(scene: &mut Scene, quotas: &[f64], verbs: &[Verb]) {
+fn changed(scene: &mut Scene, quotas: &[f64], verbs: &[RequestClass]) {
     let now = scene.now();
-    scene.policy.terms_changed(now, quotas, verbs);
+    scene.policy.settings_changed(now, quotas, verbs);
 }
 
 fn good_for(scene: &mut Scene) -> Duration {
@@ -51,7 +51,7 @@
     goal.into_iter().for_each(|goal| changed(&mut scene, &[], &verbs(goal, 2.0)));
     scene.body_came(&id, ms(3000));
     scene.pass(ms(260));
-    scene.end(&id, 0, Outcome::ConnectFailed, Load::default());
+    scene.end(&id, 0, Outcome::ConnectFailed, LoadReport::default());
     scene.pass(ms(20));
     scene.script.0.borrow().cmds[&id].relays.len() == 2
 }
@@ -68,7 +68,17 @@
     let id: Id = format!("t{number:05}").into();
     let taken = Taken { verb, due, relays: Vec::new(), ended: None, coming: false, spent: false };
     scene.script.0.borrow_mut().cmds.insert(id.clone(), taken);
-    scene.policy.cmd_came(now, Arrival { id: id.clone(), verb, due, coming: false, tenant, cost: None });
+    scene.policy.request_arrived(
+        now,
+        RequestArrival {
+            id: id.clone(),
+            class: verb,
+            deadline: due,
+            body_incomplete: false,
+            tenant,
+            declared_work: None,
+        },
+    );
     id
 }
 
@@ -87,7 +97,7 @@
         for (id, number) in scene.out() {
             let server = scene.script.0.borrow().cmds[&id].relays[number as usize].server.clone();
             if !done.contains(&server) {
-                scene.end(&id, number, Outcome::Ok, Load::default());
+                scene.end(&id, number, Outcome::Ok, LoadReport::default());
                 done.push(server);
             }
         }
@@ -100,7 +110,7 @@
 fn a_quota_that_is_lowered_and_raised_again_changes_who_goes_first() {
     let quotas = "Tenants.count=2 Tenants.0.QuotaRps=100000 Tenants.1.QuotaRps=100000 BeyondShareUtility=0.1";
     let mut scene = scene(quotas);
-    let verbs = terms("all", "").verbs;
+    let verbs = terms("all", "").classes;
     let kinds = [(0, 0), (1, 0)];
     let [one, other] = answered(&mut scene, kinds);
     assert!(one + other > 100 && one.abs_diff(other) * 4 < one + other, "alike: {one} and {other}");
@@ -119,8 +129,8 @@
     // Of two that are worth the same the one that takes less time goes first, which feeds itself.
     let [one, other] = answered(&mut scene, kinds);
     let raised = usize::from(one > other) * 3;
-    let mut verbs = terms("all", "").verbs;
-    verbs[raised].utility = 40.0;
+    let mut verbs = terms("all", "").classes;
+    verbs[raised].value = 40.0;
     changed(&mut scene, &[], &verbs);
     let [first, fourth] = answered(&mut scene, kinds);
     let (high, low) = if raised == 0 { (first, fourth) } else { (fourth, first) };
@@ -131,12 +141,12 @@
 fn what_may_be_repeated_and_which_verbs_there_are_stays_as_it_was() {
     let mut scene = scene("");
     let mut new = verbs(ms(500), 3.0);
-    new[2].repeats = Repeats::Pure;
+    new[2].retry_safety = RetrySafety::Idempotent;
     new.push(new[0].clone());
     changed(&mut scene, &[7.0, 8.0], &new);
     let id = scene.give(2, ms(3000));
     scene.pass(ms(20));
-    scene.end(&id, 0, Outcome::Error, Load::default());
+    scene.end(&id, 0, Outcome::Error, LoadReport::default());
     scene.pass(ms(20));
     assert_eq!(scene.script.0.borrow().cmds[&id].relays.len(), 1, "an effectful one may have run");
     assert_eq!(scene.ended(&id), Some(Final::Terminated));
--- a/crates/decisions/tests/decisions/copies.rs
+++ b/crates/decisions/tests/decisions/copies.rs
@@ -1,7 +1,7 @@
 //! What only shows with many copies over one fleet: each copy has a world of its own, the list is one.
 
 use crate::scripted::{Scene, entry, ms, terms};
-use landingspread_decisions::host::{Copies, Listed, Load, Outcome, State};
+use landingspread_decisions::host::{Lifecycle, ListedServer, LoadReport, Outcome, ReplicaView};
 
 fn copies(count: u32, servers: u32) -> Vec<Scene> {
     let copy = |at: u32| {
@@ -67,7 +67,7 @@
     let at = copies[0].now();
     for copy in &mut copies {
         let up_since = Some(at);
-        copy.change(&[Listed { up_since, ..entry("s2", State::Ready) }]);
+        copy.change(&[ListedServer { started_at: up_since, ..entry("s2", Lifecycle::Ready) }]);
     }
     let mut used = 0;
     for window in 0..3 {
@@ -84,9 +84,9 @@
 fn many_copies_load_servers_by_size_and_do_not_crowd_the_large() {
     let mut copies = copies(100, 8);
     let entries: Vec<_> = (0..8)
-        .map(|at| Listed {
-            nominal: if at < 4 { 4.0 } else { 1.0 },
-            ..entry(&format!("s{at}"), State::Ready)
+        .map(|at| ListedServer {
+            nominal_capacity: if at < 4 { 4.0 } else { 1.0 },
+            ..entry(&format!("s{at}"), Lifecycle::Ready)
         })
         .collect();
     copies.iter_mut().for_each(|copy| copy.change(&entries));
@@ -119,7 +119,7 @@
         while !scene.out().is_empty() {
             scene.pass(ms(span));
             let out = scene.out();
-            out.iter().for_each(|(id, number)| scene.end(id, *number, Outcome::Ok, Load::default()));
+            out.iter().for_each(|(id, number)| scene.end(id, *number, Outcome::Ok, LoadReport::default()));
         }
         scene.pass(ms(1500));
         let_in
@@ -131,18 +131,18 @@
     assert!(strained * 4 < start * 3, "{strained} let in under strain, {start} at the start");
 }
 
-fn told(count: f64, may_live: f64) -> Copies {
-    Copies { count, may_live, place: None, traffic: None }
+fn told(count: f64, may_live: f64) -> ReplicaView {
+    ReplicaView { count, max_alive: may_live, ordinal: None, mean_request_rate: None }
 }
 
 /// How many of a crowd are let out at once, and then ended.
 fn let_out(scene: &mut Scene) -> usize {
     (0..60).for_each(|_| drop(scene.give(0, ms(3000))));
     let out = scene.out();
-    out.iter().for_each(|(id, number)| scene.end(id, *number, Outcome::Ok, Load::default()));
+    out.iter().for_each(|(id, number)| scene.end(id, *number, Outcome::Ok, LoadReport::default()));
     while !scene.out().is_empty() {
         let out = scene.out();
-        out.iter().for_each(|(id, number)| scene.end(id, *number, Outcome::Ok, Load::default()));
+        out.iter().for_each(|(id, number)| scene.end(id, *number, Outcome::Ok, LoadReport::default()));
     }
     scene.pass(ms(4000));
     out.len()
@@ -154,19 +154,19 @@
     scene.pass(ms(1000));
     let one_of_eight = let_out(&mut scene);
     let now = scene.now();
-    scene.policy.copies_told(now, &told(2.0, 2.0));
+    scene.policy.replicas_changed(now, &told(2.0, 2.0));
     scene.pass(ms(1000));
     let one_of_two = let_out(&mut scene);
     let now = scene.now();
-    scene.policy.copies_told(now, &told(8.0, 8.0));
+    scene.policy.replicas_changed(now, &told(8.0, 8.0));
     scene.pass(ms(1000));
     let again = let_out(&mut scene);
     assert!(one_of_two >= 2 * one_of_eight, "{one_of_eight} of eight copies', {one_of_two} of two's");
     assert!(again < one_of_two, "{again} after the others are back, {one_of_two} before");
     // What can be no count changes nothing.
     let now = scene.now();
-    scene.policy.copies_told(now, &told(f64::NAN, f64::NAN));
-    scene.policy.copies_told(now, &told(-3.0, 0.0));
+    scene.policy.replicas_changed(now, &told(f64::NAN, f64::NAN));
+    scene.policy.replicas_changed(now, &told(-3.0, 0.0));
     scene.pass(ms(1000));
     assert!(let_out(&mut scene) >= one_of_two);
 }
@@ -178,8 +178,8 @@
         let extra = "Balancers=2 Ordinal=0 MyZone=0";
         let mut scene = Scene::new(terms("zone", extra), "zone", seed, 4);
         let now = scene.now();
-        scene.policy.copies_told(now, &told(2.0, may_live));
-        scene.change(&[Listed { up_since: Some(now), ..entry("s2", State::Ready) }]);
+        scene.policy.replicas_changed(now, &told(2.0, may_live));
+        scene.change(&[ListedServer { started_at: Some(now), ..entry("s2", Lifecycle::Ready) }]);
         for _ in 0..8 {
             scene.play(0, |_| Outcome::Ok);
             scene.pass(ms(250));
--- a/crates/decisions/tests/decisions/maintenance.rs
+++ b/crates/decisions/tests/decisions/maintenance.rs
@@ -1,7 +1,7 @@
 //! What operators say of single servers, against every order in which the list may speak meanwhile.
 
 use crate::scripted::{Scene, entry, ms, terms};
-use landingspread_decisions::host::{Listed, Outcome, State};
+use landingspread_decisions::host::{Lifecycle, ListedServer, Outcome};
 
 fn scene() -> Scene {
     Scene::new(terms("all", ""), "all", 7, 3)
@@ -23,18 +23,20 @@
     play(&mut scene, 30);
     assert!(scene.operators("s1", true) && scene.operators("s1", true));
     let before = sent(&scene, "s1");
-    let restarted = Listed { up_since: Some(scene.now()), ..entry("s1", State::Ready) };
-    let all = [entry("s0", State::Ready), restarted.clone(), entry("s2", State::Ready)];
-    for entries in
-        [vec![entry("s1", State::Gone)], vec![restarted.clone()], vec![entry("s1", State::Draining)]]
-    {
+    let restarted = ListedServer { started_at: Some(scene.now()), ..entry("s1", Lifecycle::Ready) };
+    let all = [entry("s0", Lifecycle::Ready), restarted.clone(), entry("s2", Lifecycle::Ready)];
+    for entries in [
+        vec![entry("s1", Lifecycle::Removed)],
+        vec![restarted.clone()],
+        vec![entry("s1", Lifecycle::Draining)],
+    ] {
         scene.change(&entries);
         play(&mut scene, 10);
     }
     // A whole list without it, and one that has it again.
     for entries in [[&all[..1], &all[2..]].concat(), all.to_vec()] {
         scene.told(&entries);
-        scene.policy.list_told(scene.now(), &entries);
+        scene.policy.endpoint_list_received(scene.now(), &entries);
         play(&mut scene, 10);
     }
     assert_eq!(sent(&scene, "s1"), before);
@@ -61,17 +63,17 @@
     let mut scene = scene();
     assert!(!scene.operators("s7", true) && !scene.operators("s7", false));
     assert!(scene.operators("s2", false), "a call back with none out");
-    scene.change(&[entry("s2", State::Gone)]);
+    scene.change(&[entry("s2", Lifecycle::Removed)]);
     assert!(scene.operators("s2", true), "once listed and now gone");
-    scene.change(&[entry("s2", State::Ready)]);
+    scene.change(&[entry("s2", Lifecycle::Ready)]);
     let before = sent(&scene, "s2");
     play(&mut scene, 20);
     assert_eq!(sent(&scene, "s2"), before);
-    scene.change(&[entry("s2", State::Gone)]);
+    scene.change(&[entry("s2", Lifecycle::Removed)]);
     assert!(scene.operators("s2", false));
     play(&mut scene, 20);
     assert_eq!(sent(&scene, "s2"), before, "the list says that it is gone");
-    scene.policy.named_before(&"s8".into());
+    scene.policy.restore_known_server(&"s8".into());
     assert!(scene.operators("s8", true));
 }
 
--- a/crates/decisions/tests/decisions/moved.rs
+++ b/crates/decisions/tests/decisions/moved.rs
@@ -1,8 +1,8 @@
 //! Copies beside their callers: looks before a draw, words between copies, and what is taken over from an earlier one.
 
 use crate::scripted::{Final, Scene, entry, ms, terms};
-use landingspread_decisions::carried::Learnt;
-use landingspread_decisions::host::{Load, Outcome, State};
+use landingspread_decisions::host::{Lifecycle, LoadReport, Outcome};
+use landingspread_decisions::statistics::ServerStatistics;
 
 const LOOKS: &str = "Report.How=probe Report.Fields=active,waiting Costs.Probe=0.002 PolicyLimits.ConnIdle=15000000 \
     PolicyLimits.Peers=true Costs.Peer=0.01 Balancers=200";
@@ -11,8 +11,8 @@
     Scene::new(terms("all", LOOKS), "all", 7, servers)
 }
 
-fn holds(in_flight: f64) -> Load {
-    Load { in_flight: Some(in_flight), ..Load::default() }
+fn holds(in_flight: f64) -> LoadReport {
+    LoadReport { in_flight: Some(in_flight), ..LoadReport::default() }
 }
 
 /// Ends the checks that are out: what each server holds, or nothing where nobody is there.
@@ -21,9 +21,9 @@
     for server in checks {
         let (outcome, load) = match held(&server) {
             Some(held) => (Outcome::Ok, holds(held)),
-            None => (Outcome::ConnectFailed, Load::default()),
+            None => (Outcome::ConnectFailed, LoadReport::default()),
         };
-        scene.policy.check_ended(scene.now(), outcome, &server, load);
+        scene.policy.health_check_ended(scene.now(), outcome, &server, load);
     }
 }
 
@@ -44,7 +44,7 @@
         }
         assert_eq!(server_of(&scene, &id).as_deref(), Some("s3"));
         scene.pass(ms(40));
-        scene.end(&id, 0, Outcome::Ok, Load::default());
+        scene.end(&id, 0, Outcome::Ok, LoadReport::default());
         scene.pass(ms(100));
     }
 }
@@ -57,7 +57,7 @@
         let id = scene.give(0, ms(1000));
         checks += scene.script.0.borrow().checks.len();
         looks(&mut scene, |_| Some(0.0));
-        scene.end(&id, 0, Outcome::Ok, Load::default());
+        scene.end(&id, 0, Outcome::Ok, LoadReport::default());
         scene.pass(ms(60));
     }
     assert_eq!(checks, 100, "two for each command");
@@ -96,7 +96,7 @@
         }
         scene.pass(ms(20));
         assert_eq!(scene.ended(&id), None);
-        scene.end(&id, number, Outcome::Full, Load::default());
+        scene.end(&id, number, Outcome::Overloaded, LoadReport::default());
     }
     assert_eq!(scene.ended(&id), Some(Final::Declined), "no relay is left to it");
 }
@@ -112,7 +112,7 @@
 fn one(scene: &mut Scene, verb: usize, outcome: Outcome) {
     let id = scene.give(verb, ms(1000));
     looks(scene, |_| Some(0.0));
-    scene.end(&id, 0, outcome, Load::default());
+    scene.end(&id, 0, outcome, LoadReport::default());
 }
 
 #[test]
@@ -137,7 +137,7 @@
     let mut other = looking(1);
     one(&mut other, 2, Outcome::Ok);
     let now = other.now();
-    told.iter().for_each(|words| other.policy.peer_said(now, 9, words));
+    told.iter().for_each(|words| other.policy.peer_message_received(now, 9, words));
     other.pass(ms(1000));
     one(&mut other, 2, Outcome::Ok);
     assert_eq!(other.script.0.borrow().let_go.len(), 1, "by its peers' words alone");
@@ -153,7 +153,7 @@
         let lost = server_of(&scene, &id).as_deref() == Some("s0");
         let outcome = if lost { Outcome::Error } else { Outcome::Ok };
         if server_of(&scene, &id).is_some() {
-            scene.end(&id, 0, outcome, Load::default());
+            scene.end(&id, 0, outcome, LoadReport::default());
         }
         scene.pass(ms(20));
     }
@@ -164,7 +164,7 @@
         if verb == 2 {
             assert_eq!(server_of(&scene, &id).as_deref(), Some("s1"));
         }
-        scene.end(&id, 0, Outcome::Ok, Load::default());
+        scene.end(&id, 0, Outcome::Ok, LoadReport::default());
     }
     assert!(scene.script.0.borrow().sent_to("s0") > before, "the other verb goes on there");
 }
@@ -177,7 +177,7 @@
         let id = scene.give(0, ms(1000));
         looks(&mut scene, |_| Some(0.0));
         if server_of(&scene, &id).is_some() {
-            scene.end(&id, 0, Outcome::Error, Load::default());
+            scene.end(&id, 0, Outcome::Error, LoadReport::default());
         }
         scene.pass(ms(20));
     }
@@ -192,7 +192,7 @@
         let many = "Balancers=100 PolicyLimits.Peers=true";
         let mut scene = Scene::new(terms("all", many), "all", 7, 4);
         let now = scene.now();
-        (0..200).for_each(|_| scene.policy.peer_said(now, 3, &[2, usual[0], usual[1]]));
+        (0..200).for_each(|_| scene.policy.peer_message_received(now, 3, &[2, usual[0], usual[1]]));
         for _ in 0..200 {
             scene.give(0, ms(3000));
             scene.pass(ms(20));
@@ -205,8 +205,12 @@
 
 #[test]
 fn what_was_learnt_goes_over_for_processes_that_still_run_and_no_others() {
-    let learnt =
-        |server: &str, marked, up_since| Learnt { server: server.into(), up_since, slowness: 3.0, marked };
+    let learnt = |server: &str, marked, up_since| ServerStatistics {
+        server: server.into(),
+        started_at: up_since,
+        slowness: 3.0,
+        ejected: marked,
+    };
     let mut scene = Scene::new(terms("all", ""), "all", 7, 4);
     let now = scene.now();
     let other = Some(ms(900));
@@ -216,9 +220,15 @@
         learnt("s2", false, None),
         learnt("s8", false, None),
     ];
-    scene.policy.recall(now, &all);
+    scene.policy.restore_statistics(now, &all);
     let slowness = |scene: &Scene, server: &str| {
-        scene.policy.learnt().into_iter().find(|one| &*one.server == server).expect("known").slowness
+        scene
+            .policy
+            .server_statistics()
+            .into_iter()
+            .find(|one| &*one.server == server)
+            .expect("known")
+            .slowness
     };
     assert!(slowness(&scene, "s0") > 2.0 && slowness(&scene, "s2") > 2.0);
     assert_eq!(
@@ -241,10 +251,14 @@
 #[test]
 fn where_most_were_marked_none_is_taken_over() {
     let mut scene = Scene::new(terms("all", ""), "all", 7, 4);
-    let marked =
-        |at| Learnt { server: format!("s{at}").into(), up_since: None, slowness: 1.0, marked: at < 3 };
-    let all: Vec<Learnt> = (0..4).map(marked).collect();
-    scene.policy.recall(scene.now(), &all);
-    assert!(scene.policy.learnt().iter().all(|one| !one.marked));
-    scene.change(&[entry("s0", State::Draining)]);
+    let marked = |at| ServerStatistics {
+        server: format!("s{at}").into(),
+        started_at: None,
+        slowness: 1.0,
+        ejected: at < 3,
+    };
+    let all: Vec<ServerStatistics> = (0..4).map(marked).collect();
+    scene.policy.restore_statistics(scene.now(), &all);
+    assert!(scene.policy.server_statistics().iter().all(|one| !one.ejected));
+    scene.change(&[entry("s0", Lifecycle::Draining)]);
 }
--- a/crates/decisions/tests/decisions/plain.rs
+++ b/crates/decisions/tests/decisions/plain.rs
@@ -1,8 +1,8 @@
 //! A few plain cases of the mechanism and of each exception to it.
 
 use crate::scripted::{Final, Scene, entry, ms, terms};
-use landingspread_decisions::host::{Listed, Load, Outcome, State};
-use landingspread_decisions::terms::Terms;
+use landingspread_decisions::host::{Lifecycle, ListedServer, LoadReport, Outcome};
+use landingspread_decisions::settings::Settings;
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
@@ -89,7 +89,7 @@
         scene.pass(ms(20));
         let to = scene.script.0.borrow().cmds[&id].relays.first().map(|relay| relay.server.clone());
         if to.is_some_and(|server| &*server != "s3") {
-            scene.end(&id, 0, Outcome::Ok, Load::default());
+            scene.end(&id, 0, Outcome::Ok, LoadReport::default());
         }
     }
     assert!(scene.noted("mark s3"));
@@ -105,7 +105,7 @@
         let lost = number > 200 && number % 4 == 0;
         scene.pass(ms(if lost { 1000 } else { 50 }));
         if scene.ended(&id).is_none() {
-            scene.end(&id, 0, Outcome::Ok, Load::default());
+            scene.end(&id, 0, Outcome::Ok, LoadReport::default());
         }
     }
     assert!(!scene.noted("mark s0") && !scene.noted("mark s1"));
@@ -121,8 +121,8 @@
     }
     assert!(scene.noted("mark s1"));
     let before = scene.script.0.borrow().sent_to("s1");
-    scene.change(&[entry("s1", State::Gone)]);
-    scene.change(&[entry("s1", State::Ready)]);
+    scene.change(&[entry("s1", Lifecycle::Removed)]);
+    scene.change(&[entry("s1", Lifecycle::Ready)]);
     for _ in 0..10 {
         scene.play(0, |_| Outcome::Ok);
     }
@@ -138,13 +138,13 @@
             let to = scene.script.0.borrow().cmds[&id].relays[0].server.clone();
             scene.pass(ms(20));
             let in_flight = Some(if &*to == "s0" { 9.0 } else { 0.0 });
-            scene.end(&id, 0, Outcome::Ok, Load { in_flight, ..Load::default() });
+            scene.end(&id, 0, Outcome::Ok, LoadReport { in_flight, ..LoadReport::default() });
         }
         scene.pass(wait);
         let before = scene.script.0.borrow().sent_to("s0");
         let id = scene.give(0, ms(3000));
         scene.pass(ms(20));
-        scene.end(&id, 0, Outcome::Ok, Load::default());
+        scene.end(&id, 0, Outcome::Ok, LoadReport::default());
         scene.script.0.borrow().sent_to("s0") - before
     };
     let fresh: usize = (0..100).map(|_| at_s0(&mut scene, ms(0))).sum();
@@ -160,7 +160,7 @@
         scene.play(0, |_| Outcome::Ok);
     }
     let up_since = Some(scene.now());
-    scene.change(&[Listed { up_since, ..entry("s0", State::Ready) }]);
+    scene.change(&[ListedServer { started_at: up_since, ..entry("s0", Lifecycle::Ready) }]);
     let before = scene.script.0.borrow().sent_to("s0");
     for _ in 0..100 {
         scene.play(0, |_| Outcome::Ok);
@@ -176,7 +176,7 @@
     for (verb, end) in ends.into_iter().enumerate() {
         let id = scene.play(verb, |_| Outcome::Error);
         assert_eq!(scene.ended(&id), Some(end), "verb {verb} that may have run");
-        let id = scene.play(verb, |_| Outcome::Full);
+        let id = scene.play(verb, |_| Outcome::Overloaded);
         assert_eq!(scene.ended(&id), Some(Final::Declined), "verb {verb} that never ran");
         assert!(scene.script.0.borrow().come_back.is_some());
     }
@@ -202,7 +202,7 @@
     let full = |scene: &mut Scene| {
         (0..60).for_each(|_| drop(scene.give(0, ms(3000))));
         let out = scene.out();
-        out.iter().for_each(|(id, number)| scene.end(id, *number, Outcome::Error, Load::default()));
+        out.iter().for_each(|(id, number)| scene.end(id, *number, Outcome::Error, LoadReport::default()));
         scene.pass(ms(2000));
         out.len()
     };
@@ -220,11 +220,11 @@
     for _ in 0..50 {
         let id = scene.give(0, ms(3000));
         scene.pass(ms(400));
-        scene.end(&id, 0, Outcome::Ok, Load::default());
+        scene.end(&id, 0, Outcome::Ok, LoadReport::default());
     }
     let id = scene.give(2, ms(3000));
     scene.pass(ms(400));
-    scene.end(&id, 0, Outcome::Ok, Load::default());
+    scene.end(&id, 0, Outcome::Ok, LoadReport::default());
     let id = scene.give(0, ms(100));
     assert_eq!(scene.ended(&id), Some(Final::Declined));
     let come_back = scene.script.0.borrow().come_back;
@@ -236,7 +236,7 @@
     let mut scene = scene("Discovery=subscribe", 2);
     scene.pass(ms(1100));
     assert_eq!(scene.script.0.borrow().list_calls, 1);
-    scene.policy.list_call_failed(scene.now());
+    scene.policy.discovery_poll_failed(scene.now());
     assert_eq!(scene.script.0.borrow().list_calls, 1);
     scene.pass(ms(1100));
     assert_eq!(scene.script.0.borrow().list_calls, 2);
@@ -254,7 +254,7 @@
         }
         began.push(scene.now());
         scene.pass(ms(fails_after));
-        scene.policy.list_call_failed(scene.now());
+        scene.policy.discovery_poll_failed(scene.now());
     }
     began.windows(2).map(|pair| (pair[1] - pair[0]).as_millis()).collect()
 }
@@ -287,7 +287,7 @@
         {
             work -= 1.0;
             if now - came < most && waiting.remove(&number) {
-                copies[number].policy.list_changed(now, &[]);
+                copies[number].policy.endpoint_list_changed(now, &[]);
                 listed.insert(number);
             }
         }
@@ -307,8 +307,8 @@
 #[test]
 fn copies_that_a_crowded_discovery_refuses_leave_it_room_to_answer_them() {
     for a_second in [50.0, 60.0, 75.0, 100.0] {
-        let now = without_a_list(a_second, |copy| copy.policy.list_call_refused(copy.now()));
-        let as_failed = without_a_list(a_second, |copy| copy.policy.list_call_failed(copy.now()));
+        let now = without_a_list(a_second, |copy| copy.policy.discovery_poll_rejected(copy.now()));
+        let as_failed = without_a_list(a_second, |copy| copy.policy.discovery_poll_failed(copy.now()));
         println!("{a_second}: {now}, {as_failed} where a refusal counts as any failure");
         assert!(now <= 30, "{now} of 300 have no list; {as_failed} where a refusal counts as any failure");
     }
@@ -340,7 +340,7 @@
 
 #[test]
 fn settings_that_cannot_be_read_are_named() {
-    let wrong = |text: &str| Terms::decode(text).map(drop).map_err(|wrong| wrong.to_string());
+    let wrong = |text: &str| Settings::decode(text).map(drop).map_err(|wrong| wrong.to_string());
     assert_eq!(wrong(""), Err("setting Discovery is missing".into()));
     let text = "Discovery=automatic Verbs.count=1 Verbs.0.Effect=sometimes";
     assert_eq!(wrong(text), Err("setting Verbs.0.Effect can't be read: \"sometimes\"".into()));
@@ -357,7 +357,7 @@
         let slow = scene.script.0.borrow().cmds[&id].relays.iter().any(|relay| &*relay.server == "s1");
         met += usize::from(slow);
         if !slow || met % 3 == 0 {
-            scene.end(&id, 0, Outcome::Ok, Load::default());
+            scene.end(&id, 0, Outcome::Ok, LoadReport::default());
         }
         scene.pass(ms(1100));
     }
@@ -377,7 +377,7 @@
         let from = scene.now();
         if stall > 0 {
             scene.script.0.borrow_mut().now = from + ms(stall);
-            scene.policy.woken(scene.now());
+            scene.policy.timer_fired(scene.now());
         } else {
             scene.pass(ms(600));
         }
@@ -413,7 +413,7 @@
     ] {
         let mut scene = Scene::new(terms("all", ""), "all", 3, 3);
         let id = scene.give_coming(2);
-        scene.end_as(&id, 0, outcome, Load::default(), spent);
+        scene.end_as(&id, 0, outcome, LoadReport::default(), spent);
         assert_eq!(scene.ended(&id), wanted, "{outcome:?} {spent}");
         assert_eq!(scene.out().len(), usize::from(!spent));
     }
--- a/crates/decisions/tests/decisions/rest.rs
+++ b/crates/decisions/tests/decisions/rest.rs
@@ -1,9 +1,11 @@
 //! Sweeps that are left out at rest: whoever leaves them out hears the same calls, at the same times.
 
 use crate::scripted::{entry, ms, terms};
-use landingspread_decisions::host::{Arrival, Ended, Host, Id, Load, Outcome, State};
+use landingspread_decisions::host::{
+    AttemptEnd, Event, Host, Id, Lifecycle, LoadReport, Outcome, RequestArrival,
+};
 use landingspread_decisions::policy::Policy;
-use landingspread_decisions::zones::ZoneShare;
+use landingspread_decisions::zones::ZoneTraffic;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -30,7 +32,7 @@
 }
 
 impl Host for Logged {
-    fn relay(&mut self, cmd: &Id, server: &Id, not_past: Duration) {
+    fn start_attempt(&mut self, cmd: &Id, server: &Id, not_past: Duration) {
         self.say(format!("relay {cmd} {server} {not_past:?}"));
         let mut log = self.0.borrow_mut();
         let next = log.relays.entry(cmd.clone()).or_default();
@@ -39,38 +41,38 @@
         log.out.push((cmd.clone(), number, server.clone()));
     }
 
-    fn decline(&mut self, cmd: &Id, come_back: Option<Duration>) {
+    fn reject(&mut self, cmd: &Id, come_back: Option<Duration>) {
         self.say(format!("decline {cmd} {come_back:?}"));
     }
 
-    fn terminate(&mut self, cmd: &Id) {
+    fn fail(&mut self, cmd: &Id) {
         self.say(format!("terminate {cmd}"));
     }
 
-    fn cancel(&mut self, cmd: &Id, relay: u32) {
+    fn cancel_attempt(&mut self, cmd: &Id, relay: u32) {
         self.say(format!("cancel {cmd} {relay}"));
     }
 
-    fn check(&mut self, server: &Id) {
+    fn check_health(&mut self, server: &Id) {
         self.say(format!("check {server}"));
         self.0.borrow_mut().checks.push(server.clone());
     }
 
-    fn wake_in(&mut self, _: Duration) {}
+    fn wake_after(&mut self, _: Duration) {}
 
-    fn subscribe(&mut self) {
+    fn poll_discovery(&mut self) {
         self.say("subscribe".into());
     }
 
-    fn let_go(&mut self, server: &Id) {
+    fn close_idle_connections(&mut self, server: &Id) {
         self.say(format!("let go {server}"));
     }
 
-    fn tell(&mut self, peer: Option<u32>, words: &[u8]) {
+    fn send_to_peers(&mut self, peer: Option<u32>, words: &[u8]) {
         self.say(format!("tell {peer:?} {words:?}"));
     }
 
-    fn note(&mut self, text: &str) {
+    fn log(&mut self, text: &Event) {
         self.say(format!("note {text}"));
     }
 }
@@ -102,10 +104,10 @@
                 break;
             }
             if self.rests_until.take().is_some() {
-                assert_eq!(self.policy.rested(at), at, "rest ends at a sweep's time");
+                assert_eq!(self.policy.skip_sweeps(at), at, "rest ends at a sweep's time");
             }
             self.host.0.borrow_mut().now = at;
-            self.policy.woken(at);
+            self.policy.timer_fired(at);
             self.sweeps += 1;
             self.sweep_at = at + SWEEP;
             let next = self.policy.next_sweep();
@@ -118,14 +120,14 @@
     fn hear(&mut self, at: Duration, what: impl FnOnce(&mut Policy<Logged>, &Logged)) {
         self.pass_to(at);
         if let Some(until) = self.rests_until.take() {
-            self.sweep_at = self.policy.rested(at.min(until));
+            self.sweep_at = self.policy.skip_sweeps(at.min(until));
         }
         what(&mut self.policy, &self.host);
     }
 }
 
 const OUTCOMES: [Outcome; 6] =
-    [Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::Timeout, Outcome::ConnectFailed, Outcome::Moot];
+    [Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::Timeout, Outcome::ConnectFailed, Outcome::NotSent];
 
 /// One thing that happens: `draw` says what, which and how.
 fn happens(policy: &mut Policy<Logged>, host: &Logged, now: Duration, number: usize, draw: u64) {
@@ -133,9 +135,15 @@
     match draw % 10 {
         0..=2 => {
             let id: Id = format!("c{number:05}").into();
-            let arrival =
-                Arrival { id, verb: which % 4, due: now + ms(1500), coming: false, tenant: 0, cost: None };
-            policy.cmd_came(now, arrival);
+            let arrival = RequestArrival {
+                id,
+                class: which % 4,
+                deadline: now + ms(1500),
+                body_incomplete: false,
+                tenant: 0,
+                declared_work: None,
+            };
+            policy.request_arrived(now, arrival);
         }
         3..=6 => {
             let out = {
@@ -145,31 +153,40 @@
             };
             let Some((cmd, relay, server)) = out else { return };
             let (outcome, latency) = (OUTCOMES[how % OUTCOMES.len()], ms(5 + how as u64 % 40));
-            let ended = Ended {
-                cmd,
-                closed: outcome == Outcome::Ok,
-                spent: false,
+            let ended = AttemptEnd {
+                request: cmd,
+                request_closed: outcome == Outcome::Ok,
+                body_consumed: false,
                 outcome,
-                relay,
+                attempt: relay,
                 latency,
                 server,
-                load: Load::default(),
+                load: LoadReport::default(),
             };
-            policy.relay_ended(now, ended);
+            policy.attempt_ended(now, ended);
         }
         7 => {
             let checks = std::mem::take(&mut host.0.borrow_mut().checks);
             for server in checks {
-                policy.check_ended(now, OUTCOMES[how % OUTCOMES.len()], &server, Load::default());
+                policy.health_check_ended(
+                    now,
+                    OUTCOMES[how % OUTCOMES.len()],
+                    &server,
+                    LoadReport::default(),
+                );
             }
         }
         8 => {
-            let state = [State::Ready, State::Draining, State::Gone, State::Ready][how % 4];
-            policy.list_changed(now, &[entry(&format!("s{}", which % 8), state)]);
+            let state =
+                [Lifecycle::Ready, Lifecycle::Draining, Lifecycle::Removed, Lifecycle::Ready][how % 4];
+            policy.endpoint_list_changed(now, &[entry(&format!("s{}", which % 8), state)]);
         }
         _ => {
             let share = [1.0, 0.0, 0.5][how % 3];
-            policy.zones_told(now, &[ZoneShare { zone: 1, share, trial: Some(how as u64 % 4) }]);
+            policy.zone_traffic_changed(
+                now,
+                &[ZoneTraffic { zone: 1, fraction: share, trial: Some(how as u64 % 4) }],
+            );
         }
     }
 }
@@ -188,8 +205,8 @@
     for seed in 1..=60 {
         let extra = if seed % 2 == 0 { "Balancers=3 PolicyLimits.Peers=true" } else { "" };
         let mut copies = [Copy::new(false, extra, seed), Copy::new(true, extra, seed)];
-        let entries: Vec<_> = (0..6).map(|at| entry(&format!("s{at}"), State::Ready)).collect();
-        copies.iter_mut().for_each(|copy| copy.policy.list_cached(ms(1000), &entries));
+        let entries: Vec<_> = (0..6).map(|at| entry(&format!("s{at}"), Lifecycle::Ready)).collect();
+        copies.iter_mut().for_each(|copy| copy.policy.endpoint_list_cached(ms(1000), &entries));
         let (mut state, mut now) = (seed, ms(1000));
         for number in 0..400 {
             let long = draw(&mut state).is_multiple_of(12);
@@ -211,8 +228,8 @@
 #[test]
 fn a_copy_without_commands_is_swept_twice_a_second() {
     let mut copy = Copy::new(true, "", 1);
-    let entries: Vec<_> = (0..6).map(|at| entry(&format!("s{at}"), State::Ready)).collect();
-    copy.policy.list_cached(ms(1000), &entries);
+    let entries: Vec<_> = (0..6).map(|at| entry(&format!("s{at}"), Lifecycle::Ready)).collect();
+    copy.policy.endpoint_list_cached(ms(1000), &entries);
     copy.pass_to(ms(11_000));
     assert!((20..=22).contains(&copy.sweeps), "{} sweeps in 10 s", copy.sweeps);
 }
--- a/crates/decisions/tests/decisions/rules.rs
+++ b/crates/decisions/tests/decisions/rules.rs
@@ -1,19 +1,19 @@
 //! Seeded random runs: the script checks the rules at every call, whatever happens in whatever order.
 
 use crate::scripted::{Scene, entry, ms, terms};
-use landingspread_decisions::host::{Load, Outcome, State};
+use landingspread_decisions::host::{Lifecycle, LoadReport, Outcome};
 use proptest::prelude::*;
 use proptest::test_runner::{Config as Runs, RngAlgorithm, RngSeed};
 
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Ok,
     Outcome::Error,
-    Outcome::Full,
+    Outcome::Overloaded,
     Outcome::Timeout,
     Outcome::ConnectFailed,
     Outcome::Reset,
     Outcome::Cancelled,
-    Outcome::Moot,
+    Outcome::NotSent,
 ];
 
 fn runs() -> Runs {
@@ -49,7 +49,7 @@
             if let Some((id, number)) = out.get(usize::from(which) % out.len().max(1)).cloned() {
                 let in_flight = (how % 3 == 0).then(|| f64::from(how % 40));
                 let util = (how % 4 == 0).then(|| f64::from(how % 10) / 9.0);
-                let load = Load { in_flight, util, ..Load::default() };
+                let load = LoadReport { in_flight, utilization: util, ..LoadReport::default() };
                 let coming = scene.coming().contains(&id);
                 scene.end_as(
                     &id,
@@ -62,10 +62,10 @@
         }
         9..=10 => scene.pass(ms(u64::from(how % 400))),
         11 => {
-            let state = [State::Ready, State::Draining, State::Gone][usize::from(how % 3)];
+            let state = [Lifecycle::Ready, Lifecycle::Draining, Lifecycle::Removed][usize::from(how % 3)];
             let restarted = (how % 5 == 0).then(|| scene.now());
-            scene.change(&[landingspread_decisions::host::Listed {
-                up_since: restarted,
+            scene.change(&[landingspread_decisions::host::ListedServer {
+                started_at: restarted,
                 ..entry(&server, state)
             }]);
         }
@@ -78,30 +78,32 @@
         13 => scene.check_all(OUTCOMES[usize::from(how) % OUTCOMES.len()]),
         14 => {
             let now = scene.now();
-            scene.policy.list_call_failed(now);
-            let load = Load {
+            scene.policy.discovery_poll_failed(now);
+            let load = LoadReport {
                 in_flight: Some(f64::from(how % 6)),
-                util: Some(f64::from(how % 3) / 2.0),
-                ..Load::default()
+                utilization: Some(f64::from(how % 3) / 2.0),
+                ..LoadReport::default()
             };
-            scene.policy.check_ended(now, Outcome::Ok, &server.as_str().into(), load);
+            scene.policy.health_check_ended(now, Outcome::Ok, &server.as_str().into(), load);
             let [a, b] = how.to_be_bytes();
-            scene.policy.peer_said(
+            scene.policy.peer_message_received(
                 now,
                 u32::from(which),
                 &[1, a, b, 64 + a % 5, a, b, a, 130, b, a, b, 2, b, a, a],
             );
-            scene.policy.client_left(now, &"never-given".into());
+            scene.policy.client_disconnected(now, &"never-given".into());
         }
         15 => {
             scene.operators(&server, how % 3 > 0);
         }
         _ => {
-            let entries: Vec<_> = (0..which % 9).map(|at| entry(&format!("s{at}"), State::Ready)).collect();
-            let gone: Vec<_> = (which % 9..9).map(|at| entry(&format!("s{at}"), State::Gone)).collect();
+            let entries: Vec<_> =
+                (0..which % 9).map(|at| entry(&format!("s{at}"), Lifecycle::Ready)).collect();
+            let gone: Vec<_> =
+                (which % 9..9).map(|at| entry(&format!("s{at}"), Lifecycle::Removed)).collect();
             scene.told(&entries);
             scene.told(&gone);
-            scene.policy.list_told(scene.now(), &entries);
+            scene.policy.endpoint_list_received(scene.now(), &entries);
         }
     }
 }
--- a/crates/decisions/tests/decisions/scripted.rs
+++ b/crates/decisions/tests/decisions/scripted.rs
@@ -1,8 +1,10 @@
 //! A host that plays the network by script and checks the rules at every call.
 
-use landingspread_decisions::host::{Arrival, Ended, Host, Id, Listed, Load, Outcome, State};
+use landingspread_decisions::host::{
+    AttemptEnd, Event, Host, Id, Lifecycle, ListedServer, LoadReport, Outcome, RequestArrival,
+};
 use landingspread_decisions::policy::Policy;
-use landingspread_decisions::terms::Terms;
+use landingspread_decisions::settings::Settings;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -17,7 +19,7 @@
 }
 
 /// Verb 0 is pure, 1 receipted within `scope`, 2 effectful, 3 receipted by all.
-pub fn terms(scope: &str, extra: &str) -> Terms {
+pub fn terms(scope: &str, extra: &str) -> Settings {
     let mut text = String::from(
         "Discovery=automatic Balancers=1 Rules.ColdShare=0.3 Rules.Cold=8000000 Rules.TipMultiple=3 \
          Rules.Fall=2000000 Rules.AskEvery=10000000 PolicyLimits.MayCancel=true PolicyLimits.MostRelays=4 \
@@ -32,7 +34,7 @@
             &format!(" Verbs.{at}.ResponseGoal=1000000 Verbs.{at}.TimeLimit=3000000 Verbs.{at}.Utility=2");
     }
     // The last of two pairs with one path counts.
-    Terms::decode(&format!("{text} {extra}")).expect("the script's settings can be read")
+    Settings::decode(&format!("{text} {extra}")).expect("the script's settings can be read")
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -65,7 +67,7 @@
 #[derive(Default)]
 pub struct World {
     pub now: Duration,
-    pub listed: BTreeMap<Id, Listed>,
+    pub listed: BTreeMap<Id, ListedServer>,
     pub off_since: BTreeMap<Id, Duration>,
     /// By operators' word.
     pub out_since: BTreeMap<Id, Duration>,
@@ -111,7 +113,7 @@
 pub struct Script(pub Rc<RefCell<World>>);
 
 impl Host for Script {
-    fn relay(&mut self, id: &Id, to: &Id, not_past: Duration) {
+    fn start_attempt(&mut self, id: &Id, to: &Id, not_past: Duration) {
         let mut world = self.0.borrow_mut();
         let cmd = &world.cmds[id];
         assert_eq!(cmd.ended, None, "rule 1: a relay after the final answer");
@@ -132,7 +134,7 @@
         world.cmds.get_mut(id).expect("a command that was given").relays.push(relay);
     }
 
-    fn decline(&mut self, id: &Id, come_back: Option<Duration>) {
+    fn reject(&mut self, id: &Id, come_back: Option<Duration>) {
         let mut world = self.0.borrow_mut();
         let cmd = &world.cmds[id];
         let may_have_run = cmd.relays.iter().any(|r| r.outcome.is_none_or(|outcome| !outcome.never_ran()));
@@ -142,39 +144,39 @@
         world.finish(id, Final::Declined);
     }
 
-    fn terminate(&mut self, id: &Id) {
+    fn fail(&mut self, id: &Id) {
         self.0.borrow_mut().finish(id, Final::Terminated);
     }
 
-    fn cancel(&mut self, id: &Id, relay: u32) {
+    fn cancel_attempt(&mut self, id: &Id, relay: u32) {
         let mut world = self.0.borrow_mut();
         let cmd = world.cmds.get_mut(id).expect("a command that was given");
         cmd.relays[relay as usize].cancelled = true;
     }
 
-    fn check(&mut self, server: &Id) {
+    fn check_health(&mut self, server: &Id) {
         let out = self.0.borrow().out_since.contains_key(server);
         assert!(!out, "a check of a server left out");
         self.0.borrow_mut().checks.push(server.clone());
     }
 
-    fn wake_in(&mut self, _: Duration) {}
+    fn wake_after(&mut self, _: Duration) {}
 
-    fn subscribe(&mut self) {
+    fn poll_discovery(&mut self) {
         self.0.borrow_mut().list_calls += 1;
     }
 
-    fn let_go(&mut self, server: &Id) {
+    fn close_idle_connections(&mut self, server: &Id) {
         self.0.borrow_mut().let_go.push(server.clone());
     }
 
-    fn tell(&mut self, _: Option<u32>, words: &[u8]) {
+    fn send_to_peers(&mut self, _: Option<u32>, words: &[u8]) {
         assert!(words.len() <= 256, "a message of at most 256 bytes");
         self.0.borrow_mut().told.push(words.to_vec());
     }
 
-    fn note(&mut self, text: &str) {
-        self.0.borrow_mut().notes.push(text.into());
+    fn log(&mut self, text: &Event) {
+        self.0.borrow_mut().notes.push(text.to_string());
     }
 }
 
@@ -184,26 +186,33 @@
     given: u64,
 }
 
-pub fn entry(server: &str, state: State) -> Listed {
+pub fn entry(server: &str, state: Lifecycle) -> ListedServer {
     let number: u32 = server.trim_start_matches('s').parse().unwrap_or(0);
-    Listed { server: server.into(), zone: number % 2, cell: number % 4, state, nominal: 1.0, up_since: None }
+    ListedServer {
+        server: server.into(),
+        zone: number % 2,
+        cell: number % 4,
+        lifecycle: state,
+        nominal_capacity: 1.0,
+        started_at: None,
+    }
 }
 
 impl Scene {
-    pub fn new(terms: Terms, scope: &str, seed: u64, servers: u32) -> Self {
+    pub fn new(terms: Settings, scope: &str, seed: u64, servers: u32) -> Self {
         let script = Script::default();
         let world = World {
             scope: scope.into(),
-            parallel: terms.allowed.parallel,
+            parallel: terms.capabilities.hedging,
             now: ms(1000),
             ..World::default()
         };
         script.0.replace(world);
         let policy = Policy::start(script.clone(), terms, seed, ms(1000));
         let mut scene = Scene { script, policy, given: 0 };
-        let entries: Vec<_> = (0..servers).map(|at| entry(&format!("s{at}"), State::Ready)).collect();
+        let entries: Vec<_> = (0..servers).map(|at| entry(&format!("s{at}"), Lifecycle::Ready)).collect();
         scene.told(&entries);
-        scene.policy.list_cached(ms(1000), &entries);
+        scene.policy.endpoint_list_cached(ms(1000), &entries);
         scene
     }
 
@@ -211,11 +220,11 @@
         self.script.0.borrow().now
     }
 
-    pub fn told(&mut self, entries: &[Listed]) {
+    pub fn told(&mut self, entries: &[ListedServer]) {
         let mut world = self.script.0.borrow_mut();
         let now = world.now;
         for entry in entries {
-            if entry.state == State::Ready {
+            if entry.lifecycle == Lifecycle::Ready {
                 world.off_since.remove(&entry.server);
             } else {
                 world.off_since.entry(entry.server.clone()).or_insert(now);
@@ -224,9 +233,9 @@
         }
     }
 
-    pub fn change(&mut self, entries: &[Listed]) {
+    pub fn change(&mut self, entries: &[ListedServer]) {
         self.told(entries);
-        self.policy.list_changed(self.now(), entries);
+        self.policy.endpoint_list_changed(self.now(), entries);
     }
 
     /// Operators leave the server out, or use it again.
@@ -234,9 +243,9 @@
         let (now, id) = (self.now(), Id::from(server));
         if !out {
             self.script.0.borrow_mut().out_since.remove(&id);
-            return self.policy.use_again(now, &id, now);
+            return self.policy.include_server(now, &id, now);
         }
-        let known = self.policy.leave_out(now, &id);
+        let known = self.policy.exclude_server(now, &id);
         if known {
             self.script.0.borrow_mut().out_since.entry(id).or_insert(now);
         }
@@ -259,7 +268,17 @@
         let due = now + due_in;
         let taken = Taken { verb, due, relays: Vec::new(), ended: None, coming, spent: false };
         self.script.0.borrow_mut().cmds.insert(id.clone(), taken);
-        self.policy.cmd_came(now, Arrival { id: id.clone(), verb, due, coming, tenant: 0, cost: None });
+        self.policy.request_arrived(
+            now,
+            RequestArrival {
+                id: id.clone(),
+                class: verb,
+                deadline: due,
+                body_incomplete: coming,
+                tenant: 0,
+                declared_work: None,
+            },
+        );
         id
     }
 
@@ -281,7 +300,7 @@
                 (relay.sent, relay.not_past) = (now, relay.not_past.min(due));
             }
         }
-        self.policy.body_came(self.now(), id, due);
+        self.policy.body_completed(self.now(), id, due);
     }
 
     /// The relays that are out, oldest command first.
@@ -298,11 +317,11 @@
         out
     }
 
-    pub fn end(&mut self, id: &Id, number: u32, outcome: Outcome, load: Load) {
+    pub fn end(&mut self, id: &Id, number: u32, outcome: Outcome, load: LoadReport) {
         self.end_as(id, number, outcome, load, false);
     }
 
-    pub fn end_as(&mut self, id: &Id, number: u32, outcome: Outcome, load: Load, spent: bool) {
+    pub fn end_as(&mut self, id: &Id, number: u32, outcome: Outcome, load: LoadReport, spent: bool) {
         let ended = {
             let mut world = self.script.0.borrow_mut();
             let now = world.now;
@@ -315,16 +334,25 @@
             }
             cmd.spent |= spent;
             let closed = cmd.ended.is_some();
-            Ended { cmd: id.clone(), closed, spent, outcome, relay: number, latency, server, load }
+            AttemptEnd {
+                request: id.clone(),
+                request_closed: closed,
+                body_consumed: spent,
+                outcome,
+                attempt: number,
+                latency,
+                server,
+                load,
+            }
         };
-        self.policy.relay_ended(self.now(), ended);
+        self.policy.attempt_ended(self.now(), ended);
     }
 
     pub fn leave(&mut self, id: &Id) {
         let open = self.script.0.borrow().cmds[id].ended.is_none();
         if open {
             self.script.0.borrow_mut().finish(id, Final::Left);
-            self.policy.client_left(self.now(), id);
+            self.policy.client_disconnected(self.now(), id);
         }
     }
 
@@ -342,10 +370,10 @@
                 };
                 if cancelled || late {
                     let outcome = if cancelled { Outcome::Cancelled } else { Outcome::Timeout };
-                    self.end(&id, number, outcome, Load::default());
+                    self.end(&id, number, outcome, LoadReport::default());
                 }
             }
-            self.policy.woken(now);
+            self.policy.timer_fired(now);
             assert_eq!(self.script.0.borrow().overdue_answers(), 0, "rule 1: no final answer in time");
         }
     }
@@ -356,7 +384,7 @@
         self.pass(ms(20));
         for (id, number) in self.out() {
             let server = self.script.0.borrow().cmds[&id].relays[number as usize].server.clone();
-            self.end(&id, number, outcome_at(&server), Load::default());
+            self.end(&id, number, outcome_at(&server), LoadReport::default());
         }
         id
     }
@@ -364,7 +392,7 @@
     pub fn check_all(&mut self, outcome: Outcome) {
         let checks = std::mem::take(&mut self.script.0.borrow_mut().checks);
         for server in checks {
-            self.policy.check_ended(self.now(), outcome, &server, Load::default());
+            self.policy.health_check_ended(self.now(), outcome, &server, LoadReport::default());
         }
     }
 
--- a/crates/decisions/tests/decisions/zones.rs
+++ b/crates/decisions/tests/decisions/zones.rs
@@ -1,8 +1,8 @@
 //! Zones that the fleet leaves and takes back, as the decisions hear of it. Servers of even numbers stand in zone 0.
 
 use crate::scripted::{Scene, entry, ms, terms};
-use landingspread_decisions::host::{Outcome, State};
-use landingspread_decisions::zones::ZoneShare;
+use landingspread_decisions::host::{Lifecycle, Outcome};
+use landingspread_decisions::zones::ZoneTraffic;
 
 fn scene(extra: &str) -> Scene {
     let mut scene = Scene::new(terms("all", extra), "all", 9, 6);
@@ -13,8 +13,8 @@
 /// What is told of zone 1.
 fn told(scene: &mut Scene, share: f64, trial: Option<u64>) {
     let now = scene.now();
-    let here = ZoneShare { zone: 0, share: 1.0, trial: None };
-    scene.policy.zones_told(now, &[here, ZoneShare { zone: 1, share, trial }]);
+    let here = ZoneTraffic { zone: 0, fraction: 1.0, trial: None };
+    scene.policy.zone_traffic_changed(now, &[here, ZoneTraffic { zone: 1, fraction: share, trial }]);
 }
 
 fn play(scene: &mut Scene, cmds: usize) {
@@ -36,8 +36,8 @@
     scene.script.0.borrow_mut().checks.clear();
     play(&mut scene, 100);
     // A server that joins it, or that the list says has started, is no way round.
-    scene.change(&[entry("s7", State::Ready), entry("s1", State::Gone)]);
-    scene.change(&[entry("s1", State::Ready)]);
+    scene.change(&[entry("s7", Lifecycle::Ready), entry("s1", Lifecycle::Removed)]);
+    scene.change(&[entry("s1", Lifecycle::Ready)]);
     play(&mut scene, 100);
     scene.pass(ms(3000));
     assert_eq!(sent_to_zone_1(&scene) + scene.script.0.borrow().sent_to("s7"), before);
@@ -79,7 +79,7 @@
     let mut scene = scene("");
     play(&mut scene, 60);
     let now = scene.now();
-    let seen = scene.policy.zones_seen(now);
+    let seen = scene.policy.zone_observations(now);
     let zone = |zone: u32| seen.iter().find(|seen| seen.zone == zone).copied().expect("it is told of");
     assert_eq!((zone(0).ready, zone(1).ready), (3, 3));
     assert!(zone(1).answered.is_some() && zone(1).silent.is_none());
@@ -90,12 +90,13 @@
     };
     (0..30).for_each(|_| drop(scene.play(0, refused)));
     let now = scene.now();
-    let silent = scene.policy.zones_seen(now).iter().find(|seen| seen.zone == 1).and_then(|seen| seen.silent);
+    let silent =
+        scene.policy.zone_observations(now).iter().find(|seen| seen.zone == 1).and_then(|seen| seen.silent);
     assert!(silent.is_some_and(|ago| ago < ms(1000)), "{silent:?}");
     // An answer of any kind is one, and old losses say nothing of now.
     scene.pass(ms(2500));
     let now = scene.now();
-    let seen = scene.policy.zones_seen(now);
+    let seen = scene.policy.zone_observations(now);
     assert!(seen.iter().all(|seen| seen.silent.is_none()), "{seen:?}");
 }
 
@@ -104,7 +105,7 @@
     let mut scene = scene("");
     let silent = |scene: &mut Scene| {
         let now = scene.now();
-        let seen = scene.policy.zones_seen(now);
+        let seen = scene.policy.zone_observations(now);
         seen.iter().find(|seen| seen.zone == 1).and_then(|seen| seen.silent).is_some()
     };
     for look in 1..=3 {
--- a/crates/lab/src/pickers/fleeted.rs
+++ b/crates/lab/src/pickers/fleeted.rs
@@ -4,10 +4,12 @@
 use crate::fleet::emulated::{address_of, copy_of};
 use crate::picker::Picker;
 use crate::world::Hand;
-use landingspread_decisions::host::{Arrival, Copies, Ended, Host as _, Id, Listed, Load, Outcome};
+use landingspread_decisions::host::{
+    AttemptEnd, Id, ListedServer, LoadReport, Outcome, ReplicaView, RequestArrival,
+};
 use landingspread_decisions::policy::Policy;
-use landingspread_decisions::terms::Terms;
-use landingspread_decisions::zones::{ZoneSeen, ZoneShare};
+use landingspread_decisions::settings::Settings;
+use landingspread_decisions::zones::{ZoneObservation, ZoneTraffic};
 use landingspread_localities::{self as localities, Localities, Looks, Own, Paces, Peer};
 use landingspread_membership::{About, Address, Budget, Host, Membership};
 use std::time::Duration;
@@ -43,7 +45,7 @@
     tick_at: Duration,
 }
 
-fn looks(seen: &ZoneSeen) -> Looks {
+fn looks(seen: &ZoneObservation) -> Looks {
     match (seen.silent, seen.answered) {
         (Some(since), _) => Looks::Silent { since },
         (None, Some(sent)) => Looks::Answers { sent, slow: seen.slow },
@@ -57,7 +59,7 @@
 
 impl Fleeted {
     /// `zones`: whether the fleet leaves any; `lies`: whether a seventh of the copies says of them what is not so.
-    pub fn start(hand: Hand, terms: Terms, seed: u64, now: Duration, zones: bool, lies: bool) -> Fleeted {
+    pub fn start(hand: Hand, terms: Settings, seed: u64, now: Duration, zones: bool, lies: bool) -> Fleeted {
         let (copy, zone, copies, first) = hand.about();
         let of_zones = localities::About {
             id: copy as u64,
@@ -75,7 +77,7 @@
             life: BEGAN + now.as_millis() as u64,
             seeds: (first..first + copies.min(SEEDS)).map(address_of).collect(),
             budget: Budget::default(),
-            configured: terms.balancers,
+            configured: terms.replicas,
         };
         let membership = Membership::start(Mail(hand.clone()), about, seed ^ 0x6d65_6d62, now);
         Fleeted { policy: Policy::start(hand, terms, seed, now), membership, zones, lies, tick_at: now }
@@ -83,8 +85,9 @@
 
     fn tick_zones(&mut self, now: Duration) {
         let Some(zones) = &mut self.zones else { return };
-        let seen = self.policy.zones_seen(now);
-        let own = |seen: &ZoneSeen| Own { zone: seen.zone as usize, ready: seen.ready, looks: looks(seen) };
+        let seen = self.policy.zone_observations(now);
+        let own =
+            |seen: &ZoneObservation| Own { zone: seen.zone as usize, ready: seen.ready, looks: looks(seen) };
         let mut own: Vec<Own> = seen.iter().map(own).collect();
         for own in own.iter_mut().filter(|_| self.lies) {
             // Now silent, now not, for a second or so at a time.
@@ -108,69 +111,69 @@
             }),
         );
         self.membership.say(zones.word(), news);
-        let share = |share: localities::Share| ZoneShare {
+        let share = |share: localities::Share| ZoneTraffic {
             zone: share.zone as u32,
-            share: share.share,
+            fraction: share.share,
             trial: share.trial,
         };
-        let shares: Vec<ZoneShare> = zones.shares().into_iter().map(share).collect();
-        self.policy.zones_told(now, &shares);
+        let shares: Vec<ZoneTraffic> = zones.shares().into_iter().map(share).collect();
+        self.policy.zone_traffic_changed(now, &shares);
     }
 }
 
 impl Picker for Fleeted {
-    fn list_cached(&mut self, now: Duration, entries: &[Listed]) {
-        self.policy.list_cached(now, entries);
+    fn endpoint_list_cached(&mut self, now: Duration, entries: &[ListedServer]) {
+        self.policy.endpoint_list_cached(now, entries);
     }
 
-    fn list_told(&mut self, now: Duration, entries: &[Listed]) {
-        self.policy.list_told(now, entries);
+    fn endpoint_list_received(&mut self, now: Duration, entries: &[ListedServer]) {
+        self.policy.endpoint_list_received(now, entries);
     }
 
-    fn list_changed(&mut self, now: Duration, entries: &[Listed]) {
-        self.policy.list_changed(now, entries);
+    fn endpoint_list_changed(&mut self, now: Duration, entries: &[ListedServer]) {
+        self.policy.endpoint_list_changed(now, entries);
     }
 
-    fn list_call_failed(&mut self, now: Duration) {
-        self.policy.list_call_failed(now);
+    fn discovery_poll_failed(&mut self, now: Duration) {
+        self.policy.discovery_poll_failed(now);
     }
 
-    fn cmd_came(&mut self, now: Duration, arrival: Arrival) {
-        self.policy.cmd_came(now, arrival);
+    fn request_arrived(&mut self, now: Duration, arrival: RequestArrival) {
+        self.policy.request_arrived(now, arrival);
     }
 
-    fn client_left(&mut self, now: Duration, cmd: &Id) {
-        self.policy.client_left(now, cmd);
+    fn client_disconnected(&mut self, now: Duration, cmd: &Id) {
+        self.policy.client_disconnected(now, cmd);
     }
 
-    fn relay_ended(&mut self, now: Duration, ended: Ended) {
-        self.policy.relay_ended(now, ended);
+    fn attempt_ended(&mut self, now: Duration, ended: AttemptEnd) {
+        self.policy.attempt_ended(now, ended);
     }
 
-    fn check_ended(&mut self, now: Duration, outcome: Outcome, server: &Id, load: Load) {
-        self.policy.check_ended(now, outcome, server, load);
+    fn health_check_ended(&mut self, now: Duration, outcome: Outcome, server: &Id, load: LoadReport) {
+        self.policy.health_check_ended(now, outcome, server, load);
     }
 
-    fn woken(&mut self, now: Duration) {
+    fn timer_fired(&mut self, now: Duration) {
         if self.tick_at <= now {
             self.tick_at = now + Membership::<Mail>::TICK;
-            self.membership.traffic(self.policy.asked());
+            self.membership.traffic(self.policy.request_rate());
             self.tick_zones(now);
             self.membership.tick(now);
             let counted = self.membership.counted();
-            let copies = Copies {
+            let copies = ReplicaView {
                 count: counted.copies,
-                may_live: counted.may_live,
-                place: counted.place().map(u32::from),
-                traffic: counted.traffic,
+                max_alive: counted.may_live,
+                ordinal: counted.place().map(u32::from),
+                mean_request_rate: counted.traffic,
             };
-            self.policy.copies_told(now, &copies);
+            self.policy.replicas_changed(now, &copies);
         }
-        self.policy.woken(now);
+        self.policy.timer_fired(now);
     }
 
-    fn peer_said(&mut self, now: Duration, peer: u32, words: &[u8]) {
-        self.policy.peer_said(now, peer, words);
+    fn peer_message_received(&mut self, now: Duration, peer: u32, words: &[u8]) {
+        self.policy.peer_message_received(now, peer, words);
     }
 
     fn datagram_came(&mut self, now: Duration, bytes: &[u8]) {
--- a/crates/lab/src/pickers/named.rs
+++ b/crates/lab/src/pickers/named.rs
@@ -5,7 +5,7 @@
 use crate::picker::Picker;
 use crate::world::Hand;
 use landingspread_decisions::policy::Policy;
-use landingspread_decisions::terms::Terms;
+use landingspread_decisions::settings::Settings;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -62,7 +62,7 @@
         }
     }
 
-    pub fn make(self, hand: Hand, terms: Terms, seed: u64, now: Duration) -> Box<dyn Picker> {
+    pub fn make(self, hand: Hand, terms: Settings, seed: u64, now: Duration) -> Box<dyn Picker> {
         let way = match self {
             Named::Landingspread => return Box::new(Policy::start(hand, terms, seed, now)),
             Named::LandingspreadFleet => {
--- a/crates/lab/src/pickers/plain.rs
+++ b/crates/lab/src/pickers/plain.rs
@@ -4,8 +4,10 @@
 use super::rules::{Sent, may_decline, may_go};
 use crate::picker::Picker;
 use crate::world::Hand;
-use landingspread_decisions::host::{Arrival, Ended, Host, Id, Listed, Load, Outcome, State};
-use landingspread_decisions::terms::Terms;
+use landingspread_decisions::host::{
+    AttemptEnd, Host, Id, Lifecycle, ListedServer, LoadReport, Outcome, RequestArrival,
+};
+use landingspread_decisions::settings::Settings;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -59,7 +61,7 @@
 
 pub struct Plain {
     hand: Hand,
-    terms: Terms,
+    terms: Settings,
     way: Way,
     tries: Tries,
     rng: ChaCha8Rng,
@@ -71,7 +73,7 @@
 }
 
 impl Plain {
-    pub fn new(hand: Hand, terms: Terms, seed: u64, way: Way, tries: Tries) -> Plain {
+    pub fn new(hand: Hand, terms: Settings, seed: u64, way: Way, tries: Tries) -> Plain {
         let rng = ChaCha8Rng::seed_from_u64(seed);
         Plain {
             hand,
@@ -87,7 +89,7 @@
         }
     }
 
-    fn take(&mut self, entries: &[Listed]) {
+    fn take(&mut self, entries: &[ListedServer]) {
         for entry in entries {
             let count = self.servers.len();
             let place = *self.places.entry(entry.server.clone()).or_insert(count);
@@ -95,7 +97,7 @@
                 let (id, zone, cell) = (entry.server.clone(), entry.zone, entry.cell);
                 self.servers.push(Known { id, zone, cell, ready: false, out: 0 });
             }
-            self.servers[place].ready = entry.state == State::Ready;
+            self.servers[place].ready = entry.lifecycle == Lifecycle::Ready;
         }
     }
 
@@ -140,88 +142,88 @@
 
     fn go(&mut self, id: &Id, now: Duration) {
         let Some(mut open) = self.open.remove(id) else { return };
-        let most = self.terms.allowed.relays.min(self.tries.most);
+        let most = self.terms.capabilities.max_attempts.min(self.tries.most);
         let may = !open.spent && open.due > now && (open.sent.len() as u32) < most;
         let place = if may { self.pick(&open, now) } else { None };
         let Some(place) = place else {
             if may_decline(&self.terms, open.verb, &open.sent) {
-                self.hand.decline(id, self.terms.allowed.come_back);
+                self.hand.reject(id, self.terms.capabilities.max_retry_after);
             } else {
-                self.hand.terminate(id);
+                self.hand.fail(id);
             }
             return;
         };
         let server = &mut self.servers[place];
         server.out += 1;
-        let limit = self.terms.verbs.get(open.verb).map_or(Duration::MAX, |verb| verb.limit);
+        let limit = self.terms.classes.get(open.verb).map_or(Duration::MAX, |verb| verb.time_limit);
         let until = open.due.min(now.saturating_add(limit.mul_f64(self.tries.patience)));
         let (zone, cell) = (server.zone, server.cell);
         open.sent.push(Sent { server: place, zone, cell, at: now, outcome: None });
         let to = server.id.clone();
         self.open.insert(id.clone(), open);
-        self.hand.relay(id, &to, until);
+        self.hand.start_attempt(id, &to, until);
     }
 }
 
 impl Picker for Plain {
-    fn list_cached(&mut self, _now: Duration, entries: &[Listed]) {
+    fn endpoint_list_cached(&mut self, _now: Duration, entries: &[ListedServer]) {
         self.servers.iter_mut().for_each(|server| server.ready = false);
         self.take(entries);
     }
 
-    fn list_told(&mut self, now: Duration, entries: &[Listed]) {
+    fn endpoint_list_received(&mut self, now: Duration, entries: &[ListedServer]) {
         self.failures = 0;
-        self.list_cached(now, entries);
+        self.endpoint_list_cached(now, entries);
     }
 
-    fn list_changed(&mut self, _now: Duration, entries: &[Listed]) {
+    fn endpoint_list_changed(&mut self, _now: Duration, entries: &[ListedServer]) {
         self.failures = 0;
         self.take(entries);
     }
 
-    fn list_call_failed(&mut self, _now: Duration) {
+    fn discovery_poll_failed(&mut self, _now: Duration) {
         self.failures += 1;
-        self.hand.wake_in(Duration::from_secs(1));
+        self.hand.wake_after(Duration::from_secs(1));
     }
 
-    fn cmd_came(&mut self, now: Duration, arrival: Arrival) {
-        let Arrival { verb, due, .. } = arrival;
-        let goal = self.terms.verbs.get(verb).map_or(due, |verb| now + verb.goal);
+    fn request_arrived(&mut self, now: Duration, arrival: RequestArrival) {
+        let RequestArrival { class: verb, deadline: due, .. } = arrival;
+        let goal = self.terms.classes.get(verb).map_or(due, |verb| now + verb.latency_objective);
         let open = Open { verb, due, good_until: goal.min(due), spent: false, sent: Vec::new() };
         self.open.insert(arrival.id.clone(), open);
         self.go(&arrival.id, now);
     }
 
-    fn client_left(&mut self, _now: Duration, cmd: &Id) {
+    fn client_disconnected(&mut self, _now: Duration, cmd: &Id) {
         let Some(open) = self.open.remove(cmd) else { return };
         for (number, sent) in (0u32..).zip(&open.sent) {
             if sent.outcome.is_none() {
                 self.servers[sent.server].out -= 1;
-                self.hand.cancel(cmd, number);
+                self.hand.cancel_attempt(cmd, number);
             }
         }
     }
 
-    fn relay_ended(&mut self, now: Duration, ended: Ended) {
-        let Some(open) = self.open.get_mut(&ended.cmd) else { return };
-        let Some(sent) = open.sent.get_mut(ended.relay as usize) else { return };
+    fn attempt_ended(&mut self, now: Duration, ended: AttemptEnd) {
+        let Some(open) = self.open.get_mut(&ended.request) else { return };
+        let Some(sent) = open.sent.get_mut(ended.attempt as usize) else { return };
         sent.outcome = Some(ended.outcome);
         self.servers[sent.server].out -= 1;
-        if ended.spent {
+        if ended.body_consumed {
             open.spent = true;
         }
-        if ended.closed {
-            self.open.remove(&ended.cmd);
+        if ended.request_closed {
+            self.open.remove(&ended.request);
         } else {
-            self.go(&ended.cmd, now);
+            self.go(&ended.request, now);
         }
     }
 
-    fn check_ended(&mut self, _now: Duration, _outcome: Outcome, _server: &Id, _load: Load) {}
+    fn health_check_ended(&mut self, _now: Duration, _outcome: Outcome, _server: &Id, _load: LoadReport) {}
 
-    fn woken(&mut self, _now: Duration) {
+    fn timer_fired(&mut self, _now: Duration) {
         if self.failures > 0 {
-            self.hand.subscribe();
+            self.hand.poll_discovery();
         }
     }
 }
--- a/crates/lab/src/pickers/rules.rs
+++ b/crates/lab/src/pickers/rules.rs
@@ -1,7 +1,7 @@
 //! Rules 1 and 2 as any baseline keeps them: which server a command may still go to, and what its end may be.
 
 use landingspread_decisions::host::Outcome;
-use landingspread_decisions::terms::{Group, Repeats, Terms};
+use landingspread_decisions::settings::{DedupScope, RetrySafety, Settings};
 use std::time::Duration;
 
 /// A relay as a baseline remembers it.
@@ -19,21 +19,21 @@
     }
 }
 
-fn repeats(terms: &Terms, verb: usize) -> Repeats {
-    terms.verbs.get(verb).map_or(Repeats::Effectful, |verb| verb.repeats)
+fn repeats(terms: &Settings, verb: usize) -> RetrySafety {
+    terms.classes.get(verb).map_or(RetrySafety::NonIdempotent, |verb| verb.retry_safety)
 }
 
 /// Whether a further relay to a server in this zone and cell is harmless.
-pub fn may_go(terms: &Terms, verb: usize, sent: &[Sent], zone: u32, cell: u32, now: Duration) -> bool {
-    let memory = terms.verbs.get(verb).map_or(Duration::ZERO, |verb| verb.memory);
+pub fn may_go(terms: &Settings, verb: usize, sent: &[Sent], zone: u32, cell: u32, now: Duration) -> bool {
+    let memory = terms.classes.get(verb).map_or(Duration::ZERO, |verb| verb.dedup_window);
     sent.iter().filter(|sent| sent.may_have_run()).all(|sent| match repeats(terms, verb) {
-        Repeats::Pure => true,
-        Repeats::Effectful => false,
-        Repeats::Receipted(group) => {
+        RetrySafety::Idempotent => true,
+        RetrySafety::NonIdempotent => false,
+        RetrySafety::IdempotencyKeyed(group) => {
             let within = match group {
-                Group::All => true,
-                Group::Zone => sent.zone == zone,
-                Group::Cell => sent.zone == zone && sent.cell == cell,
+                DedupScope::All => true,
+                DedupScope::Zone => sent.zone == zone,
+                DedupScope::Cell => sent.zone == zone && sent.cell == cell,
             };
             within && now < sent.at + memory
         }
@@ -41,7 +41,10 @@
 }
 
 /// Whether giving it up may be told as harmless to try again.
-pub fn may_decline(terms: &Terms, verb: usize, sent: &[Sent]) -> bool {
-    let harmless = matches!(repeats(terms, verb), Repeats::Pure | Repeats::Receipted(Group::All));
+pub fn may_decline(terms: &Settings, verb: usize, sent: &[Sent]) -> bool {
+    let harmless = matches!(
+        repeats(terms, verb),
+        RetrySafety::Idempotent | RetrySafety::IdempotencyKeyed(DedupScope::All)
+    );
     harmless || !sent.iter().any(Sent::may_have_run)
 }
--- a/crates/lab/src/world/ground.rs
+++ b/crates/lab/src/world/ground.rs
@@ -11,7 +11,7 @@
 use crate::plan::{Fault, Repeats, Scenario, span};
 use crate::referee::{Earlier, Facts, Final, Place, Referee};
 use crate::tally::Tally;
-use landingspread_decisions::host::{Id, Listed, Outcome};
+use landingspread_decisions::host::{Id, ListedServer, Outcome};
 use rand::Rng;
 use slab::Slab;
 use std::collections::{BTreeMap, VecDeque};
@@ -145,7 +145,7 @@
     pub watching: bool,
     /// Lists come in order: none before this.
     pub list_at: Duration,
-    pub last_list: Rc<[Listed]>,
+    pub last_list: Rc<[ListedServer]>,
     pub kept: BTreeMap<usize, Kept>,
 }
 
@@ -387,7 +387,7 @@
     }
 
     /// What copies that start now find in their old list.
-    pub fn list_of(&self, tier: usize) -> Rc<[Listed]> {
+    pub fn list_of(&self, tier: usize) -> Rc<[ListedServer]> {
         self.by_tier[tier].iter().filter_map(|server| self.source.entry(*server)).collect()
     }
 
--- a/crates/lab/src/world/hand.rs
+++ b/crates/lab/src/world/hand.rs
@@ -5,7 +5,7 @@
 use super::happening::{Alive, Happening, Leg};
 use crate::plan::span;
 use crate::referee::Final;
-use landingspread_decisions::host::{Host, Id, Load, Outcome};
+use landingspread_decisions::host::{Event, Host, Id, LoadReport, Outcome};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -72,7 +72,7 @@
 }
 
 impl Host for Hand {
-    fn relay(&mut self, cmd: &Id, server: &Id, not_past: Duration) {
+    fn start_attempt(&mut self, cmd: &Id, server: &Id, not_past: Duration) {
         let ground = &mut *self.ground.borrow_mut();
         let (Some(number), Some(to)) = (self.own(ground, cmd), ground.server_number(server)) else { return };
         let now = ground.now;
@@ -104,7 +104,7 @@
             job: None,
         });
         if moot {
-            ground.put_in(Duration::ZERO, Happening::Ended(leg, Outcome::Moot, Load::default()));
+            ground.put_in(Duration::ZERO, Happening::Ended(leg, Outcome::NotSent, LoadReport::default()));
             return;
         }
         let trips = if fresh { 3 } else { 1 };
@@ -112,30 +112,30 @@
         ground.put(until, Happening::OutOfTime(leg));
     }
 
-    fn decline(&mut self, cmd: &Id, come_back: Option<Duration>) {
+    fn reject(&mut self, cmd: &Id, come_back: Option<Duration>) {
         let ground = &mut *self.ground.borrow_mut();
         if let Some(number) = self.own(ground, cmd) {
             ground.finish(number, Final::Declined, come_back);
         }
     }
 
-    fn terminate(&mut self, cmd: &Id) {
+    fn fail(&mut self, cmd: &Id) {
         let ground = &mut *self.ground.borrow_mut();
         if let Some(number) = self.own(ground, cmd) {
             ground.finish(number, Final::Terminated, None);
         }
     }
 
-    fn cancel(&mut self, cmd: &Id, relay: u32) {
+    fn cancel_attempt(&mut self, cmd: &Id, relay: u32) {
         let ground = &mut *self.ground.borrow_mut();
         let Some(number) = self.own(ground, cmd) else { return };
         if ground.plan.rules.cancel {
             let leg = Leg { cmd: number, relay };
-            ground.put_in(Duration::ZERO, Happening::Ended(leg, Outcome::Cancelled, Load::default()));
+            ground.put_in(Duration::ZERO, Happening::Ended(leg, Outcome::Cancelled, LoadReport::default()));
         }
     }
 
-    fn check(&mut self, server: &Id) {
+    fn check_health(&mut self, server: &Id) {
         let ground = &mut *self.ground.borrow_mut();
         let Some(number) = ground.server_number(server) else { return };
         let zone = ground.copies[self.alive.copy].zone;
@@ -143,20 +143,20 @@
         ground.put_in(after, Happening::Checked(self.alive, number, outcome));
     }
 
-    fn wake_in(&mut self, after: Duration) {
+    fn wake_after(&mut self, after: Duration) {
         // A picker that asks for no time at all would keep the world at one moment for ever.
         let after = after.max(Duration::from_micros(100));
         self.ground.borrow_mut().put_in(after, Happening::Wake(self.alive));
     }
 
-    fn subscribe(&mut self) {
+    fn poll_discovery(&mut self) {
         let ground = &mut *self.ground.borrow_mut();
         let zone = ground.copies[self.alive.copy].zone;
         let delay = ground.delay(zone, zone);
         ground.put_in(delay, Happening::ListCall(self.alive));
     }
 
-    fn let_go(&mut self, server: &Id) {
+    fn close_idle_connections(&mut self, server: &Id) {
         let ground = &mut *self.ground.borrow_mut();
         if let Some(number) = ground.server_number(server)
             && let Some(kept) = ground.copies[self.alive.copy].kept.get_mut(&number)
@@ -165,7 +165,7 @@
         }
     }
 
-    fn tell(&mut self, peer: Option<u32>, words: &[u8]) {
+    fn send_to_peers(&mut self, peer: Option<u32>, words: &[u8]) {
         let ground = &mut *self.ground.borrow_mut();
         let own = &ground.copies[self.alive.copy];
         let (tier, ordinal) = (own.tier, own.ordinal);
@@ -181,7 +181,14 @@
         }
     }
 
-    fn note(&mut self, text: &str) {
+    fn log(&mut self, event: &Event) {
+        self.note(&event.to_string());
+    }
+}
+
+impl Hand {
+    /// Adds a line to the copy's notes.
+    pub fn note(&self, text: &str) {
         let ground = &mut *self.ground.borrow_mut();
         let now = ground.now;
         ground.tally.noted(now, self.alive.copy, text);
@@ -228,7 +235,7 @@
             return false;
         }
         match outcome {
-            Outcome::Ok | Outcome::Error | Outcome::Full => self.give_connection(copy.copy, server),
+            Outcome::Ok | Outcome::Error | Outcome::Overloaded => self.give_connection(copy.copy, server),
             Outcome::Timeout | Outcome::Cancelled => self.put_in(delay, Happening::CalledOff(leg)),
             _ => {}
         }
--- a/crates/lab/src/world/happening.rs
+++ b/crates/lab/src/world/happening.rs
@@ -1,7 +1,7 @@
 //! What can happen in the emulated world. These words pass between the world and its own agenda only: the
 //! decisions hear of each by one method.
 
-use landingspread_decisions::host::{Listed, Load, Outcome};
+use landingspread_decisions::host::{ListedServer, LoadReport, Outcome};
 use std::rc::Rc;
 
 /// A relay of a command, by the command's number and its own.
@@ -43,7 +43,7 @@
     /// A call to the next tier has come to its end.
     CallEnded(JobKey, bool),
     /// What became of a relay comes to its copy.
-    Ended(Leg, Outcome, Load),
+    Ended(Leg, Outcome, LoadReport),
     /// A copy waits no longer.
     OutOfTime(Leg),
     /// A server sees that a relay was given up.
@@ -51,7 +51,7 @@
     Checked(Alive, usize, Outcome),
     Wake(Alive),
     /// A list, or changes to it, come to a copy.
-    Told(Alive, bool, Rc<[Listed]>),
+    Told(Alive, bool, Rc<[ListedServer]>),
     /// A copy's call to the list source has come to nothing.
     ListCallFailed(Alive),
     /// A copy's call comes to the list source.
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -23,14 +23,16 @@
 use crate::tally::{Marked, Second, Totals};
 use ground::Ground;
 use happening::{Alive, Happening, Leg};
-use landingspread_decisions::host::{Arrival, Ended, Load, Outcome};
-use landingspread_decisions::terms::{self, Allowed, ColdRule, GoalWeights, Group, Prices, Terms};
+use landingspread_decisions::host::{AttemptEnd, LoadReport, Outcome, RequestArrival};
+use landingspread_decisions::settings::{
+    self, Capabilities, Costs, DedupScope, ObjectiveWeights, Settings, SlowStart,
+};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
 
 /// Makes a copy's picker: from its hand, its terms, a seed, and the time.
-pub type Make<'a> = dyn Fn(Hand, Terms, u64, Duration) -> Box<dyn Picker> + 'a;
+pub type Make<'a> = dyn Fn(Hand, Settings, u64, Duration) -> Box<dyn Picker> + 'a;
 
 /// What a run came to.
 #[derive(Clone, Debug)]
@@ -112,7 +114,7 @@
         let seed = self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ own;
         let hand = Hand { ground: self.ground.clone(), alive };
         let mut picker = (self.make)(hand, terms, seed, now);
-        picker.list_cached(now, &list);
+        picker.endpoint_list_cached(now, &list);
         if self.pickers.len() <= copy {
             self.pickers.resize_with(copy + 1, || None);
         }
@@ -145,23 +147,23 @@
             Happening::Worked(job) => books().worked(job),
             Happening::CallEnded(job, well) => books().call_ended(job, well),
             Happening::Ended(leg, outcome, load) => self.ended(now, leg, outcome, load),
-            Happening::OutOfTime(leg) => self.ended(now, leg, Outcome::Timeout, Load::default()),
+            Happening::OutOfTime(leg) => self.ended(now, leg, Outcome::Timeout, LoadReport::default()),
             Happening::CalledOff(leg) => books().called_off(leg),
             Happening::Checked(alive, server, outcome) => {
                 let id = books().servers[server].id.clone();
                 if let Some(picker) = self.living(alive) {
-                    picker.check_ended(now, outcome, &id, Load::default());
+                    picker.health_check_ended(now, outcome, &id, LoadReport::default());
                 }
             }
             Happening::Wake(alive) => {
                 if let Some(picker) = self.living(alive) {
-                    picker.woken(now);
+                    picker.timer_fired(now);
                 }
             }
             Happening::Told(alive, whole, entries) => self.told(now, alive, whole, &entries),
             Happening::ListCallFailed(alive) => {
                 if let Some(picker) = self.living(alive) {
-                    picker.list_call_failed(now);
+                    picker.discovery_poll_failed(now);
                 }
             }
             Happening::ListCall(alive) => books().list_call(alive),
@@ -180,7 +182,7 @@
             }
             Happening::Word(alive, peer, words) => {
                 if let Some(picker) = self.living(alive) {
-                    picker.peer_said(now, peer, &words);
+                    picker.peer_message_received(now, peer, &words);
                 }
             }
             Happening::Datagram(alive, bytes) => {
@@ -200,11 +202,18 @@
             }
             let Some(cmd) = ground.cmds.get(number) else { return };
             let (id, verb, due, tenant) = (cmd.id.clone(), cmd.verb, cmd.due, cmd.tenant);
-            let arrival = Arrival { id, verb, due, coming: false, tenant, cost: None };
+            let arrival = RequestArrival {
+                id,
+                class: verb,
+                deadline: due,
+                body_incomplete: false,
+                tenant,
+                declared_work: None,
+            };
             (cmd.copy.copy, arrival)
         };
         if let Some(picker) = self.picker(arrival.0) {
-            picker.cmd_came(now, arrival.1);
+            picker.request_arrived(now, arrival.1);
         }
     }
 
@@ -217,11 +226,11 @@
             left
         };
         if let Some(picker) = self.living(left.0) {
-            picker.client_left(now, &left.1);
+            picker.client_disconnected(now, &left.1);
         }
     }
 
-    fn ended(&mut self, now: Duration, leg: Leg, outcome: Outcome, load: Load) {
+    fn ended(&mut self, now: Duration, leg: Leg, outcome: Outcome, load: LoadReport) {
         let told = {
             let ground = &mut *self.ground.borrow_mut();
             if !ground.end_relay(leg, outcome) {
@@ -229,12 +238,12 @@
             }
             let Some(cmd) = ground.cmds.get(leg.cmd) else { return };
             let relay = &cmd.relays[leg.relay as usize];
-            let ended = Ended {
-                cmd: cmd.id.clone(),
-                closed: cmd.finished.is_some(),
-                spent: ground.plan.rules.nearest_repeats && relay.failed_below,
+            let ended = AttemptEnd {
+                request: cmd.id.clone(),
+                request_closed: cmd.finished.is_some(),
+                body_consumed: ground.plan.rules.nearest_repeats && relay.failed_below,
                 outcome,
-                relay: leg.relay,
+                attempt: leg.relay,
                 latency: now.saturating_sub(relay.sent),
                 server: ground.servers[relay.server].id.clone(),
                 load,
@@ -242,7 +251,7 @@
             (cmd.copy, ended)
         };
         if let Some(picker) = self.living(told.0) {
-            picker.relay_ended(now, told.1);
+            picker.attempt_ended(now, told.1);
         }
     }
 
@@ -251,7 +260,7 @@
         now: Duration,
         alive: Alive,
         whole: bool,
-        entries: &[landingspread_decisions::host::Listed],
+        entries: &[landingspread_decisions::host::ListedServer],
     ) {
         if !self.ground.borrow().alive(alive) {
             return;
@@ -259,9 +268,9 @@
         self.ground.borrow_mut().note_told(alive, whole, entries);
         let Some(picker) = self.living(alive) else { return };
         if whole {
-            picker.list_told(now, entries);
+            picker.endpoint_list_received(now, entries);
         } else {
-            picker.list_changed(now, entries);
+            picker.endpoint_list_changed(now, entries);
         }
     }
 
@@ -299,58 +308,58 @@
 }
 
 /// What a copy is told at its start.
-fn terms_of(ground: &Ground, number: usize) -> Terms {
+fn terms_of(ground: &Ground, number: usize) -> Settings {
     let (plan, copy) = (&ground.plan, &ground.copies[number]);
     let (tier, rules) = (&plan.tiers[copy.tier], &plan.rules);
     let balancers = ground.copies.iter().filter(|other| other.tier == copy.tier).count();
     let quota = |tenant: &crate::plan::Tenant| tenant.quota.unwrap_or(f64::MAX);
-    Terms {
-        balancers: balancers as f64,
-        may_live: balancers as f64,
+    Settings {
+        replicas: balancers as f64,
+        max_live_replicas: balancers as f64,
         ordinal: copy.ordinal,
         tier: copy.tier as u32,
-        conn_idle: span(tier.connections.idle),
+        idle_connection_timeout: span(tier.connections.idle),
         zone: copy.zone,
-        must_ask: false,
-        ask_every: Duration::MAX,
-        resolution: Duration::ZERO,
-        utility_by_work: false,
-        beyond_quota: rules.beyond_quota,
+        polls_discovery: false,
+        poll_interval: Duration::MAX,
+        timer_resolution: Duration::ZERO,
+        value_by_work: false,
+        over_quota_value: rules.beyond_quota,
         quotas: plan.tenants.iter().map(quota).collect(),
-        verbs: plan.verbs.iter().map(verb_terms).collect(),
-        allowed: Allowed {
-            checks: tier.checks,
-            cancel: rules.cancel,
-            parallel: rules.parallel,
-            peers: rules.words,
-            relays: rules.relays,
-            come_back: Some(span(rules.come_back)).filter(|most| !most.is_zero()),
+        classes: plan.verbs.iter().map(verb_terms).collect(),
+        capabilities: Capabilities {
+            health_checks: tier.checks,
+            cancellation: rules.cancel,
+            hedging: rules.parallel,
+            peer_messages: rules.words,
+            max_attempts: rules.relays,
+            max_retry_after: Some(span(rules.come_back)).filter(|most| !most.is_zero()),
         },
-        cold: ColdRule {
-            share: tier.cold.share,
-            warm_after: span(tier.cold.warm_after),
-            multiple: tier.cold.multiple,
-            window: span(tier.cold.window),
+        slow_start: SlowStart {
+            initial_fraction: tier.cold.share,
+            duration: span(tier.cold.warm_after),
+            overload_multiple: tier.cold.multiple,
+            overload_window: span(tier.cold.window),
         },
-        prices: Prices { crossing: rules.crossing, check: 0.0, peer: 0.0, connection: 0.0 },
-        checks_tell: false,
-        goal: GoalWeights { worst_verb: 0.0 },
+        costs: Costs { cross_zone: rules.crossing, health_check: 0.0, peer_message: 0.0, connection: 0.0 },
+        health_checks_report_load: false,
+        objective: ObjectiveWeights { worst_class: 0.0 },
     }
 }
 
-fn verb_terms(verb: &crate::plan::Verb) -> terms::Verb {
-    terms::Verb {
-        repeats: match verb.repeats {
-            Repeats::Pure => terms::Repeats::Pure,
-            Repeats::ReceiptedAll => terms::Repeats::Receipted(Group::All),
-            Repeats::ReceiptedZone => terms::Repeats::Receipted(Group::Zone),
-            Repeats::ReceiptedCell => terms::Repeats::Receipted(Group::Cell),
-            Repeats::Effectful => terms::Repeats::Effectful,
+fn verb_terms(verb: &crate::plan::Verb) -> settings::RequestClass {
+    settings::RequestClass {
+        retry_safety: match verb.repeats {
+            Repeats::Pure => settings::RetrySafety::Idempotent,
+            Repeats::ReceiptedAll => settings::RetrySafety::IdempotencyKeyed(DedupScope::All),
+            Repeats::ReceiptedZone => settings::RetrySafety::IdempotencyKeyed(DedupScope::Zone),
+            Repeats::ReceiptedCell => settings::RetrySafety::IdempotencyKeyed(DedupScope::Cell),
+            Repeats::Effectful => settings::RetrySafety::NonIdempotent,
         },
-        memory: span(verb.memory),
-        goal: span(verb.goal),
-        limit: span(verb.limit),
-        utility: verb.utility,
-        overdue_utility: verb.overdue_utility,
+        dedup_window: span(verb.memory),
+        latency_objective: span(verb.goal),
+        time_limit: span(verb.limit),
+        value: verb.utility,
+        late_value: verb.overdue_utility,
     }
 }
--- a/crates/lab/src/world/serving.rs
+++ b/crates/lab/src/world/serving.rs
@@ -8,7 +8,7 @@
 use super::happening::{Happening, JobKey, Leg};
 use crate::cold::Bound;
 use crate::plan::{Kind, Lie, Repeats, Reports, span};
-use landingspread_decisions::host::{Load, Outcome};
+use landingspread_decisions::host::{LoadReport, Outcome};
 use rand::Rng;
 use std::time::Duration;
 
@@ -30,12 +30,12 @@
         if !heard {
             if fresh {
                 let dial = span(self.plan.tiers[server.tier].connections.dial);
-                self.put_in(dial, Happening::Ended(leg, Outcome::ConnectFailed, Load::default()));
+                self.put_in(dial, Happening::Ended(leg, Outcome::ConnectFailed, LoadReport::default()));
             }
             return;
         }
         if server.standing == Standing::Down || server.gone {
-            self.put_in(delay, Happening::Ended(leg, Outcome::ConnectFailed, Load::default()));
+            self.put_in(delay, Happening::Ended(leg, Outcome::ConnectFailed, LoadReport::default()));
             return;
         }
         self.bring(number, leg);
@@ -43,10 +43,10 @@
         let server = &self.servers[number];
         if server.standing != Standing::Up {
             // It fell under this one.
-            self.put_in(delay, Happening::Ended(leg, Outcome::Reset, Load::default()));
+            self.put_in(delay, Happening::Ended(leg, Outcome::Reset, LoadReport::default()));
         } else if server.jobs >= tier.queue + tier.cores {
             let load = self.report(number);
-            self.put_in(delay, Happening::Ended(leg, Outcome::Full, load));
+            self.put_in(delay, Happening::Ended(leg, Outcome::Overloaded, load));
         } else {
             self.take_job(number, leg);
         }
@@ -380,7 +380,7 @@
             let (leg, back) = (job.leg, job.back);
             self.drop_job(key);
             if standing == Standing::Down {
-                self.put_in(back, Happening::Ended(leg, Outcome::Reset, Load::default()));
+                self.put_in(back, Happening::Ended(leg, Outcome::Reset, LoadReport::default()));
             }
         }
         let server = &mut self.servers[number];
@@ -410,7 +410,7 @@
     }
 
     /// A server's word on its load, by the tier's plan and by what makes it lie.
-    fn report(&mut self, number: usize) -> Load {
+    fn report(&mut self, number: usize) -> LoadReport {
         let (now, server) = (self.now, &self.servers[number]);
         let tier = &self.plan.tiers[server.tier];
         let lies =
@@ -428,10 +428,10 @@
         if !stands && lie.is_none() {
             self.servers[number].reported = (now, figures.0, figures.1);
         }
-        Load {
-            queue: matches!(kinds, Reports::Queue | Reports::Both).then_some(figures.0),
+        LoadReport {
+            queued: matches!(kinds, Reports::Queue | Reports::Both).then_some(figures.0),
             in_flight: matches!(kinds, Reports::InFlight | Reports::Both).then_some(figures.1),
-            ..Load::default()
+            ..LoadReport::default()
         }
     }
 
--- a/crates/lab/src/world/source.rs
+++ b/crates/lab/src/world/source.rs
@@ -4,7 +4,7 @@
 use super::ground::{Ground, Server, Standing};
 use super::happening::{Alive, Happening};
 use crate::plan::{Kind, span};
-use landingspread_decisions::host::{Listed, State};
+use landingspread_decisions::host::{Lifecycle, ListedServer};
 use rand::Rng;
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 /// By server; what was never heard of is none.
 #[derive(Default)]
 pub struct Source {
-    entries: Vec<Option<Listed>>,
+    entries: Vec<Option<ListedServer>>,
 }
 
 impl Source {
@@ -25,28 +25,28 @@
             self.entries.resize(number + 1, None);
         }
         let state = match server.standing {
-            _ if server.gone => State::Gone,
-            Standing::Down | Standing::Silent => State::Gone,
-            Standing::Up if server.draining => State::Draining,
-            Standing::Up => State::Ready,
+            _ if server.gone => Lifecycle::Removed,
+            Standing::Down | Standing::Silent => Lifecycle::Removed,
+            Standing::Up if server.draining => Lifecycle::Draining,
+            Standing::Up => Lifecycle::Ready,
         };
-        self.entries[number] = Some(Listed {
+        self.entries[number] = Some(ListedServer {
             server: server.id.clone(),
             zone: server.zone,
             cell: server.cell,
-            state,
-            nominal: server.speed,
-            up_since: server.up_since,
+            lifecycle: state,
+            nominal_capacity: server.speed,
+            started_at: server.up_since,
         });
     }
 
-    fn known(&self, number: usize) -> Option<&Listed> {
+    fn known(&self, number: usize) -> Option<&ListedServer> {
         self.entries.get(number)?.as_ref()
     }
 
     /// A server's entry in a whole list; the gone are in none.
-    pub fn entry(&self, number: usize) -> Option<Listed> {
-        self.known(number).filter(|entry| entry.state != State::Gone).cloned()
+    pub fn entry(&self, number: usize) -> Option<ListedServer> {
+        self.known(number).filter(|entry| entry.lifecycle != Lifecycle::Removed).cloned()
     }
 }
 
@@ -65,14 +65,14 @@
         let tier = self.servers[number].tier;
         let Some(mut entry) = self.source.known(number).cloned() else { return };
         if !self.plan.tiers[tier].weights_told {
-            entry.nominal = 1.0;
+            entry.nominal_capacity = 1.0;
         }
-        let change: Rc<[Listed]> = Rc::new([entry]);
+        let change: Rc<[ListedServer]> = Rc::new([entry]);
         self.tell_all(tier, false, &change);
     }
 
     /// Tells all copies of a tier that watch, each after a time of its own.
-    fn tell_all(&mut self, tier: usize, whole: bool, entries: &Rc<[Listed]>) {
+    fn tell_all(&mut self, tier: usize, whole: bool, entries: &Rc<[ListedServer]>) {
         let (stale, empty) =
             (self.source_fails(Kind::ListStale, tier), self.source_fails(Kind::ListEmpty, tier));
         if (stale || empty || self.source_fails(Kind::ListDown, tier)) && !(whole && empty) {
@@ -86,7 +86,7 @@
         }
     }
 
-    fn tell(&mut self, copy: usize, whole: bool, entries: Rc<[Listed]>) {
+    fn tell(&mut self, copy: usize, whole: bool, entries: Rc<[ListedServer]>) {
         let tier = self.copies[copy].tier;
         let late = self.faults().filter(|fault| fault.kind == Kind::ListLate && fault.tier == tier);
         let late: f64 = late.filter_map(|fault| fault.seconds).sum();
@@ -98,14 +98,14 @@
     }
 
     /// The whole list as the source tells it now.
-    fn whole(&self, tier: usize) -> Rc<[Listed]> {
+    fn whole(&self, tier: usize) -> Rc<[ListedServer]> {
         if self.source_fails(Kind::ListEmpty, tier) {
             return Rc::from([]);
         }
-        let mut entries: Vec<Listed> =
+        let mut entries: Vec<ListedServer> =
             self.by_tier[tier].iter().filter_map(|server| self.source.entry(*server)).collect();
         if !self.plan.tiers[tier].weights_told {
-            entries.iter_mut().for_each(|entry| entry.nominal = 1.0);
+            entries.iter_mut().for_each(|entry| entry.nominal_capacity = 1.0);
         }
         entries.into()
     }
@@ -146,12 +146,12 @@
     }
 
     /// A copy is told: from now on it knows. Gives the entries back for the picker.
-    pub fn note_told(&mut self, alive: Alive, whole: bool, entries: &[Listed]) {
+    pub fn note_told(&mut self, alive: Alive, whole: bool, entries: &[ListedServer]) {
         let (now, count) = (self.now, self.servers.len());
         let mut ready: Vec<(usize, bool)> = Vec::with_capacity(entries.len());
         for entry in entries {
             if let Some(number) = self.server_number(&entry.server) {
-                ready.push((number, entry.state == State::Ready));
+                ready.push((number, entry.lifecycle == Lifecycle::Ready));
             }
         }
         let copy = &mut self.copies[alive.copy];
--- a/crates/lab/tests/referee.rs
+++ b/crates/lab/tests/referee.rs
@@ -1,6 +1,8 @@
 //! The referee catches pickers that are wrong on purpose, one for each rule, and names what it saw.
 
-use landingspread_decisions::host::{Arrival, Ended, Host, Id, Listed, Load, Outcome, State};
+use landingspread_decisions::host::{
+    AttemptEnd, Host, Id, Lifecycle, ListedServer, LoadReport, Outcome, RequestArrival,
+};
 use landingspread_lab::pickers::Picker;
 use landingspread_lab::plan::{self, Scenario};
 use landingspread_lab::world::{Hand, Run, play};
@@ -45,74 +47,74 @@
         (!ready.is_empty()).then(|| ready[self.turn % ready.len()].clone())
     }
 
-    fn take(&mut self, entries: &[Listed]) {
+    fn take(&mut self, entries: &[ListedServer]) {
         for entry in entries {
             self.servers.retain(|(id, _)| *id != entry.server);
-            self.servers.push((entry.server.clone(), entry.state == State::Ready));
+            self.servers.push((entry.server.clone(), entry.lifecycle == Lifecycle::Ready));
         }
     }
 }
 
 impl Picker for Faulty {
-    fn list_cached(&mut self, _: Duration, entries: &[Listed]) {
+    fn endpoint_list_cached(&mut self, _: Duration, entries: &[ListedServer]) {
         self.take(entries);
     }
 
-    fn list_told(&mut self, _: Duration, entries: &[Listed]) {
+    fn endpoint_list_received(&mut self, _: Duration, entries: &[ListedServer]) {
         self.take(entries);
     }
 
-    fn list_changed(&mut self, _: Duration, entries: &[Listed]) {
+    fn endpoint_list_changed(&mut self, _: Duration, entries: &[ListedServer]) {
         self.take(entries);
     }
 
-    fn list_call_failed(&mut self, _: Duration) {}
+    fn discovery_poll_failed(&mut self, _: Duration) {}
 
-    fn cmd_came(&mut self, _: Duration, arrival: Arrival) {
-        self.open.push((arrival.id.clone(), arrival.due));
+    fn request_arrived(&mut self, _: Duration, arrival: RequestArrival) {
+        self.open.push((arrival.id.clone(), arrival.deadline));
         if self.wrong == Wrong::Silent && self.turn % 50 == 49 {
             self.turn += 1;
             return;
         }
         let to = self.next();
         if self.wrong == Wrong::Twice && self.turn % 50 == 7 {
-            self.hand.decline(&arrival.id, None);
-            self.hand.terminate(&arrival.id);
+            self.hand.reject(&arrival.id, None);
+            self.hand.fail(&arrival.id);
             return;
         }
         match to {
-            Some(to) => self.hand.relay(&arrival.id, &to, arrival.due),
-            None => self.hand.decline(&arrival.id, None),
+            Some(to) => self.hand.start_attempt(&arrival.id, &to, arrival.deadline),
+            None => self.hand.reject(&arrival.id, None),
         }
         if self.wrong == Wrong::RelaysOn && self.turn % 50 == 7 {
-            self.hand.terminate(&arrival.id);
+            self.hand.fail(&arrival.id);
             let other = self.next().expect("a server");
-            self.hand.relay(&arrival.id, &other, arrival.due);
+            self.hand.start_attempt(&arrival.id, &other, arrival.deadline);
         }
     }
 
-    fn client_left(&mut self, _: Duration, _: &Id) {}
+    fn client_disconnected(&mut self, _: Duration, _: &Id) {}
 
-    fn relay_ended(&mut self, _: Duration, ended: Ended) {
-        if ended.closed || ended.outcome == Outcome::Ok {
+    fn attempt_ended(&mut self, _: Duration, ended: AttemptEnd) {
+        if ended.request_closed || ended.outcome == Outcome::Ok {
             return;
         }
         match self.wrong {
             Wrong::Repeats => {
-                let due = self.open.iter().find(|(id, _)| *id == ended.cmd).map(|(_, due)| *due);
+                let due = self.open.iter().find(|(id, _)| *id == ended.request).map(|(_, due)| *due);
                 let to = self.next();
                 if let (Some(to), Some(due)) = (to, due) {
-                    self.hand.relay(&ended.cmd, &to, due);
+                    self.hand.start_attempt(&ended.request, &to, due);
                 }
             }
-            Wrong::DeclinesAll => self.hand.decline(&ended.cmd, None),
-            _ => self.hand.terminate(&ended.cmd),
+            Wrong::DeclinesAll => self.hand.reject(&ended.request, None),
+            _ => self.hand.fail(&ended.request),
         }
     }
 
-    fn check_ended(&mut self, _: Duration, _: Outcome, _: &Id, _: Load) {}
+    fn health_check_ended(&mut self, _: Duration, _: Outcome, _: &Id, _: LoadReport) {}
 
-    fn woken(&mut self, _: Duration) {}
+    fn timer_fired(&mut self, _: Duration) {}
 }
 
 const WORLD: &str = "
--- a/crates/sidecar/src/catalog.rs
+++ b/crates/sidecar/src/catalog.rs
@@ -2,12 +2,12 @@
 //! form of an entry; it must never decide which of them is used.
 
 use crate::clock::Clock;
-use landingspread_decisions::host::{Listed, State};
+use landingspread_decisions::host::{Lifecycle, ListedServer};
 use serde_json::Value;
 use std::net::SocketAddr;
 
 pub struct Entry {
-    pub listed: Listed,
+    pub listed: ListedServer,
     pub address: SocketAddr,
 }
 
@@ -37,18 +37,18 @@
         let text = |key: &str| item.get(key).and_then(Value::as_str).ok_or(format!("{key} is no text"));
         let zone = item.get("zone").and_then(Value::as_str);
         let state = match text("lifecycle")? {
-            "ready" => State::Ready,
-            "draining" => State::Draining,
-            "gone" => State::Gone,
+            "ready" => Lifecycle::Ready,
+            "draining" => Lifecycle::Draining,
+            "gone" => Lifecycle::Removed,
             other => return Err(format!("lifecycle is unknown: {other:?}")),
         };
-        let listed = Listed {
+        let listed = ListedServer {
             server: text("instanceId")?.into(),
             zone: zones.iter().position(|name| zone == Some(name)).unwrap_or(zones.len()) as u32,
             cell: item.get("cell").and_then(Value::as_u64).unwrap_or(0) as u32,
-            state,
-            nominal: item.get("weight").and_then(Value::as_f64).unwrap_or(1.0),
-            up_since: item.get("startedAtMs").and_then(Value::as_u64).and_then(|ms| clock.of_unix_ms(ms)),
+            lifecycle: state,
+            nominal_capacity: item.get("weight").and_then(Value::as_f64).unwrap_or(1.0),
+            started_at: item.get("startedAtMs").and_then(Value::as_u64).and_then(|ms| clock.of_unix_ms(ms)),
         };
         let address =
             text("hostPort")?.parse().map_err(|_| "hostPort is no address with a port".to_string())?;
--- a/crates/sidecar/src/control/mod.rs
+++ b/crates/sidecar/src/control/mod.rs
@@ -50,7 +50,7 @@
         let Ok(changed) = self.live.read(contents) else { return };
         let Changed { verbs, discovery, .. } = &changed;
         let (take, taken) = async_channel::bounded(1);
-        self.callers.limits_changed(verbs.iter().map(|verb| verb.limit).collect());
+        self.callers.limits_changed(verbs.iter().map(|verb| verb.time_limit).collect());
         let _ = self.discovery.try_send(*discovery);
         self.queue.tell(Word::Changed(Box::new(changed), take));
         self.taken = Some(taken);
--- a/crates/sidecar/src/counters.rs
+++ b/crates/sidecar/src/counters.rs
@@ -107,12 +107,12 @@
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Ok,
     Outcome::Error,
-    Outcome::Full,
+    Outcome::Overloaded,
     Outcome::Timeout,
     Outcome::ConnectFailed,
     Outcome::Reset,
     Outcome::Cancelled,
-    Outcome::Moot,
+    Outcome::NotSent,
 ];
 
 /// An outcome's name as a label.
@@ -120,12 +120,12 @@
     match outcome {
         Outcome::Ok => "ok",
         Outcome::Error => "error",
-        Outcome::Full => "full",
+        Outcome::Overloaded => "full",
         Outcome::Timeout => "timeout",
         Outcome::ConnectFailed => "connect_failed",
         Outcome::Reset => "reset",
         Outcome::Cancelled => "cancelled",
-        Outcome::Moot => "never_sent",
+        Outcome::NotSent => "never_sent",
     }
 }
 
--- a/crates/sidecar/src/fleet/mod.rs
+++ b/crates/sidecar/src/fleet/mod.rs
@@ -11,8 +11,8 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::future::or;
-use landingspread_decisions::host::Copies;
-use landingspread_decisions::zones::{ZoneSeen, ZoneShare};
+use landingspread_decisions::host::ReplicaView;
+use landingspread_decisions::zones::{ZoneObservation, ZoneTraffic};
 use landingspread_localities::Paces;
 use landingspread_membership::{About, Address, Counted, Host, MESSAGE_MOST, Member, Membership};
 use std::io;
@@ -69,9 +69,9 @@
 
 /// The decisions' side: what they hear, and where they say how much comes to them.
 pub struct Link {
-    pub copies: Receiver<Copies>,
+    pub copies: Receiver<ReplicaView>,
     /// The shares of zones, where the fleet leaves any.
-    pub zones: Option<Receiver<Vec<ZoneShare>>>,
+    pub zones: Option<Receiver<Vec<ZoneTraffic>>>,
     traffic: Arc<AtomicU64>,
     seen: zones::Seen,
 }
@@ -83,7 +83,7 @@
     }
 
     /// How zones look to the decisions at that time.
-    pub fn say_seen(&self, at: Duration, seen: Vec<ZoneSeen>) {
+    pub fn say_seen(&self, at: Duration, seen: Vec<ZoneObservation>) {
         *self.seen.lock().unwrap_or_else(PoisonError::into_inner) = (at, seen);
     }
 }
@@ -273,7 +273,7 @@
     parts: Parts,
     clock: Clock,
     called: Receiver<Call>,
-    tell: Sender<Copies>,
+    tell: Sender<ReplicaView>,
     traffic: Arc<AtomicU64>,
 }
 
@@ -358,12 +358,12 @@
     }
 }
 
-fn copies_of(counted: &Counted) -> Copies {
-    Copies {
+fn copies_of(counted: &Counted) -> ReplicaView {
+    ReplicaView {
         count: counted.copies,
-        may_live: counted.may_live,
-        place: counted.place().map(u32::from),
-        traffic: counted.traffic,
+        max_alive: counted.may_live,
+        ordinal: counted.place().map(u32::from),
+        mean_request_rate: counted.traffic,
     }
 }
 
--- a/crates/sidecar/src/fleet/zones.rs
+++ b/crates/sidecar/src/fleet/zones.rs
@@ -3,7 +3,7 @@
 
 use super::Wire;
 use async_channel::Sender;
-use landingspread_decisions::zones::{ZoneSeen, ZoneShare};
+use landingspread_decisions::zones::{ZoneObservation, ZoneTraffic};
 use landingspread_localities::{
     About, Evidence, Host, Localities, Looks, Own, Paces, Peer, Standing, Verdict,
 };
@@ -54,13 +54,13 @@
 }
 
 /// How zones looked to the decisions, and when.
-pub type Seen = Arc<Mutex<(Duration, Vec<ZoneSeen>)>>;
+pub type Seen = Arc<Mutex<(Duration, Vec<ZoneObservation>)>>;
 
 pub struct Zones {
     localities: Localities<Log>,
     seen: Seen,
-    tell: Sender<Vec<ZoneShare>>,
-    told: Vec<ZoneShare>,
+    tell: Sender<Vec<ZoneTraffic>>,
+    told: Vec<ZoneTraffic>,
     told_at: Option<Duration>,
     /// How zones looked when that was last logged: what was heard from each, and how many neighbours find it silent and
     /// answering.
@@ -72,7 +72,7 @@
 }
 
 /// `more` is what has gone by since, past the time within which it is told anew while commands come.
-fn looks(seen: &ZoneSeen, more: Duration) -> Looks {
+fn looks(seen: &ZoneObservation, more: Duration) -> Looks {
     match (seen.silent, seen.answered) {
         (Some(since), _) => Looks::Silent { since: since + more },
         (None, Some(sent)) => Looks::Answers { sent: sent + more, slow: seen.slow },
@@ -86,7 +86,7 @@
         zones: Vec<String>,
         of: &OfCopy,
         seen: Seen,
-        tell: Sender<Vec<ZoneShare>>,
+        tell: Sender<Vec<ZoneTraffic>>,
     ) -> Zones {
         let about = About { id: id_of(of.address), zone: of.zone.clone(), zones, paces };
         Zones {
@@ -103,7 +103,7 @@
         let own: Vec<Own> = {
             let (at, seen) = &*self.seen.lock().unwrap_or_else(PoisonError::into_inner);
             let more = now.saturating_sub(*at + SEEN_EVERY);
-            let own = |seen: &ZoneSeen| Own {
+            let own = |seen: &ZoneObservation| Own {
                 zone: seen.zone as usize,
                 ready: seen.ready,
                 looks: looks(seen, more),
@@ -148,12 +148,12 @@
     }
 
     fn tell(&mut self, now: Duration) {
-        let share = |share: landingspread_localities::Share| ZoneShare {
+        let share = |share: landingspread_localities::Share| ZoneTraffic {
             zone: share.zone as u32,
-            share: share.share,
+            fraction: share.share,
             trial: share.trial,
         };
-        let shares: Vec<ZoneShare> = self.localities.shares().into_iter().map(share).collect();
+        let shares: Vec<ZoneTraffic> = self.localities.shares().into_iter().map(share).collect();
         let due = self.told_at.is_none_or(|at| at + TELL_EVERY <= now);
         // One that still waits is older: the next tick tells it anew.
         if (due || shares != self.told) && self.tell.try_send(shares.clone()).is_ok() {
--- a/crates/sidecar/src/launch/checked.rs
+++ b/crates/sidecar/src/launch/checked.rs
@@ -3,7 +3,7 @@
 use super::control::Control;
 use crate::catalog::Catalog;
 use crate::clock::Clock;
-use landingspread_decisions::terms::Terms;
+use landingspread_decisions::settings::Settings;
 use landingspread_localities::Paces;
 use landingspread_membership::{Address, Budget};
 use std::fmt;
@@ -112,7 +112,7 @@
     pub conn_idle: Duration,
     pub dial_timeout: Duration,
     pub max_open: usize,
-    pub terms: Terms,
+    pub terms: Settings,
     /// Every copy's address for words between them, by its number; none where they tell each other nothing.
     pub peers: Vec<SocketAddr>,
     /// None where the copy takes part in no fleet.
--- a/crates/sidecar/src/launch/file.rs
+++ b/crates/sidecar/src/launch/file.rs
@@ -7,9 +7,9 @@
 };
 use crate::catalog::{Catalog, Entry};
 use crate::clock::Clock;
-use landingspread_decisions::host::{Listed, State};
-use landingspread_decisions::terms::{
-    self, Allowed, ColdRule, GoalWeights, Group, Prices, Repeats as Repeated, Terms,
+use landingspread_decisions::host::{Lifecycle, ListedServer};
+use landingspread_decisions::settings::{
+    self, Capabilities, Costs, DedupScope, ObjectiveWeights, RetrySafety as Repeated, Settings, SlowStart,
 };
 use landingspread_files::{Wrong, from_toml, text_of};
 use serde::Deserialize;
@@ -357,13 +357,13 @@
         place.unwrap_or(0) as u32
     };
     let entry = |server: &Server| Entry {
-        listed: Listed {
+        listed: ListedServer {
             server: server.id.as_str().into(),
             zone: zone(&server.zone),
             cell: server.cell,
-            state: State::Ready,
-            nominal: server.weight,
-            up_since: None,
+            lifecycle: Lifecycle::Ready,
+            nominal_capacity: server.weight,
+            started_at: None,
         },
         address: server.address,
     };
@@ -407,64 +407,67 @@
     }
 }
 
-fn terms_of(file: &File, zone: u32) -> Terms {
+fn terms_of(file: &File, zone: u32) -> Settings {
     let rules = &file.rules;
-    Terms {
-        balancers: f64::from(file.copies),
-        may_live: f64::from(file.copies),
+    Settings {
+        replicas: f64::from(file.copies),
+        max_live_replicas: f64::from(file.copies),
         ordinal: file.ordinal,
         tier: file.tier,
-        conn_idle: file.limits.conn_idle,
+        idle_connection_timeout: file.limits.conn_idle,
         zone,
-        must_ask: file.discovery.as_ref().is_some_and(|discovery| discovery.begins == Begins::Subscribe),
-        ask_every: Duration::MAX,
-        resolution: Duration::ZERO,
-        utility_by_work: rules.utility_by_work,
-        beyond_quota: rules.beyond_quota,
+        polls_discovery: file
+            .discovery
+            .as_ref()
+            .is_some_and(|discovery| discovery.begins == Begins::Subscribe),
+        poll_interval: Duration::MAX,
+        timer_resolution: Duration::ZERO,
+        value_by_work: rules.utility_by_work,
+        over_quota_value: rules.beyond_quota,
         quotas: file.tenants.iter().map(|tenant| tenant.quota.unwrap_or(f64::MAX)).collect(),
-        verbs: file.verbs.iter().map(verb_terms).collect(),
-        allowed: Allowed {
-            checks: rules.checks,
-            cancel: rules.cancel,
-            parallel: rules.parallel,
-            peers: !file.peers.is_empty(),
-            relays: rules.relays,
-            come_back: Some(rules.come_back).filter(|most| !most.is_zero()),
+        classes: file.verbs.iter().map(verb_terms).collect(),
+        capabilities: Capabilities {
+            health_checks: rules.checks,
+            cancellation: rules.cancel,
+            hedging: rules.parallel,
+            peer_messages: !file.peers.is_empty(),
+            max_attempts: rules.relays,
+            max_retry_after: Some(rules.come_back).filter(|most| !most.is_zero()),
         },
-        cold: ColdRule {
-            share: rules.cold_share,
-            warm_after: rules.warm_after,
-            multiple: 3.0,
-            window: Duration::from_secs(2),
+        slow_start: SlowStart {
+            initial_fraction: rules.cold_share,
+            duration: rules.warm_after,
+            overload_multiple: 3.0,
+            overload_window: Duration::from_secs(2),
         },
-        prices: Prices {
-            crossing: rules.crossing,
-            check: rules.check,
-            peer: rules.peer,
+        costs: Costs {
+            cross_zone: rules.crossing,
+            health_check: rules.check,
+            peer_message: rules.peer,
             connection: rules.connection,
         },
-        checks_tell: rules.checks_tell,
-        goal: GoalWeights { worst_verb: rules.worst_verb },
+        health_checks_report_load: rules.checks_tell,
+        objective: ObjectiveWeights { worst_class: rules.worst_verb },
     }
 }
 
-fn verb_terms(verb: &Verb) -> terms::Verb {
+fn verb_terms(verb: &Verb) -> settings::RequestClass {
     let group = match verb.group {
-        None | Some(Among::All) => Group::All,
-        Some(Among::Zone) => Group::Zone,
-        Some(Among::Cell) => Group::Cell,
+        None | Some(Among::All) => DedupScope::All,
+        Some(Among::Zone) => DedupScope::Zone,
+        Some(Among::Cell) => DedupScope::Cell,
     };
-    terms::Verb {
-        repeats: match verb.repeats {
-            Repeats::Pure => Repeated::Pure,
-            Repeats::Receipted => Repeated::Receipted(group),
-            Repeats::Effectful => Repeated::Effectful,
+    settings::RequestClass {
+        retry_safety: match verb.repeats {
+            Repeats::Pure => Repeated::Idempotent,
+            Repeats::Receipted => Repeated::IdempotencyKeyed(group),
+            Repeats::Effectful => Repeated::NonIdempotent,
         },
-        memory: verb.memory.unwrap_or_default(),
-        goal: verb.goal,
-        limit: verb.limit,
-        utility: verb.utility,
-        overdue_utility: verb.overdue_utility,
+        dedup_window: verb.memory.unwrap_or_default(),
+        latency_objective: verb.goal,
+        time_limit: verb.limit,
+        value: verb.utility,
+        late_value: verb.overdue_utility,
     }
 }
 
@@ -485,7 +488,7 @@
     fn the_example_can_be_gone_by_and_shows_the_defaults() {
         let launch = taken(EXAMPLE).expect("it can be read");
         assert_eq!((launch.known.entries.len(), launch.verbs.len()), (2, 3));
-        assert_eq!(launch.terms.verbs[1].repeats, Repeated::Receipted(Group::All));
+        assert_eq!(launch.terms.classes[1].retry_safety, Repeated::IdempotencyKeyed(DedupScope::All));
         // Each key that is commented out, as the default that its comment shows.
         let opened: Vec<&str> = EXAMPLE
             .lines()
@@ -504,8 +507,8 @@
         let shown = taken(&opened).expect("its comments can be read");
         assert_eq!(shown.localities, Some(landingspread_localities::Paces::default()));
         assert!(launch.control.is_none() && shown.control.is_some_and(|control| control.machines.len() == 2));
-        assert_eq!(shown.terms.allowed.relays, launch.terms.allowed.relays);
-        assert_eq!(format!("{:?}", shown.terms.cold), format!("{:?}", launch.terms.cold));
+        assert_eq!(shown.terms.capabilities.max_attempts, launch.terms.capabilities.max_attempts);
+        assert_eq!(format!("{:?}", shown.terms.slow_start), format!("{:?}", launch.terms.slow_start));
         assert_eq!(
             (shown.sockets, shown.memory_mb, shown.max_open),
             (launch.sockets, launch.memory_mb, launch.max_open)
@@ -595,11 +598,15 @@
             text = text.replacen(&line, &format!("{key} = {value}"), 1);
         }
         let plain = taken(EXAMPLE).expect("it can be read").terms;
-        assert!(!plain.allowed.peers && !plain.checks_tell && plain.prices.check == 0.0);
+        assert!(
+            !plain.capabilities.peer_messages
+                && !plain.health_checks_report_load
+                && plain.costs.health_check == 0.0
+        );
         let terms = taken(&text).expect("it can be read").terms;
-        assert!(terms.allowed.peers && terms.checks_tell && terms.utility_by_work);
-        let prices = &terms.prices;
-        assert_eq!((prices.check, prices.peer, prices.connection), (0.002, 0.01, 0.04));
-        assert_eq!((terms.goal.worst_verb, terms.ordinal), (0.3, 1));
+        assert!(terms.capabilities.peer_messages && terms.health_checks_report_load && terms.value_by_work);
+        let prices = &terms.costs;
+        assert_eq!((prices.health_check, prices.peer_message, prices.connection), (0.002, 0.01, 0.04));
+        assert_eq!((terms.objective.worst_class, terms.ordinal), (0.3, 1));
     }
 }
--- a/crates/sidecar/src/launch/live.rs
+++ b/crates/sidecar/src/launch/live.rs
@@ -4,7 +4,7 @@
 
 use super::checked::{Launch, verb_fault};
 use landingspread_control::{Contents, Fault};
-use landingspread_decisions::terms;
+use landingspread_decisions::settings;
 use std::net::SocketAddr;
 use std::str::FromStr;
 
@@ -35,7 +35,7 @@
 
 /// What the file says of these keys.
 pub struct Live {
-    verbs: Vec<(String, terms::Verb)>,
+    verbs: Vec<(String, settings::RequestClass)>,
     tenants: Vec<(String, f64)>,
     /// Whether there is one that could be moved.
     discovery: bool,
@@ -47,14 +47,15 @@
     /// Commands a second over all copies, by the tenants' numbers.
     pub quotas: Vec<f64>,
     /// By their numbers.
-    pub verbs: Vec<terms::Verb>,
+    pub verbs: Vec<settings::RequestClass>,
     /// Where discovery is, in place of what the file says.
     pub discovery: Option<SocketAddr>,
 }
 
 impl Live {
     pub fn of(launch: &Launch) -> Live {
-        let verbs = launch.verbs.iter().map(|verb| verb.name.clone()).zip(launch.terms.verbs.iter().cloned());
+        let verbs =
+            launch.verbs.iter().map(|verb| verb.name.clone()).zip(launch.terms.classes.iter().cloned());
         let tenants = launch.tenants.iter().cloned().zip(launch.terms.quotas.iter().copied());
         Live { verbs: verbs.collect(), tenants: tenants.collect(), discovery: launch.discovery.is_some() }
     }
@@ -70,7 +71,7 @@
         // Keys of one verb may only be wrong together.
         for ((name, _), verb) in self.verbs.iter().zip(&changed.verbs) {
             if let Some((leaves, what)) =
-                verb_fault(verb.goal, verb.limit, verb.utility, verb.overdue_utility)
+                verb_fault(verb.latency_objective, verb.time_limit, verb.value, verb.late_value)
             {
                 let key = |leaf: &&str| format!("verbs.{name}.{leaf}");
                 let said = leaves.iter().map(key).find(|key| contents.contains_key(key));
@@ -107,10 +108,10 @@
                         .map_err(|_| Fault::of(key, format_args!("{value:?} is no span such as \"300ms\"")))
                 };
                 match leaf {
-                    "goal" => verb.goal = span()?,
-                    "limit" => verb.limit = span()?,
-                    "utility" => verb.utility = figure(key, value, "a number")?,
-                    _ => verb.overdue_utility = figure(key, value, "a number")?,
+                    "goal" => verb.latency_objective = span()?,
+                    "limit" => verb.time_limit = span()?,
+                    "utility" => verb.value = figure(key, value, "a number")?,
+                    _ => verb.late_value = figure(key, value, "a number")?,
                 }
                 Ok(())
             }
--- a/crates/sidecar/src/launch/platform.rs
+++ b/crates/sidecar/src/launch/platform.rs
@@ -7,7 +7,7 @@
 };
 use crate::catalog::Catalog;
 use crate::clock::Clock;
-use landingspread_decisions::terms::Terms;
+use landingspread_decisions::settings::Settings;
 use serde_json::Value;
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -42,10 +42,10 @@
     let settings = at(root, "settings").ok_or_else(|| fault("settings", "is missing"))?;
     let mut pairs = String::new();
     flatten(settings, "", &mut pairs);
-    let mut terms = Terms::decode(&pairs).map_err(|wrong| Fault(format!("settings: {wrong}")))?;
+    let mut terms = Settings::decode(&pairs).map_err(|wrong| Fault(format!("settings: {wrong}")))?;
     let peers = peers(root, &terms)?;
     // What nobody would hear is not told.
-    terms.allowed.peers &= !peers.is_empty();
+    terms.capabilities.peer_messages &= !peers.is_empty();
     Ok(Launch {
         name: text("NODE_NAME", "name")?,
         listen: address("NODE_LISTEN", "listen")?,
@@ -126,7 +126,7 @@
     items(root, key)?.iter().enumerate().map(name).collect()
 }
 
-fn peers(root: &Value, terms: &Terms) -> Result<Vec<SocketAddr>, Fault> {
+fn peers(root: &Value, terms: &Settings) -> Result<Vec<SocketAddr>, Fault> {
     let address = |(number, item): (usize, &Value)| {
         let text = item.as_str().unwrap_or("");
         let key = format!("peers.{number}");
@@ -134,7 +134,7 @@
     };
     let peers: Vec<SocketAddr> =
         items(root, "peers")?.iter().enumerate().map(address).collect::<Result<_, _>>()?;
-    let copies = terms.balancers as usize;
+    let copies = terms.replicas as usize;
     if !peers.is_empty() && (peers.len() != copies || terms.ordinal as usize >= copies) {
         return Err(fault("peers", format_args!("{} addresses for {copies} copies", peers.len())));
     }
--- a/crates/sidecar/src/net/attempts.rs
+++ b/crates/sidecar/src/net/attempts.rs
@@ -4,7 +4,7 @@
 
 use crate::invariants::must_hold;
 use landingspread_decisions::host::Outcome;
-use landingspread_decisions::terms::Repeats;
+use landingspread_decisions::settings::RetrySafety;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -41,7 +41,7 @@
 /// What the settings say of a request's further attempts.
 #[derive(Clone, Copy, Debug)]
 pub struct RepeatRule {
-    pub repeats: Repeats,
+    pub repeats: RetrySafety,
     /// How long repeats of a deduplicated request are dropped, from the first byte of each attempt that may have run.
     pub window: Duration,
     /// Two attempts may be out at once.
@@ -73,13 +73,13 @@
         }
         let now = Instant::now();
         let mut begun = self.begun.borrow_mut();
-        if let Repeats::Receipted(group) = self.rule.repeats {
+        if let RetrySafety::IdempotencyKeyed(group) = self.rule.repeats {
             let open = |earlier: &Begun| now.saturating_duration_since(earlier.at) < self.rule.window;
             if !begun.values().all(open) {
                 return Err(TooLate::PastWindow);
             }
             let place = |location: Location| (location.zone, location.cell);
-            let within = begun.values().all(|earlier| group.holds(place(earlier.location), place(to)));
+            let within = begun.values().all(|earlier| group.covers(place(earlier.location), place(to)));
             must_hold!(
                 Repeating,
                 within,
@@ -91,7 +91,7 @@
         }
         let alone = self.rule.parallel || begun.values().all(|earlier| earlier.fate != Fate::Out);
         must_hold!(Repeating, alone, "attempt {attempt} of {request} beside another that is out");
-        let unsafe_again = self.rule.repeats == Repeats::Effectful && !begun.is_empty();
+        let unsafe_again = self.rule.repeats == RetrySafety::NonIdempotent && !begun.is_empty();
         must_hold!(Repeating, !unsafe_again, "attempt {attempt} of {request} after one that may have run");
         if !alone || unsafe_again {
             return Err(TooLate::Over);
--- a/crates/sidecar/src/net/callers.rs
+++ b/crates/sidecar/src/net/callers.rs
@@ -23,8 +23,8 @@
 use async_io::{Async, Timer};
 use futures_lite::AsyncReadExt;
 use futures_lite::future::{or, yield_now};
-use landingspread_decisions::host::Arrival;
-use landingspread_decisions::terms;
+use landingspread_decisions::host::RequestArrival;
+use landingspread_decisions::settings;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -128,11 +128,11 @@
         pool: Rc<Pool>,
         executor: Rc<LocalExecutor<'static>>,
     ) -> Callers {
-        let repeat_rule = |verb: &terms::Verb| RepeatRule {
-            repeats: verb.repeats,
+        let repeat_rule = |verb: &settings::RequestClass| RepeatRule {
+            repeats: verb.retry_safety,
             // What the module leaves for its own clock is left here too.
-            window: verb.memory.saturating_sub(launch.terms.resolution),
-            parallel: launch.terms.allowed.parallel,
+            window: verb.dedup_window.saturating_sub(launch.terms.timer_resolution),
+            parallel: launch.terms.capabilities.hedging,
         };
         let reader = Reader {
             verbs: launch.verbs.clone(),
@@ -143,7 +143,7 @@
             clock: launch.clock.clone(),
             reader,
             limits: RefCell::new(launch.verbs.iter().map(|verb| verb.limit).collect()),
-            repeat_rules: launch.terms.verbs.iter().map(repeat_rule).collect(),
+            repeat_rules: launch.terms.classes.iter().map(repeat_rule).collect(),
             max_open: launch.max_open,
             open: Cell::new(0),
             all_due: Cell::new(None),
@@ -545,7 +545,14 @@
         // A command's time counts from its last byte.
         let (whole, number) = (coming.whole(), self.number());
         let due = if whole { self.due(came, left) } else { self.clock.now() + BODY_WITHIN };
-        let arrival = Arrival { id: id.clone(), verb, due, coming: !whole, tenant, cost };
+        let arrival = RequestArrival {
+            id: id.clone(),
+            class: verb,
+            deadline: due,
+            body_incomplete: !whole,
+            tenant,
+            declared_work: cost,
+        };
         let careful = !whole || self.reader.verbs[verb].method != "GET";
         let (marked, framing) = match coming.length() {
             Some(0) if self.reader.verbs[verb].method == "GET" => (Marked::Plain, String::new()),
--- a/crates/sidecar/src/net/discovery.rs
+++ b/crates/sidecar/src/net/discovery.rs
@@ -68,7 +68,7 @@
         // A process that takes over is told the whole list at once, and need not wait for a change to know that it
         // stands.
         let generation = Some(launch.known.generation).filter(|_| launch.inherited.is_none());
-        let share = Duration::from_secs_f64(launch.terms.balancers / CALLS_A_SECOND);
+        let share = Duration::from_secs_f64(launch.terms.replicas / CALLS_A_SECOND);
         let wait = share.clamp(WATCH_LEAST, WATCH_MOST);
         Some(Discovery { address, generation, least: wait, wait, zones, clock, stock, queue, start })
     }
--- a/crates/sidecar/src/net/endpoints.rs
+++ b/crates/sidecar/src/net/endpoints.rs
@@ -11,7 +11,7 @@
 use async_channel::Receiver;
 use async_io::Timer;
 use futures_lite::future::or;
-use landingspread_decisions::host::{Id, Load, Outcome};
+use landingspread_decisions::host::{Id, LoadReport, Outcome};
 use std::cell::Cell;
 use std::io;
 use std::rc::Rc;
@@ -114,7 +114,7 @@
 /// How a relay ended.
 pub struct End {
     pub outcome: Outcome,
-    pub load: Load,
+    pub load: LoadReport,
     pub answer: Option<Answer>,
     /// What was sent of it cannot be sent again.
     pub spent: bool,
@@ -122,13 +122,13 @@
 
 impl End {
     pub fn bare(outcome: Outcome) -> End {
-        End { outcome, load: Load::default(), answer: None, spent: false }
+        End { outcome, load: LoadReport::default(), answer: None, spent: false }
     }
 }
 
 impl Endpoints {
     pub fn new(launch: &Launch, pool: Rc<Pool>, stock: Rc<Stock>) -> Endpoints {
-        let check_path = if launch.terms.checks_tell { "/_load" } else { "/ping" };
+        let check_path = if launch.terms.health_checks_report_load { "/_load" } else { "/ping" };
         Endpoints { pool, stock, check_path }
     }
 
@@ -281,7 +281,7 @@
                     return Ok(());
                 }
                 // Its caller has left: this relay is about to be called off.
-                Err(_) => return Err(Outcome::Moot),
+                Err(_) => return Err(Outcome::NotSent),
             }
         }
     }
@@ -300,9 +300,9 @@
         let (conn, idle) = self.pool.connection(to, careful).await?;
         if !owed() {
             self.pool.keep(to, conn);
-            return Err(Outcome::Moot);
+            return Err(Outcome::NotSent);
         }
-        let buffer = self.stock.buffer().ok_or(Outcome::Moot)?;
+        let buffer = self.stock.buffer().ok_or(Outcome::NotSent)?;
         let over = Cell::new(false);
         let writes = async {
             let wrong = match write(&conn, &over).await {
@@ -335,11 +335,11 @@
         }
     }
 
-    pub async fn check(&self, to: &Target) -> (Outcome, Load) {
-        timeout(CHECK_WITHIN, self.ping(to)).await.unwrap_or((Outcome::Timeout, Load::default()))
+    pub async fn check(&self, to: &Target) -> (Outcome, LoadReport) {
+        timeout(CHECK_WITHIN, self.ping(to)).await.unwrap_or((Outcome::Timeout, LoadReport::default()))
     }
 
-    async fn ping(&self, to: &Target) -> (Outcome, Load) {
+    async fn ping(&self, to: &Target) -> (Outcome, LoadReport) {
         let path = self.check_path;
         let head = format!("GET {path} HTTP/1.1\r\nHost: {}\r\n\r\n", to.address);
         let write = async |conn: &Conn, over: &Cell<bool>| {
@@ -352,48 +352,48 @@
             .await
         {
             Ok(answer) => answer,
-            Err(outcome) => return (outcome, Load::default()),
+            Err(outcome) => return (outcome, LoadReport::default()),
         };
         if self.hold(to, &mut answer, conn, false).await.is_err() {
-            return (Outcome::Reset, Load::default());
+            return (Outcome::Reset, LoadReport::default());
         }
         let load = std::str::from_utf8(&answer.text()).map(read_load).unwrap_or_default();
         match http::status(&answer.head) {
             Some(200) => (Outcome::Ok, load),
-            Some(503) => (Outcome::Full, load),
-            _ => (Outcome::Error, Load::default()),
+            Some(503) => (Outcome::Overloaded, load),
+            _ => (Outcome::Error, LoadReport::default()),
         }
     }
 }
 
-fn read_outcome(head: &[u8]) -> (Outcome, Load) {
+fn read_outcome(head: &[u8]) -> (Outcome, LoadReport) {
     let mut headers = http::no_headers();
     let mut rsp = httparse::Response::new(&mut headers);
     // It was parsed once already, when its end was looked for.
     if rsp.parse(head).is_err() {
-        return (Outcome::Error, Load::default());
+        return (Outcome::Error, LoadReport::default());
     }
     let load = http::header(rsp.headers, "endpoint-load-metrics").map(read_load).unwrap_or_default();
     let never_ran = http::header(rsp.headers, "x-never-ran") == Some("1");
     let outcome = match rsp.code {
         Some(200) => Outcome::Ok,
-        Some(503 | 504) if never_ran => Outcome::Full,
+        Some(503 | 504) if never_ran => Outcome::Overloaded,
         _ => Outcome::Error,
     };
     (outcome, load)
 }
 
 /// `TEXT inflight=7, queue=2, util=0.61`; the settings have other names for some of these.
-fn read_load(text: &str) -> Load {
-    let mut load = Load::default();
+fn read_load(text: &str) -> LoadReport {
+    let mut load = LoadReport::default();
     let text = text.trim().strip_prefix("TEXT").unwrap_or(text);
     for pair in text.split(',') {
         let Some((key, value)) = pair.split_once('=') else { continue };
         let value = value.trim().parse().ok().filter(|value: &f64| value.is_finite() && *value >= 0.0);
         match key.trim() {
-            "queue" | "waiting" => load.queue = value,
+            "queue" | "waiting" => load.queued = value,
             "inflight" | "active" => load.in_flight = value,
-            "util" | "cpu" => load.util = value,
+            "util" | "cpu" => load.utilization = value,
             _ => {}
         }
     }
--- a/crates/sidecar/src/net/endpoints_tests.rs
+++ b/crates/sidecar/src/net/endpoints_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::net::attempts::{AttemptGuard, Location, RepeatRule};
 use async_io::Async;
-use landingspread_decisions::terms::Repeats;
+use landingspread_decisions::settings::RetrySafety;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 
@@ -41,7 +41,7 @@
         left: Duration::from_secs(1),
         spent: Cell::new(false),
     };
-    let rule = RepeatRule { repeats: Repeats::Effectful, window: Duration::ZERO, parallel: false };
+    let rule = RepeatRule { repeats: RetrySafety::NonIdempotent, window: Duration::ZERO, parallel: false };
     let outgoing = Outgoing {
         id: "r1".into(),
         head,
--- a/crates/sidecar/src/net/learnt.rs
+++ b/crates/sidecar/src/net/learnt.rs
@@ -3,8 +3,8 @@
 
 use crate::clock::Clock;
 use crate::launch::Launch;
-use landingspread_decisions::carried::Learnt;
 use landingspread_decisions::host::Id;
+use landingspread_decisions::statistics::ServerStatistics;
 use serde::{Deserialize, Serialize};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io::Read;
@@ -39,7 +39,7 @@
 /// What an earlier process left.
 #[derive(Default)]
 pub struct Before {
-    pub learnt: Vec<Learnt>,
+    pub learnt: Vec<ServerStatistics>,
     pub named: Vec<Id>,
 }
 
@@ -63,7 +63,7 @@
     let terms = &launch.terms;
     let set = format!(
         "{:?} {:?} {:?} {:?} {:?} {:?}",
-        terms.verbs, launch.tenants, terms.quotas, terms.allowed, terms.cold, terms.prices
+        terms.classes, launch.tenants, terms.quotas, terms.capabilities, terms.slow_start, terms.costs
     );
     let mut hasher = DefaultHasher::new();
     set.hash(&mut hasher);
@@ -99,11 +99,11 @@
             return Before::default();
         }
     };
-    let learnt = |server: Server| Learnt {
-        up_since: clock.of_unix_ms(server.started_unix_ms),
+    let learnt = |server: Server| ServerStatistics {
+        started_at: clock.of_unix_ms(server.started_unix_ms),
         server: server.id.into(),
         slowness: server.slowness,
-        marked: server.marked,
+        ejected: server.marked,
     };
     let named = saved.named.into_iter().map(Id::from).collect();
     Before { learnt: saved.servers.into_iter().map(learnt).collect(), named }
@@ -121,7 +121,7 @@
     }
 
     /// Written aside and then named, so that no reader finds a half, by a thread: a slow disk holds up no command.
-    pub fn save(&self, path: PathBuf, learnt: &[Learnt], named: Vec<String>, clock: &Clock) {
+    pub fn save(&self, path: PathBuf, learnt: &[ServerStatistics], named: Vec<String>, clock: &Clock) {
         if self.busy.swap(true, Ordering::AcqRel) {
             return;
         }
@@ -139,12 +139,12 @@
     }
 }
 
-fn saved(learnt: &[Learnt], named: Vec<String>, clock: &Clock) -> Saved {
-    let server = |one: &Learnt| Server {
+fn saved(learnt: &[ServerStatistics], named: Vec<String>, clock: &Clock) -> Saved {
+    let server = |one: &ServerStatistics| Server {
         id: one.server.to_string(),
-        started_unix_ms: one.up_since.map_or(0, |at| clock.unix_ms(at)),
+        started_unix_ms: one.started_at.map_or(0, |at| clock.unix_ms(at)),
         slowness: one.slowness,
-        marked: one.marked,
+        marked: one.ejected,
     };
     let (version, deployment, saved_unix_ms) = (VERSION, String::new(), unix_ms());
     Saved { version, deployment, saved_unix_ms, servers: learnt.iter().map(server).collect(), named }
--- a/crates/sidecar/src/net/mod.rs
+++ b/crates/sidecar/src/net/mod.rs
@@ -210,7 +210,7 @@
     if let Some(folder) = launch.state.as_ref().filter(|_| takes_over && launch.learnt.is_none()) {
         launch.learnt = Some(folder.join(format!("{}.learnt", handover::plain(&launch.name))));
     }
-    if !launch.terms.must_ask {
+    if !launch.terms.polls_discovery {
         // Where changes come unprompted, the watch is there from the start.
         let _ = ask.try_send(());
     }
