--- a/crates/sidecar/src/net/owner.rs
+++ b/crates/sidecar/src/net/owner.rs
@@ -21,10 +21,12 @@
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
 use futures_lite::future::or;
-use landingspread_decisions::host::{Arrival, Copies, Ended, Host, Id, Listed, Load, Outcome, State};
+use landingspread_decisions::host::{
+    AttemptEnd, Event, Host, Id, Lifecycle, ListedServer, LoadReport, Outcome, ReplicaView, RequestArrival,
+};
+use landingspread_decisions::peer_messages::IgnoredMessages;
 use landingspread_decisions::policy::Policy;
-use landingspread_decisions::words::Unheard;
-use landingspread_decisions::zones::ZoneShare;
+use landingspread_decisions::zones::ZoneTraffic;
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -53,7 +55,7 @@
 /// A command as its caller's side hands it over. Two callers may use one id: the number tells them apart.
 pub struct Came {
     pub number: u64,
-    pub arrival: Arrival,
+    pub arrival: RequestArrival,
     pub outgoing: Outgoing,
     pub caller: Sender<Final>,
 }
@@ -67,7 +69,7 @@
     /// An answer that was passed on as it came has broken off, of this verb.
     Broke(Id, usize),
     Ended(Id, u32, Box<End>),
-    Checked(Id, Outcome, Load),
+    Checked(Id, Outcome, LoadReport),
     Peer(u32, Vec<u8>),
     Listed(Catalog),
     ListFailed,
@@ -265,7 +267,7 @@
             }
             None => {
                 shot.stage.set(Stage::Ended);
-                self.queue.tell(Word::Ended(cmd.clone(), number, Box::new(End::bare(Outcome::Moot))));
+                self.queue.tell(Word::Ended(cmd.clone(), number, Box::new(End::bare(Outcome::NotSent))));
             }
         }
         open.shots.push(shot);
@@ -294,7 +296,7 @@
         let outcome = match shot.stage.replace(Stage::Ended) {
             Stage::Ended => return,
             Stage::Written => written,
-            Stage::Unwritten | Stage::Begun => Outcome::Moot,
+            Stage::Unwritten | Stage::Begun => Outcome::NotSent,
         };
         shot.task = None;
         open.outgoing.guard.ended(number, outcome);
@@ -307,26 +309,26 @@
 struct Hand(Rc<RefCell<Desk>>);
 
 impl Host for Hand {
-    fn relay(&mut self, cmd: &Id, server: &Id, not_past: Duration) {
+    fn start_attempt(&mut self, cmd: &Id, server: &Id, not_past: Duration) {
         self.0.borrow_mut().relay(cmd, server, not_past);
     }
 
-    fn decline(&mut self, cmd: &Id, come_back: Option<Duration>) {
+    fn reject(&mut self, cmd: &Id, come_back: Option<Duration>) {
         self.0.borrow_mut().finish(cmd, Final::Declined(come_back));
     }
 
-    fn terminate(&mut self, cmd: &Id) {
+    fn fail(&mut self, cmd: &Id) {
         self.0.borrow_mut().finish(cmd, Final::Terminated);
     }
 
-    fn cancel(&mut self, cmd: &Id, relay: u32) {
+    fn cancel_attempt(&mut self, cmd: &Id, relay: u32) {
         self.0.borrow_mut().cancel(cmd, relay);
     }
 
-    fn check(&mut self, server: &Id) {
+    fn check_health(&mut self, server: &Id) {
         let desk = self.0.borrow();
         let Some(target) = desk.servers.get(server).map(|known| known.target(server)) else {
-            desk.queue.tell(Word::Checked(server.clone(), Outcome::Moot, Load::default()));
+            desk.queue.tell(Word::Checked(server.clone(), Outcome::NotSent, LoadReport::default()));
             return;
         };
         let (endpoints, queue) = (desk.outside.endpoints.clone(), desk.queue.clone());
@@ -337,33 +339,34 @@
         desk.executor.spawn(check).detach();
     }
 
-    fn wake_in(&mut self, span: Duration) {
+    fn wake_after(&mut self, span: Duration) {
         let mut desk = self.0.borrow_mut();
         let at = desk.clock.now() + span;
         desk.wakes.push(Reverse(at));
     }
 
-    fn subscribe(&mut self) {
+    fn poll_discovery(&mut self) {
         // A call that waits already is the one asked for.
         let _ = self.0.borrow().outside.ask.try_send(());
     }
 
-    fn let_go(&mut self, server: &Id) {
+    fn close_idle_connections(&mut self, server: &Id) {
         self.0.borrow().outside.pool.forget(server);
     }
 
-    fn tell(&mut self, peer: Option<u32>, words: &[u8]) {
+    fn send_to_peers(&mut self, peer: Option<u32>, words: &[u8]) {
         if let Some(peers) = &self.0.borrow().outside.peers {
             peers.tell(peer, words);
         }
     }
 
-    fn note(&mut self, text: &str) {
-        tracing::info!("{text}");
-    }
-
-    fn slow_start_violated(&mut self, server: &Id) {
-        must_hold!(SlowStart, false, "an attempt without a credit to {server}");
+    fn log(&mut self, event: &Event) {
+        match event {
+            Event::SlowStartViolated(server) => {
+                must_hold!(SlowStart, false, "an attempt without a credit to {server}");
+            }
+            Event::Ejected(_) | Event::Returned(_) => tracing::info!("{event}"),
+        }
     }
 }
 
@@ -371,8 +374,8 @@
 enum Heard {
     Order(Order),
     Word(Word),
-    Copies(Copies),
-    Zones(Vec<ZoneShare>),
+    Copies(ReplicaView),
+    Zones(Vec<ZoneTraffic>),
 }
 
 struct Owner {
@@ -404,7 +407,7 @@
     let clock = launch.clock;
     let desk = Rc::new(RefCell::new(Desk {
         clock: clock.clone(),
-        most_relays: launch.terms.allowed.relays as usize,
+        most_relays: launch.terms.capabilities.max_attempts as usize,
         open: BTreeMap::new(),
         servers: BTreeMap::new(),
         wakes: BinaryHeap::new(),
@@ -436,8 +439,8 @@
     owner.remember();
     let known = owner.note_servers(launch.known);
     let now = owner.clock.now();
-    owner.policy.list_cached(now, &known);
-    owner.policy.recall(now, &owner.before.learnt);
+    owner.policy.endpoint_list_cached(now, &known);
+    owner.policy.restore_statistics(now, &owner.before.learnt);
     owner.listen(words).await;
 }
 
@@ -445,12 +448,12 @@
     /// What operators said to an earlier process holds before the first list is taken.
     fn remember(&mut self) {
         let now = self.clock.now();
-        self.before.named.iter().for_each(|server| self.policy.named_before(server));
+        self.before.named.iter().for_each(|server| self.policy.restore_known_server(server));
         for (server, word) in std::mem::take(&mut self.operators.recorded) {
             let id = Id::from(server);
-            self.policy.named_before(&id);
+            self.policy.restore_known_server(&id);
             if word.out {
-                self.policy.leave_out(now, &id);
+                self.policy.exclude_server(now, &id);
             }
         }
     }
@@ -458,13 +461,13 @@
     fn operators_say(&mut self, order: Order) {
         let (now, id) = (self.clock.now(), Id::from(order.server));
         if order.recorded.is_some() {
-            self.policy.named_before(&id);
+            self.policy.restore_known_server(&id);
         }
         let known = if order.out {
-            self.policy.leave_out(now, &id)
+            self.policy.exclude_server(now, &id)
         } else {
             let since = now.saturating_sub(order.recorded.unwrap_or_default());
-            self.policy.use_again(now, &id, since)
+            self.policy.include_server(now, &id, since)
         };
         if order.out {
             self.desk.borrow_mut().withdraw_from(&id);
@@ -519,14 +522,14 @@
                 Some(Heard::Order(order)) => self.operators_say(order),
                 Some(Heard::Word(word)) => self.hear(word),
                 Some(Heard::Copies(copies)) => self.copies_told(&copies),
-                Some(Heard::Zones(shares)) => self.policy.zones_told(self.clock.now(), &shares),
+                Some(Heard::Zones(shares)) => self.policy.zone_traffic_changed(self.clock.now(), &shares),
                 None => {}
             }
             // Looked at after each word: a long queue must not keep the module from its time.
             let now = self.clock.now();
             if self.next_wake().is_some_and(|at| at <= now) {
                 self.desk.borrow_mut().wakes.pop();
-                self.policy.woken(now);
+                self.policy.timer_fired(now);
                 self.say_seen(now);
                 self.save(now);
                 self.rest();
@@ -534,9 +537,9 @@
         }
     }
 
-    fn copies_told(&mut self, copies: &Copies) {
-        self.policy.copies_told(self.clock.now(), copies);
-        let asked = self.policy.asked();
+    fn copies_told(&mut self, copies: &ReplicaView) {
+        self.policy.replicas_changed(self.clock.now(), copies);
+        let asked = self.policy.request_rate();
         self.fleet.iter().for_each(|fleet| fleet.say_traffic(asked));
     }
 
@@ -544,15 +547,15 @@
         let Some(fleet) = self.fleet.as_ref().filter(|fleet| fleet.zones.is_some()) else { return };
         if self.seen_at <= now {
             self.seen_at = now + fleet::SEEN_EVERY;
-            fleet.say_seen(now, self.policy.zones_seen(now));
+            fleet.say_seen(now, self.policy.zone_observations(now));
         }
     }
 
     fn save(&mut self, now: Duration) {
         if let Some(path) = self.save_to.clone().filter(|_| self.save_at <= now) {
             self.save_at = now + SAVE_EVERY;
-            let named = self.policy.named().map(|id| id.to_string()).collect();
-            self.saving.save(path, &self.policy.learnt(), named, &self.clock);
+            let named = self.policy.known_servers().map(|id| id.to_string()).collect();
+            self.saving.save(path, &self.policy.server_statistics(), named, &self.clock);
         }
     }
 
@@ -566,7 +569,7 @@
     fn rest_no_longer(&mut self, heard: bool) {
         let Some(until) = self.rests_until.take() else { return };
         let now = self.clock.now();
-        let next = self.policy.rested(if heard { now.min(until) } else { until });
+        let next = self.policy.skip_sweeps(if heard { now.min(until) } else { until });
         let wakes = &mut self.desk.borrow_mut().wakes;
         wakes.clear();
         wakes.push(Reverse(next));
@@ -585,25 +588,27 @@
             Word::Came(came) => self.cmd_came(now, *came),
             Word::Whole(id, number, due) => self.body_came(now, &id, number, due),
             Word::Left(id, number) => self.client_left(now, &id, number),
-            Word::Broke(server, verb) => self.policy.answer_broke(now, &server, verb),
+            Word::Broke(server, verb) => self.policy.response_interrupted(now, &server, verb),
             Word::Ended(id, number, end) => self.relay_ended(now, id, number, *end),
-            Word::Checked(server, outcome, load) => self.policy.check_ended(now, outcome, &server, load),
+            Word::Checked(server, outcome, load) => {
+                self.policy.health_check_ended(now, outcome, &server, load)
+            }
             Word::Listed(catalog) => {
                 let _ = self.operators.listed.try_send(());
                 let whole = catalog.whole;
                 let entries = self.note_servers(catalog);
                 if whole {
-                    self.policy.list_told(now, &entries);
-                    self.policy.recall(now, &std::mem::take(&mut self.before.learnt));
+                    self.policy.endpoint_list_received(now, &entries);
+                    self.policy.restore_statistics(now, &std::mem::take(&mut self.before.learnt));
                 } else {
-                    self.policy.list_changed(now, &entries);
+                    self.policy.endpoint_list_changed(now, &entries);
                 }
             }
             Word::Peer(peer, words) => self.peer_said(now, peer, &words),
-            Word::ListFailed => self.policy.list_call_failed(now),
-            Word::ListRefused => self.policy.list_call_refused(now),
+            Word::ListFailed => self.policy.discovery_poll_failed(now),
+            Word::ListRefused => self.policy.discovery_poll_rejected(now),
             Word::Changed(changed, taken) => {
-                self.policy.terms_changed(now, &changed.quotas, &changed.verbs);
+                self.policy.settings_changed(now, &changed.quotas, &changed.verbs);
                 let _ = taken.try_send(());
             }
             Word::EndsBy(at) => self.ends_by(now, at),
@@ -612,9 +617,9 @@
     }
 
     fn peer_said(&mut self, now: Duration, peer: u32, words: &[u8]) {
-        let before = self.policy.unheard().all();
-        self.policy.peer_said(now, peer, words);
-        let Unheard { garbled, strange } = self.policy.unheard();
+        let before = self.policy.ignored_messages().all();
+        self.policy.peer_message_received(now, peer, words);
+        let IgnoredMessages { malformed: garbled, unknown_server: strange } = self.policy.ignored_messages();
         // Told at 1, 2, 4, 8 and so on: a peer of another version goes on so all day.
         if (before + 1..=garbled + strange).any(u64::is_power_of_two) {
             tracing::warn!(garbled, strange, peer, "peers' words that went for nothing");
@@ -623,15 +628,15 @@
 
     /// A server that is gone, or not in a whole list, is forgotten: new ones come under new ids all day. What waits for a
     /// connection to one that takes nothing new, or that has moved, is taken back.
-    fn note_servers(&mut self, catalog: Catalog) -> Vec<Listed> {
+    fn note_servers(&mut self, catalog: Catalog) -> Vec<ListedServer> {
         let desk = &mut *self.desk.borrow_mut();
         let mut left = Vec::new();
         let Desk { servers, outside: Outside { pool, .. }, .. } = desk;
         let old = if catalog.whole { std::mem::take(servers) } else { BTreeMap::new() };
         for entry in &catalog.entries {
             let server = &entry.listed.server;
-            let state = entry.listed.state;
-            if state == State::Gone {
+            let state = entry.listed.lifecycle;
+            if state == Lifecycle::Removed {
                 pool.forget(server);
             }
             let before = servers.remove(server);
@@ -640,12 +645,12 @@
             let known = KnownServer {
                 address: entry.address,
                 location: Location { zone: entry.listed.zone, cell: entry.listed.cell },
-                drains: state == State::Draining,
+                drains: state == Lifecycle::Draining,
             };
-            if state != State::Gone {
+            if state != Lifecycle::Removed {
                 servers.insert(server.clone(), known);
             }
-            if moved || state != State::Ready {
+            if moved || state != Lifecycle::Ready {
                 left.push(server.clone());
             }
         }
@@ -658,7 +663,7 @@
     }
 
     fn ends_by(&mut self, now: Duration, at: Duration) {
-        self.policy.ends_by(now, at);
+        self.policy.shut_down_by(now, at);
         let mut desk = self.desk.borrow_mut();
         desk.ends_by = at;
         let (queue, due) = (desk.queue.clone(), self.clock.instant(at));
@@ -679,10 +684,11 @@
             return;
         }
         let outgoing = Rc::new(outgoing);
-        let open = Open { number, due: arrival.due, outgoing, caller, finished: false, shots: Vec::new() };
+        let open =
+            Open { number, due: arrival.deadline, outgoing, caller, finished: false, shots: Vec::new() };
         desk.open.insert(arrival.id.clone(), open);
         drop(desk);
-        self.policy.cmd_came(now, arrival);
+        self.policy.request_arrived(now, arrival);
     }
 
     fn body_came(&mut self, now: Duration, id: &Id, number: u64, due: Duration) {
@@ -692,7 +698,7 @@
         // An endpoint begins when the last byte has come.
         open.shots.iter_mut().filter(|shot| !shot.ended()).for_each(|shot| shot.sent = now);
         drop(desk);
-        self.policy.body_came(now, id, due);
+        self.policy.body_completed(now, id, due);
     }
 
     fn client_left(&mut self, now: Duration, id: &Id, number: u64) {
@@ -705,7 +711,7 @@
         open.outgoing.guard.request_over();
         desk.withdraw(id);
         drop(desk);
-        self.policy.client_left(now, id);
+        self.policy.client_disconnected(now, id);
         self.desk.borrow_mut().forget_ended(id);
     }
 
@@ -731,9 +737,18 @@
         tracing::debug!("{id} relay {number} to {server}: {outcome:?} after {latency:?}");
         let closed = desk.open.get(&id).is_none_or(|open| open.finished);
         drop(desk);
-        self.policy.relay_ended(
+        self.policy.attempt_ended(
             now,
-            Ended { cmd: id.clone(), closed, spent, outcome, relay: number, latency, server, load },
+            AttemptEnd {
+                request: id.clone(),
+                request_closed: closed,
+                body_consumed: spent,
+                outcome,
+                attempt: number,
+                latency,
+                server,
+                load,
+            },
         );
         self.desk.borrow_mut().forget_ended(&id);
     }
--- a/crates/sidecar/src/net/peers.rs
+++ b/crates/sidecar/src/net/peers.rs
@@ -3,7 +3,7 @@
 use super::owner::{Queue, Word};
 use async_channel::Sender;
 use async_io::Async;
-use landingspread_decisions::words::MOST;
+use landingspread_decisions::peer_messages::MAX_MESSAGE_BYTES;
 use landingspread_membership::{MAGIC, MESSAGE_MOST};
 use std::cell::Cell;
 use std::io;
@@ -65,7 +65,8 @@
                 continue;
             }
             let peer = self.addresses.iter().position(|address| *address == from);
-            if let Some(peer) = peer.filter(|_| length <= MOST && queue.waiting() < WAITING_MOST) {
+            if let Some(peer) = peer.filter(|_| length <= MAX_MESSAGE_BYTES && queue.waiting() < WAITING_MOST)
+            {
                 queue.tell(Word::Peer(peer as u32, bytes[..length].into()));
                 continue;
             }
--- a/crates/sidecar/src/net/pool.rs
+++ b/crates/sidecar/src/net/pool.rs
@@ -135,7 +135,7 @@
             match self.stock.for_endpoints.take() {
                 Some(place) => break place,
                 None if self.close_longest_kept() => {}
-                None => return Err(Outcome::Moot),
+                None => return Err(Outcome::NotSent),
             }
         };
         let stream = self.dial(to).await?;
@@ -161,7 +161,7 @@
             }
             self.failed_dials.add("dial", &wrong);
             if Instant::now() + DIAL_AGAIN >= until {
-                return Err(Outcome::Moot);
+                return Err(Outcome::NotSent);
             }
             if why != Cause::Descriptors || !self.close_longest_kept() {
                 Timer::after(DIAL_AGAIN).await;
--- a/crates/wirehost/src/wire.rs
+++ b/crates/wirehost/src/wire.rs
@@ -1,8 +1,10 @@
 //! Reads the wire's lines into calls on the instances and writes what they ask for. Decides nothing.
 
-use landingspread_decisions::host::{Arrival, Ended, Host, Id, Listed, Load, Outcome, State};
+use landingspread_decisions::host::{
+    AttemptEnd, Event, Host, Id, Lifecycle, ListedServer, LoadReport, Outcome, RequestArrival,
+};
 use landingspread_decisions::policy::Policy;
-use landingspread_decisions::terms::Terms;
+use landingspread_decisions::settings::Settings;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::fmt::{self, Write};
@@ -40,46 +42,46 @@
 }
 
 impl Host for WireHost {
-    fn relay(&mut self, cmd: &Id, server: &Id, not_past: Duration) {
+    fn start_attempt(&mut self, cmd: &Id, server: &Id, not_past: Duration) {
         self.say("ROUTE", format_args!(" {cmd} {} {server}", not_past.as_micros()));
     }
 
-    fn decline(&mut self, cmd: &Id, come_back: Option<Duration>) {
+    fn reject(&mut self, cmd: &Id, come_back: Option<Duration>) {
         self.say("DECLINE", format_args!(" {cmd} {}", come_back.unwrap_or_default().as_micros()));
     }
 
-    fn terminate(&mut self, cmd: &Id) {
+    fn fail(&mut self, cmd: &Id) {
         self.say("ABORT", format_args!(" {cmd}"));
     }
 
-    fn cancel(&mut self, cmd: &Id, relay: u32) {
+    fn cancel_attempt(&mut self, cmd: &Id, relay: u32) {
         self.say("UNDO_SEND", format_args!(" {cmd} {relay}"));
     }
 
-    fn check(&mut self, server: &Id) {
+    fn check_health(&mut self, server: &Id) {
         self.say("TOUCH", format_args!(" {server}"));
     }
 
-    fn wake_in(&mut self, span: Duration) {
+    fn wake_after(&mut self, span: Duration) {
         self.say("DEFER", format_args!(" {} sweep", span.as_micros()));
     }
 
-    fn subscribe(&mut self) {
+    fn poll_discovery(&mut self) {
         self.say("SUBSCRIBE", format_args!(" 1"));
     }
 
-    fn let_go(&mut self, server: &Id) {
+    fn close_idle_connections(&mut self, server: &Id) {
         self.say("RELEASE", format_args!(" {server}"));
     }
 
-    fn tell(&mut self, peer: Option<u32>, words: &[u8]) {
+    fn send_to_peers(&mut self, peer: Option<u32>, words: &[u8]) {
         let to = peer.map_or_else(|| "all".to_string(), |peer| peer.to_string());
         let hex: String = words.iter().map(|byte| format!("{byte:02x}")).collect();
         self.say("BROADCAST_TO", format_args!(" {to} {hex}"));
     }
 
-    fn note(&mut self, text: &str) {
-        self.say("TRACE", format_args!(" {text}"));
+    fn log(&mut self, event: &Event) {
+        self.say("TRACE", format_args!(" {event}"));
     }
 }
 
@@ -130,12 +132,12 @@
         Ok(match self.text("Rc")? {
             "10" => Outcome::Ok,
             "20" => Outcome::Error,
-            "30" => Outcome::Full,
+            "30" => Outcome::Overloaded,
             "40" => Outcome::Timeout,
             "50" => Outcome::ConnectFailed,
             "60" => Outcome::Reset,
             "70" => Outcome::Cancelled,
-            "80" => Outcome::Moot,
+            "80" => Outcome::NotSent,
             part => return malformed(format!("Rc is unknown: {part:?}")),
         })
     }
@@ -152,15 +154,15 @@
         bytes.map_or_else(|| malformed(format!("{name} is no hex: {text:?}")), Ok)
     }
 
-    fn load(&mut self) -> Load {
-        let mut load = Load::default();
+    fn load(&mut self) -> LoadReport {
+        let mut load = LoadReport::default();
         for pair in self.0.next().unwrap_or("-").split(',') {
             let Some((key, value)) = pair.split_once(':') else { continue };
             let value = value.parse().ok().filter(|value: &f64| value.is_finite() && *value >= 0.0);
             match key {
-                "waiting" => load.queue = value,
+                "waiting" => load.queued = value,
                 "active" => load.in_flight = value,
-                "cpu" => load.util = value,
+                "cpu" => load.utilization = value,
                 _ => {}
             }
         }
@@ -179,7 +181,7 @@
     now: Duration,
     reply: Reply,
     instances: BTreeMap<String, Policy<WireHost>>,
-    lists: BTreeMap<usize, Vec<Listed>>,
+    lists: BTreeMap<usize, Vec<ListedServer>>,
     open: OpenList,
 }
 
@@ -240,16 +242,16 @@
                 let mode = fields.text("Mode")?;
                 fields.text("Index")?;
                 if mode == "0" {
-                    instance.list_call_failed(now);
+                    instance.discovery_poll_failed(now);
                     return Ok(());
                 }
                 let Some(entries) = self.lists.get(&fields.need("List")?) else {
                     return malformed("TOPOLOGY names a list that was never given");
                 };
                 match mode {
-                    "2" => instance.list_cached(now, entries),
-                    "3" => instance.list_changed(now, entries),
-                    "4" => instance.list_told(now, entries),
+                    "2" => instance.endpoint_list_cached(now, entries),
+                    "3" => instance.endpoint_list_changed(now, entries),
+                    "4" => instance.endpoint_list_received(now, entries),
                     _ => return malformed(format!("Mode is unknown: {mode:?}")),
                 }
             }
@@ -259,31 +261,47 @@
                 let tenant = fields.maybe("Team")?.unwrap_or(0);
                 let cost = fields.maybe("CostGuess")?.map(Duration::from_micros);
                 let said = fields.maybe::<u32>("Options")?.unwrap_or(0) & 1 == 1;
-                instance.cmd_came(
+                instance.request_arrived(
                     now,
-                    Arrival { id, verb, due, coming: false, tenant, cost: cost.filter(|_| said) },
+                    RequestArrival {
+                        id,
+                        class: verb,
+                        deadline: due,
+                        body_incomplete: false,
+                        tenant,
+                        declared_work: cost.filter(|_| said),
+                    },
                 );
             }
             "REPLY" => {
                 let (cmd, closed, outcome) = (fields.id("Req")?, fields.flag("Terminal")?, fields.outcome()?);
                 let (relay, latency) = (fields.need("Shot")?, fields.span("Latency")?);
                 let (server, load) = (fields.id("Endpoint")?, fields.load());
-                instance.relay_ended(
+                instance.attempt_ended(
                     now,
-                    Ended { cmd, closed, spent: false, outcome, relay, latency, server, load },
+                    AttemptEnd {
+                        request: cmd,
+                        request_closed: closed,
+                        body_consumed: false,
+                        outcome,
+                        attempt: relay,
+                        latency,
+                        server,
+                        load,
+                    },
                 );
             }
-            "FIRST_BYTE" => instance.answer_began(now, &fields.id("Req")?),
-            "ELAPSED" => instance.woken(now),
-            "VANISHED" => instance.client_left(now, &fields.id("Req")?),
+            "FIRST_BYTE" => instance.response_started(now, &fields.id("Req")?),
+            "ELAPSED" => instance.timer_fired(now),
+            "VANISHED" => instance.client_disconnected(now, &fields.id("Req")?),
             "PONG" => {
                 let (outcome, server) = (fields.outcome()?, fields.id("Endpoint")?);
                 fields.span("Latency")?;
-                instance.check_ended(now, outcome, &server, fields.load());
+                instance.health_check_ended(now, outcome, &server, fields.load());
             }
             "FROM_PEER" => {
                 let (peer, words) = (fields.need("Neighbour")?, fields.bytes("Data")?);
-                instance.peer_said(now, peer, &words);
+                instance.peer_message_received(now, peer, &words);
             }
             _ => return malformed(format!("unknown message {message:?}")),
         }
@@ -294,7 +312,7 @@
         let seed = fields.need("Prng")?;
         let info: Vec<&str> = fields.0.by_ref().collect();
         let host = WireHost { name: name.into(), reply: self.reply.clone() };
-        match Terms::decode(&info.join(" ")) {
+        match Settings::decode(&info.join(" ")) {
             Ok(terms) => {
                 self.instances.insert(name.into(), Policy::start(host, terms, seed, self.now));
                 Ok(())
@@ -307,17 +325,17 @@
     }
 }
 
-fn read_entry(fields: &mut Fields<'_>) -> Result<Listed, Malformed> {
+fn read_entry(fields: &mut Fields<'_>) -> Result<ListedServer, Malformed> {
     let (server, zone) = (fields.id("Endpoint")?, fields.need("Locality")?);
     fields.0.next();
     let cell = fields.maybe("Group")?.unwrap_or(0);
     let state = match fields.text("Health")? {
-        "1" => State::Ready,
-        "2" => State::Draining,
-        "0" => State::Gone,
+        "1" => Lifecycle::Ready,
+        "2" => Lifecycle::Draining,
+        "0" => Lifecycle::Removed,
         part => return malformed(format!("Health is unknown: {part:?}")),
     };
     let nominal = fields.maybe("Nominal")?.unwrap_or(1.0);
     let up_since = fields.maybe("CameUp")?.filter(|at| *at != 0).map(Duration::from_micros);
-    Ok(Listed { server, zone, cell, state, nominal, up_since })
+    Ok(ListedServer { server, zone, cell, lifecycle: state, nominal_capacity: nominal, started_at: up_since })
 }
