--- a/crates/sidecar/src/catalog.rs
+++ b/crates/sidecar/src/catalog.rs
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-pub struct Entry {
+pub struct CatalogEntry {
     pub listed: ListedServer,
     pub address: SocketAddr,
 }
@@ -14,26 +14,26 @@
 #[derive(Default)]
 pub struct Catalog {
     pub generation: u64,
-    pub whole: bool,
-    pub entries: Vec<Entry>,
+    pub complete: bool,
+    pub entries: Vec<CatalogEntry>,
 }
 
 impl Catalog {
     /// All of it or nothing: half a list would drain servers that nobody drained.
-    pub fn take(value: &Value, zones: &[String], clock: &Clock) -> Result<Catalog, String> {
+    pub fn parse(value: &Value, zones: &[String], clock: &Clock) -> Result<Catalog, String> {
         let generation = value.get("generation").and_then(Value::as_u64).ok_or("generation is missing")?;
         let whole = value.get("reset").and_then(Value::as_bool).ok_or("reset is missing")?;
         let items = value.get("instances").and_then(Value::as_array).ok_or("instances is missing")?;
         let entry = |(number, item): (usize, &Value)| {
-            Entry::take(item, zones, clock).map_err(|wrong| format!("instances.{number}.{wrong}"))
+            CatalogEntry::parse(item, zones, clock).map_err(|wrong| format!("instances.{number}.{wrong}"))
         };
         let entries = items.iter().enumerate().map(entry).collect::<Result<_, _>>()?;
-        Ok(Catalog { generation, whole, entries })
+        Ok(Catalog { generation, complete: whole, entries })
     }
 }
 
-impl Entry {
-    fn take(item: &Value, zones: &[String], clock: &Clock) -> Result<Entry, String> {
+impl CatalogEntry {
+    fn parse(item: &Value, zones: &[String], clock: &Clock) -> Result<CatalogEntry, String> {
         let text = |key: &str| item.get(key).and_then(Value::as_str).ok_or(format!("{key} is no text"));
         let zone = item.get("zone").and_then(Value::as_str);
         let state = match text("lifecycle")? {
@@ -48,10 +48,10 @@
             cell: item.get("cell").and_then(Value::as_u64).unwrap_or(0) as u32,
             lifecycle: state,
             nominal_capacity: item.get("weight").and_then(Value::as_f64).unwrap_or(1.0),
-            started_at: item.get("startedAtMs").and_then(Value::as_u64).and_then(|ms| clock.of_unix_ms(ms)),
+            started_at: item.get("startedAtMs").and_then(Value::as_u64).and_then(|ms| clock.from_unix_ms(ms)),
         };
         let address =
             text("hostPort")?.parse().map_err(|_| "hostPort is no address with a port".to_string())?;
-        Ok(Entry { listed, address })
+        Ok(CatalogEntry { listed, address })
     }
 }
--- a/crates/sidecar/src/clock.rs
+++ b/crates/sidecar/src/clock.rs
@@ -34,7 +34,7 @@
     }
 
     /// None for a moment before the module's time began, and for 0, which says that nobody knows.
-    pub fn of_unix_ms(&self, ms: u64) -> Option<Duration> {
+    pub fn from_unix_ms(&self, ms: u64) -> Option<Duration> {
         let begin = self.unix.saturating_sub(HEAD_START);
         Duration::from_millis(ms).checked_sub(begin).filter(|at| ms > 0 && !at.is_zero())
     }
--- a/crates/sidecar/src/control/mod.rs
+++ b/crates/sidecar/src/control/mod.rs
@@ -9,7 +9,7 @@
 pub mod said;
 
 use crate::clock::Clock;
-use crate::launch::{Changed, Control, Launch, Live};
+use crate::launch::{Changed, Configuration, Control, Live};
 use crate::net::buffers::{SIZE, Stock};
 use crate::net::callers::Callers;
 use crate::net::owner::{Queue, Word};
@@ -78,7 +78,7 @@
 impl Followed {
     /// None where configuration comes from the file alone. What an earlier process kept is in force when this comes back.
     pub fn of(
-        launch: &Launch,
+        launch: &Configuration,
         queue: Queue,
         callers: Rc<Callers>,
         discovery: Sender<Option<SocketAddr>>,
@@ -87,7 +87,7 @@
         let mut follower = Follower::start(scope, &launch.name, machines, region, launch.seed);
         let mut hand = Hand { live: Live::of(launch), queue, callers, discovery, taken: None };
         let shared = Shared::new(scope);
-        let kept = Kept::at(kept.as_deref(), launch.state.as_deref(), &launch.name);
+        let kept = Kept::at(kept.as_deref(), launch.state_folder.as_deref(), &launch.name);
         if let Some(kept) = &kept {
             kept.recall(&mut follower, &mut hand);
             shared.enforced(&follower);
--- a/crates/sidecar/src/fleet/mod.rs
+++ b/crates/sidecar/src/fleet/mod.rs
@@ -227,7 +227,7 @@
         life: since_1970.as_millis() as u64,
         seeds: told.seeds,
         budget: told.budget,
-        configured: told.configured,
+        configured: told.configured_replicas,
     };
     let seen = zones::Seen::default();
     let (zones, shares) = match localities {
--- a/crates/sidecar/src/hollow.rs
+++ b/crates/sidecar/src/hollow.rs
@@ -1,7 +1,7 @@
 //! Many sidecars in one process, for tests of size: their configurations, made from one template. It owns how a copy's
 //! number becomes its name, address, zone and seeds; it must never run anything of its own making.
 
-use crate::launch::{self, Launch};
+use crate::launch::{self, Configuration};
 use std::net::Ipv4Addr;
 use std::path::Path;
 
@@ -47,7 +47,7 @@
     ///
     /// # Errors
     /// A number that is out of range, or the first fault of a configuration, with its line and key.
-    pub fn launches(&self, template: &Path) -> Result<Vec<Launch>, String> {
+    pub fn launches(&self, template: &Path) -> Result<Vec<Configuration>, String> {
         if self.zones.is_empty() || self.first < self.base {
             return Err("expected a zone, and a first number that is not under the base".into());
         }
--- a/crates/sidecar/src/launch/checked.rs
+++ b/crates/sidecar/src/launch/checked.rs
@@ -26,34 +26,34 @@
 
 /// A key and what is wrong with it.
 #[derive(Debug)]
-pub struct Fault(pub String);
+pub struct ConfigError(pub String);
 
-impl fmt::Display for Fault {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-pub fn fault(key: &str, wrong: impl fmt::Display) -> Fault {
-    Fault(format!("{key}: {wrong}"))
+pub fn config_error(key: &str, wrong: impl fmt::Display) -> ConfigError {
+    ConfigError(format!("{key}: {wrong}"))
 }
 
 /// NODE_FD names the descriptor of the listening socket that this process inherits, where it does.
-pub fn inherited(told: &dyn Fn(&str) -> Option<String>) -> Result<Option<RawFd>, Fault> {
+pub fn inherited(told: &dyn Fn(&str) -> Option<String>) -> Result<Option<RawFd>, ConfigError> {
     let number = |text: String| {
         let fd = text.parse().ok().filter(|fd: &RawFd| *fd >= 0);
-        fd.ok_or_else(|| fault("NODE_FD", format_args!("{text:?} is no descriptor's number")))
+        fd.ok_or_else(|| config_error("NODE_FD", format_args!("{text:?} is no descriptor's number")))
     };
     told("NODE_FD").map(number).transpose()
 }
 
 /// What a front must know of a verb to read its commands; the rest of it is the module's.
 #[derive(Clone)]
-pub struct Verb {
+pub struct RequestClass {
     pub name: String,
     pub method: &'static str,
-    pub receipted: bool,
-    pub limit: Duration,
+    pub idempotency_keyed: bool,
+    pub time_limit: Duration,
 }
 
 /// What is wrong with a verb's spans and utilities, and the keys that are at fault together, the likeliest first.
@@ -88,31 +88,31 @@
     pub listen: Address,
     pub advertise: Address,
     /// Whether it hears them by the peers' socket.
-    pub by_peers: bool,
+    pub uses_peer_socket: bool,
     pub seeds: Vec<Address>,
     pub zone: String,
     pub budget: Budget,
     /// Copies by configuration, until others are heard.
-    pub configured: f64,
+    pub configured_replicas: f64,
 }
 
-pub struct Launch {
+pub struct Configuration {
     pub name: String,
     pub listen: SocketAddr,
     /// Where the list of servers is watched; none where the configuration lists them itself.
     pub discovery: Option<SocketAddr>,
     pub seed: u64,
-    pub sockets: usize,
+    pub max_sockets: usize,
     pub memory_mb: usize,
     pub clock: Clock,
-    pub known: Catalog,
+    pub initial_catalog: Catalog,
     pub zones: Vec<String>,
-    pub verbs: Vec<Verb>,
+    pub classes: Vec<RequestClass>,
     pub tenants: Vec<String>,
-    pub conn_idle: Duration,
-    pub dial_timeout: Duration,
-    pub max_open: usize,
-    pub terms: Settings,
+    pub idle_connection_timeout: Duration,
+    pub connect_timeout: Duration,
+    pub max_open_requests: usize,
+    pub policy: Settings,
     /// Every copy's address for words between them, by its number; none where they tell each other nothing.
     pub peers: Vec<SocketAddr>,
     /// None where the copy takes part in no fleet.
@@ -122,20 +122,20 @@
     /// None where zones are not left by the fleet.
     pub localities: Option<Paces>,
     /// The header in which callers say a command's work, in milliseconds on a standard core.
-    pub cost_header: Option<String>,
+    pub work_header: Option<String>,
     /// The file through which what was learnt of endpoints outlives the process.
-    pub learnt: Option<PathBuf>,
+    pub statistics_file: Option<PathBuf>,
     /// Where operators call.
     pub console: Option<SocketAddr>,
     /// The descriptor of the listening socket that the platform holds for every process of this sidecar.
-    pub inherited: Option<RawFd>,
+    pub inherited_listener: Option<RawFd>,
     /// The folder through which a process hands over to the next.
-    pub state: Option<PathBuf>,
+    pub state_folder: Option<PathBuf>,
 }
 
-impl fmt::Display for Launch {
+impl fmt::Display for Configuration {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Launch { name, listen, sockets, memory_mb, .. } = self;
+        let Configuration { name, listen, max_sockets: sockets, memory_mb, .. } = self;
         write!(f, "{name} listens at {listen} and ")?;
         match self.discovery {
             Some(discovery) => writeln!(f, "follows discovery at {discovery}")?,
@@ -158,9 +158,9 @@
         writeln!(
             f,
             "at most {sockets} sockets and {memory_mb} MB; {} servers known",
-            self.known.entries.len()
+            self.initial_catalog.entries.len()
         )?;
-        write!(f, "sends to tier {}; verbs:", self.terms.tier)?;
-        self.verbs.iter().try_for_each(|verb| write!(f, " {}", verb.name))
+        write!(f, "sends to tier {}; verbs:", self.policy.tier)?;
+        self.classes.iter().try_for_each(|verb| write!(f, " {}", verb.name))
     }
 }
--- a/crates/sidecar/src/launch/file.rs
+++ b/crates/sidecar/src/launch/file.rs
@@ -2,10 +2,10 @@
 //! check of them; a fault names the file, the line and the key.
 
 use super::checked::{
-    CONN_IDLE, DIAL_TIMEOUT, Fault, Launch, MAX_OPEN, MEMORY_MB, MEMORY_MB_LEAST, SOCKETS, SOCKETS_LEAST,
-    inherited, verb_fault,
+    CONN_IDLE, ConfigError, Configuration, DIAL_TIMEOUT, MAX_OPEN, MEMORY_MB, MEMORY_MB_LEAST, SOCKETS,
+    SOCKETS_LEAST, inherited, verb_fault,
 };
-use crate::catalog::{Catalog, Entry};
+use crate::catalog::{Catalog, CatalogEntry};
 use crate::clock::Clock;
 use landingspread_decisions::host::{Lifecycle, ListedServer};
 use landingspread_decisions::settings::{
@@ -202,18 +202,22 @@
     1.0
 }
 
-impl From<Wrong> for Fault {
-    fn from(wrong: Wrong) -> Fault {
-        Fault(wrong.to_string())
+impl From<Wrong> for ConfigError {
+    fn from(wrong: Wrong) -> ConfigError {
+        ConfigError(wrong.to_string())
     }
 }
 
-pub fn read(path: &Path, told: &dyn Fn(&str) -> Option<String>) -> Result<Launch, Fault> {
+pub fn read(path: &Path, told: &dyn Fn(&str) -> Option<String>) -> Result<Configuration, ConfigError> {
     let (name, text) = text_of(path)?;
     take(&name, &text, told)
 }
 
-pub fn take(name: &str, text: &str, told: &dyn Fn(&str) -> Option<String>) -> Result<Launch, Fault> {
+pub fn take(
+    name: &str,
+    text: &str,
+    told: &dyn Fn(&str) -> Option<String>,
+) -> Result<Configuration, ConfigError> {
     let mut file: File = from_toml(name, text)?;
     for (variable, into) in [("NODE_LISTEN", &mut file.listen)] {
         if let Some(address) = told(variable) {
@@ -231,12 +235,13 @@
     if let Some((key, what)) = first_fault(&file) {
         return Err(Wrong::at_key(name, text, &key, what).into());
     }
-    Ok(Launch { inherited: inherited(told)?, ..launch(file) })
+    Ok(Configuration { inherited_listener: inherited(told)?, ..launch(file) })
 }
 
-fn parsed(variable: &str, text: &str) -> Result<SocketAddr, Fault> {
-    text.parse()
-        .map_err(|_| super::checked::fault(variable, format_args!("{text:?} is no address with a port")))
+fn parsed(variable: &str, text: &str) -> Result<SocketAddr, ConfigError> {
+    text.parse().map_err(|_| {
+        super::checked::config_error(variable, format_args!("{text:?} is no address with a port"))
+    })
 }
 
 type Found = Option<(String, String)>;
@@ -347,7 +352,7 @@
     tenant.quota.and_then(|quota| share(&format!("tenants.{at}.quota"), quota, 1e9))
 }
 
-fn launch(mut file: File) -> Launch {
+fn launch(mut file: File) -> Configuration {
     let own = file.peers.get(file.ordinal as usize).copied();
     let own_zone = file.zone.as_ref().or(file.zones.first()).cloned().unwrap_or_default();
     let fleet = file.fleet.take();
@@ -356,7 +361,7 @@
         let place = name.as_ref().and_then(|name| file.zones.iter().position(|zone| zone == name));
         place.unwrap_or(0) as u32
     };
-    let entry = |server: &Server| Entry {
+    let entry = |server: &Server| CatalogEntry {
         listed: ListedServer {
             server: server.id.as_str().into(),
             zone: zone(&server.zone),
@@ -368,42 +373,42 @@
         address: server.address,
     };
     let terms = terms_of(&file, zone(&file.zone));
-    let known = Catalog { generation: 0, whole: true, entries: file.servers.iter().map(entry).collect() };
-    Launch {
+    let known = Catalog { generation: 0, complete: true, entries: file.servers.iter().map(entry).collect() };
+    Configuration {
         listen: file.listen,
         discovery: file.discovery.as_ref().map(|discovery| discovery.address),
         // No two sidecars that start together may draw alike.
         seed: file.seed.unwrap_or_else(|| RandomState::new().hash_one(std::process::id())),
-        sockets: file.limits.sockets as usize,
+        max_sockets: file.limits.sockets as usize,
         memory_mb: file.limits.memory_mb as usize,
         clock: Clock::start(),
-        known,
-        verbs: file.verbs.iter().map(front_verb).collect(),
+        initial_catalog: known,
+        classes: file.verbs.iter().map(front_verb).collect(),
         tenants: file.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
-        conn_idle: file.limits.conn_idle,
-        dial_timeout: file.limits.dial,
-        max_open: file.limits.max_open as usize,
-        terms,
+        idle_connection_timeout: file.limits.conn_idle,
+        connect_timeout: file.limits.dial,
+        max_open_requests: file.limits.max_open as usize,
+        policy: terms,
         fleet,
         localities: file.localities.map(super::localities::Part::checked),
         control: file.control.map(super::control::Part::checked),
         peers: file.peers,
-        cost_header: file.cost_header,
-        learnt: file.learnt,
+        work_header: file.cost_header,
+        statistics_file: file.learnt,
         console: file.console,
-        inherited: None,
-        state: file.state,
+        inherited_listener: None,
+        state_folder: file.state,
         name: file.name,
         zones: file.zones,
     }
 }
 
-fn front_verb(verb: &Verb) -> super::checked::Verb {
-    super::checked::Verb {
+fn front_verb(verb: &Verb) -> super::checked::RequestClass {
+    super::checked::RequestClass {
         name: verb.name.clone(),
         method: if verb.repeats == Repeats::Pure { "GET" } else { "POST" },
-        receipted: verb.repeats == Repeats::Receipted,
-        limit: verb.limit,
+        idempotency_keyed: verb.repeats == Repeats::Receipted,
+        time_limit: verb.limit,
     }
 }
 
@@ -475,7 +480,7 @@
 mod tests {
     use super::*;
 
-    fn taken(text: &str) -> Result<Launch, String> {
+    fn taken(text: &str) -> Result<Configuration, String> {
         take("l.toml", text, &|_| None).map_err(|wrong| wrong.to_string())
     }
 
@@ -487,8 +492,8 @@
     #[test]
     fn the_example_can_be_gone_by_and_shows_the_defaults() {
         let launch = taken(EXAMPLE).expect("it can be read");
-        assert_eq!((launch.known.entries.len(), launch.verbs.len()), (2, 3));
-        assert_eq!(launch.terms.classes[1].retry_safety, Repeated::IdempotencyKeyed(DedupScope::All));
+        assert_eq!((launch.initial_catalog.entries.len(), launch.classes.len()), (2, 3));
+        assert_eq!(launch.policy.classes[1].retry_safety, Repeated::IdempotencyKeyed(DedupScope::All));
         // Each key that is commented out, as the default that its comment shows.
         let opened: Vec<&str> = EXAMPLE
             .lines()
@@ -507,14 +512,17 @@
         let shown = taken(&opened).expect("its comments can be read");
         assert_eq!(shown.localities, Some(landingspread_localities::Paces::default()));
         assert!(launch.control.is_none() && shown.control.is_some_and(|control| control.machines.len() == 2));
-        assert_eq!(shown.terms.capabilities.max_attempts, launch.terms.capabilities.max_attempts);
-        assert_eq!(format!("{:?}", shown.terms.slow_start), format!("{:?}", launch.terms.slow_start));
+        assert_eq!(shown.policy.capabilities.max_attempts, launch.policy.capabilities.max_attempts);
+        assert_eq!(format!("{:?}", shown.policy.slow_start), format!("{:?}", launch.policy.slow_start));
+        assert_eq!(
+            (shown.max_sockets, shown.memory_mb, shown.max_open_requests),
+            (launch.max_sockets, launch.memory_mb, launch.max_open_requests)
+        );
         assert_eq!(
-            (shown.sockets, shown.memory_mb, shown.max_open),
-            (launch.sockets, launch.memory_mb, launch.max_open)
+            (shown.idle_connection_timeout, shown.connect_timeout),
+            (launch.idle_connection_timeout, launch.connect_timeout)
         );
-        assert_eq!((shown.conn_idle, shown.dial_timeout), (launch.conn_idle, launch.dial_timeout));
-        assert!(shown.discovery.is_some() && shown.terms.quotas == [100.0]);
+        assert!(shown.discovery.is_some() && shown.policy.quotas == [100.0]);
     }
 
     #[test]
@@ -551,8 +559,14 @@
         let with = |part: &str| EXAMPLE.replacen("# [fleet]", &format!("[fleet]\n{part}"), 1);
         let fleet =
             taken(&with("listen = \"127.0.0.1:7946\"")).expect("it can be read").fleet.expect("a fleet");
-        assert_eq!((fleet.listen, fleet.advertise, fleet.by_peers), (fleet.listen, fleet.listen, false));
-        assert_eq!((fleet.name.as_str(), fleet.zone.as_str(), fleet.configured), ("fleet", "a", 1.0));
+        assert_eq!(
+            (fleet.listen, fleet.advertise, fleet.uses_peer_socket),
+            (fleet.listen, fleet.listen, false)
+        );
+        assert_eq!(
+            (fleet.name.as_str(), fleet.zone.as_str(), fleet.configured_replicas),
+            ("fleet", "a", 1.0)
+        );
         assert_eq!(fleet.budget, landingspread_membership::Budget::default());
         let told = |part: &str| taken(&with(part)).err().expect("a fault");
         let line = 1 + EXAMPLE.lines().position(|line| line == "# [fleet]").expect("a line");
@@ -576,7 +590,7 @@
         let peers = "peers = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\ncopies = 2\nordinal = 1";
         let text = with("name = \"f\"").replacen("# peers = []", peers, 1);
         let fleet = taken(&text).expect("it can be read").fleet.expect("a fleet");
-        assert_eq!((fleet.listen.port(), fleet.by_peers, fleet.seeds.len()), (2, true, 2));
+        assert_eq!((fleet.listen.port(), fleet.uses_peer_socket, fleet.seeds.len()), (2, true, 2));
     }
 
     #[test]
@@ -597,13 +611,13 @@
                 text.lines().find(|line| line.starts_with(&format!("# {key} = "))).expect(key).to_string();
             text = text.replacen(&line, &format!("{key} = {value}"), 1);
         }
-        let plain = taken(EXAMPLE).expect("it can be read").terms;
+        let plain = taken(EXAMPLE).expect("it can be read").policy;
         assert!(
             !plain.capabilities.peer_messages
                 && !plain.health_checks_report_load
                 && plain.costs.health_check == 0.0
         );
-        let terms = taken(&text).expect("it can be read").terms;
+        let terms = taken(&text).expect("it can be read").policy;
         assert!(terms.capabilities.peer_messages && terms.health_checks_report_load && terms.value_by_work);
         let prices = &terms.costs;
         assert_eq!((prices.health_check, prices.peer_message, prices.connection), (0.002, 0.01, 0.04));
--- a/crates/sidecar/src/launch/fleet.rs
+++ b/crates/sidecar/src/launch/fleet.rs
@@ -93,11 +93,11 @@
             name: self.name,
             listen,
             advertise: self.advertise.unwrap_or(listen),
-            by_peers,
+            uses_peer_socket: by_peers,
             seeds,
             zone: zone.to_string(),
             budget: Budget { datagrams_per_s: self.datagrams, bytes_per_s: self.kilobytes << 10 },
-            configured: f64::from(copies),
+            configured_replicas: f64::from(copies),
         })
     }
 }
--- a/crates/sidecar/src/launch/live.rs
+++ b/crates/sidecar/src/launch/live.rs
@@ -2,7 +2,7 @@
 //! discovery's address. It owns the names and checks of these keys; all others need a restart. A change is read as a whole,
 //! on top of what the file says: what it does not name is as there.
 
-use super::checked::{Launch, verb_fault};
+use super::checked::{Configuration, verb_fault};
 use landingspread_control::{Contents, Fault};
 use landingspread_decisions::settings;
 use std::net::SocketAddr;
@@ -53,10 +53,10 @@
 }
 
 impl Live {
-    pub fn of(launch: &Launch) -> Live {
+    pub fn of(launch: &Configuration) -> Live {
         let verbs =
-            launch.verbs.iter().map(|verb| verb.name.clone()).zip(launch.terms.classes.iter().cloned());
-        let tenants = launch.tenants.iter().cloned().zip(launch.terms.quotas.iter().copied());
+            launch.classes.iter().map(|verb| verb.name.clone()).zip(launch.policy.classes.iter().cloned());
+        let tenants = launch.tenants.iter().cloned().zip(launch.policy.quotas.iter().copied());
         Live { verbs: verbs.collect(), tenants: tenants.collect(), discovery: launch.discovery.is_some() }
     }
 
--- a/crates/sidecar/src/net/buffers.rs
+++ b/crates/sidecar/src/net/buffers.rs
@@ -2,7 +2,7 @@
 //! of each there may be; whoever goes without
 //! can say so at once, or wait in turn where a part of a message is under way already.
 
-use crate::launch::Launch;
+use crate::launch::Configuration;
 use async_io::Timer;
 use std::cell::{Cell, RefCell};
 use std::ops::Range;
@@ -47,10 +47,10 @@
 }
 
 impl Stock {
-    pub fn new(launch: &Launch) -> Rc<Stock> {
+    pub fn new(launch: &Configuration) -> Rc<Stock> {
         let console = if launch.console.is_some() { FOR_CONSOLE } else { 0 };
-        let next = if launch.inherited.is_some() { FOR_THE_NEXT } else { 0 };
-        Stock::with(launch.sockets.saturating_sub(console + next), launch.memory_mb)
+        let next = if launch.inherited_listener.is_some() { FOR_THE_NEXT } else { 0 };
+        Stock::with(launch.max_sockets.saturating_sub(console + next), launch.memory_mb)
     }
 
     pub fn with(sockets: usize, memory_mb: usize) -> Rc<Stock> {
--- a/crates/sidecar/src/net/callers.rs
+++ b/crates/sidecar/src/net/callers.rs
@@ -16,7 +16,7 @@
 use crate::clock::Clock;
 use crate::counters::{self, CloseReason, RefusalReason};
 use crate::invariants::must_hold;
-use crate::launch::Launch;
+use crate::launch::Configuration;
 use crate::start::Start;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -121,7 +121,7 @@
 
 impl Callers {
     pub fn new(
-        launch: &Launch,
+        launch: &Configuration,
         stock: Rc<Stock>,
         queue: Queue,
         start: Rc<Start>,
@@ -131,20 +131,20 @@
         let repeat_rule = |verb: &settings::RequestClass| RepeatRule {
             repeats: verb.retry_safety,
             // What the module leaves for its own clock is left here too.
-            window: verb.dedup_window.saturating_sub(launch.terms.timer_resolution),
-            parallel: launch.terms.capabilities.hedging,
+            window: verb.dedup_window.saturating_sub(launch.policy.timer_resolution),
+            parallel: launch.policy.capabilities.hedging,
         };
         let reader = Reader {
-            verbs: launch.verbs.clone(),
+            verbs: launch.classes.clone(),
             tenants: launch.tenants.clone(),
-            cost_header: launch.cost_header.clone(),
+            cost_header: launch.work_header.clone(),
         };
         Callers {
             clock: launch.clock.clone(),
             reader,
-            limits: RefCell::new(launch.verbs.iter().map(|verb| verb.limit).collect()),
-            repeat_rules: launch.terms.classes.iter().map(repeat_rule).collect(),
-            max_open: launch.max_open,
+            limits: RefCell::new(launch.classes.iter().map(|verb| verb.time_limit).collect()),
+            repeat_rules: launch.policy.classes.iter().map(repeat_rule).collect(),
+            max_open: launch.max_open_requests,
             open: Cell::new(0),
             all_due: Cell::new(None),
             parting: Cell::new(false),
--- a/crates/sidecar/src/net/discovery.rs
+++ b/crates/sidecar/src/net/discovery.rs
@@ -8,7 +8,7 @@
 use super::timeout::timeout;
 use crate::catalog::Catalog;
 use crate::clock::Clock;
-use crate::launch::Launch;
+use crate::launch::Configuration;
 use crate::start::Start;
 use async_channel::Receiver;
 use async_io::Async;
@@ -62,13 +62,19 @@
 
 impl Discovery {
     /// None where the configuration names no discovery: the servers it lists are all there are.
-    pub fn new(launch: &Launch, stock: Rc<Stock>, queue: Queue, start: Rc<Start>) -> Option<Discovery> {
+    pub fn new(
+        launch: &Configuration,
+        stock: Rc<Stock>,
+        queue: Queue,
+        start: Rc<Start>,
+    ) -> Option<Discovery> {
         let address = launch.discovery?;
         let (zones, clock) = (launch.zones.clone(), launch.clock.clone());
         // A process that takes over is told the whole list at once, and need not wait for a change to know that it
         // stands.
-        let generation = Some(launch.known.generation).filter(|_| launch.inherited.is_none());
-        let share = Duration::from_secs_f64(launch.terms.replicas / CALLS_A_SECOND);
+        let generation =
+            Some(launch.initial_catalog.generation).filter(|_| launch.inherited_listener.is_none());
+        let share = Duration::from_secs_f64(launch.policy.replicas / CALLS_A_SECOND);
         let wait = share.clamp(WATCH_LEAST, WATCH_MOST);
         Some(Discovery { address, generation, least: wait, wait, zones, clock, stock, queue, start })
     }
@@ -108,7 +114,7 @@
         loop {
             let catalog = self.call(&mut conn).await?;
             let (generation, entries) = (catalog.generation, catalog.entries.len());
-            tracing::debug!(generation, whole = catalog.whole, entries, "a list");
+            tracing::debug!(generation, whole = catalog.complete, entries, "a list");
             self.generation = Some(generation);
             self.wait = self.wait.mul_f64(SHORTER).max(self.least);
             self.start.list_came();
@@ -142,7 +148,7 @@
             return Err(format!("status {status:?}").into());
         }
         let value = serde_json::from_reader(BufReader::new(&mut rsp)).map_err(|wrong| wrong.to_string())?;
-        let catalog = Catalog::take(&value, &self.zones, &self.clock)?;
+        let catalog = Catalog::parse(&value, &self.zones, &self.clock)?;
         *kept = keep.then_some(conn);
         Ok(catalog)
     }
--- a/crates/sidecar/src/net/endpoints.rs
+++ b/crates/sidecar/src/net/endpoints.rs
@@ -7,7 +7,7 @@
 use super::leaving::Asker;
 use super::pool::{Conn, Pool, Target};
 use super::timeout::timeout;
-use crate::launch::Launch;
+use crate::launch::Configuration;
 use async_channel::Receiver;
 use async_io::Timer;
 use futures_lite::future::or;
@@ -127,8 +127,8 @@
 }
 
 impl Endpoints {
-    pub fn new(launch: &Launch, pool: Rc<Pool>, stock: Rc<Stock>) -> Endpoints {
-        let check_path = if launch.terms.health_checks_report_load { "/_load" } else { "/ping" };
+    pub fn new(launch: &Configuration, pool: Rc<Pool>, stock: Rc<Stock>) -> Endpoints {
+        let check_path = if launch.policy.health_checks_report_load { "/_load" } else { "/ping" };
         Endpoints { pool, stock, check_path }
     }
 
--- a/crates/sidecar/src/net/learnt.rs
+++ b/crates/sidecar/src/net/learnt.rs
@@ -2,7 +2,7 @@
 //! is the module's to say. A file that is old or can't be read is passed over: all then starts afresh.
 
 use crate::clock::Clock;
-use crate::launch::Launch;
+use crate::launch::Configuration;
 use landingspread_decisions::host::Id;
 use landingspread_decisions::statistics::ServerStatistics;
 use serde::{Deserialize, Serialize};
@@ -58,9 +58,9 @@
 
 /// What tells one deployment from another: the tier that is sent to, its verbs, and all that is set of them, of tenants and
 /// of limits. How many copies there are changes within one, and so does discovery's address, by SIGHUP.
-pub fn deployment(launch: &Launch) -> String {
-    let verbs: Vec<&str> = launch.verbs.iter().map(|verb| verb.name.as_str()).collect();
-    let terms = &launch.terms;
+pub fn deployment(launch: &Configuration) -> String {
+    let verbs: Vec<&str> = launch.classes.iter().map(|verb| verb.name.as_str()).collect();
+    let terms = &launch.policy;
     let set = format!(
         "{:?} {:?} {:?} {:?} {:?} {:?}",
         terms.classes, launch.tenants, terms.quotas, terms.capabilities, terms.slow_start, terms.costs
@@ -100,7 +100,7 @@
         }
     };
     let learnt = |server: Server| ServerStatistics {
-        started_at: clock.of_unix_ms(server.started_unix_ms),
+        started_at: clock.from_unix_ms(server.started_unix_ms),
         server: server.id.into(),
         slowness: server.slowness,
         ejected: server.marked,
--- a/crates/sidecar/src/net/mod.rs
+++ b/crates/sidecar/src/net/mod.rs
@@ -23,7 +23,7 @@
 use crate::fleet;
 use crate::handover::record::Record;
 use crate::handover::{self, LOOK_EVERY, Presence};
-use crate::launch::{self, Launch};
+use crate::launch::{self, Configuration};
 use crate::start::Start;
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
@@ -70,7 +70,7 @@
 const LIST_WITHIN: Duration = Duration::from_millis(1500);
 
 /// Serves until SIGTERM; `file` is what SIGHUP reads again.
-pub fn serve(launch: Launch, file: Option<&Path>, start: Start) -> io::Result<()> {
+pub fn serve(launch: Configuration, file: Option<&Path>, start: Start) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.run(run(launch, file, Rc::new(start), executor.clone())))
 }
@@ -86,21 +86,21 @@
 }
 
 /// The files of the state folder, where there is one that can be used: without it nothing is handed over.
-fn presence(launch: &Launch) -> Option<Presence> {
-    let folder = launch.state.as_deref().filter(|_| launch.inherited.is_some())?;
+fn presence(launch: &Configuration) -> Option<Presence> {
+    let folder = launch.state_folder.as_deref().filter(|_| launch.inherited_listener.is_some())?;
     let entered = Presence::enter(folder, &launch.name);
     entered.inspect_err(|wrong| tracing::warn!("{}: {wrong}; nothing is handed over", folder.display())).ok()
 }
 
 /// Takes part in the fleet that the configuration names, by a socket of its own or by the peers'.
 fn join_fleet(
-    launch: &mut Launch,
+    launch: &mut Configuration,
     peers: Option<&Peers>,
     datagrams: Receiver<Vec<u8>>,
     on: Option<&LocalExecutor<'static>>,
 ) -> io::Result<Option<(fleet::Door, fleet::Link)>> {
     let Some(told) = launch.fleet.take() else { return Ok(None) };
-    let passed = match peers.filter(|_| told.by_peers) {
+    let passed = match peers.filter(|_| told.uses_peer_socket) {
         Some(peers) => Some(fleet::Passed { socket: peers.sending()?, datagrams }),
         None => None,
     };
@@ -132,8 +132,8 @@
 }
 
 /// The listener for callers: inherited from whoever holds it for all processes, or this one's own.
-async fn listener(launch: &Launch) -> io::Result<Async<TcpListener>> {
-    match handover::inherited(launch.inherited, launch.listen) {
+async fn listener(launch: &Configuration) -> io::Result<Async<TcpListener>> {
+    match handover::inherited(launch.inherited_listener, launch.listen) {
         Some(listener) => Async::new(listener),
         None => bind(launch.listen).await,
     }
@@ -182,17 +182,17 @@
 /// Starts all that a sidecar does but for its callers. The fleet's part has a thread of its own, or is a task where the
 /// executor is given.
 fn open(
-    mut launch: Launch,
+    mut launch: Configuration,
     start: Rc<Start>,
     executor: &Rc<LocalExecutor<'static>>,
     fleet_on: Option<&LocalExecutor<'static>>,
 ) -> io::Result<Inside> {
-    let takes_over = launch.inherited.is_some();
+    let takes_over = launch.inherited_listener.is_some();
     let stock = Stock::new(&launch);
     let pool = Rc::new(Pool::new(&launch, stock.clone()));
     let endpoints = Rc::new(Endpoints::new(&launch, pool.clone(), stock.clone()));
     let (queue, words) = owner::queue();
-    let longest = launch.verbs.iter().map(|verb| verb.limit).max().unwrap_or_default().min(LIMIT_MOST);
+    let longest = launch.classes.iter().map(|verb| verb.time_limit).max().unwrap_or_default().min(LIMIT_MOST);
     let (ask, asked) = async_channel::bounded(1);
     let mut discovery = Discovery::new(&launch, stock.clone(), queue.clone(), start.clone());
     let callers = Rc::new(Callers::new(
@@ -207,10 +207,12 @@
     if let Some(presence) = presence.clone() {
         executor.spawn(share(presence, stock, callers.clone(), pool.clone())).detach();
     }
-    if let Some(folder) = launch.state.as_ref().filter(|_| takes_over && launch.learnt.is_none()) {
-        launch.learnt = Some(folder.join(format!("{}.learnt", handover::plain(&launch.name))));
+    if let Some(folder) =
+        launch.state_folder.as_ref().filter(|_| takes_over && launch.statistics_file.is_none())
+    {
+        launch.statistics_file = Some(folder.join(format!("{}.learnt", handover::plain(&launch.name))));
     }
-    if !launch.terms.polls_discovery {
+    if !launch.policy.polls_discovery {
         // Where changes come unprompted, the watch is there from the start.
         let _ = ask.try_send(());
     }
@@ -228,8 +230,8 @@
     let following = follow(discovery.as_ref(), executor, &asked);
     executor.spawn(pool.clone().reap()).detach();
     let (pass, passed) = fleet::passing();
-    let pass = launch.fleet.as_ref().filter(|fleet| fleet.by_peers).map(|_| pass);
-    let peers = match Peers::bind(&launch.peers, launch.terms.ordinal, pass) {
+    let pass = launch.fleet.as_ref().filter(|fleet| fleet.uses_peer_socket).map(|_| pass);
+    let peers = match Peers::bind(&launch.peers, launch.policy.ordinal, pass) {
         // The process that this one takes over from has the address still; nothing that peers say is needed.
         Err(wrong) if takes_over => {
             tracing::warn!("peers are neither told nor heard: {wrong}");
@@ -244,14 +246,14 @@
     let serving = Arc::new(AtomicBool::new(false));
     let (orders, ordered) = async_channel::bounded(64);
     let (listed, list) = async_channel::bounded(1);
-    let record = launch.state.as_ref().filter(|_| launch.console.is_some());
+    let record = launch.state_folder.as_ref().filter(|_| launch.console.is_some());
     let record = record.map(|folder| Record::open(folder, &launch.name));
     let recorded = record.as_ref().map(|record| record.words.clone()).unwrap_or_default();
     if let Some(at) = launch.console {
         let (serving, fleet) = (serving.clone(), door.clone());
         Console { serving, orders, record, fleet, control: controlled }.open(at)?;
     }
-    let some_known = !launch.known.entries.is_empty();
+    let some_known = !launch.initial_catalog.entries.is_empty();
     let outside = Outside { endpoints, pool, peers, fleet: link, ask: ask.clone(), start };
     let operators = Operators { orders: ordered, recorded, listed };
     executor.spawn(owner::own(launch, outside, operators, executor.clone(), queue, words)).detach();
@@ -274,7 +276,7 @@
 }
 
 async fn run(
-    launch: Launch,
+    launch: Configuration,
     file: Option<&Path>,
     start: Rc<Start>,
     executor: Rc<LocalExecutor<'static>>,
@@ -294,7 +296,7 @@
     };
     let listener = listener?;
     start.listener_bound();
-    let takes_over = launch.inherited.is_some();
+    let takes_over = launch.inherited_listener.is_some();
     let inside = open(launch, start, &executor, None)?;
     let Inside { callers, mut discovery, mut following, ask, asked, presence, .. } = inside;
     let Inside { door, serving, list, some_known, longest, moves, mut in_file, mut told_by_control, .. } =
@@ -385,7 +387,7 @@
 
 /// Runs all of these sidecars but their callers, on this thread, until SIGTERM. For tests of size: they open no listener and
 /// no thread of their own.
-pub fn hollow(launches: Vec<Launch>) -> io::Result<()> {
+pub fn hollow(launches: Vec<Configuration>) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     let all = async {
         let mut signals = Signals::new([Signal::Term])?;
--- a/crates/sidecar/src/net/owner.rs
+++ b/crates/sidecar/src/net/owner.rs
@@ -15,7 +15,7 @@
 use crate::fleet;
 use crate::handover::record::Words;
 use crate::invariants::must_hold;
-use crate::launch::{Changed, Launch};
+use crate::launch::{Changed, Configuration};
 use crate::start::Start;
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
@@ -395,7 +395,7 @@
 }
 
 pub async fn own(
-    launch: Launch,
+    launch: Configuration,
     mut outside: Outside,
     operators: Operators,
     executor: Rc<LocalExecutor<'static>>,
@@ -407,7 +407,7 @@
     let clock = launch.clock;
     let desk = Rc::new(RefCell::new(Desk {
         clock: clock.clone(),
-        most_relays: launch.terms.capabilities.max_attempts as usize,
+        most_relays: launch.policy.capabilities.max_attempts as usize,
         open: BTreeMap::new(),
         servers: BTreeMap::new(),
         wakes: BinaryHeap::new(),
@@ -416,11 +416,11 @@
         executor,
         queue,
     }));
-    let policy = Policy::start(Hand(desk.clone()), launch.terms, launch.seed, clock.now());
-    let before = launch.learnt.as_ref().map(|path| learnt::read(path, &deployment, &clock));
+    let policy = Policy::start(Hand(desk.clone()), launch.policy, launch.seed, clock.now());
+    let before = launch.statistics_file.as_ref().map(|path| learnt::read(path, &deployment, &clock));
     let before = before.unwrap_or_default();
     desk.borrow().outside.start.kept_files_read();
-    let (save_at, save_to) = (clock.now() + SAVE_FIRST, launch.learnt);
+    let (save_at, save_to) = (clock.now() + SAVE_FIRST, launch.statistics_file);
     let saving = Saving::of(deployment);
     let (rests_until, seen_at) = (None, clock.now());
     let mut owner = Owner {
@@ -437,7 +437,7 @@
         saving,
     };
     owner.remember();
-    let known = owner.note_servers(launch.known);
+    let known = owner.note_servers(launch.initial_catalog);
     let now = owner.clock.now();
     owner.policy.endpoint_list_cached(now, &known);
     owner.policy.restore_statistics(now, &owner.before.learnt);
@@ -595,7 +595,7 @@
             }
             Word::Listed(catalog) => {
                 let _ = self.operators.listed.try_send(());
-                let whole = catalog.whole;
+                let whole = catalog.complete;
                 let entries = self.note_servers(catalog);
                 if whole {
                     self.policy.endpoint_list_received(now, &entries);
@@ -632,7 +632,7 @@
         let desk = &mut *self.desk.borrow_mut();
         let mut left = Vec::new();
         let Desk { servers, outside: Outside { pool, .. }, .. } = desk;
-        let old = if catalog.whole { std::mem::take(servers) } else { BTreeMap::new() };
+        let old = if catalog.complete { std::mem::take(servers) } else { BTreeMap::new() };
         for entry in &catalog.entries {
             let server = &entry.listed.server;
             let state = entry.listed.lifecycle;
--- a/crates/sidecar/src/net/pool.rs
+++ b/crates/sidecar/src/net/pool.rs
@@ -5,7 +5,7 @@
 use super::buffers::{Place, Stock};
 use super::local_failure::{Cause, Repeated, cause};
 use super::timeout::timeout;
-use crate::launch::Launch;
+use crate::launch::Configuration;
 use async_io::{Async, Timer};
 use landingspread_decisions::host::{Id, Outcome};
 use std::cell::{Cell, RefCell};
@@ -103,8 +103,8 @@
 }
 
 impl Pool {
-    pub fn new(launch: &Launch, stock: Rc<Stock>) -> Pool {
-        Pool::with(launch.conn_idle.mul_f64(KEPT_FOR), launch.dial_timeout, stock)
+    pub fn new(launch: &Configuration, stock: Rc<Stock>) -> Pool {
+        Pool::with(launch.idle_connection_timeout.mul_f64(KEPT_FOR), launch.connect_timeout, stock)
     }
 
     /// One that keeps idle connections, and goes on with dials, for so long.
--- a/crates/sidecar/src/net/request.rs
+++ b/crates/sidecar/src/net/request.rs
@@ -2,7 +2,7 @@
 //! client. No sockets: bytes in, plain values or bytes out.
 
 use super::http::{self, Bad};
-use crate::launch::Verb;
+use crate::launch::RequestClass;
 use landingspread_decisions::host::Id;
 use std::time::Duration;
 
@@ -42,7 +42,7 @@
 
 /// What the settings say of requests.
 pub struct Reader {
-    pub verbs: Vec<Verb>,
+    pub verbs: Vec<RequestClass>,
     pub tenants: Vec<String>,
     pub cost_header: Option<String>,
 }
@@ -67,14 +67,14 @@
             return Err(rejection(405, "the verb takes another method"));
         }
         let header = |name: &str| http::header(head.headers, name);
-        if verb.receipted && header("idempotency-key").is_none_or(str::is_empty) {
+        if verb.idempotency_keyed && header("idempotency-key").is_none_or(str::is_empty) {
             return Err(rejection(400, "a receipted verb needs an Idempotency-Key"));
         }
         let plain = |id: &&str| (1..=ID_MOST).contains(&id.len()) && id.bytes().all(|b| b.is_ascii_graphic());
         let id = header("x-trace-id").filter(plain);
         let id = id.ok_or(rejection(400, "X-Trace-Id is missing or odd"))?.into();
         let left = match header("x-expires-in-ms").map(str::parse::<u64>) {
-            None => limits.get(number).copied().unwrap_or(verb.limit),
+            None => limits.get(number).copied().unwrap_or(verb.time_limit),
             Some(Ok(ms)) if (1..=LEFT_MOST_MS).contains(&ms) => Duration::from_millis(ms),
             Some(_) => return Err(rejection(400, "X-Expires-In-Ms is odd")),
         };
