--- a/crates/sidecar/src/net/learnt.rs
+++ b/crates/sidecar/src/net/learnt.rs
@@ -1,12 +1,13 @@
 //! The file through which what was learnt of endpoints outlives the process. It owns the file's form; what carries over
 //! is the module's to say. A file that is old or can't be read is passed over: all then starts afresh.
 
+use super::legacy_fingerprint;
+use super::settings_fingerprint::settings_fingerprint;
 use crate::clock::Clock;
 use crate::launch::Launch;
 use landingspread_decisions::carried::Learnt;
 use landingspread_decisions::host::Id;
 use serde::{Deserialize, Serialize};
-use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io::Read;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -29,6 +30,9 @@
     version: u32,
     /// Another deployment's servers may have the same ids.
     deployment: String,
+    /// The fingerprint of named settings; files of earlier releases have none.
+    #[serde(default)]
+    settings: Option<String>,
     saved_unix_ms: u64,
     servers: Vec<Server>,
     /// Ids that lists have told of: operators may still name those that are gone.
@@ -58,19 +62,29 @@
 
 /// What tells one deployment from another: the tier that is sent to, its verbs, and all that is set of them, of tenants and
 /// of limits. How many copies there are changes within one, and so does discovery's address, by SIGHUP.
-pub fn deployment(launch: &Launch) -> String {
-    let verbs: Vec<&str> = launch.verbs.iter().map(|verb| verb.name.as_str()).collect();
-    let terms = &launch.terms;
-    let set = format!(
-        "{:?} {:?} {:?} {:?} {:?} {:?}",
-        terms.verbs, launch.tenants, terms.quotas, terms.allowed, terms.cold, terms.prices
-    );
-    let mut hasher = DefaultHasher::new();
-    set.hash(&mut hasher);
-    format!("tier {} of {}, set as {:016x}", terms.tier, verbs.join(" "), hasher.finish())
+#[derive(Clone)]
+pub struct Deployment {
+    /// As earlier releases wrote it, which read this one's file after a downgrade.
+    legacy: String,
+    settings: String,
+}
+
+pub fn deployment(launch: &Launch) -> Deployment {
+    let (legacy, settings) = (legacy_fingerprint::deployment(launch), settings_fingerprint(launch));
+    Deployment { legacy, settings }
+}
+
+impl Deployment {
+    /// A file of an earlier release has no fingerprint of named settings: there the legacy one decides.
+    fn wrote(&self, saved: &Saved) -> bool {
+        match &saved.settings {
+            Some(settings) => *settings == self.settings,
+            None => saved.deployment == self.legacy,
+        }
+    }
 }
 
-fn usable(path: &Path, deployment: &str) -> Result<Saved, String> {
+fn usable(path: &Path, deployment: &Deployment) -> Result<Saved, String> {
     let mut text = Vec::new();
     let file = std::fs::File::open(path).map_err(|wrong| wrong.to_string())?;
     file.take(LONGEST + 1).read_to_end(&mut text).map_err(|wrong| wrong.to_string())?;
@@ -81,8 +95,8 @@
     if saved.version != VERSION {
         return Err(format!("version: {} is not {VERSION}", saved.version));
     }
-    if saved.deployment != deployment {
-        return Err(format!("deployment: {:?} is not {deployment:?}", saved.deployment));
+    if !deployment.wrote(&saved) {
+        return Err(format!("deployment: {:?} is not {:?}", saved.deployment, deployment.legacy));
     }
     // One from the future was written by another clock.
     if unix_ms().abs_diff(saved.saved_unix_ms) > FRESH_FOR.as_millis() as u64 {
@@ -91,7 +105,7 @@
     Ok(saved)
 }
 
-pub fn read(path: &Path, deployment: &str, clock: &Clock) -> Before {
+pub fn read(path: &Path, deployment: &Deployment, clock: &Clock) -> Before {
     let saved = match usable(path, deployment) {
         Ok(saved) => saved,
         Err(why) => {
@@ -112,11 +126,11 @@
 /// Writes one file at a time: where a disk hangs, the next ones are not written.
 pub struct Saving {
     busy: Arc<AtomicBool>,
-    deployment: String,
+    deployment: Deployment,
 }
 
 impl Saving {
-    pub fn of(deployment: String) -> Saving {
+    pub fn of(deployment: Deployment) -> Saving {
         Saving { busy: Arc::default(), deployment }
     }
 
@@ -125,7 +139,7 @@
         if self.busy.swap(true, Ordering::AcqRel) {
             return;
         }
-        let saved = Saved { deployment: self.deployment.clone(), ..saved(learnt, named, clock) };
+        let saved = saved(&self.deployment, learnt, named, clock);
         let busy = self.busy.clone();
         std::thread::spawn(move || {
             let aside = path.with_extension("new");
@@ -139,13 +153,23 @@
     }
 }
 
-fn saved(learnt: &[Learnt], named: Vec<String>, clock: &Clock) -> Saved {
+fn saved(deployment: &Deployment, learnt: &[Learnt], named: Vec<String>, clock: &Clock) -> Saved {
     let server = |one: &Learnt| Server {
         id: one.server.to_string(),
         started_unix_ms: one.up_since.map_or(0, |at| clock.unix_ms(at)),
         slowness: one.slowness,
         marked: one.marked,
     };
-    let (version, deployment, saved_unix_ms) = (VERSION, String::new(), unix_ms());
-    Saved { version, deployment, saved_unix_ms, servers: learnt.iter().map(server).collect(), named }
+    Saved {
+        version: VERSION,
+        deployment: deployment.legacy.clone(),
+        settings: Some(deployment.settings.clone()),
+        saved_unix_ms: unix_ms(),
+        servers: learnt.iter().map(server).collect(),
+        named,
+    }
 }
+
+#[cfg(test)]
+#[path = "learnt_tests.rs"]
+mod tests;
--- /dev/null
+++ b/crates/sidecar/src/net/learnt_tests.rs
@@ -0,0 +1,101 @@
+use super::*;
+use crate::launch;
+
+/// One configuration of each form that the fixtures' files were written under.
+const DEPLOYMENTS: [(&str, &str); 3] =
+    [("every_kind", "every_kind.toml"), ("plain", "plain.toml"), ("platform", "platform.json")];
+
+fn fixture(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/state").join(name)
+}
+
+fn launch_of(configuration: &str) -> Launch {
+    launch::read(Some(&fixture(configuration))).expect("the fixture can be read")
+}
+
+/// The file of an earlier release, with the time of now.
+fn earlier_file(name: &str) -> serde_json::Value {
+    let text = std::fs::read(fixture(&format!("{name}.learnt.json"))).expect("a fixture");
+    let mut file: serde_json::Value = serde_json::from_slice(&text).expect("JSON");
+    file["saved_unix_ms"] = unix_ms().into();
+    file
+}
+
+fn temporary_file(name: &str) -> PathBuf {
+    std::env::temp_dir().join(format!("landingspread-learnt-{name}-{}", std::process::id()))
+}
+
+fn read_back(file: &serde_json::Value, name: &str, deployment: &Deployment) -> Before {
+    let path = temporary_file(name);
+    std::fs::write(&path, file.to_string()).expect("written");
+    let before = read(&path, deployment, &Clock::start());
+    let _ = std::fs::remove_file(path);
+    before
+}
+
+#[test]
+fn fingerprints_of_earlier_releases_are_reproduced() {
+    for (name, configuration) in DEPLOYMENTS {
+        let written = earlier_file(name)["deployment"].clone();
+        assert_eq!(deployment(&launch_of(configuration)).legacy, written, "{name}");
+    }
+}
+
+#[test]
+fn fingerprints_of_named_settings_are_stable() {
+    let fingerprints = DEPLOYMENTS.map(|(_, configuration)| deployment(&launch_of(configuration)).settings);
+    assert_eq!(fingerprints, ["a9ce1ea9c1782c22", "16680f64c24d927e", "fbe98b271861532a"]);
+}
+
+#[test]
+fn files_of_earlier_releases_are_read() {
+    let servers =
+        |before: &Before| before.learnt.iter().map(|one| one.server.to_string()).collect::<Vec<_>>();
+    for (name, configuration) in DEPLOYMENTS {
+        let deployment = deployment(&launch_of(configuration));
+        let before = read_back(&earlier_file(name), name, &deployment);
+        let wanted: &[&str] = if name == "every_kind" { &["s1", "s\"2\" é"] } else { &["s1"] };
+        assert_eq!(servers(&before), wanted, "{name}");
+        let named: Vec<String> = before.named.iter().map(ToString::to_string).collect();
+        assert_eq!(named, wanted, "{name}");
+        let first = &before.learnt[0];
+        assert_eq!((first.up_since, first.slowness, first.marked), (None, 1.0, false), "{name}");
+        for (_, other) in DEPLOYMENTS.iter().filter(|(other, _)| *other != name) {
+            let other = super::deployment(&launch_of(other));
+            assert!(
+                read_back(&earlier_file(name), name, &other).learnt.is_empty(),
+                "{name}: another deployment"
+            );
+        }
+    }
+}
+
+#[test]
+fn the_fingerprint_of_named_settings_decides_where_a_file_bears_one() {
+    let deployment = deployment(&launch_of("plain.toml"));
+    let mut file = earlier_file("plain");
+    file["settings"] = deployment.settings.clone().into();
+    file["deployment"] = "set as something else".into();
+    assert_eq!(read_back(&file, "named", &deployment).learnt.len(), 1);
+    file["settings"] = "0000000000000000".into();
+    assert!(read_back(&file, "other", &deployment).learnt.is_empty());
+}
+
+#[test]
+fn a_written_file_bears_both_fingerprints_and_keeps_what_earlier_releases_read() {
+    let deployment = deployment(&launch_of("plain.toml"));
+    let mut wanted = earlier_file("plain");
+    wanted["settings"] = deployment.settings.clone().into();
+    let (path, clock) = (temporary_file("written"), Clock::start());
+    let learnt = [Learnt { server: "s1".into(), up_since: None, slowness: 1.0, marked: false }];
+    let saving = Saving::of(deployment);
+    saving.save(path.clone(), &learnt, vec!["s1".into()], &clock);
+    while saving.busy.load(Ordering::Acquire) {
+        std::thread::sleep(Duration::from_millis(1));
+    }
+    let mut written: serde_json::Value =
+        serde_json::from_slice(&std::fs::read(&path).expect("a file")).expect("JSON");
+    let _ = std::fs::remove_file(path);
+    written["saved_unix_ms"] = wanted["saved_unix_ms"].clone();
+    assert_eq!(written.to_string(), wanted.to_string());
+}
--- a/crates/sidecar/src/net/mod.rs
+++ b/crates/sidecar/src/net/mod.rs
@@ -9,12 +9,14 @@
 pub mod http;
 mod learnt;
 mod leaving;
+mod legacy_fingerprint;
 mod local_failure;
 pub mod owner;
 mod peers;
 mod pool;
 mod read_ahead;
 mod request;
+mod settings_fingerprint;
 pub mod timeout;
 
 use crate::console::Console;
