--- a/crates/sidecar/src/control/kept.rs
+++ b/crates/sidecar/src/control/kept.rs
@@ -60,3 +60,7 @@
         tracing::warn!("{}: {wrong}", path.display());
     }
 }
+
+#[cfg(test)]
+#[path = "kept_tests.rs"]
+mod tests;
--- a/crates/sidecar/src/handover/record.rs
+++ b/crates/sidecar/src/handover/record.rs
@@ -119,24 +119,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn two_processes_words_meet_and_a_torn_file_ends_nothing() {
-        let folder = std::env::temp_dir().join(format!("landingspread-record-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
-        let (mut one, mut other) = (Record::open(&folder, "n"), Record::open(&folder, "n"));
-        one.say("s1", true).expect("written");
-        other.say("s2", true).expect("written");
-        assert!(one.look() && one.words.len() == 2 && one.words["s2"].out);
-        one.say("s1", false).expect("written");
-        assert!(other.look() && !other.words["s1"].out && !other.look());
-        assert!(Record::open(&folder, "n").words["s2"].out, "a later process finds it");
-        std::fs::write(&one.path, "{\"version\":1,\"wor").expect("written");
-        one.look();
-        assert!(one.words["s2"].out);
-        assert!(one.say("s3", true).is_err(), "what could not be read is not written over");
-        let _ = std::fs::remove_dir_all(folder);
-    }
-}
+#[path = "record_tests.rs"]
+mod tests;
--- a/crates/sidecar/src/net/learnt_tests.rs
+++ b/crates/sidecar/src/net/learnt_tests.rs
@@ -99,3 +99,24 @@
     written["saved_unix_ms"] = wanted["saved_unix_ms"].clone();
     assert_eq!(written.to_string(), wanted.to_string());
 }
+
+#[test]
+fn the_file_aside_ends_in_new_and_longer_files_than_the_bound_are_passed_over() {
+    let deployment = deployment(&launch_of("plain.toml"));
+    let (path, clock) = (temporary_file("aside").with_extension("json"), Clock::start());
+    std::fs::create_dir(path.with_extension("new")).expect("a folder");
+    let saving = Saving::of(deployment.clone());
+    saving.save(path.clone(), &[], Vec::new(), &clock);
+    while saving.busy.load(Ordering::Acquire) {
+        std::thread::sleep(Duration::from_millis(1));
+    }
+    assert!(!path.exists());
+    std::fs::remove_dir(path.with_extension("new")).expect("removed");
+    let padded = |length: usize| earlier_file("plain").to_string() + &" ".repeat(length);
+    let fill = LONGEST as usize - padded(0).len();
+    for (spaces, servers) in [(fill, 1), (fill + 1, 0)] {
+        std::fs::write(&path, padded(spaces)).expect("written");
+        assert_eq!(read(&path, &deployment, &clock).learnt.len(), servers, "{spaces}");
+    }
+    let _ = std::fs::remove_file(path);
+}
--- a/crates/sidecar/tests/configuration.rs
+++ b/crates/sidecar/tests/configuration.rs
@@ -26,7 +26,8 @@
 #[test]
 fn check_prints_each_configuration_and_each_fault_as_the_fixtures_show() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/check");
-    let paths = std::fs::read_dir(&folder).expect("the fixtures").map(|entry| entry.expect("an entry").path());
+    let paths =
+        std::fs::read_dir(&folder).expect("the fixtures").map(|entry| entry.expect("an entry").path());
     let mut inputs: Vec<PathBuf> =
         paths.filter(|path| path.extension().is_none_or(|ending| ending != "txt")).collect();
     inputs.sort();
