--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -412,6 +412,10 @@
     Ok(sender(rest).is_some_and(|(_, rest)| entries(rest, &mut Nobody).is_some()))
 }
 
+#[cfg(test)]
+#[path = "wire_pins_tests.rs"]
+mod pins;
+
 #[cfg(test)]
 mod tests {
     use super::*;
