--- a/crates/sidecar/src/fleet/mod.rs
+++ b/crates/sidecar/src/fleet/mod.rs
@@ -2,6 +2,8 @@
 //! copies hear each other and the log of what becomes of them; it must never decide who is a member, nor anything of a
 //! command.
 
+#[cfg(test)]
+mod fixture_tests;
 mod said;
 mod zones;
 
--- a/crates/sidecar/src/fleet/said.rs
+++ b/crates/sidecar/src/fleet/said.rs
@@ -117,3 +117,7 @@
 fn or_unknown(text: &str) -> &str {
     if text.is_empty() { "?" } else { text }
 }
+
+#[cfg(test)]
+#[path = "said_tests.rs"]
+mod tests;
--- a/crates/sidecar/src/fleet/zones.rs
+++ b/crates/sidecar/src/fleet/zones.rs
@@ -258,3 +258,7 @@
         )
     }
 }
+
+#[cfg(test)]
+#[path = "zones_tests.rs"]
+mod tests;
