--- a/crates/decisions/tests/decisions/main.rs
+++ b/crates/decisions/tests/decisions/main.rs
@@ -1,7 +1,10 @@
 mod changed;
 mod copies;
+mod logged_host;
+mod logged_run;
 mod maintenance;
 mod moved;
+mod pinned;
 mod plain;
 mod rest;
 mod rules;
