--- a/crates/sidecar/src/catalog.rs
+++ b/crates/sidecar/src/catalog.rs
@@ -48,7 +48,7 @@
             cell: item.get("cell").and_then(Value::as_u64).unwrap_or(0) as u32,
             lifecycle: state,
             nominal_capacity: item.get("weight").and_then(Value::as_f64).unwrap_or(1.0),
-            started_at: item.get("startedAtMs").and_then(Value::as_u64).and_then(|ms| clock.from_unix_ms(ms)),
+            started_at: item.get("startedAtMs").and_then(Value::as_u64).and_then(|ms| clock.at_unix_ms(ms)),
         };
         let address =
             text("hostPort")?.parse().map_err(|_| "hostPort is no address with a port".to_string())?;
--- /dev/null
+++ b/crates/sidecar/src/net/legacy_fingerprint.rs
@@ -0,0 +1,93 @@
+//! The fingerprint that the file of learned statistics bore before it was computed over named settings.
+//!
+//! That fingerprint hashed the debug text of the checked settings, names of types and fields included. This module
+//! spells those texts out as literals, so that files written by earlier releases are still recognized after the types
+//! are renamed. Nothing here may follow a rename: every literal is part of a stored format.
+
+use crate::launch::Configuration;
+use landingspread_decisions::settings::{
+    Capabilities, Costs, DedupScope, RequestClass, RetrySafety, SlowStart,
+};
+use std::hash::{DefaultHasher, Hash, Hasher};
+
+/// The identity of a deployment as earlier releases wrote it into the file.
+pub fn deployment(launch: &Configuration) -> String {
+    let names: Vec<&str> = launch.classes.iter().map(|verb| verb.name.as_str()).collect();
+    let mut hasher = DefaultHasher::new();
+    debug_text(launch).hash(&mut hasher);
+    format!("tier {} of {}, set as {:016x}", launch.policy.tier, names.join(" "), hasher.finish())
+}
+
+fn debug_text(launch: &Configuration) -> String {
+    let terms = &launch.policy;
+    let verbs: Vec<String> = terms.classes.iter().map(verb).collect();
+    format!(
+        "[{}] {:?} {:?} {} {} {}",
+        verbs.join(", "),
+        launch.tenants,
+        terms.quotas,
+        allowed(&terms.capabilities),
+        cold(&terms.slow_start),
+        prices(&terms.costs)
+    )
+}
+
+fn verb(verb: &RequestClass) -> String {
+    let RequestClass {
+        retry_safety: kind,
+        dedup_window: memory,
+        latency_objective: goal,
+        time_limit: limit,
+        value: utility,
+        late_value: overdue_utility,
+    } = verb;
+    let kind = repeats(*kind);
+    format!(
+        "Verb {{ repeats: {kind}, memory: {memory:?}, goal: {goal:?}, limit: {limit:?}, utility: {utility:?}, \
+         overdue_utility: {overdue_utility:?} }}"
+    )
+}
+
+fn repeats(repeats: RetrySafety) -> &'static str {
+    match repeats {
+        RetrySafety::Idempotent => "Pure",
+        RetrySafety::IdempotencyKeyed(DedupScope::All) => "Receipted(All)",
+        RetrySafety::IdempotencyKeyed(DedupScope::Zone) => "Receipted(Zone)",
+        RetrySafety::IdempotencyKeyed(DedupScope::Cell) => "Receipted(Cell)",
+        RetrySafety::NonIdempotent => "Effectful",
+    }
+}
+
+fn allowed(allowed: &Capabilities) -> String {
+    let Capabilities {
+        health_checks: checks,
+        cancellation: cancel,
+        hedging: parallel,
+        peer_messages: peers,
+        max_attempts: relays,
+        max_retry_after: come_back,
+    } = allowed;
+    format!(
+        "Allowed {{ checks: {checks:?}, cancel: {cancel:?}, parallel: {parallel:?}, peers: {peers:?}, \
+         relays: {relays:?}, come_back: {come_back:?} }}"
+    )
+}
+
+fn cold(rule: &SlowStart) -> String {
+    let SlowStart {
+        initial_fraction: share,
+        duration: warm_after,
+        overload_multiple: multiple,
+        overload_window: window,
+    } = rule;
+    format!(
+        "ColdRule {{ share: {share:?}, warm_after: {warm_after:?}, multiple: {multiple:?}, window: {window:?} }}"
+    )
+}
+
+fn prices(prices: &Costs) -> String {
+    let Costs { cross_zone: crossing, health_check: check, peer_message: peer, connection } = prices;
+    format!(
+        "Prices {{ crossing: {crossing:?}, check: {check:?}, peer: {peer:?}, connection: {connection:?} }}"
+    )
+}
