--- a/crates/sidecar/src/launch/live.rs
+++ b/crates/sidecar/src/launch/live.rs
@@ -124,3 +124,7 @@
 fn figure<T: FromStr>(key: &str, value: &str, what: &str) -> Result<T, Fault> {
     value.parse().map_err(|_| Fault::of(key, format_args!("{value:?} is not {what}")))
 }
+
+#[cfg(test)]
+#[path = "live_tests.rs"]
+mod tests;
--- /dev/null
+++ b/crates/sidecar/src/launch/live_tests.rs
@@ -0,0 +1,48 @@
+use super::*;
+use crate::launch::{EXAMPLE, of_text};
+
+/// What changes by one key, or which key is at fault and why.
+fn read(discovery: bool, changes: &[(&str, &str)]) -> Result<Changed, String> {
+    let tenants = EXAMPLE.replace("# [[tenants]]\n# name", "[[tenants]]\nname");
+    let with_discovery = tenants.replace("# [discovery]\n# address", "[discovery]\naddress");
+    let launch =
+        of_text("l.toml", if discovery { &with_discovery } else { &tenants }).map_err(|_| "the example")?;
+    let contents = changes.iter().map(|(key, value)| (key.to_string(), value.to_string())).collect();
+    Live::of(&launch).read(&contents).map_err(|fault| format!("{} | {}", fault.key, fault.what))
+}
+
+#[test]
+fn faults_of_a_change_keep_their_texts() {
+    for (key, value, wanted) in [
+        ("discovery.address", "x", "discovery.address | \"x\" is not an address with a port"),
+        ("tenants.acme.quota", "x", "tenants.acme.quota | \"x\" is not a number"),
+        ("tenants.acme.quota", "-1", "tenants.acme.quota | -1 does not lie from 0 to 1000000000"),
+        ("tenants.other.quota", "1", "tenants.other.quota | a new tenant needs a restart"),
+        ("tenants.acme.name", "1", "tenants.acme.name | it needs a restart"),
+        ("verbs.other.goal", "1s", "verbs.other.goal | a new verb needs a restart"),
+        ("verbs.view.goal", "x", "verbs.view.goal | \"x\" is no span such as \"300ms\""),
+        ("verbs.view.goal", "2s", "verbs.view.goal | it is nothing, or longer than the limit"),
+        ("verbs.view.limit", "10ms", "verbs.view.limit | it is nothing, or longer than the limit"),
+        ("verbs.view.limit", "0s", "verbs.view.limit | 0ns does not lie within 600s"),
+        ("verbs.view.utility", "1e10", "verbs.view.utility | 10000000000 does not lie from 0 to 1000000000"),
+        ("verbs.view.overdue_utility", "2", "verbs.view.overdue_utility | 2 does not lie from 0 to 1"),
+        ("verbs.view.repeats", "pure", "verbs.view.repeats | it needs a restart"),
+        ("rules.checks", "true", "rules.checks | it needs a restart"),
+        ("listen", "127.0.0.1:1", "listen | it needs a restart"),
+        ("colour", "red", "colour | there is no such key"),
+    ] {
+        assert_eq!(read(true, &[(key, value)]).err().as_deref(), Some(wanted), "{key}={value}");
+    }
+    let unknown = read(false, &[("discovery.address", "127.0.0.1:1")]).err();
+    assert_eq!(unknown.as_deref(), Some("discovery.address | it needs a restart"));
+}
+
+#[test]
+fn a_change_is_read_on_top_of_the_file() {
+    let changes =
+        [("discovery.address", "127.0.0.1:1"), ("tenants.acme.quota", "7"), ("verbs.view.goal", "20ms")];
+    let changed = read(true, &changes).expect("it can be gone by");
+    assert_eq!((changed.quotas, changed.discovery), (vec![7.0], "127.0.0.1:1".parse().ok()));
+    let goals: Vec<u128> = changed.verbs.iter().map(|verb| verb.goal.as_millis()).collect();
+    assert_eq!(goals, [20, 500, 800]);
+}
