--- a/crates/sidecar/tests/request_bytes.rs
+++ b/crates/sidecar/tests/request_bytes.rs
@@ -65,7 +65,7 @@
         let line: String = line.chars().map(hidden).collect();
         let wait = line.find("&wait_ms=").map(|at| at + 9);
         let line = wait.map_or(line.clone(), |at| {
-            line[..at].to_string() + "#" + &line[at..].trim_start_matches(|c: char| c.is_ascii_digit())
+            line[..at].to_string() + "#" + line[at..].trim_start_matches(|c: char| c.is_ascii_digit())
         });
         let shown = line.replace('\r', "\\r").replace('\n', "\\n");
         if shown.contains("xxxxxxxx") {
