--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -1,13 +1,13 @@
 //! Hosts many decision instances on the simulator's wire: standard input in, standard output back.
 
-use landingspread_wirehost::wire;
+use landingspread_wirehost::Dispatcher;
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
 fn run() -> io::Result<()> {
     let mut input = io::stdin().lock();
     let mut output = BufWriter::new(io::stdout().lock());
-    let mut hosting = wire::Hosting::default();
+    let mut dispatcher = Dispatcher::default();
     let mut line = Vec::new();
     for number in 1u64.. {
         line.clear();
@@ -15,13 +15,13 @@
             break;
         }
         let text = String::from_utf8_lossy(&line);
-        match hosting.read_line(text.trim_end_matches(['\n', '\r'])) {
+        match dispatcher.read_line(text.trim_end_matches(['\n', '\r'])) {
             Ok(None) => {}
             Ok(Some(reply)) => {
                 output.write_all(reply.as_bytes())?;
                 output.flush()?;
             }
-            Err(wrong) => eprintln!("line {number}: {wrong}: {:.200}", text.trim_end()),
+            Err(error) => eprintln!("line {number}: {error}: {:.200}", text.trim_end()),
         }
     }
     Ok(())
@@ -30,8 +30,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(wrong) => {
-            eprintln!("landingspread-wirehost: {wrong}");
+        Err(error) => {
+            eprintln!("landingspread-wirehost: {error}");
             ExitCode::FAILURE
         }
     }
