--- a/crates/lab/src/fleet/builtin.rs
+++ b/crates/lab/src/fleet/builtin.rs
@@ -1,6 +1,6 @@
 //! The plans of fleets that come with the lab.
 
-const PLANS: [(&str, &str); 11] = [
+const PLANS: [(&str, &str); 12] = [
     ("members", include_str!("../../plans/fleet/members.toml")),
     ("zones", include_str!("../../plans/fleet/zones.toml")),
     ("zones-calm", include_str!("../../plans/fleet/zones-calm.toml")),
@@ -11,6 +11,7 @@
     ("half-gone", include_str!("../../plans/fleet/half-gone.toml")),
     ("quiet", include_str!("../../plans/fleet/quiet.toml")),
     ("lossy", include_str!("../../plans/fleet/lossy.toml")),
+    ("mixed-builds", include_str!("../../plans/fleet/mixed-builds.toml")),
     ("starved", include_str!("../../plans/fleet/starved.toml")),
 ];
 
