--- a/crates/sidecar/src/console/calls.rs
+++ b/crates/sidecar/src/console/calls.rs
@@ -56,7 +56,7 @@
 
 impl Said {
     pub fn head(&self) -> Vec<u8> {
-        let reason = http::reason(self.status);
+        let reason = http::reason_phrase(self.status);
         let allow = self.allow.map(|allow| format!("Allow: {allow}\r\n")).unwrap_or_default();
         let (status, length) = (self.status, self.text.len());
         let kind = if self.json { "application/json" } else { "text/plain" };
@@ -75,7 +75,7 @@
         return Err(turned(400, "this is no HTTP/1.1 message"));
     }
     let method = cmd.method.unwrap_or("");
-    let path = http::path_of(cmd.path.unwrap_or(""));
+    let path = http::path_of_target(cmd.path.unwrap_or(""));
     let path = path.split('?').next().unwrap_or("");
     let allow = match path {
         "/status" | "/counters" | "/maintenance" | "/fleet" | "/zones" | "/control" => "GET",
--- a/crates/sidecar/src/console/mod.rs
+++ b/crates/sidecar/src/console/mod.rs
@@ -8,8 +8,8 @@
 use crate::fleet;
 use crate::handover::LOOK_EVERY;
 use crate::handover::record::{Record, WORDS_MOST, Word, Words, unix_ms};
-use crate::net::buffers::{Buffer, Stock};
-use crate::net::http::{self, Coming};
+use crate::net::buffers::{Buffer, ResourcePool};
+use crate::net::http::{self, IncomingMessage};
 use crate::net::timeout::timeout;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -67,7 +67,7 @@
     control: Option<Shared>,
     /// What this process goes by.
     words: RefCell<Words>,
-    stock: Rc<Stock>,
+    stock: Rc<ResourcePool>,
     /// Those who have not finished a call, each with the word that closes it.
     waiting: RefCell<BTreeMap<u64, Sender<()>>>,
     callers: Cell<usize>,
@@ -87,7 +87,7 @@
                 fleet,
                 control,
                 words: RefCell::new(words),
-                stock: Stock::small(CALLERS),
+                stock: ResourcePool::buffers_only(CALLERS),
                 waiting: RefCell::default(),
                 callers: Cell::new(0),
                 numbers: Cell::new(0),
@@ -139,15 +139,17 @@
         let ends = async {
             let _ = closed.recv().await;
             // Its place is wanted at once: there is no time for a word.
-            Some(Err(http::Bad::Ended))
+            Some(Err(http::HttpError::Closed))
         };
         let message = or(comes, ends).await;
         self.waiting.borrow_mut().remove(&number);
         let said = match message {
-            None | Some(Err(http::Bad::Late)) => calls::turned(408, "the call did not come whole in time"),
-            Some(Err(http::Bad::Ended | http::Bad::Broken)) => return,
-            Some(Err(http::Bad::TooLarge)) => calls::turned(413, "the call is too large"),
-            Some(Err(http::Bad::Malformed)) => calls::turned(400, "this is no HTTP/1.1 message"),
+            None | Some(Err(http::HttpError::TimedOut)) => {
+                calls::turned(408, "the call did not come whole in time")
+            }
+            Some(Err(http::HttpError::Closed | http::HttpError::Broken)) => return,
+            Some(Err(http::HttpError::TooLarge)) => calls::turned(413, "the call is too large"),
+            Some(Err(http::HttpError::Malformed)) => calls::turned(400, "this is no HTTP/1.1 message"),
             Some(Ok(message)) => match calls::understand(&message.head, &message.text()) {
                 Err(said) => said,
                 Ok(call) => self.answer(call).await,
@@ -158,12 +160,16 @@
         linger(&stream).await;
     }
 
-    async fn read(&self, stream: &Async<TcpStream>, buffer: Buffer) -> Result<Coming, http::Bad> {
-        let mut coming = Coming::command(stream, buffer, &|| ()).await?;
-        if coming.expects && !coming.whole() {
+    async fn read(
+        &self,
+        stream: &Async<TcpStream>,
+        buffer: Buffer,
+    ) -> Result<IncomingMessage, http::HttpError> {
+        let mut coming = IncomingMessage::read_request(stream, buffer, &|| ()).await?;
+        if coming.expects_continue && !coming.is_complete() {
             http::write(stream, b"HTTP/1.1 100 Continue\r\n\r\n", b"").await?;
         }
-        coming.hold(stream, &self.stock, 0).await?;
+        coming.read_to_end(stream, &self.stock, 0).await?;
         Ok(coming)
     }
 
--- a/crates/sidecar/src/control/call.rs
+++ b/crates/sidecar/src/control/call.rs
@@ -1,7 +1,7 @@
 //! One side's connection to a control machine. It owns the messages' form; what they say is the crate's.
 
 use super::said::Shared;
-use crate::net::buffers::Stock;
+use crate::net::buffers::ResourcePool;
 use crate::net::http;
 use crate::net::timeout::timeout;
 use async_io::Async;
@@ -28,7 +28,7 @@
         to: SocketAddr,
         head: &str,
         body: &[u8],
-        stock: &Rc<Stock>,
+        stock: &Rc<ResourcePool>,
         most: usize,
         time: Duration,
     ) -> Result<(u16, Vec<u8>), String> {
@@ -43,8 +43,8 @@
         in_time(UP_IN, http::write(&conn, head.as_bytes(), body)).await?;
         let answer = async {
             // No buffer is taken before there is something to read.
-            conn.readable().await.map_err(|_| http::Bad::Broken)?;
-            http::read_long(&conn, stock, most).await
+            conn.readable().await.map_err(|_| http::HttpError::Broken)?;
+            http::read_buffered_response(&conn, stock, most).await
         };
         let (status, keep, long) = in_time(time, answer).await?;
         let mut bytes = Vec::new();
@@ -60,7 +60,7 @@
         &mut self,
         machine: SocketAddr,
         poll: &Poll,
-        stock: &Rc<Stock>,
+        stock: &Rc<ResourcePool>,
         shared: &Shared,
     ) -> Result<Option<Vec<u8>>, String> {
         let head = format!("GET /control/v1/changes?{}", poll.query());
--- a/crates/sidecar/src/control/followers.rs
+++ b/crates/sidecar/src/control/followers.rs
@@ -4,7 +4,7 @@
 use super::said::Shared;
 use super::{BUFFERS, Keeps, follow};
 use crate::clock::Clock;
-use crate::net::buffers::Stock;
+use crate::net::buffers::ResourcePool;
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use landingspread_control::{Contents, Fault, Follower, Host, Machine, Version};
@@ -57,7 +57,7 @@
     let executor = LocalExecutor::new();
     let (clock, mut shared) = (Clock::start(), Vec::new());
     // As many as can be read at once: the rest wait for their turn, as they would in processes of their own.
-    let stock = Stock::small(64 * BUFFERS);
+    let stock = ResourcePool::buffers_only(64 * BUFFERS);
     for number in 0..count {
         let (scope, name) = (format!("s{}", number % scopes), format!("{prefix}{number}"));
         let region = &regions[(number / scopes) as usize % regions.len()];
--- a/crates/sidecar/src/control/machine/calls.rs
+++ b/crates/sidecar/src/control/machine/calls.rs
@@ -41,7 +41,7 @@
     }
 
     pub fn head(&self, keep: bool) -> Vec<u8> {
-        let (status, reason, length) = (self.status, http::reason(self.status), self.body.len());
+        let (status, reason, length) = (self.status, http::reason_phrase(self.status), self.body.len());
         let end = if keep { "" } else { "Connection: close\r\n" };
         if status == 204 {
             return format!("HTTP/1.1 204 {reason}\r\n{end}\r\n").into_bytes();
@@ -83,7 +83,7 @@
             return Some(turned(400, "this is no HTTP/1.1 message"));
         }
         let method = cmd.method.unwrap_or("");
-        let path = http::path_of(cmd.path.unwrap_or(""));
+        let path = http::path_of_target(cmd.path.unwrap_or(""));
         let (path, query) = path.split_once('?').unwrap_or((path, ""));
         let json = http::header(cmd.headers, "accept").is_some_and(|text| text.contains("application/json"));
         let part = |name: &str| {
--- a/crates/sidecar/src/control/machine/mod.rs
+++ b/crates/sidecar/src/control/machine/mod.rs
@@ -8,8 +8,8 @@
 
 use super::kept::write;
 use crate::clock::Clock;
-use crate::net::buffers::Stock;
-use crate::net::http::{self, Coming};
+use crate::net::buffers::ResourcePool;
+use crate::net::http::{self, IncomingMessage};
 use crate::net::timeout::timeout;
 use async_channel::Sender;
 use async_executor::LocalExecutor;
@@ -56,7 +56,7 @@
     board: RefCell<Board>,
     digest: Cell<Option<u128>>,
     waiting: RefCell<BTreeMap<String, Waiting>>,
-    stock: Rc<Stock>,
+    stock: Rc<ResourcePool>,
     connections: Cell<usize>,
     connections_most: usize,
     peers: Vec<peers::Peer>,
@@ -75,7 +75,7 @@
         board: RefCell::default(),
         digest: Cell::new(None),
         waiting: RefCell::default(),
-        stock: Stock::small(BUFFERS),
+        stock: ResourcePool::buffers_only(BUFFERS),
         connections: Cell::new(0),
         connections_most: connections,
         peers,
@@ -234,22 +234,27 @@
         while timeout(IDLE, something_to_read(&stream)).await.is_some() {
             let read = async {
                 let buffer = self.stock.buffer_in_turn().await;
-                let mut coming = Coming::command(&stream, buffer, &|| ()).await?;
-                coming.hold(&stream, &self.stock, landingspread_control::CHANGE_MOST).await?;
+                let mut coming = IncomingMessage::read_request(&stream, buffer, &|| ()).await?;
+                coming.read_to_end(&stream, &self.stock, landingspread_control::CHANGE_MOST).await?;
                 Ok(coming)
             };
             let (said, keep) = match timeout(CALL_WITHIN, read).await {
                 Some(Ok(coming)) => {
-                    let (keep, head, body) = (coming.keep, coming.head.clone(), coming.text());
+                    let (keep, head, body) = (coming.keep_alive, coming.head.clone(), coming.text());
                     drop(coming);
                     match self.answer(&stream, &head, &body).await {
                         Some(said) => (said, keep),
                         None => return,
                     }
                 }
-                None | Some(Err(http::Bad::Late | http::Bad::Ended | http::Bad::Broken)) => return,
-                Some(Err(http::Bad::TooLarge)) => (calls::turned(413, "the call is too large"), false),
-                Some(Err(http::Bad::Malformed)) => (calls::turned(400, "this is no HTTP/1.1 message"), false),
+                None
+                | Some(Err(http::HttpError::TimedOut | http::HttpError::Closed | http::HttpError::Broken)) => {
+                    return;
+                }
+                Some(Err(http::HttpError::TooLarge)) => (calls::turned(413, "the call is too large"), false),
+                Some(Err(http::HttpError::Malformed)) => {
+                    (calls::turned(400, "this is no HTTP/1.1 message"), false)
+                }
             };
             let head = said.head(keep);
             let written = http::write(&stream, &head, said.body.as_bytes());
--- a/crates/sidecar/src/control/mod.rs
+++ b/crates/sidecar/src/control/mod.rs
@@ -10,9 +10,9 @@
 
 use crate::clock::Clock;
 use crate::launch::{Changed, Configuration, Control, Live};
-use crate::net::buffers::{SIZE, Stock};
-use crate::net::callers::Callers;
-use crate::net::owner::{Queue, Word};
+use crate::net::buffers::{ResourcePool, SIZE};
+use crate::net::callers::ClientSide;
+use crate::net::owner::{Event, EventQueue};
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use call::Line;
@@ -34,8 +34,8 @@
 /// The sidecar's hand on its own parts.
 struct Hand {
     live: Live,
-    queue: Queue,
-    callers: Rc<Callers>,
+    queue: EventQueue,
+    callers: Rc<ClientSide>,
     discovery: Sender<Option<SocketAddr>>,
     taken: Option<Receiver<()>>,
 }
@@ -52,7 +52,7 @@
         let (take, taken) = async_channel::bounded(1);
         self.callers.limits_changed(verbs.iter().map(|verb| verb.time_limit).collect());
         let _ = self.discovery.try_send(*discovery);
-        self.queue.tell(Word::Changed(Box::new(changed), take));
+        self.queue.push(Event::SettingsChanged(Box::new(changed), take));
         self.taken = Some(taken);
     }
 }
@@ -79,8 +79,8 @@
     /// None where configuration comes from the file alone. What an earlier process kept is in force when this comes back.
     pub fn of(
         launch: &Configuration,
-        queue: Queue,
-        callers: Rc<Callers>,
+        queue: EventQueue,
+        callers: Rc<ClientSide>,
         discovery: Sender<Option<SocketAddr>>,
     ) -> Option<Followed> {
         let Control { scope, region, machines, kept } = launch.control.as_ref()?;
@@ -98,7 +98,7 @@
     /// Follows for ever.
     pub async fn follow(self) {
         let Followed { follower, hand, clock, kept, shared } = self;
-        follow(follower, hand, clock, Stock::small(BUFFERS), kept, shared).await;
+        follow(follower, hand, clock, ResourcePool::buffers_only(BUFFERS), kept, shared).await;
     }
 }
 
@@ -106,7 +106,7 @@
     mut follower: Follower,
     mut host: impl Keeps,
     clock: Clock,
-    stock: Rc<Stock>,
+    stock: Rc<ResourcePool>,
     mut kept: Option<Kept>,
     shared: Shared,
 ) {
--- a/crates/sidecar/src/net/attempts.rs
+++ b/crates/sidecar/src/net/attempts.rs
@@ -18,24 +18,24 @@
 
 /// What is known of an attempt whose first byte has gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
-    Out,
+enum AttemptState {
+    InFlight,
     MayHaveRun,
 }
 
-struct Begun {
+struct StartedAttempt {
     at: Instant,
     location: Location,
-    fate: Fate,
+    fate: AttemptState,
 }
 
 /// Why an attempt does not begin. None of these is a violation: the connection came up too late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TooLate {
+pub enum AttemptDenied {
     /// The request has its final answer, or its client has gone.
-    Over,
+    RequestOver,
     /// Repeats may no longer be dropped by then.
-    PastWindow,
+    WindowElapsed,
 }
 
 /// What the settings say of a request's further attempts.
@@ -53,7 +53,7 @@
     rule: RepeatRule,
     over: Cell<bool>,
     /// Attempts whose first byte has gone, by number, but those that are known never to have run.
-    begun: RefCell<BTreeMap<u32, Begun>>,
+    begun: RefCell<BTreeMap<u32, StartedAttempt>>,
 }
 
 impl AttemptGuard {
@@ -67,16 +67,17 @@
     }
 
     /// Whether this attempt's first byte may go out now; it counts as gone then. `request` is for the log.
-    pub fn begin(&self, request: &str, attempt: u32, to: Location) -> Result<(), TooLate> {
+    pub fn begin(&self, request: &str, attempt: u32, to: Location) -> Result<(), AttemptDenied> {
         if self.over.get() {
-            return Err(TooLate::Over);
+            return Err(AttemptDenied::RequestOver);
         }
         let now = Instant::now();
         let mut begun = self.begun.borrow_mut();
         if let RetrySafety::IdempotencyKeyed(group) = self.rule.repeats {
-            let open = |earlier: &Begun| now.saturating_duration_since(earlier.at) < self.rule.window;
+            let open =
+                |earlier: &StartedAttempt| now.saturating_duration_since(earlier.at) < self.rule.window;
             if !begun.values().all(open) {
-                return Err(TooLate::PastWindow);
+                return Err(AttemptDenied::WindowElapsed);
             }
             let place = |location: Location| (location.zone, location.cell);
             let within = begun.values().all(|earlier| group.covers(place(earlier.location), place(to)));
@@ -86,17 +87,18 @@
                 "attempt {attempt} of {request} outside the group that drops repeats"
             );
             if !within {
-                return Err(TooLate::Over);
+                return Err(AttemptDenied::RequestOver);
             }
         }
-        let alone = self.rule.parallel || begun.values().all(|earlier| earlier.fate != Fate::Out);
+        let alone =
+            self.rule.parallel || begun.values().all(|earlier| earlier.fate != AttemptState::InFlight);
         must_hold!(Repeating, alone, "attempt {attempt} of {request} beside another that is out");
         let unsafe_again = self.rule.repeats == RetrySafety::NonIdempotent && !begun.is_empty();
         must_hold!(Repeating, !unsafe_again, "attempt {attempt} of {request} after one that may have run");
         if !alone || unsafe_again {
-            return Err(TooLate::Over);
+            return Err(AttemptDenied::RequestOver);
         }
-        begun.insert(attempt, Begun { at: now, location: to, fate: Fate::Out });
+        begun.insert(attempt, StartedAttempt { at: now, location: to, fate: AttemptState::InFlight });
         Ok(())
     }
 
@@ -106,7 +108,7 @@
         if outcome.never_ran() {
             begun.remove(&attempt);
         } else if let Some(one) = begun.get_mut(&attempt) {
-            one.fate = Fate::MayHaveRun;
+            one.fate = AttemptState::MayHaveRun;
         }
     }
 }
--- a/crates/sidecar/src/net/buffers.rs
+++ b/crates/sidecar/src/net/buffers.rs
@@ -30,49 +30,49 @@
 const SPARE: usize = 16;
 const SPARE_PART: usize = 8;
 
-pub struct Stock {
+pub struct ResourcePool {
     idle: RefCell<Vec<Box<[u8]>>>,
     buffers_out: Cell<usize>,
     buffers_most: Cell<usize>,
-    whole: Whole,
-    pub for_callers: Rc<Places>,
-    pub for_endpoints: Rc<Places>,
+    whole: TotalResources,
+    pub for_callers: Rc<SocketBudget>,
+    pub for_endpoints: Rc<SocketBudget>,
 }
 
 /// What there is for the whole sidecar, of which two processes may each have a part for a while.
-struct Whole {
+struct TotalResources {
     places: usize,
     buffers: usize,
-    all: Rc<Shared>,
+    all: Rc<SharedSocketCount>,
 }
 
-impl Stock {
-    pub fn new(launch: &Configuration) -> Rc<Stock> {
+impl ResourcePool {
+    pub fn new(launch: &Configuration) -> Rc<ResourcePool> {
         let console = if launch.console.is_some() { FOR_CONSOLE } else { 0 };
         let next = if launch.inherited_listener.is_some() { FOR_THE_NEXT } else { 0 };
-        Stock::with(launch.max_sockets.saturating_sub(console + next), launch.memory_mb)
+        ResourcePool::with(launch.max_sockets.saturating_sub(console + next), launch.memory_mb)
     }
 
-    pub fn with(sockets: usize, memory_mb: usize) -> Rc<Stock> {
+    pub fn with(sockets: usize, memory_mb: usize) -> Rc<ResourcePool> {
         let places = sockets.saturating_sub(SET_ASIDE).max(PLACES_LEAST);
         // The other half is for all else.
-        Stock::of(places, memory_mb * 1024 * 1024 / 2 / SIZE)
+        ResourcePool::of(places, memory_mb * 1024 * 1024 / 2 / SIZE)
     }
 
     /// Buffers alone, for who has sockets of its own.
-    pub fn small(buffers: usize) -> Rc<Stock> {
-        Stock::of(0, buffers)
+    pub fn buffers_only(buffers: usize) -> Rc<ResourcePool> {
+        ResourcePool::of(0, buffers)
     }
 
-    fn of(places: usize, buffers: usize) -> Rc<Stock> {
-        let all = Rc::new(Shared::default());
-        let stock = Stock {
+    fn of(places: usize, buffers: usize) -> Rc<ResourcePool> {
+        let all = Rc::new(SharedSocketCount::default());
+        let stock = ResourcePool {
             idle: RefCell::default(),
             buffers_out: Cell::new(0),
             buffers_most: Cell::new(buffers),
-            for_callers: Places::new(&all),
-            for_endpoints: Places::new(&all),
-            whole: Whole { places, buffers, all },
+            for_callers: SocketBudget::new(&all),
+            for_endpoints: SocketBudget::new(&all),
+            whole: TotalResources { places, buffers, all },
         };
         stock.take_part(1);
         Rc::new(stock)
@@ -123,12 +123,12 @@
 pub struct Buffer {
     bytes: Box<[u8]>,
     filled: usize,
-    stock: Rc<Stock>,
+    stock: Rc<ResourcePool>,
 }
 
 impl Buffer {
     /// Of no size, in the place of one that was taken.
-    pub fn none(stock: &Rc<Stock>) -> Buffer {
+    pub fn none(stock: &Rc<ResourcePool>) -> Buffer {
         Buffer { bytes: Box::default(), filled: 0, stock: stock.clone() }
     }
 
@@ -180,21 +180,21 @@
 
 /// Places of all kinds.
 #[derive(Default)]
-struct Shared {
+struct SharedSocketCount {
     most: Cell<usize>,
     taken: Cell<usize>,
 }
 
 /// Places for sockets of one kind.
-pub struct Places {
+pub struct SocketBudget {
     most: Cell<usize>,
     taken: Cell<usize>,
-    all: Rc<Shared>,
+    all: Rc<SharedSocketCount>,
 }
 
-impl Places {
-    fn new(all: &Rc<Shared>) -> Rc<Places> {
-        Rc::new(Places { most: Cell::new(0), taken: Cell::new(0), all: all.clone() })
+impl SocketBudget {
+    fn new(all: &Rc<SharedSocketCount>) -> Rc<SocketBudget> {
+        Rc::new(SocketBudget { most: Cell::new(0), taken: Cell::new(0), all: all.clone() })
     }
 
     fn left(&self) -> usize {
@@ -210,20 +210,20 @@
         self.taken.get()
     }
 
-    pub fn take(self: &Rc<Self>) -> Option<Place> {
+    pub fn take(self: &Rc<Self>) -> Option<SocketPermit> {
         if self.left() == 0 {
             return None;
         }
         self.taken.set(self.taken.get() + 1);
         self.all.taken.set(self.all.taken.get() + 1);
-        Some(Place(self.clone()))
+        Some(SocketPermit(self.clone()))
     }
 }
 
 /// Kept beside a socket and dropped with it.
-pub struct Place(Rc<Places>);
+pub struct SocketPermit(Rc<SocketBudget>);
 
-impl Drop for Place {
+impl Drop for SocketPermit {
     fn drop(&mut self) {
         self.0.taken.set(self.0.taken.get() - 1);
         self.0.all.taken.set(self.0.all.taken.get() - 1);
--- a/crates/sidecar/src/net/callers.rs
+++ b/crates/sidecar/src/net/callers.rs
@@ -3,15 +3,17 @@
 //! connection that waits, answer a taken command by its own choice, or reach the module but by the queue.
 
 use super::attempts::{AttemptGuard, RepeatRule};
-use super::buffers::{Buffer, HOLD_MOST, Place, SIZE, Stock};
-use super::endpoints::{Answer, Next, Outgoing, Rest};
-use super::http::{self, Bad, Coming, Marked};
-use super::leaving::{self, Asker};
-use super::local_failure::{Cause, Repeated, cause};
-use super::owner::{Came, Final, Queue, Word};
-use super::pool::Pool;
+use super::buffers::{Buffer, HOLD_MOST, ResourcePool, SIZE, SocketPermit};
+use super::endpoints::{BodyEvent, OutgoingRequest, StreamedBody, UpstreamResponse};
+use super::http::{self, BodyEncoding, HttpError, IncomingMessage};
+use super::leaving::{self, ClientPresence};
+use super::local_failure::{FailureCause, FailureLog, cause};
+use super::owner::{Event, EventQueue, FinalResponse, IncomingRequest};
+use super::pool::ConnectionPool;
 use super::read_ahead::ReadAhead;
-use super::request::{Asked, Reader, Rejection, Request, answer_head, rejection, rejection_of};
+use super::request::{
+    ParsedMessage, Rejection, Request, RequestParser, answer_head, rejection, rejection_of,
+};
 use super::timeout::timeout;
 use crate::clock::Clock;
 use crate::counters::{self, CloseReason, RefusalReason};
@@ -58,9 +60,9 @@
 /// A connection that gives way has done so by then.
 const NO_DESCRIPTOR_YET: Duration = Duration::from_millis(1);
 
-pub struct Callers {
+pub struct ClientSide {
     clock: Clock,
-    reader: Reader,
+    reader: RequestParser,
     /// Time limits by now, of commands that say none of their own.
     limits: RefCell<Vec<Duration>>,
     /// Of each verb, what its requests' further attempts go by.
@@ -78,16 +80,16 @@
     /// closes it.
     idle: RefCell<BTreeMap<(bool, u64), Sender<()>>>,
     /// Strangers who have brought a part of their first command.
-    half_way: RefCell<BTreeMap<u64, HalfWay>>,
+    half_way: RefCell<BTreeMap<u64, PartialRequest>>,
     /// How many strangers have just come.
     fresh: Cell<usize>,
     /// Numbers given to connections that wait and to commands.
     numbers: Cell<u64>,
-    stock: Rc<Stock>,
-    queue: Queue,
+    stock: Rc<ResourcePool>,
+    queue: EventQueue,
     start: Rc<Start>,
-    pool: Rc<Pool>,
-    failed_accepts: Repeated,
+    pool: Rc<ConnectionPool>,
+    failed_accepts: FailureLog,
     executor: Rc<LocalExecutor<'static>>,
 }
 
@@ -114,32 +116,32 @@
 }
 
 /// When the last part came, and the word that closes the connection.
-struct HalfWay {
+struct PartialRequest {
     came: Rc<Cell<Duration>>,
     close: Sender<()>,
 }
 
-impl Callers {
+impl ClientSide {
     pub fn new(
         launch: &Configuration,
-        stock: Rc<Stock>,
-        queue: Queue,
+        stock: Rc<ResourcePool>,
+        queue: EventQueue,
         start: Rc<Start>,
-        pool: Rc<Pool>,
+        pool: Rc<ConnectionPool>,
         executor: Rc<LocalExecutor<'static>>,
-    ) -> Callers {
+    ) -> ClientSide {
         let repeat_rule = |verb: &settings::RequestClass| RepeatRule {
             repeats: verb.retry_safety,
             // What the module leaves for its own clock is left here too.
             window: verb.dedup_window.saturating_sub(launch.policy.timer_resolution),
             parallel: launch.policy.capabilities.hedging,
         };
-        let reader = Reader {
+        let reader = RequestParser {
             verbs: launch.classes.clone(),
             tenants: launch.tenants.clone(),
             cost_header: launch.work_header.clone(),
         };
-        Callers {
+        ClientSide {
             clock: launch.clock.clone(),
             reader,
             limits: RefCell::new(launch.classes.iter().map(|verb| verb.time_limit).collect()),
@@ -158,7 +160,7 @@
             queue,
             start,
             pool,
-            failed_accepts: Repeated::default(),
+            failed_accepts: FailureLog::default(),
             executor,
         }
     }
@@ -195,14 +197,14 @@
     async fn accept_failed(&self, wrong: &std::io::Error) {
         self.failed_accepts.add("accept", wrong);
         match cause(wrong) {
-            Cause::Passing => yield_now().await,
-            Cause::Descriptors => {
+            FailureCause::Transient => yield_now().await,
+            FailureCause::Descriptors => {
                 // Who is half way through a request is no more to blame than who waits.
                 let gives_way =
                     self.pool.close_longest_kept() || self.close_strangers() || self.close_longest_idle();
                 Timer::after(if gives_way { NO_DESCRIPTOR_YET } else { NO_ROOM_YET }).await;
             }
-            Cause::Machine | Cause::Elsewhere => {
+            FailureCause::LocalResources | FailureCause::Remote => {
                 Timer::after(NO_ROOM_YET).await;
             }
         }
@@ -270,7 +272,7 @@
     pub fn begin_to_end(&self, within: Duration) {
         let at = self.clock.now() + within;
         self.all_due.set(Some(at));
-        self.queue.tell(Word::EndsBy(at));
+        self.queue.push(Event::ShutdownBy(at));
     }
 
     /// Closes what waits, makes each answer its connection's last and comes back when nobody is left. Once all that was
@@ -291,7 +293,7 @@
         self.all_due.get().map(|all_due| all_due.saturating_sub(self.clock.now()))
     }
 
-    async fn talk(self: Rc<Self>, stream: Async<TcpStream>, _place: Place, crowded: bool) {
+    async fn talk(self: Rc<Self>, stream: Async<TcpStream>, _place: SocketPermit, crowded: bool) {
         let _ = stream.get_ref().set_nodelay(true);
         let stream = Rc::new(stream);
         let mut since = Some(self.clock.now());
@@ -389,42 +391,44 @@
         };
         let too_late = async {
             self.reading.closed().await;
-            Err(Unread::Rejected(rejection(503, "ending")))
+            Err(ReadError::Rejected(rejection(503, "ending")))
         };
         let (mut coming, asked) = match or(read, too_late).await {
             Ok(read) => read,
-            Err(Unread::Nobody(why)) => return Err(why),
-            Err(Unread::Rejected(rejected)) => {
+            Err(ReadError::NoResponse(why)) => return Err(why),
+            Err(ReadError::Rejected(rejected)) => {
                 let ends = self.reading.is_closed();
                 counters::refused("", if ends { RefusalReason::Shutdown } else { RefusalReason::BadRequest });
                 let _ = self.reject(stream, &rejected, false).await;
                 return Err(if ends { CloseReason::Shutdown } else { CloseReason::BadRequest });
             }
         };
-        let came =
-            ahead.message_came(coming.take_read(), if coming.whole() { coming.behind().len() } else { 0 });
-        if coming.whole() {
-            ahead.add(coming.behind());
-            coming.drop_behind();
+        let came = ahead.message_came(
+            coming.take_bytes_read(),
+            if coming.is_complete() { coming.surplus().len() } else { 0 },
+        );
+        if coming.is_complete() {
+            ahead.add(coming.surplus());
+            coming.drop_surplus();
         }
         let keep = self.may_keep(&coming, crowded, ahead);
         let kept = match asked {
-            Asked::Health if self.all_due.get().is_some() => {
+            ParsedMessage::Health if self.all_due.get().is_some() => {
                 let _ = self.reject(stream, &rejection(503, "ending"), false).await;
                 Err(CloseReason::Shutdown)
             }
-            Asked::Health => {
+            ParsedMessage::Health => {
                 let said = self.say(stream, 200, b"", b"ready\n", keep.is_ok()).await;
                 self.start.health_answered();
                 said.and(keep)
             }
-            Asked::Request(request) if crowded || self.open.get() >= self.max_open => {
+            ParsedMessage::Request(request) if crowded || self.open.get() >= self.max_open => {
                 counters::refused(&request.id, RefusalReason::Crowded);
                 let said =
                     self.reject(stream, &rejection(503, "too many commands are open"), keep.is_ok()).await;
                 said.and(keep)
             }
-            Asked::Request(request) => {
+            ParsedMessage::Request(request) => {
                 self.open.set(self.open.get() + 1);
                 let kept = self.carry(stream, request, coming, came, crowded, ahead).await;
                 self.open.set(self.open.get() - 1);
@@ -440,14 +444,14 @@
         stream: &Async<TcpStream>,
         buffer: Buffer,
         since: Duration,
-    ) -> Result<(Coming, Asked), Unread> {
+    ) -> Result<(IncomingMessage, ParsedMessage), ReadError> {
         let (close, closed) = async_channel::bounded(1);
         let (number, came) = (self.number(), Rc::new(Cell::new(self.clock.now())));
-        self.half_way.borrow_mut().insert(number, HalfWay { came: came.clone(), close });
+        self.half_way.borrow_mut().insert(number, PartialRequest { came: came.clone(), close });
         let room = async {
             let _ = closed.recv().await;
             tracing::debug!("a stranger half way through a command gave way");
-            Err(Unread::Nobody(CloseReason::Crowded))
+            Err(ReadError::NoResponse(CloseReason::Crowded))
         };
         let read = or(self.read(stream, buffer, Some(since), &came), room).await;
         self.half_way.borrow_mut().remove(&number);
@@ -462,22 +466,24 @@
         buffer: Buffer,
         since: Option<Duration>,
         came: &Cell<Duration>,
-    ) -> Result<(Coming, Asked), Unread> {
+    ) -> Result<(IncomingMessage, ParsedMessage), ReadError> {
         let comes = || came.set(self.clock.now());
         let head = async {
             let most = since.map_or(HEAD_WITHIN, |since| self.left_to_a_stranger(since));
-            timeout(most, Coming::command(stream, buffer, &comes)).await.unwrap_or(Err(Bad::Late))
+            timeout(most, IncomingMessage::read_request(stream, buffer, &comes))
+                .await
+                .unwrap_or(Err(HttpError::TimedOut))
         };
         let mut coming = or(head, self.stalls(came, since)).await?;
-        let asked = self.reader.read(&coming.head, &self.limits.borrow()).map_err(Unread::Rejected)?;
-        if matches!(asked, Asked::Request(_)) {
+        let asked = self.reader.read(&coming.head, &self.limits.borrow()).map_err(ReadError::Rejected)?;
+        if matches!(asked, ParsedMessage::Request(_)) {
             or(self.hold(stream, &mut coming, &comes), self.stalls(came, since)).await?;
         }
         Ok((coming, asked))
     }
 
     /// Comes back when nothing has come for so long that the client counts as one that has stopped.
-    async fn stalls<T>(&self, came: &Cell<Duration>, since: Option<Duration>) -> Result<T, Bad> {
+    async fn stalls<T>(&self, came: &Cell<Duration>, since: Option<Duration>) -> Result<T, HttpError> {
         loop {
             let stalled = came.get() + STALLED;
             // A new client's request is awaited within its time, and a little longer as long as it goes on.
@@ -485,7 +491,7 @@
                 since.map_or(stalled, |since| stalled.min((since + STRANGER).max(came.get() + STALLED_LATE)));
             let left = until.saturating_sub(self.clock.now());
             if left.is_zero() {
-                return Err(Bad::Late);
+                return Err(HttpError::TimedOut);
             }
             Timer::after(left).await;
         }
@@ -493,10 +499,15 @@
 
     /// An error is why the connection ends with this message's answer. One that holds a whole request more does not, but
     /// where the client asked for it.
-    fn may_keep(&self, coming: &Coming, crowded: bool, ahead: &ReadAhead) -> Result<(), CloseReason> {
+    fn may_keep(
+        &self,
+        coming: &IncomingMessage,
+        crowded: bool,
+        ahead: &ReadAhead,
+    ) -> Result<(), CloseReason> {
         match () {
-            () if !coming.whole() => Err(CloseReason::BadRequest),
-            () if !coming.keep => Err(CloseReason::ClientAsked),
+            () if !coming.is_complete() => Err(CloseReason::BadRequest),
+            () if !coming.keep_alive => Err(CloseReason::ClientAsked),
             () if ahead.holds_whole_request() => Ok(()),
             () if self.parting.get() => Err(CloseReason::Shutdown),
             () if crowded || ahead.is_lost() => Err(CloseReason::Crowded),
@@ -505,15 +516,20 @@
     }
 
     /// Reads a body that is short enough to be held whole, and the beginning of a longer one.
-    async fn hold(&self, stream: &Async<TcpStream>, coming: &mut Coming, came: &dyn Fn()) -> Result<(), Bad> {
-        if coming.expects && !coming.whole() {
+    async fn hold(
+        &self,
+        stream: &Async<TcpStream>,
+        coming: &mut IncomingMessage,
+        came: &dyn Fn(),
+    ) -> Result<(), HttpError> {
+        if coming.expects_continue && !coming.is_complete() {
             let go_on = http::write(stream, b"HTTP/1.1 100 Continue\r\n\r\n", b"");
             timeout(WRITE_WITHIN, go_on).await.unwrap_or(Ok(()))?;
         }
         let long = coming.length().is_some_and(|length| length > HOLD_MOST as u64);
         let most = if long { SIZE } else { HOLD_MOST };
-        while !coming.whole() && coming.room(&self.stock, most) {
-            coming.more(stream).await?;
+        while !coming.is_complete() && coming.ensure_room(&self.stock, most) {
+            coming.read_more(stream).await?;
             came();
         }
         Ok(())
@@ -535,7 +551,7 @@
         &self,
         stream: &Rc<Async<TcpStream>>,
         request: Request,
-        mut coming: Coming,
+        mut coming: IncomingMessage,
         came: Duration,
         crowded: bool,
         ahead: &ReadAhead,
@@ -543,7 +559,7 @@
         let Request { id, verb, tenant, left, cost, mut head } = request;
         counters::request_taken();
         // A command's time counts from its last byte.
-        let (whole, number) = (coming.whole(), self.number());
+        let (whole, number) = (coming.is_complete(), self.number());
         let due = if whole { self.due(came, left) } else { self.clock.now() + BODY_WITHIN };
         let arrival = RequestArrival {
             id: id.clone(),
@@ -555,45 +571,62 @@
         };
         let careful = !whole || self.reader.verbs[verb].method != "GET";
         let (marked, framing) = match coming.length() {
-            Some(0) if self.reader.verbs[verb].method == "GET" => (Marked::Plain, String::new()),
-            Some(length) => (Marked::Plain, format!("Content-Length: {length}\r\n")),
-            None => (Marked::Chunked, "Transfer-Encoding: chunked\r\n".to_string()),
+            Some(0) if self.reader.verbs[verb].method == "GET" => (BodyEncoding::Identity, String::new()),
+            Some(length) => (BodyEncoding::Identity, format!("Content-Length: {length}\r\n")),
+            None => (BodyEncoding::Chunked, "Transfer-Encoding: chunked\r\n".to_string()),
         };
         head.extend_from_slice(framing.as_bytes());
-        let body = coming.take(&self.stock).await;
+        let body = coming.take_parts(&self.stock).await;
         let (give, next) = async_channel::bounded(1);
-        let rest =
-            (!whole).then(|| Rest { next, marked, length: coming.length(), left, spent: Cell::new(false) });
+        let rest = (!whole).then(|| StreamedBody {
+            next,
+            marked,
+            length: coming.length(),
+            left,
+            spent: Cell::new(false),
+        });
         let guard = AttemptGuard::new(self.repeat_rules[verb]);
-        let outgoing =
-            Outgoing { id: id.clone(), head, body, rest, careful, asker: Asker::of(stream), guard };
+        let outgoing = OutgoingRequest {
+            id: id.clone(),
+            head,
+            body,
+            rest,
+            careful,
+            asker: ClientPresence::of(stream),
+            guard,
+        };
         let (caller, word) = async_channel::bounded(1);
-        self.queue.tell(Word::Came(Box::new(Came { number, arrival, outgoing, caller })));
-        let heard = async { word.recv().await.map_err(|_| Bad::Ended) };
+        self.queue.push(Event::RequestArrived(Box::new(IncomingRequest {
+            number,
+            arrival,
+            outgoing,
+            caller,
+        })));
+        let heard = async { word.recv().await.map_err(|_| HttpError::Closed) };
         let goes = async {
             if !whole {
                 let too_late = async {
                     self.reading.closed().await;
-                    Err(Bad::Late)
+                    Err(HttpError::TimedOut)
                 };
                 let came = or(self.feed(stream, &mut coming, &give, ahead), too_late).await?;
                 let due = self.due(came, left);
-                self.queue.tell(Word::Whole(id.clone(), number, due));
+                self.queue.push(Event::BodyComplete(id.clone(), number, due));
                 let end = async {
                     // Nobody takes it any more where the command is over.
-                    let _ = give.send(Next::End(self.clock.instant(due))).await;
+                    let _ = give.send(BodyEvent::Complete(self.clock.instant(due))).await;
                     Ok(())
                 };
                 or(end, gone(stream)).await?;
             }
             // Past the shutdown what is read more would have to be answered too.
             ahead.until_gone(stream, || !self.parting.get()).await;
-            Err(Bad::Ended)
+            Err(HttpError::Closed)
         };
         let word = match or(heard, goes).await {
             Ok(word) => word,
             Err(wrong) => {
-                self.queue.tell(Word::Left(id.clone(), number));
+                self.queue.push(Event::ClientLeft(id.clone(), number));
                 let Some(rejected) = rejection_of(wrong) else { return Err(CloseReason::ClientLeft) };
                 counters::refused(&id, RefusalReason::BadRequest);
                 let _ = self.reject(stream, &rejected, false).await;
@@ -601,7 +634,7 @@
             }
         };
         let keep = self.may_keep(&coming, crowded, ahead);
-        let kept = self.final_answer(stream, word, verb, keep, coming.minor).await.and(keep);
+        let kept = self.final_answer(stream, word, verb, keep, coming.http_minor).await.and(keep);
         // Behind half an answer, or to nobody, there is nothing that a reset could take along.
         if !matches!(kept, Ok(()) | Err(CloseReason::AnswerBroken | CloseReason::ClientLeft)) {
             self.linger(stream).await;
@@ -613,22 +646,22 @@
     async fn feed(
         &self,
         stream: &Async<TcpStream>,
-        coming: &mut Coming,
-        give: &Sender<Next>,
+        coming: &mut IncomingMessage,
+        give: &Sender<BodyEvent>,
         ahead: &ReadAhead,
-    ) -> Result<Duration, Bad> {
+    ) -> Result<Duration, HttpError> {
         let mut came = self.clock.now();
-        while !coming.whole() {
-            timeout(STALLED, coming.more(stream)).await.unwrap_or(Err(Bad::Late))?;
-            let behind = if coming.whole() { coming.behind().len() } else { 0 };
-            came = ahead.message_came(coming.take_read(), behind);
-            if coming.whole() {
-                ahead.add(coming.behind());
-                coming.drop_behind();
+        while !coming.is_complete() {
+            timeout(STALLED, coming.read_more(stream)).await.unwrap_or(Err(HttpError::TimedOut))?;
+            let behind = if coming.is_complete() { coming.surplus().len() } else { 0 };
+            came = ahead.message_came(coming.take_bytes_read(), behind);
+            if coming.is_complete() {
+                ahead.add(coming.surplus());
+                coming.drop_surplus();
             }
             let hand_on = async {
-                for piece in coming.take(&self.stock).await {
-                    if give.send(Next::Piece(piece)).await.is_err() {
+                for piece in coming.take_parts(&self.stock).await {
+                    if give.send(BodyEvent::Part(piece)).await.is_err() {
                         // The command is over, and its final word on its way.
                         futures_lite::future::pending::<()>().await;
                     }
@@ -645,19 +678,19 @@
     async fn final_answer(
         &self,
         stream: &Async<TcpStream>,
-        word: Final,
+        word: FinalResponse,
         verb: usize,
         keep: Result<(), CloseReason>,
         minor: u8,
     ) -> Result<(), CloseReason> {
         match word {
-            Final::Answered(answer) => self.pass_on(stream, *answer, verb, keep, minor).await,
-            Final::Declined(come_back) => {
+            FinalResponse::Response(answer) => self.pass_on(stream, *answer, verb, keep, minor).await,
+            FinalResponse::Rejected(come_back) => {
                 let come_back = come_back.map(|span| format!("Retry-After: {:.3}\r\n", span.as_secs_f64()));
                 let come_back = come_back.as_deref().unwrap_or("").as_bytes();
                 self.say(stream, 503, come_back, b"declined\n", keep.is_ok()).await
             }
-            Final::Terminated => self.say(stream, 502, b"", b"terminated\n", keep.is_ok()).await,
+            FinalResponse::Failed => self.say(stream, 502, b"", b"terminated\n", keep.is_ok()).await,
         }
     }
 
@@ -665,25 +698,25 @@
     async fn pass_on(
         &self,
         stream: &Async<TcpStream>,
-        mut answer: Answer,
+        mut answer: UpstreamResponse,
         verb: usize,
         keep: Result<(), CloseReason>,
         minor: u8,
     ) -> Result<(), CloseReason> {
         let length = answer.coming.length();
         let (marked, framing) = match length {
-            Some(length) => (Marked::Plain, format!("Content-Length: {length}\r\n")),
-            None if minor > 0 => (Marked::Chunked, "Transfer-Encoding: chunked\r\n".to_string()),
+            Some(length) => (BodyEncoding::Identity, format!("Content-Length: {length}\r\n")),
+            None if minor > 0 => (BodyEncoding::Chunked, "Transfer-Encoding: chunked\r\n".to_string()),
             // To a caller of HTTP/1.0 the end of the connection is the end of the answer.
-            None => (Marked::Plain, String::new()),
+            None => (BodyEncoding::Identity, String::new()),
         };
-        let ends_it = length.is_none() && marked == Marked::Plain;
+        let ends_it = length.is_none() && marked == BodyEncoding::Identity;
         let head = answer_head(&answer.coming.head, &framing, keep.is_ok() && !ends_it);
         let mut written = self.write(stream, &head, &answer, marked).await;
-        while written && !answer.coming.whole() {
-            answer.coming.drop_taken();
-            if answer.more().await.is_err() {
-                self.queue.tell(Word::Broke(answer.server().clone(), verb));
+        while written && !answer.coming.is_complete() {
+            answer.coming.discard_buffered();
+            if answer.read_more().await.is_err() {
+                self.queue.push(Event::ResponseBroke(answer.server().clone(), verb));
                 if ends_it {
                     // Only a reset tells that this is not the end.
                     let _ = rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO));
@@ -694,7 +727,7 @@
             // Where both sides are as fast as this one nothing here waits, and all others would.
             yield_now().await;
         }
-        let ended = written && timeout(WRITE_WITHIN, http::write_end(stream, marked)).await.is_some();
+        let ended = written && timeout(WRITE_WITHIN, http::write_body_end(stream, marked)).await.is_some();
         answer.finish();
         match ended {
             false => Err(CloseReason::AnswerBroken),
@@ -703,8 +736,14 @@
         }
     }
 
-    async fn write(&self, stream: &Async<TcpStream>, head: &[u8], answer: &Answer, marked: Marked) -> bool {
-        let writing = http::write_part(stream, head, answer.coming.slices(), marked);
+    async fn write(
+        &self,
+        stream: &Async<TcpStream>,
+        head: &[u8],
+        answer: &UpstreamResponse,
+        marked: BodyEncoding,
+    ) -> bool {
+        let writing = http::write_body_part(stream, head, answer.coming.buffered(), marked);
         matches!(timeout(WRITE_WITHIN, writing).await, Some(Ok(())))
     }
 
@@ -751,7 +790,7 @@
     ) -> Result<(), CloseReason> {
         let close = if keep { "" } else { "Connection: close\r\n" };
         let length = body.len();
-        let mut head = format!("HTTP/1.1 {status} {}\r\n{close}", http::reason(status)).into_bytes();
+        let mut head = format!("HTTP/1.1 {status} {}\r\n{close}", http::reason_phrase(status)).into_bytes();
         head.extend_from_slice(more);
         head.extend_from_slice(format!("Content-Length: {length}\r\n\r\n").as_bytes());
         match timeout(WRITE_WITHIN, http::write(stream, &head, body)).await {
@@ -762,20 +801,20 @@
 }
 
 /// Why there is no request to be answered by the decisions.
-enum Unread {
+enum ReadError {
     /// Nobody is there, or is to be there, to be told what was wrong.
-    Nobody(CloseReason),
+    NoResponse(CloseReason),
     Rejected(Rejection),
 }
 
-impl From<Bad> for Unread {
-    fn from(bad: Bad) -> Unread {
-        rejection_of(bad).map_or(Unread::Nobody(CloseReason::ClientLeft), Unread::Rejected)
+impl From<HttpError> for ReadError {
+    fn from(bad: HttpError) -> ReadError {
+        rejection_of(bad).map_or(ReadError::NoResponse(CloseReason::ClientLeft), ReadError::Rejected)
     }
 }
 
 /// Ends with the caller's connection, seen without reading from it.
-async fn gone(stream: &Async<TcpStream>) -> Result<(), Bad> {
+async fn gone(stream: &Async<TcpStream>) -> Result<(), HttpError> {
     leaving::until_ended(stream).await;
-    Err(Bad::Ended)
+    Err(HttpError::Closed)
 }
--- a/crates/sidecar/src/net/discovery.rs
+++ b/crates/sidecar/src/net/discovery.rs
@@ -2,9 +2,9 @@
 //! call discovery unasked, but for the next call of a watch that stands or has moved, nor change what the module
 //! was told.
 
-use super::buffers::Stock;
+use super::buffers::ResourcePool;
 use super::http;
-use super::owner::{Queue, Word};
+use super::owner::{Event, EventQueue};
 use super::timeout::timeout;
 use crate::catalog::Catalog;
 use crate::clock::Clock;
@@ -33,15 +33,15 @@
 const IN_TURN: Duration = Duration::from_secs(1);
 
 /// Why there is no list.
-enum Unheard {
+enum DiscoveryError {
     /// Discovery has too many calls.
     Refused,
     Failed(String),
 }
 
-impl From<String> for Unheard {
-    fn from(why: String) -> Unheard {
-        Unheard::Failed(why)
+impl From<String> for DiscoveryError {
+    fn from(why: String) -> DiscoveryError {
+        DiscoveryError::Failed(why)
     }
 }
 
@@ -55,8 +55,8 @@
     wait: Duration,
     zones: Vec<String>,
     clock: Clock,
-    stock: Rc<Stock>,
-    queue: Queue,
+    stock: Rc<ResourcePool>,
+    queue: EventQueue,
     start: Rc<Start>,
 }
 
@@ -64,8 +64,8 @@
     /// None where the configuration names no discovery: the servers it lists are all there are.
     pub fn new(
         launch: &Configuration,
-        stock: Rc<Stock>,
-        queue: Queue,
+        stock: Rc<ResourcePool>,
+        queue: EventQueue,
         start: Rc<Start>,
     ) -> Option<Discovery> {
         let address = launch.discovery?;
@@ -95,20 +95,20 @@
             // What was asked for while the watch stood is answered by the word that it has ended.
             while asked.try_recv().is_ok() {}
             match wrong {
-                Unheard::Refused => {
+                DiscoveryError::Refused => {
                     self.wait = (self.wait * 2).min(WATCH_LONGEST);
                     tracing::warn!(discovery = %self.address, "watch ended: refused, it has too many calls");
-                    self.queue.tell(Word::ListRefused);
+                    self.queue.push(Event::ListPollRefused);
                 }
-                Unheard::Failed(why) => {
+                DiscoveryError::Failed(why) => {
                     tracing::warn!(discovery = %self.address, "watch ended: {why}");
-                    self.queue.tell(Word::ListFailed);
+                    self.queue.push(Event::ListPollFailed);
                 }
             }
         }
     }
 
-    async fn watch(&mut self) -> Result<std::convert::Infallible, Unheard> {
+    async fn watch(&mut self) -> Result<std::convert::Infallible, DiscoveryError> {
         let mut conn = None;
         // The next call comes at once: later than 0.2 s after an answer it would begin a new watch.
         loop {
@@ -118,11 +118,11 @@
             self.generation = Some(generation);
             self.wait = self.wait.mul_f64(SHORTER).max(self.least);
             self.start.list_came();
-            self.queue.tell(Word::Listed(catalog));
+            self.queue.push(Event::ListReceived(catalog));
         }
     }
 
-    async fn call(&self, kept: &mut Option<Async<TcpStream>>) -> Result<Catalog, Unheard> {
+    async fn call(&self, kept: &mut Option<Async<TcpStream>>) -> Result<Catalog, DiscoveryError> {
         // A dial that takes long is not to make the call longer.
         let begun = Instant::now();
         let conn = match kept.take() {
@@ -138,11 +138,11 @@
         self.start.discovery_called();
         // Of its own, and given back with the list: callers half way through a command may hold all others.
         let most = self.stock.buffers_for_a_list();
-        let buffers = Stock::small(most + 1);
-        let answer = http::read_long(&conn, &buffers, most);
+        let buffers = ResourcePool::buffers_only(most + 1);
+        let answer = http::read_buffered_response(&conn, &buffers, most);
         let (status, keep, mut rsp) = in_time(wait + IN_TURN, answer).await?;
         if status == Some(503) && begun.elapsed() >= QUEUED {
-            return Err(Unheard::Refused);
+            return Err(DiscoveryError::Refused);
         }
         if status != Some(200) {
             return Err(format!("status {status:?}").into());
--- a/crates/sidecar/src/net/endpoints.rs
+++ b/crates/sidecar/src/net/endpoints.rs
@@ -2,10 +2,10 @@
 //! came of it; it must never send anything twice, pick a server, or give back a connection whose last answer was not whole.
 
 use super::attempts::AttemptGuard;
-use super::buffers::{HOLD_MOST, Stock};
-use super::http::{self, Bad, Coming, Marked, Piece};
-use super::leaving::Asker;
-use super::pool::{Conn, Pool, Target};
+use super::buffers::{HOLD_MOST, ResourcePool};
+use super::http::{self, BodyEncoding, BodyPart, HttpError, IncomingMessage};
+use super::leaving::ClientPresence;
+use super::pool::{ConnectionPool, Target, UpstreamConnection};
 use super::timeout::timeout;
 use crate::launch::Configuration;
 use async_channel::Receiver;
@@ -27,32 +27,32 @@
 const LAST_WORD: Duration = Duration::from_millis(20);
 /// How far a relay has come. What is not written whole has never run.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Stage {
+pub enum AttemptStage {
     /// Not a byte of it is written.
     Unwritten,
-    Begun,
+    Started,
     Written,
     Ended,
 }
 
 /// The bytes of a command as every relay of it sends them, but for the time left.
-pub struct Outgoing {
+pub struct OutgoingRequest {
     pub id: Id,
     pub head: Vec<u8>,
-    pub body: Vec<Piece>,
+    pub body: Vec<BodyPart>,
     /// What is still to come of a body too long to be held.
-    pub rest: Option<Rest>,
+    pub rest: Option<StreamedBody>,
     /// A break in the middle would end it, as it is not sent again elsewhere.
     pub careful: bool,
-    pub asker: Asker,
+    pub asker: ClientPresence,
     /// Asked right before each attempt's first byte.
     pub guard: AttemptGuard,
 }
 
 /// The rest of a body, as the caller's side reads it. What is taken from it is gone: there is no other relay then.
-pub struct Rest {
-    pub next: Receiver<Next>,
-    pub marked: Marked,
+pub struct StreamedBody {
+    pub next: Receiver<BodyEvent>,
+    pub marked: BodyEncoding,
     /// Of the whole body, where it was told.
     pub length: Option<u64>,
     /// How long the caller waits once its last byte has come.
@@ -60,31 +60,31 @@
     pub spent: Cell<bool>,
 }
 
-pub enum Next {
-    Piece(Piece),
+pub enum BodyEvent {
+    Part(BodyPart),
     /// The body is over, and the answer due by then.
-    End(Instant),
+    Complete(Instant),
 }
 
-impl Outgoing {
+impl OutgoingRequest {
     pub fn unsent(&self) -> bool {
         self.rest.as_ref().is_none_or(|rest| !rest.spent.get())
     }
 }
 
 /// A 200 answer: whole, or as much as has come with the connection that brings the rest.
-pub struct Answer {
-    pub coming: Coming,
-    rest: Option<Conn>,
+pub struct UpstreamResponse {
+    pub coming: IncomingMessage,
+    rest: Option<UpstreamConnection>,
     to: Target,
-    home: Rc<Pool>,
+    home: Rc<ConnectionPool>,
 }
 
-impl Answer {
+impl UpstreamResponse {
     /// Reads what comes next, once what it had is taken.
-    pub async fn more(&mut self) -> Result<(), Bad> {
-        let Some(conn) = &self.rest else { return Err(Bad::Ended) };
-        timeout(STALLED, self.coming.more(&conn.stream)).await.unwrap_or(Err(Bad::Broken))
+    pub async fn read_more(&mut self) -> Result<(), HttpError> {
+        let Some(conn) = &self.rest else { return Err(HttpError::Closed) };
+        timeout(STALLED, self.coming.read_more(&conn.stream)).await.unwrap_or(Err(HttpError::Broken))
     }
 
     pub fn server(&self) -> &Id {
@@ -93,43 +93,43 @@
 
     /// All of it has been passed on: its connection may carry another.
     pub fn finish(self) {
-        if let Some(conn) = self.rest.filter(|_| self.coming.whole() && used_up(&self.coming)) {
+        if let Some(conn) = self.rest.filter(|_| self.coming.is_complete() && used_up(&self.coming)) {
             self.home.keep(&self.to, conn);
         }
     }
 }
 
 /// The connection that brought this answer may carry another, and nothing came behind it.
-fn used_up(answer: &Coming) -> bool {
-    answer.keep && answer.behind().is_empty()
+fn used_up(answer: &IncomingMessage) -> bool {
+    answer.keep_alive && answer.surplus().is_empty()
 }
 
-pub struct Endpoints {
-    pool: Rc<Pool>,
-    stock: Rc<Stock>,
+pub struct UpstreamClient {
+    pool: Rc<ConnectionPool>,
+    stock: Rc<ResourcePool>,
     /// What a check asks for: whether the process runs, or that and its load.
     check_path: &'static str,
 }
 
 /// How a relay ended.
-pub struct End {
+pub struct AttemptResult {
     pub outcome: Outcome,
     pub load: LoadReport,
-    pub answer: Option<Answer>,
+    pub answer: Option<UpstreamResponse>,
     /// What was sent of it cannot be sent again.
     pub spent: bool,
 }
 
-impl End {
-    pub fn bare(outcome: Outcome) -> End {
-        End { outcome, load: LoadReport::default(), answer: None, spent: false }
+impl AttemptResult {
+    pub fn bare(outcome: Outcome) -> AttemptResult {
+        AttemptResult { outcome, load: LoadReport::default(), answer: None, spent: false }
     }
 }
 
-impl Endpoints {
-    pub fn new(launch: &Configuration, pool: Rc<Pool>, stock: Rc<Stock>) -> Endpoints {
+impl UpstreamClient {
+    pub fn new(launch: &Configuration, pool: Rc<ConnectionPool>, stock: Rc<ResourcePool>) -> UpstreamClient {
         let check_path = if launch.policy.health_checks_report_load { "/_load" } else { "/ping" };
-        Endpoints { pool, stock, check_path }
+        UpstreamClient { pool, stock, check_path }
     }
 
     /// Sends the command once and hears how that ended, at the latest at `not_past`; where its body is still coming, at
@@ -137,29 +137,33 @@
     pub async fn relay(
         self: &Rc<Self>,
         to: &Target,
-        cmd: &Outgoing,
+        cmd: &OutgoingRequest,
         number: u32,
         not_past: Instant,
-        stage: &Cell<Stage>,
-    ) -> End {
+        stage: &Cell<AttemptStage>,
+    ) -> AttemptResult {
         let until = Cell::new(not_past);
         let late = async {
             Timer::at(not_past).await;
-            End::bare(if stage.get() == Stage::Written { Outcome::Timeout } else { Outcome::ConnectFailed })
+            AttemptResult::bare(if stage.get() == AttemptStage::Written {
+                Outcome::Timeout
+            } else {
+                Outcome::ConnectFailed
+            })
         };
         let exchange = self.exchange(to, cmd, number, &until, stage);
         let end = if cmd.rest.is_none() { or(exchange, late).await } else { exchange.await };
-        End { spent: !cmd.unsent(), ..end }
+        AttemptResult { spent: !cmd.unsent(), ..end }
     }
 
     async fn exchange(
         self: &Rc<Self>,
         to: &Target,
-        cmd: &Outgoing,
+        cmd: &OutgoingRequest,
         number: u32,
         until: &Cell<Instant>,
-        stage: &Cell<Stage>,
-    ) -> End {
+        stage: &Cell<AttemptStage>,
+    ) -> AttemptResult {
         let head = || {
             let left = until.get().saturating_duration_since(Instant::now());
             let left = cmd.rest.as_ref().map_or(left, |rest| rest.left).as_millis();
@@ -168,11 +172,11 @@
         // Its caller may have left in the very moment in which the connection came up, and its repeats may no longer be
         // dropped by then.
         let owed = || !cmd.asker.left() && cmd.guard.begin(&cmd.id, number, to.location).is_ok();
-        let write = async |conn: &Conn, over: &Cell<bool>| {
-            stage.set(Stage::Begun);
+        let write = async |conn: &UpstreamConnection, over: &Cell<bool>| {
+            stage.set(AttemptStage::Started);
             let last_byte_out = || {
                 over.set(true);
-                stage.set(Stage::Written);
+                stage.set(AttemptStage::Written);
             };
             self.write(conn, &head(), cmd, until, &last_byte_out).await
         };
@@ -191,21 +195,22 @@
                 let wanted = outcome == Outcome::Ok;
                 let too_late = async {
                     late().await;
-                    Err(Bad::Broken)
+                    Err(HttpError::Broken)
                 };
                 let conn = match or(self.hold(to, &mut coming, conn, wanted), too_late).await {
                     Ok(conn) => conn,
                     Err(wrong) => {
                         tracing::debug!("no answer from {}: {wrong:?}", to.server);
                         // An endpoint that has said what came of it has said so, whole or not.
-                        return End::bare(if wanted { Outcome::Reset } else { outcome });
+                        return AttemptResult::bare(if wanted { Outcome::Reset } else { outcome });
                     }
                 };
-                let answer = || Answer { coming, rest: conn, to: to.clone(), home: self.pool.clone() };
+                let answer =
+                    || UpstreamResponse { coming, rest: conn, to: to.clone(), home: self.pool.clone() };
                 let answer = wanted.then(answer);
-                End { load, answer, ..End::bare(outcome) }
+                AttemptResult { load, answer, ..AttemptResult::bare(outcome) }
             }
-            Err(outcome) => End::bare(outcome),
+            Err(outcome) => AttemptResult::bare(outcome),
         }
     }
 
@@ -214,26 +219,26 @@
     async fn hold(
         &self,
         to: &Target,
-        coming: &mut Coming,
-        conn: Conn,
+        coming: &mut IncomingMessage,
+        conn: UpstreamConnection,
         wanted: bool,
-    ) -> Result<Option<Conn>, Bad> {
+    ) -> Result<Option<UpstreamConnection>, HttpError> {
         let long = coming.length().is_some_and(|length| length > HOLD_MOST as u64);
         let whole = match coming.length() {
             _ if long => None,
-            Some(_) => Some(coming.hold(&conn.stream, &self.stock, HOLD_MOST).await),
-            None => timeout(HOLD_FOR, coming.hold(&conn.stream, &self.stock, HOLD_MOST)).await,
+            Some(_) => Some(coming.read_to_end(&conn.stream, &self.stock, HOLD_MOST).await),
+            None => timeout(HOLD_FOR, coming.read_to_end(&conn.stream, &self.stock, HOLD_MOST)).await,
         };
         match whole {
             Some(Ok(())) => {
                 if used_up(coming) {
                     self.pool.keep(to, conn);
-                } else if !coming.behind().is_empty() {
+                } else if !coming.surplus().is_empty() {
                     self.pool.extra_came(&to.server);
                 }
                 Ok(None)
             }
-            Some(Err(Bad::TooLarge)) | None if wanted => Ok(Some(conn)),
+            Some(Err(HttpError::TooLarge)) | None if wanted => Ok(Some(conn)),
             Some(Err(wrong)) => Err(wrong),
             None => Ok(None),
         }
@@ -241,16 +246,16 @@
 
     async fn write(
         &self,
-        conn: &Conn,
+        conn: &UpstreamConnection,
         head: &[u8],
-        cmd: &Outgoing,
+        cmd: &OutgoingRequest,
         until: &Cell<Instant>,
         last_byte_out: &dyn Fn(),
     ) -> Result<(), Outcome> {
         let failed = |_| Outcome::ConnectFailed;
-        let held = cmd.body.iter().map(Piece::bytes);
+        let held = cmd.body.iter().map(BodyPart::bytes);
         let Some(rest) = &cmd.rest else {
-            http::write_part(&conn.stream, head, held, Marked::Plain).await.map_err(failed)?;
+            http::write_body_part(&conn.stream, head, held, BodyEncoding::Identity).await.map_err(failed)?;
             last_byte_out();
             return Ok(());
         };
@@ -260,22 +265,24 @@
             Some(Ok(())) => Ok(()),
             _ => Err(Outcome::ConnectFailed),
         };
-        in_time(timeout(STALLED, http::write_part(&conn.stream, head, held, rest.marked)).await)?;
+        in_time(timeout(STALLED, http::write_body_part(&conn.stream, head, held, rest.marked)).await)?;
         loop {
             match rest.next.recv().await {
-                Ok(Next::Piece(piece)) => {
+                Ok(BodyEvent::Part(piece)) => {
                     rest.spent.set(true);
                     let bytes = std::iter::once(piece.bytes());
-                    in_time(timeout(STALLED, http::write_part(&conn.stream, b"", bytes, rest.marked)).await)?;
+                    in_time(
+                        timeout(STALLED, http::write_body_part(&conn.stream, b"", bytes, rest.marked)).await,
+                    )?;
                     left = left.map(|left| left.saturating_sub(piece.bytes().len() as u64));
                     // The server may answer before the caller's side says that this was the last piece.
                     if left == Some(0) {
                         last_byte_out();
                     }
                 }
-                Ok(Next::End(due)) => {
+                Ok(BodyEvent::Complete(due)) => {
                     rest.spent.set(true);
-                    in_time(timeout(STALLED, http::write_end(&conn.stream, rest.marked)).await)?;
+                    in_time(timeout(STALLED, http::write_body_end(&conn.stream, rest.marked)).await)?;
                     last_byte_out();
                     until.set(due);
                     return Ok(());
@@ -294,9 +301,9 @@
         to: &Target,
         careful: bool,
         owed: impl FnOnce() -> bool,
-        write: impl AsyncFnOnce(&Conn, &Cell<bool>) -> Result<(), Outcome>,
+        write: impl AsyncFnOnce(&UpstreamConnection, &Cell<bool>) -> Result<(), Outcome>,
         written: impl AsyncFnOnce() -> Outcome,
-    ) -> Result<(Coming, Conn), Outcome> {
+    ) -> Result<(IncomingMessage, UpstreamConnection), Outcome> {
         let (conn, idle) = self.pool.connection(to, careful).await?;
         if !owed() {
             self.pool.keep(to, conn);
@@ -313,10 +320,10 @@
             // What is out whole may have run, whatever ended the attempt.
             Err(if over.get() && wrong.never_ran() { Outcome::Reset } else { wrong })
         };
-        let answers = async { Ok(Coming::answer(&conn.stream, buffer).await) };
+        let answers = async { Ok(IncomingMessage::read_response(&conn.stream, buffer).await) };
         let answer = or(writes, answers).await?;
         if let Some(idle) = idle {
-            let broke = matches!(answer, Err(Bad::Ended | Bad::Broken));
+            let broke = matches!(answer, Err(HttpError::Closed | HttpError::Broken));
             self.pool.used_after(idle, broke);
         }
         match answer {
@@ -325,7 +332,7 @@
                 Err(Outcome::ConnectFailed)
             }
             Ok(mut coming) => {
-                coming.keep &= over.get();
+                coming.keep_alive &= over.get();
                 Ok((coming, conn))
             }
             Err(wrong) => {
@@ -342,7 +349,7 @@
     async fn ping(&self, to: &Target) -> (Outcome, LoadReport) {
         let path = self.check_path;
         let head = format!("GET {path} HTTP/1.1\r\nHost: {}\r\n\r\n", to.address);
-        let write = async |conn: &Conn, over: &Cell<bool>| {
+        let write = async |conn: &UpstreamConnection, over: &Cell<bool>| {
             http::write(&conn.stream, head.as_bytes(), b"").await.map_err(|_| Outcome::ConnectFailed)?;
             over.set(true);
             Ok(())
--- a/crates/sidecar/src/net/endpoints_tests.rs
+++ b/crates/sidecar/src/net/endpoints_tests.rs
@@ -25,36 +25,36 @@
     let address = listener.local_addr().expect("an address");
     let client = Rc::new(Async::new(TcpStream::connect(address).expect("a client")).expect("a socket"));
     let _ = listener.accept().expect("the client's connection");
-    let stock = Stock::with(64, 16);
+    let stock = ResourcePool::with(64, 16);
     let head = b"POST /confirm HTTP/1.1\r\nContent-Length: 100000\r\n".to_vec();
     let told = "X-Expires-In-Ms: 1000\r\n\r\n";
     let size = head.len() + told.len() + BODY;
     let server = std::thread::spawn(move || answers_at_once(&listener, size));
     let (give, next) = async_channel::unbounded();
-    for piece in Piece::filled(&stock, BODY) {
-        assert!(give.try_send(Next::Piece(piece)).is_ok(), "room for it");
+    for piece in BodyPart::filled(&stock, BODY) {
+        assert!(give.try_send(BodyEvent::Part(piece)).is_ok(), "room for it");
     }
-    let rest = Rest {
+    let rest = StreamedBody {
         next,
-        marked: Marked::Plain,
+        marked: BodyEncoding::Identity,
         length: Some(BODY as u64),
         left: Duration::from_secs(1),
         spent: Cell::new(false),
     };
     let rule = RepeatRule { repeats: RetrySafety::NonIdempotent, window: Duration::ZERO, parallel: false };
-    let outgoing = Outgoing {
+    let outgoing = OutgoingRequest {
         id: "r1".into(),
         head,
         body: Vec::new(),
         rest: Some(rest),
         careful: true,
-        asker: Asker::of(&client),
+        asker: ClientPresence::of(&client),
         guard: AttemptGuard::new(rule),
     };
-    let pool = Rc::new(Pool::with(Duration::from_secs(1), Duration::from_secs(1), stock.clone()));
-    let endpoints = Rc::new(Endpoints { pool, stock, check_path: "/ping" });
+    let pool = Rc::new(ConnectionPool::with(Duration::from_secs(1), Duration::from_secs(1), stock.clone()));
+    let endpoints = Rc::new(UpstreamClient { pool, stock, check_path: "/ping" });
     let target = Target { server: "s1".into(), address, location: Location { zone: 0, cell: 0 } };
-    let stage = Cell::new(Stage::Unwritten);
+    let stage = Cell::new(AttemptStage::Unwritten);
     let attempt = async {
         let until = Instant::now() + Duration::from_secs(2);
         endpoints.relay(&target, &outgoing, 0, until, &stage).await.outcome
--- a/crates/sidecar/src/net/http.rs
+++ b/crates/sidecar/src/net/http.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 as bytes: heads by httparse, bodies by their framing, in pieces that each fill a buffer at most. It owns the
 //! framing both ways; it must never know what a command is, keep a connection, or send anything twice.
 
-use super::buffers::{Buffer, SIZE, Stock};
+use super::buffers::{Buffer, ResourcePool, SIZE};
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::collections::VecDeque;
@@ -18,20 +18,20 @@
 
 /// Why a message is not one.
 #[derive(Debug)]
-pub enum Bad {
+pub enum HttpError {
     Malformed,
     TooLarge,
     /// Nothing more of it came in time.
-    Late,
+    TimedOut,
     /// The connection ended before the whole message had come.
-    Ended,
+    Closed,
     /// It broke before that.
     Broken,
 }
 
-impl From<io::Error> for Bad {
-    fn from(_: io::Error) -> Bad {
-        Bad::Broken
+impl From<io::Error> for HttpError {
+    fn from(_: io::Error) -> HttpError {
+        HttpError::Broken
     }
 }
 
@@ -39,24 +39,24 @@
     Length(usize),
     Chunked,
     /// An answer with neither lasts until its connection ends.
-    ToEnd,
+    UntilClose,
 }
 
 /// A part of a body.
-pub struct Piece {
+pub struct BodyPart {
     buffer: Buffer,
     range: Range<usize>,
 }
 
-impl Piece {
+impl BodyPart {
     /// So many bytes, in as many pieces as that takes.
     #[cfg(test)]
-    pub fn filled(stock: &Rc<Stock>, count: usize) -> Vec<Piece> {
+    pub fn filled(stock: &Rc<ResourcePool>, count: usize) -> Vec<BodyPart> {
         let sizes = (0..count).step_by(SIZE).map(|from| SIZE.min(count - from));
         let piece = |size: usize| {
             let mut buffer = stock.buffer().expect("a buffer");
             buffer.fill(size);
-            Piece { buffer, range: 0..size }
+            BodyPart { buffer, range: 0..size }
         };
         sizes.map(piece).collect()
     }
@@ -80,7 +80,7 @@
 }
 
 /// Headers that speak of one connection or its framing are not passed on.
-pub fn passes_on(name: &str) -> bool {
+pub fn is_end_to_end(name: &str) -> bool {
     const OURS: [&str; 9] = [
         "connection",
         "keep-alive",
@@ -96,7 +96,7 @@
 }
 
 /// The path of a command's target, which may name the whole address.
-pub fn path_of(target: &str) -> &str {
+pub fn path_of_target(target: &str) -> &str {
     match target.split_once("://") {
         Some((scheme, rest)) if !scheme.contains('/') => rest.find('/').map_or("/", |at| &rest[at..]),
         _ => target,
@@ -104,7 +104,7 @@
 }
 
 /// What a head says of the rest of its message.
-struct Shape {
+struct ParsedHead {
     head: usize,
     minor: u8,
     framing: Framing,
@@ -114,8 +114,13 @@
     interim: bool,
 }
 
-impl Shape {
-    fn of(head: usize, minor: u8, headers: &[httparse::Header<'_>], bare: Framing) -> Result<Shape, Bad> {
+impl ParsedHead {
+    fn of(
+        head: usize,
+        minor: u8,
+        headers: &[httparse::Header<'_>],
+        bare: Framing,
+    ) -> Result<ParsedHead, HttpError> {
         let named = |name: &'static str| {
             headers.iter().filter(move |header| header.name.eq_ignore_ascii_case(name)).map(text)
         };
@@ -130,15 +135,15 @@
             ([], []) => bare,
             ([coding], []) if minor == 1 && coding.eq_ignore_ascii_case("chunked") => Framing::Chunked,
             ([], [length]) if !length.is_empty() && length.bytes().all(|byte| byte.is_ascii_digit()) => {
-                Framing::Length(length.parse().map_err(|_| Bad::TooLarge)?)
+                Framing::Length(length.parse().map_err(|_| HttpError::TooLarge)?)
             }
-            _ => return Err(Bad::Malformed),
+            _ => return Err(HttpError::Malformed),
         };
-        let keep = minor == 1 && !says("connection", "close") && !matches!(framing, Framing::ToEnd);
-        Ok(Shape { head, minor, framing, keep, expects: says("expect", "100-continue"), interim: false })
+        let keep = minor == 1 && !says("connection", "close") && !matches!(framing, Framing::UntilClose);
+        Ok(ParsedHead { head, minor, framing, keep, expects: says("expect", "100-continue"), interim: false })
     }
 
-    fn of_command(bytes: &[u8]) -> Result<Option<Shape>, Bad> {
+    fn of_request(bytes: &[u8]) -> Result<Option<ParsedHead>, HttpError> {
         let mut headers = no_headers();
         let mut head = httparse::Request::new(&mut headers);
         match head.parse(bytes) {
@@ -146,12 +151,12 @@
                 Self::of(length, head.version.unwrap_or(1), head.headers, Framing::Length(0)).map(Some)
             }
             Ok(httparse::Status::Partial) => Ok(None),
-            Err(httparse::Error::TooManyHeaders) => Err(Bad::TooLarge),
-            Err(_) => Err(Bad::Malformed),
+            Err(httparse::Error::TooManyHeaders) => Err(HttpError::TooLarge),
+            Err(_) => Err(HttpError::Malformed),
         }
     }
 
-    fn of_answer(bytes: &[u8]) -> Result<Option<Shape>, Bad> {
+    fn of_response(bytes: &[u8]) -> Result<Option<ParsedHead>, HttpError> {
         let mut headers = no_headers();
         let mut head = httparse::Response::new(&mut headers);
         match head.parse(bytes) {
@@ -159,22 +164,22 @@
                 let interim = matches!(head.code, Some(100..200));
                 let bare = match head.code {
                     Some(100..200 | 204 | 304) => Framing::Length(0),
-                    _ => Framing::ToEnd,
+                    _ => Framing::UntilClose,
                 };
                 let shape = Self::of(length, head.version.unwrap_or(1), head.headers, bare)?;
-                Ok(Some(Shape { interim, ..shape }))
+                Ok(Some(ParsedHead { interim, ..shape }))
             }
             Ok(httparse::Status::Partial) => Ok(None),
-            Err(_) => Err(Bad::Malformed),
+            Err(_) => Err(HttpError::Malformed),
         }
     }
 }
 
 /// Reads what comes next; how many bytes that were.
-async fn more(mut stream: &Async<TcpStream>, buffer: &mut Buffer) -> Result<usize, Bad> {
+async fn read_some(mut stream: &Async<TcpStream>, buffer: &mut Buffer) -> Result<usize, HttpError> {
     let spare = buffer.spare();
     if spare.is_empty() {
-        return Err(Bad::TooLarge);
+        return Err(HttpError::TooLarge);
     }
     let count = loop {
         match stream.read(spare).await {
@@ -184,23 +189,23 @@
         }
     };
     buffer.fill(count);
-    if count == 0 { Err(Bad::Ended) } else { Ok(count) }
+    if count == 0 { Err(HttpError::Closed) } else { Ok(count) }
 }
 
 /// Reads on until the head is whole. How many bytes were read comes with it.
 async fn read_head(
     stream: &Async<TcpStream>,
     buffer: &mut Buffer,
-    shape_of: fn(&[u8]) -> Result<Option<Shape>, Bad>,
+    shape_of: fn(&[u8]) -> Result<Option<ParsedHead>, HttpError>,
     came: &dyn Fn(),
-) -> Result<(Shape, usize), Bad> {
+) -> Result<(ParsedHead, usize), HttpError> {
     let mut read = 0;
     loop {
         match shape_of(buffer.filled())? {
             Some(shape) if shape.interim => buffer.drop_front(shape.head),
             Some(shape) => return Ok((shape, read)),
             None => {
-                read += more(stream, buffer).await?;
+                read += read_some(stream, buffer).await?;
                 came();
             }
         }
@@ -209,109 +214,127 @@
 
 /// Whether these bytes begin with a request that has come to its last byte.
 pub fn is_whole_request(bytes: &[u8]) -> bool {
-    let Ok(Some(shape)) = Shape::of_command(bytes) else { return false };
+    let Ok(Some(shape)) = ParsedHead::of_request(bytes) else { return false };
     let body = &bytes[shape.head..];
     match shape.framing {
         Framing::Length(length) => body.len() >= length,
         Framing::Chunked => {
-            matches!(Body::new(Framing::Chunked).unchunk(&mut body.to_vec(), &mut 0), Ok(true))
+            matches!(BodyDecoder::new(Framing::Chunked).unchunk(&mut body.to_vec(), &mut 0), Ok(true))
         }
         // No request is framed by the end of its connection.
-        Framing::ToEnd => false,
+        Framing::UntilClose => false,
     }
 }
 
 /// A message whose head has come, and as much of its body as was read and not taken yet.
-pub struct Coming {
+pub struct IncomingMessage {
     pub head: Vec<u8>,
     /// HTTP/1.0 has 0 here.
-    pub minor: u8,
+    pub http_minor: u8,
     /// The connection may carry another message after this one.
-    pub keep: bool,
+    pub keep_alive: bool,
     /// It waits for a word before it sends its body.
-    pub expects: bool,
-    body: Body,
+    pub expects_continue: bool,
+    body: BodyDecoder,
     length: Option<u64>,
     whole: bool,
     /// How many bytes were read from its connection since this was last asked.
     read: usize,
     /// Full buffers of contents, before those of `buffer`.
-    held: Vec<Piece>,
+    held: Vec<BodyPart>,
     /// Contents up to the body's end, and what was not looked at behind them.
     buffer: Buffer,
 }
 
-impl Coming {
+impl IncomingMessage {
     /// `came` is called whenever a part of the head has come.
-    pub async fn command(stream: &Async<TcpStream>, buffer: Buffer, came: &dyn Fn()) -> Result<Coming, Bad> {
-        Self::begin(stream, buffer, Shape::of_command, came).await
+    pub async fn read_request(
+        stream: &Async<TcpStream>,
+        buffer: Buffer,
+        came: &dyn Fn(),
+    ) -> Result<IncomingMessage, HttpError> {
+        Self::read_message(stream, buffer, ParsedHead::of_request, came).await
     }
 
-    pub async fn answer(stream: &Async<TcpStream>, buffer: Buffer) -> Result<Coming, Bad> {
-        Self::begin(stream, buffer, Shape::of_answer, &|| ()).await
+    pub async fn read_response(
+        stream: &Async<TcpStream>,
+        buffer: Buffer,
+    ) -> Result<IncomingMessage, HttpError> {
+        Self::read_message(stream, buffer, ParsedHead::of_response, &|| ()).await
     }
 
-    async fn begin(
+    async fn read_message(
         stream: &Async<TcpStream>,
         mut buffer: Buffer,
-        shape_of: fn(&[u8]) -> Result<Option<Shape>, Bad>,
+        shape_of: fn(&[u8]) -> Result<Option<ParsedHead>, HttpError>,
         came: &dyn Fn(),
-    ) -> Result<Coming, Bad> {
+    ) -> Result<IncomingMessage, HttpError> {
         let (shape, read) = read_head(stream, &mut buffer, shape_of, came).await?;
-        let Shape { minor, framing, keep, expects, .. } = shape;
+        let ParsedHead { minor, framing, keep, expects, .. } = shape;
         let head = buffer.filled()[..shape.head].to_vec();
         buffer.drop_front(shape.head);
         let length = if let Framing::Length(length) = framing { Some(length as u64) } else { None };
-        let body = Body::new(framing);
+        let body = BodyDecoder::new(framing);
         let (held, whole) = (Vec::new(), false);
-        let mut coming = Coming { head, minor, keep, expects, body, length, whole, read, held, buffer };
+        let mut coming = IncomingMessage {
+            head,
+            http_minor: minor,
+            keep_alive: keep,
+            expects_continue: expects,
+            body,
+            length,
+            whole,
+            read,
+            held,
+            buffer,
+        };
         coming.take_in()?;
         Ok(coming)
     }
 
-    fn take_in(&mut self) -> Result<(), Bad> {
+    fn take_in(&mut self) -> Result<(), HttpError> {
         if !self.whole && self.body.take_in(&mut self.buffer)? {
             self.whole = true;
         }
         Ok(())
     }
 
-    pub fn whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.whole
     }
 
     /// How many bytes were read from its connection since this was last asked.
-    pub fn take_read(&mut self) -> usize {
+    pub fn take_bytes_read(&mut self) -> usize {
         std::mem::take(&mut self.read)
     }
 
     /// What has come behind the whole message: the beginning of another.
-    pub fn behind(&self) -> &[u8] {
+    pub fn surplus(&self) -> &[u8] {
         &self.buffer.filled()[self.body.end..]
     }
 
     /// What came behind the whole message is kept elsewhere by now.
-    pub fn drop_behind(&mut self) {
+    pub fn drop_surplus(&mut self) {
         self.buffer.truncate(self.body.end);
     }
 
     /// Of the whole body, where the message tells it or it has all come and none was taken.
     pub fn length(&self) -> Option<u64> {
-        self.length.or(self.whole.then_some(self.held_bytes()))
+        self.length.or(self.whole.then_some(self.buffered_len()))
     }
 
-    pub fn held_bytes(&self) -> u64 {
-        self.slices().map(|bytes| bytes.len() as u64).sum()
+    pub fn buffered_len(&self) -> u64 {
+        self.buffered().map(|bytes| bytes.len() as u64).sum()
     }
 
     /// The contents that have come and were not taken.
-    pub fn slices(&self) -> impl Iterator<Item = &[u8]> {
+    pub fn buffered(&self) -> impl Iterator<Item = &[u8]> {
         let last = &self.buffer.filled()[..self.body.end];
-        self.held.iter().map(Piece::bytes).chain((!last.is_empty()).then_some(last))
+        self.held.iter().map(BodyPart::bytes).chain((!last.is_empty()).then_some(last))
     }
 
     /// Makes room for more contents beside those that are held. `false`: they take up as much as they may.
-    pub fn room(&mut self, stock: &Rc<Stock>, most: usize) -> bool {
+    pub fn ensure_room(&mut self, stock: &Rc<ResourcePool>, most: usize) -> bool {
         if !self.buffer.spare().is_empty() {
             return true;
         }
@@ -325,28 +348,28 @@
     }
 
     /// Takes the contents of the last buffer, and goes on with another.
-    fn piece(&mut self, mut fresh: Buffer) -> Piece {
+    fn piece(&mut self, mut fresh: Buffer) -> BodyPart {
         // A chunk's size may be cut by the buffer's end: what was not taken in begins the next one.
         let rest = &self.buffer.filled()[self.body.end..];
         fresh.spare()[..rest.len()].copy_from_slice(rest);
         fresh.fill(rest.len());
         let range = 0..std::mem::take(&mut self.body.end);
-        Piece { buffer: std::mem::replace(&mut self.buffer, fresh), range }
+        BodyPart { buffer: std::mem::replace(&mut self.buffer, fresh), range }
     }
 
     /// Reads what comes next. There must be room.
-    pub async fn more(&mut self, stream: &Async<TcpStream>) -> Result<(), Bad> {
-        self.read += self.body.more(stream, &mut self.buffer).await?;
+    pub async fn read_more(&mut self, stream: &Async<TcpStream>) -> Result<(), HttpError> {
+        self.read += self.body.read_more(stream, &mut self.buffer).await?;
         self.take_in()
     }
 
     /// Takes all that has come out of it, whole or not.
-    pub async fn take(&mut self, stock: &Rc<Stock>) -> Vec<Piece> {
+    pub async fn take_parts(&mut self, stock: &Rc<ResourcePool>) -> Vec<BodyPart> {
         let mut taken = std::mem::take(&mut self.held);
         if self.body.end > 0 && self.whole {
             // Nothing more is read: what goes on with the connection begins anew.
             let range = 0..std::mem::take(&mut self.body.end);
-            taken.push(Piece { buffer: std::mem::replace(&mut self.buffer, Buffer::none(stock)), range });
+            taken.push(BodyPart { buffer: std::mem::replace(&mut self.buffer, Buffer::none(stock)), range });
         } else if self.body.end > 0 {
             let fresh = stock.buffer_in_turn().await;
             taken.push(self.piece(fresh));
@@ -355,59 +378,63 @@
     }
 
     /// What `slices` shows is done with.
-    pub fn drop_taken(&mut self) {
+    pub fn discard_buffered(&mut self) {
         self.held.clear();
         self.buffer.drop_front(std::mem::take(&mut self.body.end));
     }
 
     /// The body as one, for messages that are short.
     pub fn text(&self) -> Vec<u8> {
-        self.slices().collect::<Vec<_>>().concat()
+        self.buffered().collect::<Vec<_>>().concat()
     }
 
     /// Reads on until all has come. More than `most` is too large.
-    pub async fn hold(
+    pub async fn read_to_end(
         &mut self,
         stream: &Async<TcpStream>,
-        stock: &Rc<Stock>,
+        stock: &Rc<ResourcePool>,
         most: usize,
-    ) -> Result<(), Bad> {
+    ) -> Result<(), HttpError> {
         while !self.whole {
-            if !self.room(stock, most) {
-                return Err(Bad::TooLarge);
+            if !self.ensure_room(stock, most) {
+                return Err(HttpError::TooLarge);
             }
-            self.more(stream).await?;
+            self.read_more(stream).await?;
         }
         Ok(())
     }
 }
 
 /// Where a body stands while it comes: its contents reach up to `end`; what lies behind was not looked at.
-struct Body {
+struct BodyDecoder {
     framing: Framing,
     end: usize,
     /// How much of the length, or of the chunk, is still to come.
     left: usize,
-    at: At,
+    at: ChunkState,
     ended: bool,
 }
 
 #[derive(Clone, Copy)]
-enum At {
+enum ChunkState {
     Size,
-    Contents,
+    Data,
     Trailers,
 }
 
-impl Body {
-    fn new(framing: Framing) -> Body {
+impl BodyDecoder {
+    fn new(framing: Framing) -> BodyDecoder {
         let left = if let Framing::Length(length) = framing { length } else { 0 };
-        Body { framing, end: 0, left, at: At::Size, ended: false }
+        BodyDecoder { framing, end: 0, left, at: ChunkState::Size, ended: false }
     }
 
-    async fn more(&mut self, stream: &Async<TcpStream>, buffer: &mut Buffer) -> Result<usize, Bad> {
-        match more(stream, buffer).await {
-            Err(Bad::Ended) if matches!(self.framing, Framing::ToEnd) => {
+    async fn read_more(
+        &mut self,
+        stream: &Async<TcpStream>,
+        buffer: &mut Buffer,
+    ) -> Result<usize, HttpError> {
+        match read_some(stream, buffer).await {
+            Err(HttpError::Closed) if matches!(self.framing, Framing::UntilClose) => {
                 self.ended = true;
                 Ok(0)
             }
@@ -416,14 +443,14 @@
     }
 
     /// Takes in what has come since the last time; whether the body is whole now.
-    fn take_in(&mut self, buffer: &mut Buffer) -> Result<bool, Bad> {
+    fn take_in(&mut self, buffer: &mut Buffer) -> Result<bool, HttpError> {
         match self.framing {
             Framing::Length(_) => {
                 let now = self.left.min(buffer.filled().len() - self.end);
                 (self.end, self.left) = (self.end + now, self.left - now);
                 Ok(self.left == 0)
             }
-            Framing::ToEnd => {
+            Framing::UntilClose => {
                 self.end = buffer.filled().len();
                 Ok(self.ended)
             }
@@ -437,22 +464,24 @@
         }
     }
 
-    fn unchunk(&mut self, bytes: &mut [u8], read: &mut usize) -> Result<bool, Bad> {
+    fn unchunk(&mut self, bytes: &mut [u8], read: &mut usize) -> Result<bool, HttpError> {
         loop {
             let rest = &bytes[*read..];
             match self.at {
-                At::Size => {
+                ChunkState::Size => {
                     let (line, size) = match httparse::parse_chunk_size(rest) {
                         Ok(httparse::Status::Complete(found)) => found,
-                        Ok(httparse::Status::Partial) if rest.len() > LINE_MOST => return Err(Bad::TooLarge),
+                        Ok(httparse::Status::Partial) if rest.len() > LINE_MOST => {
+                            return Err(HttpError::TooLarge);
+                        }
                         Ok(httparse::Status::Partial) => return Ok(false),
-                        Err(_) => return Err(Bad::Malformed),
+                        Err(_) => return Err(HttpError::Malformed),
                     };
-                    self.left = usize::try_from(size).map_err(|_| Bad::TooLarge)?;
-                    self.at = if size == 0 { At::Trailers } else { At::Contents };
+                    self.left = usize::try_from(size).map_err(|_| HttpError::TooLarge)?;
+                    self.at = if size == 0 { ChunkState::Trailers } else { ChunkState::Data };
                     *read += line;
                 }
-                At::Contents => {
+                ChunkState::Data => {
                     let now = self.left.min(rest.len());
                     bytes.copy_within(*read..*read + now, self.end);
                     (self.end, self.left, *read) = (self.end + now, self.left - now, *read + now);
@@ -461,19 +490,19 @@
                         return Ok(false);
                     }
                     if !rest.starts_with(b"\r\n") {
-                        return Err(Bad::Malformed);
+                        return Err(HttpError::Malformed);
                     }
-                    (self.at, *read) = (At::Size, *read + 2);
+                    (self.at, *read) = (ChunkState::Size, *read + 2);
                 }
                 // Trailers are read over, up to the empty line.
-                At::Trailers => match rest.windows(2).position(|pair| pair == b"\r\n") {
+                ChunkState::Trailers => match rest.windows(2).position(|pair| pair == b"\r\n") {
                     Some(line) => {
                         *read += line + 2;
                         if line == 0 {
                             return Ok(true);
                         }
                     }
-                    None if rest.len() > LINE_MOST => return Err(Bad::TooLarge),
+                    None if rest.len() > LINE_MOST => return Err(HttpError::TooLarge),
                     None => return Ok(false),
                 },
             }
@@ -482,27 +511,27 @@
 }
 
 /// A whole message whose body is read as a stream; it gives each buffer back as it is read.
-pub struct Long {
-    parts: VecDeque<Piece>,
+pub struct BodyReader {
+    parts: VecDeque<BodyPart>,
 }
 
 /// The list of a large fleet is far longer than any body that is held; it may take so many buffers.
-pub async fn read_long(
+pub async fn read_buffered_response(
     stream: &Async<TcpStream>,
-    stock: &Rc<Stock>,
+    stock: &Rc<ResourcePool>,
     most: usize,
-) -> Result<(Option<u16>, bool, Long), Bad> {
-    let buffer = stock.buffer().ok_or(Bad::TooLarge)?;
-    let mut coming = Coming::answer(stream, buffer).await?;
-    coming.hold(stream, stock, most * SIZE).await?;
-    let (status, keep) = (status(&coming.head), coming.keep && coming.behind().is_empty());
-    let last = Piece { range: 0..coming.body.end, buffer: coming.buffer };
-    Ok((status, keep, Long { parts: coming.held.into_iter().chain([last]).collect() }))
+) -> Result<(Option<u16>, bool, BodyReader), HttpError> {
+    let buffer = stock.buffer().ok_or(HttpError::TooLarge)?;
+    let mut coming = IncomingMessage::read_response(stream, buffer).await?;
+    coming.read_to_end(stream, stock, most * SIZE).await?;
+    let (status, keep) = (status(&coming.head), coming.keep_alive && coming.surplus().is_empty());
+    let last = BodyPart { range: 0..coming.body.end, buffer: coming.buffer };
+    Ok((status, keep, BodyReader { parts: coming.held.into_iter().chain([last]).collect() }))
 }
 
-impl io::Read for Long {
+impl io::Read for BodyReader {
     fn read(&mut self, into: &mut [u8]) -> io::Result<usize> {
-        while let Some(Piece { buffer, range }) = self.parts.front_mut() {
+        while let Some(BodyPart { buffer, range }) = self.parts.front_mut() {
             if range.start == range.end {
                 self.parts.pop_front();
                 continue;
@@ -518,20 +547,20 @@
 
 /// How a body of unknown length is marked off on its way out.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Marked {
+pub enum BodyEncoding {
     /// Its length stands in the head, or its end is the connection's.
-    Plain,
+    Identity,
     Chunked,
 }
 
 /// Writes a head, where there is one, and a part of a body behind it, in as few packets as can be.
-pub async fn write_part<'a>(
+pub async fn write_body_part<'a>(
     stream: &Async<TcpStream>,
     head: &'a [u8],
     body: impl Iterator<Item = &'a [u8]>,
-    marked: Marked,
+    marked: BodyEncoding,
 ) -> io::Result<()> {
-    if marked == Marked::Plain {
+    if marked == BodyEncoding::Identity {
         return write_all(stream, std::iter::once(head).chain(body)).await;
     }
     let body: Vec<&[u8]> = body.filter(|bytes| !bytes.is_empty()).collect();
@@ -544,10 +573,10 @@
 }
 
 /// What ends a body that is marked so.
-pub async fn write_end(stream: &Async<TcpStream>, marked: Marked) -> io::Result<()> {
+pub async fn write_body_end(stream: &Async<TcpStream>, marked: BodyEncoding) -> io::Result<()> {
     match marked {
-        Marked::Plain => Ok(()),
-        Marked::Chunked => write(stream, b"0\r\n\r\n", b"").await,
+        BodyEncoding::Identity => Ok(()),
+        BodyEncoding::Chunked => write(stream, b"0\r\n\r\n", b"").await,
     }
 }
 
@@ -585,7 +614,7 @@
     write_all(stream, [head, body]).await
 }
 
-pub fn reason(status: u16) -> &'static str {
+pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         204 => "No Content",
@@ -612,7 +641,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::net::buffers::{HOLD_MOST, Stock};
+    use crate::net::buffers::{HOLD_MOST, ResourcePool};
     use async_io::block_on;
     use proptest::prelude::*;
     use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
@@ -626,7 +655,7 @@
     }
 
     /// What comes of these bytes, written in pieces to a real socket that is closed after them.
-    fn heard(bytes: &[u8], pieces: usize, of_command: bool) -> Result<(Vec<u8>, bool), Bad> {
+    fn heard(bytes: &[u8], pieces: usize, of_request: bool) -> Result<(Vec<u8>, bool), HttpError> {
         let (mut near, far) = pair();
         let bytes = bytes.to_vec();
         let writer = std::thread::spawn(move || {
@@ -634,18 +663,20 @@
                 let _ = near.write_all(piece);
             }
         });
-        let stock = Stock::with(64, 16);
+        let stock = ResourcePool::with(64, 16);
         let buffer = stock.buffer().expect("a buffer");
         let read = async {
-            let shape_of = if of_command { Shape::of_command } else { Shape::of_answer };
-            let mut coming = Coming::begin(&far, buffer, shape_of, &|| ()).await?;
-            coming.hold(&far, &stock, HOLD_MOST).await?;
+            let shape_of = if of_request { ParsedHead::of_request } else { ParsedHead::of_response };
+            let mut coming = IncomingMessage::read_message(&far, buffer, shape_of, &|| ()).await?;
+            coming.read_to_end(&far, &stock, HOLD_MOST).await?;
             Ok(coming)
         };
         let message = block_on(read);
         drop(far);
         writer.join().expect("the writer ends");
-        message.map(|message: Coming| (message.text(), message.keep && message.behind().is_empty()))
+        message.map(|message: IncomingMessage| {
+            (message.text(), message.keep_alive && message.surplus().is_empty())
+        })
     }
 
     fn run<S: Strategy>(strategy: S, check: impl Fn(S::Value) -> Result<(), TestCaseError>) {
@@ -678,7 +709,7 @@
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
             let mut bytes = head.into_bytes();
             bytes.extend(std::iter::repeat_n(b'x', cut.min(length - 1)));
-            prop_assert!(matches!(heard(&bytes, 3, false), Err(Bad::Ended | Bad::Broken)));
+            prop_assert!(matches!(heard(&bytes, 3, false), Err(HttpError::Closed | HttpError::Broken)));
             Ok(())
         });
     }
@@ -703,7 +734,7 @@
             let bytes = [head.as_bytes(), &vec![b'x'; length]].concat();
             match heard(&bytes, pieces, true) {
                 Ok((body, keep)) => assert!(keep && body.len() == HOLD_MOST),
-                Err(bad) => assert!(length > HOLD_MOST && matches!(bad, Bad::TooLarge)),
+                Err(bad) => assert!(length > HOLD_MOST && matches!(bad, HttpError::TooLarge)),
             }
         }
     }
@@ -725,19 +756,19 @@
         for (bytes, keep) in [(told, true), (chunked(11), true), (chunked(70_001), true), (to_end, false)] {
             let (near, far) = pair();
             let writer = std::thread::spawn(move || (&near).write_all(&bytes).is_ok());
-            let stock = Stock::small(2);
+            let stock = ResourcePool::buffers_only(2);
             let buffer = stock.buffer().expect("a buffer");
             let (heard, kept) = block_on(async {
-                let mut coming = Coming::answer(&far, buffer).await.expect("a head");
+                let mut coming = IncomingMessage::read_response(&far, buffer).await.expect("a head");
                 let mut heard = Vec::new();
-                while !coming.whole() {
-                    for piece in coming.take(&stock).await {
+                while !coming.is_complete() {
+                    for piece in coming.take_parts(&stock).await {
                         heard.extend_from_slice(piece.bytes());
                     }
-                    coming.more(&far).await.expect("the rest");
+                    coming.read_more(&far).await.expect("the rest");
                 }
                 heard.extend(coming.text());
-                (heard, coming.keep)
+                (heard, coming.keep_alive)
             });
             assert!(heard == body && kept == keep);
             drop(far);
@@ -763,13 +794,13 @@
         for extra in codings.iter().chain(&lengths) {
             for text in [format!("Content-Length: 3\r\n{extra}"), format!("{extra}\r\nContent-Length: 3")] {
                 let text = format!("POST /a HTTP/1.1\r\n{text}\r\n\r\nabc");
-                assert!(matches!(heard(text.as_bytes(), 1, true), Err(Bad::Malformed)), "{extra}");
+                assert!(matches!(heard(text.as_bytes(), 1, true), Err(HttpError::Malformed)), "{extra}");
             }
         }
         for version in ["1.0", "1.1"] {
             let coding = if version == "1.0" { "chunked" } else { "gzip, chunked" };
             let text = format!("POST /a HTTP/{version}\r\nTransfer-Encoding: {coding}\r\n\r\n0\r\n\r\n");
-            assert!(matches!(heard(text.as_bytes(), 1, true), Err(Bad::Malformed)), "{coding}");
+            assert!(matches!(heard(text.as_bytes(), 1, true), Err(HttpError::Malformed)), "{coding}");
         }
     }
 
@@ -787,14 +818,14 @@
                 let (near, far) = pair();
                 let bytes = bytes.clone();
                 let writer = std::thread::spawn(move || (&near).write_all(&bytes).is_ok());
-                let stock = Stock::with(64, 16);
-                match block_on(read_long(&far, &stock, most)) {
+                let stock = ResourcePool::with(64, 16);
+                match block_on(read_buffered_response(&far, &stock, most)) {
                     Ok((status, keep, mut long)) => {
                         let mut heard = Vec::new();
                         io::Read::read_to_end(&mut long, &mut heard).expect("from memory");
                         assert!(most == 100 && heard == body && keep && status == Some(200));
                     }
-                    Err(bad) => assert!(most == 50 && matches!(bad, Bad::TooLarge)),
+                    Err(bad) => assert!(most == 50 && matches!(bad, HttpError::TooLarge)),
                 }
                 drop(far);
                 writer.join().expect("the writer ends");
--- a/crates/sidecar/src/net/leaving.rs
+++ b/crates/sidecar/src/net/leaving.rs
@@ -48,14 +48,14 @@
 }
 
 /// Whoever asked for a command, as its relays see them.
-pub struct Asker {
+pub struct ClientPresence {
     stream: Weak<Async<TcpStream>>,
     since: Instant,
 }
 
-impl Asker {
-    pub fn of(stream: &Rc<Async<TcpStream>>) -> Asker {
-        Asker { stream: Rc::downgrade(stream), since: Instant::now() }
+impl ClientPresence {
+    pub fn of(stream: &Rc<Async<TcpStream>>) -> ClientPresence {
+        ClientPresence { stream: Rc::downgrade(stream), since: Instant::now() }
     }
 
     /// The end may be there to be seen before its word has come through the queue.
--- a/crates/sidecar/src/net/local_failure.rs
+++ b/crates/sidecar/src/net/local_failure.rs
@@ -11,37 +11,37 @@
 
 /// What a failed accept or dial says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
+pub enum FailureCause {
     /// No descriptor is left, here or in the whole system: closing one helps.
     Descriptors,
     /// Buffers, memory, ports or rights of this machine: it may pass.
-    Machine,
+    LocalResources,
     /// A signal came, or the one connection ended before it was taken: the next call may do.
-    Passing,
+    Transient,
     /// The other side, or the path to it.
-    Elsewhere,
+    Remote,
 }
 
 /// Tells whose failure an error is.
-pub fn cause(wrong: &io::Error) -> Cause {
+pub fn cause(wrong: &io::Error) -> FailureCause {
     match Errno::from_io_error(wrong) {
-        Some(Errno::MFILE | Errno::NFILE) => Cause::Descriptors,
+        Some(Errno::MFILE | Errno::NFILE) => FailureCause::Descriptors,
         Some(Errno::NOBUFS | Errno::NOMEM | Errno::ADDRNOTAVAIL | Errno::ACCESS | Errno::PERM) => {
-            Cause::Machine
+            FailureCause::LocalResources
         }
-        Some(Errno::INTR | Errno::CONNABORTED | Errno::AGAIN) => Cause::Passing,
-        _ => Cause::Elsewhere,
+        Some(Errno::INTR | Errno::CONNABORTED | Errno::AGAIN) => FailureCause::Transient,
+        _ => FailureCause::Remote,
     }
 }
 
 /// Counts a failure that repeats, and logs it at most once a second.
 #[derive(Default)]
-pub struct Repeated {
+pub struct FailureLog {
     count: Cell<u64>,
     logged: Cell<Option<Instant>>,
 }
 
-impl Repeated {
+impl FailureLog {
     /// `what` failed so.
     pub fn add(&self, what: &str, wrong: &io::Error) {
         self.count.set(self.count.get() + 1);
@@ -59,16 +59,16 @@
     #[test]
     fn ours_are_told_from_a_servers_and_a_paths() {
         let cause_of = |errno: Errno| cause(&io::Error::from(errno));
-        assert_eq!(cause_of(Errno::MFILE), Cause::Descriptors);
-        assert_eq!(cause_of(Errno::NFILE), Cause::Descriptors);
-        assert_eq!(cause_of(Errno::ADDRNOTAVAIL), Cause::Machine);
-        assert_eq!(cause_of(Errno::NOBUFS), Cause::Machine);
-        assert_eq!(cause_of(Errno::CONNABORTED), Cause::Passing);
+        assert_eq!(cause_of(Errno::MFILE), FailureCause::Descriptors);
+        assert_eq!(cause_of(Errno::NFILE), FailureCause::Descriptors);
+        assert_eq!(cause_of(Errno::ADDRNOTAVAIL), FailureCause::LocalResources);
+        assert_eq!(cause_of(Errno::NOBUFS), FailureCause::LocalResources);
+        assert_eq!(cause_of(Errno::CONNABORTED), FailureCause::Transient);
         for theirs in
             [Errno::CONNREFUSED, Errno::HOSTUNREACH, Errno::TIMEDOUT, Errno::NETUNREACH, Errno::CONNRESET]
         {
-            assert_eq!(cause_of(theirs), Cause::Elsewhere, "{theirs:?}");
+            assert_eq!(cause_of(theirs), FailureCause::Remote, "{theirs:?}");
         }
-        assert_eq!(cause(&io::Error::other("no number")), Cause::Elsewhere);
+        assert_eq!(cause(&io::Error::other("no number")), FailureCause::Remote);
     }
 }
--- a/crates/sidecar/src/net/mod.rs
+++ b/crates/sidecar/src/net/mod.rs
@@ -31,16 +31,16 @@
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
-use buffers::Stock;
-use callers::Callers;
+use buffers::ResourcePool;
+use callers::ClientSide;
 use discovery::Discovery;
-use endpoints::Endpoints;
+use endpoints::UpstreamClient;
 use futures_lite::StreamExt;
 use futures_lite::future::or;
-use local_failure::{Cause, Repeated, cause};
-use owner::{Operators, Outside};
+use local_failure::{FailureCause, FailureLog, cause};
+use owner::{OperatorChannels, Services};
 use peers::Peers;
-use pool::Pool;
+use pool::ConnectionPool;
 use std::cell::RefCell;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -111,7 +111,12 @@
 }
 
 /// Takes this process's part of what the sidecar has, as long as it runs.
-async fn share(presence: Rc<RefCell<Presence>>, stock: Rc<Stock>, callers: Rc<Callers>, pool: Rc<Pool>) {
+async fn share(
+    presence: Rc<RefCell<Presence>>,
+    stock: Rc<ResourcePool>,
+    callers: Rc<ClientSide>,
+    pool: Rc<ConnectionPool>,
+) {
     let mut shared = None;
     loop {
         let another = presence.borrow_mut().another();
@@ -126,7 +131,7 @@
 }
 
 /// Lets go of the listener once those who wait at it are taken. Those in no time are not: their number has no bound.
-async fn stop_taking(callers: &Callers, accepting: Task<()>) {
+async fn stop_taking(callers: &ClientSide, accepting: Task<()>) {
     callers.take_no_more();
     if timeout::timeout(LAST_TAKEN, accepting).await.is_none() {
         tracing::warn!("SIGTERM: more callers wait than could be taken within {LAST_TAKEN:?}");
@@ -145,13 +150,13 @@
 /// cannot be had for longer ends the start.
 async fn bind(address: SocketAddr) -> io::Result<Async<TcpListener>> {
     let begun = Instant::now();
-    let failures = Repeated::default();
+    let failures = FailureLog::default();
     loop {
         let wrong = match Async::<TcpListener>::bind(address) {
             Ok(listener) => return Ok(listener),
             Err(wrong) => wrong,
         };
-        let may_pass = wrong.kind() == io::ErrorKind::AddrInUse || cause(&wrong) != Cause::Elsewhere;
+        let may_pass = wrong.kind() == io::ErrorKind::AddrInUse || cause(&wrong) != FailureCause::Remote;
         if !may_pass || begun.elapsed() >= BIND_WITHIN {
             return Err(io::Error::new(wrong.kind(), format!("{address}: {wrong}")));
         }
@@ -162,7 +167,7 @@
 
 /// All of a sidecar but its callers' listener and its signals.
 struct Inside {
-    callers: Rc<Callers>,
+    callers: Rc<ClientSide>,
     discovery: Option<Discovery>,
     following: Option<Task<()>>,
     /// Where discovery is by the file, and by the control machines; where they move it.
@@ -190,14 +195,14 @@
     fleet_on: Option<&LocalExecutor<'static>>,
 ) -> io::Result<Inside> {
     let takes_over = launch.inherited_listener.is_some();
-    let stock = Stock::new(&launch);
-    let pool = Rc::new(Pool::new(&launch, stock.clone()));
-    let endpoints = Rc::new(Endpoints::new(&launch, pool.clone(), stock.clone()));
+    let stock = ResourcePool::new(&launch);
+    let pool = Rc::new(ConnectionPool::new(&launch, stock.clone()));
+    let endpoints = Rc::new(UpstreamClient::new(&launch, pool.clone(), stock.clone()));
     let (queue, words) = owner::queue();
     let longest = launch.classes.iter().map(|verb| verb.time_limit).max().unwrap_or_default().min(LIMIT_MOST);
     let (ask, asked) = async_channel::bounded(1);
     let mut discovery = Discovery::new(&launch, stock.clone(), queue.clone(), start.clone());
-    let callers = Rc::new(Callers::new(
+    let callers = Rc::new(ClientSide::new(
         &launch,
         stock.clone(),
         queue.clone(),
@@ -256,8 +261,8 @@
         Console { serving, orders, record, fleet, control: controlled }.open(at)?;
     }
     let some_known = !launch.initial_catalog.entries.is_empty();
-    let outside = Outside { endpoints, pool, peers, fleet: link, ask: ask.clone(), start };
-    let operators = Operators { orders: ordered, recorded, listed };
+    let outside = Services { endpoints, pool, peers, fleet: link, ask: ask.clone(), start };
+    let operators = OperatorChannels { orders: ordered, recorded, listed };
     executor.spawn(owner::own(launch, outside, operators, executor.clone(), queue, words)).detach();
     Ok(Inside {
         callers,
--- a/crates/sidecar/src/net/owner.rs
+++ b/crates/sidecar/src/net/owner.rs
@@ -4,10 +4,10 @@
 //! itself, wait for a socket, or call the module from within one of the module's own calls.
 
 use super::attempts::Location;
-use super::endpoints::{Answer, End, Endpoints, Outgoing, Stage};
+use super::endpoints::{AttemptResult, AttemptStage, OutgoingRequest, UpstreamClient, UpstreamResponse};
 use super::learnt::{self, Before, SAVE_EVERY, SAVE_FIRST, Saving};
 use super::peers::Peers;
-use super::pool::{Pool, Target};
+use super::pool::{ConnectionPool, Target};
 use crate::catalog::Catalog;
 use crate::clock::Clock;
 use crate::console::Order;
@@ -22,7 +22,8 @@
 use async_io::Timer;
 use futures_lite::future::or;
 use landingspread_decisions::host::{
-    AttemptEnd, Event, Host, Id, Lifecycle, ListedServer, LoadReport, Outcome, ReplicaView, RequestArrival,
+    AttemptEnd, Event as DecisionEvent, Host, Id, Lifecycle, ListedServer, LoadReport, Outcome, ReplicaView,
+    RequestArrival,
 };
 use landingspread_decisions::peer_messages::IgnoredMessages;
 use landingspread_decisions::policy::Policy;
@@ -36,115 +37,117 @@
 use std::time::Duration;
 
 /// A command's final word.
-pub enum Final {
-    Answered(Box<Answer>),
-    Declined(Option<Duration>),
-    Terminated,
+pub enum FinalResponse {
+    Response(Box<UpstreamResponse>),
+    Rejected(Option<Duration>),
+    Failed,
 }
 
-impl Final {
+impl FinalResponse {
     fn name(&self) -> &'static str {
         match self {
-            Final::Answered(_) => "answered",
-            Final::Declined(_) => "declined",
-            Final::Terminated => "terminated",
+            FinalResponse::Response(_) => "answered",
+            FinalResponse::Rejected(_) => "declined",
+            FinalResponse::Failed => "terminated",
         }
     }
 }
 
 /// A command as its caller's side hands it over. Two callers may use one id: the number tells them apart.
-pub struct Came {
+pub struct IncomingRequest {
     pub number: u64,
     pub arrival: RequestArrival,
-    pub outgoing: Outgoing,
-    pub caller: Sender<Final>,
+    pub outgoing: OutgoingRequest,
+    pub caller: Sender<FinalResponse>,
 }
 
 /// What reaches the owner.
-pub enum Word {
-    Came(Box<Came>),
+pub enum Event {
+    RequestArrived(Box<IncomingRequest>),
     /// The last byte of its body has come; it is due by then.
-    Whole(Id, u64, Duration),
-    Left(Id, u64),
+    BodyComplete(Id, u64, Duration),
+    ClientLeft(Id, u64),
     /// An answer that was passed on as it came has broken off, of this verb.
-    Broke(Id, usize),
-    Ended(Id, u32, Box<End>),
-    Checked(Id, Outcome, LoadReport),
-    Peer(u32, Vec<u8>),
-    Listed(Catalog),
-    ListFailed,
+    ResponseBroke(Id, usize),
+    AttemptEnded(Id, u32, Box<AttemptResult>),
+    HealthCheckEnded(Id, Outcome, LoadReport),
+    PeerMessage(u32, Vec<u8>),
+    ListReceived(Catalog),
+    ListPollFailed,
     /// By discovery itself, as it has too many calls.
-    ListRefused,
+    ListPollRefused,
     /// Quotas and verbs by now; told once the module has them.
-    Changed(Box<Changed>, Sender<()>),
+    SettingsChanged(Box<Changed>, Sender<()>),
     /// The process ends: by then all that is open has its final word.
-    EndsBy(Duration),
+    ShutdownBy(Duration),
     /// It is that time.
-    AllDue,
+    ShutdownDeadline,
 }
 
 /// The sending side of the owner's queue. It has no bound of its own: each open socket has at most one word
 /// in it, and sockets are budgeted; peers' words stop at a bound of `peers.rs`.
 #[derive(Clone)]
-pub struct Queue(Sender<Word>);
+pub struct EventQueue(Sender<Event>);
 
-impl Queue {
+impl EventQueue {
     pub fn waiting(&self) -> usize {
         self.0.len()
     }
 
-    pub fn tell(&self, word: Word) {
+    pub fn push(&self, word: Event) {
         let taken = self.0.try_send(word).is_ok();
         must_hold!(Internal, taken, "the owner hears every word");
     }
 }
 
-pub fn queue() -> (Queue, Receiver<Word>) {
+pub fn queue() -> (EventQueue, Receiver<Event>) {
     let (sender, receiver) = async_channel::unbounded();
-    (Queue(sender), receiver)
+    (EventQueue(sender), receiver)
 }
 
-struct Shot {
+struct Attempt {
     server: Id,
     sent: Duration,
-    stage: Rc<Cell<Stage>>,
+    stage: Rc<Cell<AttemptStage>>,
     /// Dropped, it stops the relay and closes its connection. None for what was never sent.
     task: Option<Task<()>>,
     /// None while it is out.
     outcome: Option<Outcome>,
 }
 
-impl Shot {
+impl Attempt {
     fn ended(&self) -> bool {
         self.outcome.is_some()
     }
 }
 
-struct Open {
+struct OpenRequest {
     number: u64,
     due: Duration,
-    outgoing: Rc<Outgoing>,
-    caller: Sender<Final>,
+    outgoing: Rc<OutgoingRequest>,
+    caller: Sender<FinalResponse>,
     finished: bool,
-    shots: Vec<Shot>,
+    shots: Vec<Attempt>,
 }
 
-impl Open {
+impl OpenRequest {
     /// Why it is refused, or fails, by what its attempts came to.
-    fn refusal_reason(&self, word: &Final) -> Option<RefusalReason> {
+    fn refusal_reason(&self, word: &FinalResponse) -> Option<RefusalReason> {
         let never_ran = self.shots.iter().all(|shot| shot.outcome.is_none_or(Outcome::never_ran));
         match word {
-            Final::Answered(_) => None,
-            Final::Declined(_) | Final::Terminated if self.shots.is_empty() => Some(RefusalReason::Shed),
-            Final::Declined(_) if never_ran => Some(RefusalReason::NeverRan),
-            Final::Declined(_) => Some(RefusalReason::Repeatable),
-            Final::Terminated => Some(RefusalReason::Unknown),
+            FinalResponse::Response(_) => None,
+            FinalResponse::Rejected(_) | FinalResponse::Failed if self.shots.is_empty() => {
+                Some(RefusalReason::Shed)
+            }
+            FinalResponse::Rejected(_) if never_ran => Some(RefusalReason::NeverRan),
+            FinalResponse::Rejected(_) => Some(RefusalReason::Repeatable),
+            FinalResponse::Failed => Some(RefusalReason::Unknown),
         }
     }
 }
 
 /// A server as the list tells it.
-struct KnownServer {
+struct KnownEndpoint {
     address: SocketAddr,
     location: Location,
     /// It is to get nothing new.
@@ -152,9 +155,9 @@
 }
 
 /// What the owner reaches the outside by.
-pub struct Outside {
-    pub endpoints: Rc<Endpoints>,
-    pub pool: Rc<Pool>,
+pub struct Services {
+    pub endpoints: Rc<UpstreamClient>,
+    pub pool: Rc<ConnectionPool>,
     pub peers: Option<Rc<Peers>>,
     /// None where this copy is one of no fleet.
     pub fleet: Option<fleet::Link>,
@@ -163,7 +166,7 @@
 }
 
 /// What operators said, and are to be told.
-pub struct Operators {
+pub struct OperatorChannels {
     pub orders: Receiver<Order>,
     /// What was recorded before this process began.
     pub recorded: Words,
@@ -172,28 +175,28 @@
 }
 
 /// The owner's books, reached by the module's calls and by the owner in turn.
-struct Desk {
+struct RequestTable {
     clock: Clock,
     most_relays: usize,
-    open: BTreeMap<Id, Open>,
-    servers: BTreeMap<Id, KnownServer>,
+    open: BTreeMap<Id, OpenRequest>,
+    servers: BTreeMap<Id, KnownEndpoint>,
     wakes: BinaryHeap<Reverse<Duration>>,
     /// No relay lasts longer.
     ends_by: Duration,
-    outside: Outside,
+    outside: Services,
     executor: Rc<LocalExecutor<'static>>,
-    queue: Queue,
+    queue: EventQueue,
 }
 
-impl KnownServer {
+impl KnownEndpoint {
     fn target(&self, server: &Id) -> Target {
         Target { server: server.clone(), address: self.address, location: self.location }
     }
 }
 
-impl Desk {
+impl RequestTable {
     /// The one final word of a command.
-    fn finish(&mut self, cmd: &Id, word: Final) {
+    fn finish(&mut self, cmd: &Id, word: FinalResponse) {
         let Some(open) = self.open.get_mut(cmd) else { return };
         tracing::debug!("{cmd} is {}", word.name());
         must_hold!(OneAnswer, !open.finished, "one final word for {cmd}");
@@ -211,7 +214,8 @@
     /// is about what an endpoint has; this it never had.
     fn withdraw(&mut self, cmd: &Id) {
         let Some(open) = self.open.get(cmd) else { return };
-        let unwritten = |shot: &Shot| matches!(shot.stage.get(), Stage::Unwritten | Stage::Begun);
+        let unwritten =
+            |shot: &Attempt| matches!(shot.stage.get(), AttemptStage::Unwritten | AttemptStage::Started);
         let numbers: Vec<u32> =
             (0..).zip(&open.shots).filter(|(_, shot)| unwritten(shot)).map(|(number, _)| number).collect();
         numbers.into_iter().for_each(|number| self.cancel(cmd, number));
@@ -219,8 +223,8 @@
 
     /// Nothing new goes to this server: a relay whose connection is not up yet would begin there whenever it is.
     fn withdraw_from(&mut self, server: &Id) {
-        let waits = |shot: &Shot| shot.server == *server && shot.stage.get() == Stage::Unwritten;
-        let of = |(cmd, open): (&Id, &Open)| {
+        let waits = |shot: &Attempt| shot.server == *server && shot.stage.get() == AttemptStage::Unwritten;
+        let of = |(cmd, open): (&Id, &OpenRequest)| {
             let shots = (0u32..).zip(&open.shots).filter(|(_, shot)| waits(shot));
             shots.map(|(number, _)| (cmd.clone(), number)).collect::<Vec<_>>()
         };
@@ -229,7 +233,7 @@
     }
 
     fn forget_ended(&mut self, cmd: &Id) {
-        let over = |open: &Open| open.finished && open.shots.iter().all(Shot::ended);
+        let over = |open: &OpenRequest| open.finished && open.shots.iter().all(Attempt::ended);
         if self.open.get(cmd).is_some_and(over) {
             self.open.remove(cmd);
         }
@@ -244,7 +248,7 @@
         let number = open.shots.len() as u32;
         let not_past = if not_past.is_zero() { open.due } else { not_past.min(open.due) };
         let not_past = not_past.min(self.ends_by);
-        let stage = Rc::new(Cell::new(Stage::Unwritten));
+        let stage = Rc::new(Cell::new(AttemptStage::Unwritten));
         let last = open.shots.last().and_then(|shot| shot.outcome);
         last.into_iter().for_each(|last| counters::retried(cmd, number, last));
         let known = self.servers.get(server);
@@ -253,7 +257,7 @@
         must_hold!(Sending, !drains, "attempt {number} of {cmd} to {server}, which drains");
         let target = known.filter(|_| !drains).map(|known| known.target(server));
         let may_go = !open.finished && now < not_past && open.shots.len() < self.most_relays;
-        let mut shot = Shot { server: server.clone(), sent: now, stage, task: None, outcome: None };
+        let mut shot = Attempt { server: server.clone(), sent: now, stage, task: None, outcome: None };
         match target.filter(|_| may_go) {
             Some(target) => {
                 let (endpoints, queue) = (self.outside.endpoints.clone(), self.queue.clone());
@@ -261,13 +265,17 @@
                 let by = self.clock.instant(not_past);
                 shot.task = Some(self.executor.spawn(async move {
                     let end = endpoints.relay(&target, &outgoing, number, by, &stage).await;
-                    stage.set(Stage::Ended);
-                    queue.tell(Word::Ended(cmd, number, Box::new(end)));
+                    stage.set(AttemptStage::Ended);
+                    queue.push(Event::AttemptEnded(cmd, number, Box::new(end)));
                 }));
             }
             None => {
-                shot.stage.set(Stage::Ended);
-                self.queue.tell(Word::Ended(cmd.clone(), number, Box::new(End::bare(Outcome::NotSent))));
+                shot.stage.set(AttemptStage::Ended);
+                self.queue.push(Event::AttemptEnded(
+                    cmd.clone(),
+                    number,
+                    Box::new(AttemptResult::bare(Outcome::NotSent)),
+                ));
             }
         }
         open.shots.push(shot);
@@ -276,7 +284,7 @@
     /// The process ends: what is out of commands that came before it was told so ends as by its time. What is being
     /// passed on has its final word and goes on.
     fn end_relays(&mut self) {
-        let of = |(cmd, open): (&Id, &Open)| {
+        let of = |(cmd, open): (&Id, &OpenRequest)| {
             let out = (0u32..).zip(&open.shots).filter(|(_, shot)| !shot.ended() && !open.finished);
             out.map(|(number, _)| (cmd.clone(), number)).collect::<Vec<_>>()
         };
@@ -293,32 +301,32 @@
         let Some(open) = self.open.get_mut(cmd) else { return };
         let Some(shot) = open.shots.get_mut(number as usize) else { return };
         // Another outcome may be on the queue already: then that one stands.
-        let outcome = match shot.stage.replace(Stage::Ended) {
-            Stage::Ended => return,
-            Stage::Written => written,
-            Stage::Unwritten | Stage::Begun => Outcome::NotSent,
+        let outcome = match shot.stage.replace(AttemptStage::Ended) {
+            AttemptStage::Ended => return,
+            AttemptStage::Written => written,
+            AttemptStage::Unwritten | AttemptStage::Started => Outcome::NotSent,
         };
         shot.task = None;
         open.outgoing.guard.ended(number, outcome);
-        let end = End { spent: !open.outgoing.unsent(), ..End::bare(outcome) };
-        self.queue.tell(Word::Ended(cmd.clone(), number, Box::new(end)));
+        let end = AttemptResult { spent: !open.outgoing.unsent(), ..AttemptResult::bare(outcome) };
+        self.queue.push(Event::AttemptEnded(cmd.clone(), number, Box::new(end)));
     }
 }
 
 /// The module's hand on the desk.
-struct Hand(Rc<RefCell<Desk>>);
+struct DecisionHost(Rc<RefCell<RequestTable>>);
 
-impl Host for Hand {
+impl Host for DecisionHost {
     fn start_attempt(&mut self, cmd: &Id, server: &Id, not_past: Duration) {
         self.0.borrow_mut().relay(cmd, server, not_past);
     }
 
     fn reject(&mut self, cmd: &Id, come_back: Option<Duration>) {
-        self.0.borrow_mut().finish(cmd, Final::Declined(come_back));
+        self.0.borrow_mut().finish(cmd, FinalResponse::Rejected(come_back));
     }
 
     fn fail(&mut self, cmd: &Id) {
-        self.0.borrow_mut().finish(cmd, Final::Terminated);
+        self.0.borrow_mut().finish(cmd, FinalResponse::Failed);
     }
 
     fn cancel_attempt(&mut self, cmd: &Id, relay: u32) {
@@ -328,13 +336,13 @@
     fn check_health(&mut self, server: &Id) {
         let desk = self.0.borrow();
         let Some(target) = desk.servers.get(server).map(|known| known.target(server)) else {
-            desk.queue.tell(Word::Checked(server.clone(), Outcome::NotSent, LoadReport::default()));
+            desk.queue.push(Event::HealthCheckEnded(server.clone(), Outcome::NotSent, LoadReport::default()));
             return;
         };
         let (endpoints, queue) = (desk.outside.endpoints.clone(), desk.queue.clone());
         let check = async move {
             let (outcome, load) = endpoints.check(&target).await;
-            queue.tell(Word::Checked(target.server, outcome, load));
+            queue.push(Event::HealthCheckEnded(target.server, outcome, load));
         };
         desk.executor.spawn(check).detach();
     }
@@ -360,31 +368,31 @@
         }
     }
 
-    fn log(&mut self, event: &Event) {
+    fn log(&mut self, event: &DecisionEvent) {
         match event {
-            Event::SlowStartViolated(server) => {
+            DecisionEvent::SlowStartViolated(server) => {
                 must_hold!(SlowStart, false, "an attempt without a credit to {server}");
             }
-            Event::Ejected(_) | Event::Returned(_) => tracing::info!("{event}"),
+            DecisionEvent::Ejected(_) | DecisionEvent::Returned(_) => tracing::info!("{event}"),
         }
     }
 }
 
 /// Operators are heard before all that waits.
-enum Heard {
-    Order(Order),
-    Word(Word),
-    Copies(ReplicaView),
-    Zones(Vec<ZoneTraffic>),
+enum Input {
+    OperatorOrder(Order),
+    Event(Event),
+    FleetSize(ReplicaView),
+    ZoneTraffic(Vec<ZoneTraffic>),
 }
 
 struct Owner {
-    desk: Rc<RefCell<Desk>>,
-    policy: Policy<Hand>,
+    desk: Rc<RefCell<RequestTable>>,
+    policy: Policy<DecisionHost>,
     clock: Clock,
     /// What an earlier process learnt, until a whole list has come.
     before: Before,
-    operators: Operators,
+    operators: OperatorChannels,
     fleet: Option<fleet::Link>,
     seen_at: Duration,
     /// The module's next sweep that may decide anything; those before it are left out unless something is heard.
@@ -396,16 +404,16 @@
 
 pub async fn own(
     launch: Configuration,
-    mut outside: Outside,
-    operators: Operators,
+    mut outside: Services,
+    operators: OperatorChannels,
     executor: Rc<LocalExecutor<'static>>,
-    queue: Queue,
-    words: Receiver<Word>,
+    queue: EventQueue,
+    words: Receiver<Event>,
 ) {
     let deployment = learnt::deployment(&launch);
     let fleet = outside.fleet.take();
     let clock = launch.clock;
-    let desk = Rc::new(RefCell::new(Desk {
+    let desk = Rc::new(RefCell::new(RequestTable {
         clock: clock.clone(),
         most_relays: launch.policy.capabilities.max_attempts as usize,
         open: BTreeMap::new(),
@@ -416,7 +424,7 @@
         executor,
         queue,
     }));
-    let policy = Policy::start(Hand(desk.clone()), launch.policy, launch.seed, clock.now());
+    let policy = Policy::start(DecisionHost(desk.clone()), launch.policy, launch.seed, clock.now());
     let before = launch.statistics_file.as_ref().map(|path| learnt::read(path, &deployment, &clock));
     let before = before.unwrap_or_default();
     desk.borrow().outside.start.kept_files_read();
@@ -477,7 +485,7 @@
         let _ = order.known.try_send(known);
     }
 
-    async fn listen(mut self, words: Receiver<Word>) {
+    async fn listen(mut self, words: Receiver<Event>) {
         loop {
             let wake = self.next_wake();
             let elapsed = async {
@@ -490,17 +498,17 @@
             let orders = self.operators.orders.clone();
             let ordered = async {
                 match orders.recv().await {
-                    Ok(order) => Some(Heard::Order(order)),
+                    Ok(order) => Some(Input::OperatorOrder(order)),
                     // Nobody can call.
                     Err(_) => futures_lite::future::pending().await,
                 }
             };
-            let said = async { words.recv().await.ok().map(Heard::Word) };
+            let said = async { words.recv().await.ok().map(Input::Event) };
             let copies = self.fleet.as_ref().map(|fleet| fleet.copies.clone());
             let counted = async {
                 match copies {
                     Some(copies) => match copies.recv().await {
-                        Ok(copies) => Some(Heard::Copies(copies)),
+                        Ok(copies) => Some(Input::FleetSize(copies)),
                         Err(_) => futures_lite::future::pending().await,
                     },
                     None => futures_lite::future::pending().await,
@@ -510,7 +518,7 @@
             let shared = async {
                 match zones {
                     Some(zones) => match zones.recv().await {
-                        Ok(shares) => Some(Heard::Zones(shares)),
+                        Ok(shares) => Some(Input::ZoneTraffic(shares)),
                         Err(_) => futures_lite::future::pending().await,
                     },
                     None => futures_lite::future::pending().await,
@@ -519,10 +527,12 @@
             let heard = or(ordered, or(or(counted, shared), or(said, elapsed))).await;
             self.rest_no_longer(heard.is_some());
             match heard {
-                Some(Heard::Order(order)) => self.operators_say(order),
-                Some(Heard::Word(word)) => self.hear(word),
-                Some(Heard::Copies(copies)) => self.copies_told(&copies),
-                Some(Heard::Zones(shares)) => self.policy.zone_traffic_changed(self.clock.now(), &shares),
+                Some(Input::OperatorOrder(order)) => self.operators_say(order),
+                Some(Input::Event(word)) => self.hear(word),
+                Some(Input::FleetSize(copies)) => self.copies_told(&copies),
+                Some(Input::ZoneTraffic(shares)) => {
+                    self.policy.zone_traffic_changed(self.clock.now(), &shares)
+                }
                 None => {}
             }
             // Looked at after each word: a long queue must not keep the module from its time.
@@ -582,18 +592,18 @@
         self.desk.borrow().wakes.peek().map(|Reverse(at)| *at)
     }
 
-    fn hear(&mut self, word: Word) {
+    fn hear(&mut self, word: Event) {
         let now = self.clock.now();
         match word {
-            Word::Came(came) => self.cmd_came(now, *came),
-            Word::Whole(id, number, due) => self.body_came(now, &id, number, due),
-            Word::Left(id, number) => self.client_left(now, &id, number),
-            Word::Broke(server, verb) => self.policy.response_interrupted(now, &server, verb),
-            Word::Ended(id, number, end) => self.relay_ended(now, id, number, *end),
-            Word::Checked(server, outcome, load) => {
+            Event::RequestArrived(came) => self.cmd_came(now, *came),
+            Event::BodyComplete(id, number, due) => self.body_came(now, &id, number, due),
+            Event::ClientLeft(id, number) => self.client_left(now, &id, number),
+            Event::ResponseBroke(server, verb) => self.policy.response_interrupted(now, &server, verb),
+            Event::AttemptEnded(id, number, end) => self.relay_ended(now, id, number, *end),
+            Event::HealthCheckEnded(server, outcome, load) => {
                 self.policy.health_check_ended(now, outcome, &server, load)
             }
-            Word::Listed(catalog) => {
+            Event::ListReceived(catalog) => {
                 let _ = self.operators.listed.try_send(());
                 let whole = catalog.complete;
                 let entries = self.note_servers(catalog);
@@ -604,15 +614,15 @@
                     self.policy.endpoint_list_changed(now, &entries);
                 }
             }
-            Word::Peer(peer, words) => self.peer_said(now, peer, &words),
-            Word::ListFailed => self.policy.discovery_poll_failed(now),
-            Word::ListRefused => self.policy.discovery_poll_rejected(now),
-            Word::Changed(changed, taken) => {
+            Event::PeerMessage(peer, words) => self.peer_said(now, peer, &words),
+            Event::ListPollFailed => self.policy.discovery_poll_failed(now),
+            Event::ListPollRefused => self.policy.discovery_poll_rejected(now),
+            Event::SettingsChanged(changed, taken) => {
                 self.policy.settings_changed(now, &changed.quotas, &changed.verbs);
                 let _ = taken.try_send(());
             }
-            Word::EndsBy(at) => self.ends_by(now, at),
-            Word::AllDue => self.desk.borrow_mut().end_relays(),
+            Event::ShutdownBy(at) => self.ends_by(now, at),
+            Event::ShutdownDeadline => self.desk.borrow_mut().end_relays(),
         }
     }
 
@@ -631,7 +641,7 @@
     fn note_servers(&mut self, catalog: Catalog) -> Vec<ListedServer> {
         let desk = &mut *self.desk.borrow_mut();
         let mut left = Vec::new();
-        let Desk { servers, outside: Outside { pool, .. }, .. } = desk;
+        let RequestTable { servers, outside: Services { pool, .. }, .. } = desk;
         let old = if catalog.complete { std::mem::take(servers) } else { BTreeMap::new() };
         for entry in &catalog.entries {
             let server = &entry.listed.server;
@@ -642,7 +652,7 @@
             let before = servers.remove(server);
             let before = before.as_ref().or(old.get(server));
             let moved = before.is_some_and(|before| before.address != entry.address);
-            let known = KnownServer {
+            let known = KnownEndpoint {
                 address: entry.address,
                 location: Location { zone: entry.listed.zone, cell: entry.listed.cell },
                 drains: state == Lifecycle::Draining,
@@ -669,23 +679,29 @@
         let (queue, due) = (desk.queue.clone(), self.clock.instant(at));
         let tell = async move {
             Timer::at(due).await;
-            queue.tell(Word::AllDue);
+            queue.push(Event::ShutdownDeadline);
         };
         desk.executor.spawn(tell).detach();
     }
 
-    fn cmd_came(&mut self, now: Duration, came: Came) {
-        let Came { number, arrival, outgoing, caller } = came;
+    fn cmd_came(&mut self, now: Duration, came: IncomingRequest) {
+        let IncomingRequest { number, arrival, outgoing, caller } = came;
         let mut desk = self.desk.borrow_mut();
         if desk.open.contains_key(&arrival.id) {
             // Two commands under one id could not be told apart by any endpoint.
             counters::refused(&arrival.id, RefusalReason::SameId);
-            let _ = caller.try_send(Final::Terminated);
+            let _ = caller.try_send(FinalResponse::Failed);
             return;
         }
         let outgoing = Rc::new(outgoing);
-        let open =
-            Open { number, due: arrival.deadline, outgoing, caller, finished: false, shots: Vec::new() };
+        let open = OpenRequest {
+            number,
+            due: arrival.deadline,
+            outgoing,
+            caller,
+            finished: false,
+            shots: Vec::new(),
+        };
         desk.open.insert(arrival.id.clone(), open);
         drop(desk);
         self.policy.request_arrived(now, arrival);
@@ -705,7 +721,7 @@
         let mut desk = self.desk.borrow_mut();
         // Its final word may have crossed its leaving; and a second caller under an open id may leave before it
         // hears that it is terminated, which is not the first one's leaving.
-        let left = |open: &&mut Open| open.number == number && !open.finished;
+        let left = |open: &&mut OpenRequest| open.number == number && !open.finished;
         let Some(open) = desk.open.get_mut(id).filter(left) else { return };
         open.finished = true;
         open.outgoing.guard.request_over();
@@ -715,8 +731,8 @@
         self.desk.borrow_mut().forget_ended(id);
     }
 
-    fn relay_ended(&mut self, now: Duration, id: Id, number: u32, end: End) {
-        let End { outcome, load, answer, spent } = end;
+    fn relay_ended(&mut self, now: Duration, id: Id, number: u32, end: AttemptResult) {
+        let AttemptResult { outcome, load, answer, spent } = end;
         let mut desk = self.desk.borrow_mut();
         let Some(open) = desk.open.get_mut(&id) else {
             must_hold!(Internal, false, "a relay ends before its command is forgotten: {id}");
@@ -732,7 +748,7 @@
         if let Some(answer) = answer
             && !open.finished
         {
-            desk.finish(&id, Final::Answered(Box::new(answer)));
+            desk.finish(&id, FinalResponse::Response(Box::new(answer)));
         }
         tracing::debug!("{id} relay {number} to {server}: {outcome:?} after {latency:?}");
         let closed = desk.open.get(&id).is_none_or(|open| open.finished);
--- a/crates/sidecar/src/net/peers.rs
+++ b/crates/sidecar/src/net/peers.rs
@@ -1,6 +1,6 @@
 //! Words between sidecars, as datagrams: lost ones are not sent again. It owns the socket; it must never read a word.
 
-use super::owner::{Queue, Word};
+use super::owner::{Event, EventQueue};
 use async_channel::Sender;
 use async_io::Async;
 use landingspread_decisions::peer_messages::MAX_MESSAGE_BYTES;
@@ -53,7 +53,7 @@
     }
 
     /// Hears peers for ever; what comes from anyone else, or is too long, is dropped.
-    pub async fn hear(self: Rc<Self>, queue: Queue) {
+    pub async fn hear(self: Rc<Self>, queue: EventQueue) {
         let mut bytes = [0; MESSAGE_MOST + 1];
         loop {
             // A flood is always ready to be read: the owner and the callers must have their turns.
@@ -67,7 +67,7 @@
             let peer = self.addresses.iter().position(|address| *address == from);
             if let Some(peer) = peer.filter(|_| length <= MAX_MESSAGE_BYTES && queue.waiting() < WAITING_MOST)
             {
-                queue.tell(Word::Peer(peer as u32, bytes[..length].into()));
+                queue.push(Event::PeerMessage(peer as u32, bytes[..length].into()));
                 continue;
             }
             self.dropped.set(self.dropped.get() + 1);
@@ -109,7 +109,7 @@
         let heard = async {
             let mut heard = Vec::new();
             while heard.len() < 2 {
-                if let Ok(Word::Peer(peer, said)) = words.recv().await {
+                if let Ok(Event::PeerMessage(peer, said)) = words.recv().await {
                     heard.push((peer, said));
                 }
             }
--- a/crates/sidecar/src/net/pool.rs
+++ b/crates/sidecar/src/net/pool.rs
@@ -2,8 +2,8 @@
 //! to a server that no attempt is using; it must never write or read a message.
 
 use super::attempts::Location;
-use super::buffers::{Place, Stock};
-use super::local_failure::{Cause, Repeated, cause};
+use super::buffers::{ResourcePool, SocketPermit};
+use super::local_failure::{FailureCause, FailureLog, cause};
 use super::timeout::timeout;
 use crate::launch::Configuration;
 use async_io::{Async, Timer};
@@ -45,13 +45,13 @@
 }
 
 /// An open connection to a server.
-pub struct Conn {
+pub struct UpstreamConnection {
     pub stream: Async<TcpStream>,
-    _place: Place,
+    _place: SocketPermit,
 }
 
-struct Kept {
-    conn: Conn,
+struct IdleConnection {
+    conn: UpstreamConnection,
     address: SocketAddr,
     since: Instant,
 }
@@ -59,11 +59,11 @@
 /// How often kept connections broke without a word when they were used again, by how long they had been idle.
 /// Endpoints may let go of idle ones sooner than they say, and not all say so by closing.
 #[derive(Default)]
-struct Breaks {
-    bins: [(u32, u32); Breaks::BINS],
+struct IdleBreakStats {
+    bins: [(u32, u32); IdleBreakStats::BINS],
 }
 
-impl Breaks {
+impl IdleBreakStats {
     const BINS: usize = 12;
     const FIRST_MS: u64 = 25;
     const FULL: u32 = 128;
@@ -91,29 +91,29 @@
 }
 
 /// The connections to all servers.
-pub struct Pool {
-    kept: RefCell<BTreeMap<Id, Vec<Kept>>>,
-    breaks: RefCell<Breaks>,
+pub struct ConnectionPool {
+    kept: RefCell<BTreeMap<Id, Vec<IdleConnection>>>,
+    breaks: RefCell<IdleBreakStats>,
     /// When a server last sent more than its answer.
     extra_seen: Cell<Option<Instant>>,
-    failed_dials: Repeated,
-    stock: Rc<Stock>,
+    failed_dials: FailureLog,
+    stock: Rc<ResourcePool>,
     kept_for: Duration,
     dial_timeout: Duration,
 }
 
-impl Pool {
-    pub fn new(launch: &Configuration, stock: Rc<Stock>) -> Pool {
-        Pool::with(launch.idle_connection_timeout.mul_f64(KEPT_FOR), launch.connect_timeout, stock)
+impl ConnectionPool {
+    pub fn new(launch: &Configuration, stock: Rc<ResourcePool>) -> ConnectionPool {
+        ConnectionPool::with(launch.idle_connection_timeout.mul_f64(KEPT_FOR), launch.connect_timeout, stock)
     }
 
     /// One that keeps idle connections, and goes on with dials, for so long.
-    pub fn with(kept_for: Duration, dial_timeout: Duration, stock: Rc<Stock>) -> Pool {
-        Pool {
+    pub fn with(kept_for: Duration, dial_timeout: Duration, stock: Rc<ResourcePool>) -> ConnectionPool {
+        ConnectionPool {
             kept: RefCell::default(),
             breaks: RefCell::default(),
             extra_seen: Cell::default(),
-            failed_dials: Repeated::default(),
+            failed_dials: FailureLog::default(),
             stock,
             kept_for,
             dial_timeout,
@@ -127,7 +127,11 @@
 
     /// A connection, and how long it was idle if it was kept. Where this sidecar itself has no place left,
     /// nothing is held against the endpoint: the relay is moot.
-    pub async fn connection(&self, to: &Target, careful: bool) -> Result<(Conn, Option<Duration>), Outcome> {
+    pub async fn connection(
+        &self,
+        to: &Target,
+        careful: bool,
+    ) -> Result<(UpstreamConnection, Option<Duration>), Outcome> {
         if let Some(kept) = self.kept_one(to, careful) {
             return Ok((kept.conn, Some(kept.since.elapsed())));
         }
@@ -140,7 +144,7 @@
         };
         let stream = self.dial(to).await?;
         let _ = stream.get_ref().set_nodelay(true);
-        Ok((Conn { stream, _place: place }, None))
+        Ok((UpstreamConnection { stream, _place: place }, None))
     }
 
     /// What fails on this side is tried again for as long as a dial may take, and is held against no server.
@@ -156,14 +160,14 @@
                 Err(wrong) => wrong,
             };
             let why = cause(&wrong);
-            if why == Cause::Elsewhere {
+            if why == FailureCause::Remote {
                 return Err(Outcome::ConnectFailed);
             }
             self.failed_dials.add("dial", &wrong);
             if Instant::now() + DIAL_AGAIN >= until {
                 return Err(Outcome::NotSent);
             }
-            if why != Cause::Descriptors || !self.close_longest_kept() {
+            if why != FailureCause::Descriptors || !self.close_longest_kept() {
                 Timer::after(DIAL_AGAIN).await;
             }
         }
@@ -171,7 +175,7 @@
 
     /// One that has been quiet for long enough: the one that was used last, as it is the least likely to have ended. Only those
     /// tried are looked at, as each look is a system call in the way of a request; `reap` finds the others.
-    fn kept_one(&self, to: &Target, careful: bool) -> Option<Kept> {
+    fn kept_one(&self, to: &Target, careful: bool) -> Option<IdleConnection> {
         let mut kept = self.kept.borrow_mut();
         let all = kept.get_mut(&to.server)?;
         for at in (0..all.len()).rev() {
@@ -194,7 +198,7 @@
         longest.filter(|kept| self.fits(to, kept))
     }
 
-    fn fits(&self, to: &Target, kept: &Kept) -> bool {
+    fn fits(&self, to: &Target, kept: &IdleConnection) -> bool {
         kept.address == to.address && self.usable(&to.server, kept)
     }
 
@@ -222,7 +226,7 @@
 
     /// An endpoint that died or closed its side shows on the idle connection before anything is risked on it, and so does
     /// what it has sent without being asked.
-    fn usable(&self, server: &Id, kept: &Kept) -> bool {
+    fn usable(&self, server: &Id, kept: &IdleConnection) -> bool {
         match kept.conn.stream.get_ref().peek(&mut [0]) {
             Ok(1..) => {
                 self.extra_came(server);
@@ -234,19 +238,19 @@
     }
 
     /// Keeps a connection whose last answer was whole.
-    pub fn keep(&self, to: &Target, conn: Conn) {
+    pub fn keep(&self, to: &Target, conn: UpstreamConnection) {
         let mut kept = self.kept.borrow_mut();
         let all = kept.entry(to.server.clone()).or_default();
         if all.len() >= KEPT_MOST {
             all.remove(0);
         }
-        all.push(Kept { conn, address: to.address, since: Instant::now() });
+        all.push(IdleConnection { conn, address: to.address, since: Instant::now() });
     }
 
     /// Closes the connection that has rested for longest, of any server. `false`: none rests.
     pub fn close_longest_kept(&self) -> bool {
         let mut kept = self.kept.borrow_mut();
-        let first = |all: &&mut Vec<Kept>| all.first().map(|kept| kept.since);
+        let first = |all: &&mut Vec<IdleConnection>| all.first().map(|kept| kept.since);
         let oldest = kept.values_mut().filter(|all| !all.is_empty()).min_by_key(first);
         oldest.map(|all| all.remove(0)).is_some()
     }
--- a/crates/sidecar/src/net/read_ahead.rs
+++ b/crates/sidecar/src/net/read_ahead.rs
@@ -2,7 +2,7 @@
 //! each of them was there. A request's time runs from the moment its last byte came, whenever its turn comes; and a
 //! request that was read is owed an answer, whatever ends the connection.
 
-use super::buffers::{Buffer, Stock};
+use super::buffers::{Buffer, ResourcePool};
 use super::http;
 use super::leaving;
 use crate::clock::Clock;
@@ -67,7 +67,7 @@
 
 /// One connection's bytes that were read ahead of their turn.
 pub struct ReadAhead {
-    stock: Rc<Stock>,
+    stock: Rc<ResourcePool>,
     clock: Clock,
     bytes: RefCell<Option<Buffer>>,
     /// No buffer was free for them.
@@ -76,7 +76,7 @@
 }
 
 impl ReadAhead {
-    pub fn new(stock: &Rc<Stock>, clock: &Clock) -> ReadAhead {
+    pub fn new(stock: &Rc<ResourcePool>, clock: &Clock) -> ReadAhead {
         ReadAhead {
             stock: stock.clone(),
             clock: clock.clone(),
--- a/crates/sidecar/src/net/request.rs
+++ b/crates/sidecar/src/net/request.rs
@@ -1,7 +1,7 @@
 //! What a client's message asks for, read from its head; and the heads that go out for it, to a server and back to the
 //! client. No sockets: bytes in, plain values or bytes out.
 
-use super::http::{self, Bad};
+use super::http::{self, HttpError};
 use crate::launch::RequestClass;
 use landingspread_decisions::host::Id;
 use std::time::Duration;
@@ -35,30 +35,30 @@
 }
 
 /// What a message asks for.
-pub enum Asked {
+pub enum ParsedMessage {
     Health,
     Request(Request),
 }
 
 /// What the settings say of requests.
-pub struct Reader {
+pub struct RequestParser {
     pub verbs: Vec<RequestClass>,
     pub tenants: Vec<String>,
     pub cost_header: Option<String>,
 }
 
-impl Reader {
+impl RequestParser {
     /// Reads a head; `limits` are the verbs' time limits by now, for requests that tell none of their own.
-    pub fn read(&self, bytes: &[u8], limits: &[Duration]) -> Result<Asked, Rejection> {
+    pub fn read(&self, bytes: &[u8], limits: &[Duration]) -> Result<ParsedMessage, Rejection> {
         let mut headers = http::no_headers();
         let mut head = httparse::Request::new(&mut headers);
         if head.parse(bytes).is_err() {
             return Err(rejection(400, "this is no HTTP/1.1 message"));
         }
-        let (method, path) = (head.method.unwrap_or(""), http::path_of(head.path.unwrap_or("")));
+        let (method, path) = (head.method.unwrap_or(""), http::path_of_target(head.path.unwrap_or("")));
         let first = path.trim_start_matches('/').split(['/', '?']).next().unwrap_or("");
         if method == "GET" && path == "/_health" {
-            return Ok(Asked::Health);
+            return Ok(ParsedMessage::Health);
         }
         let Some((number, verb)) = self.verbs.iter().enumerate().find(|(_, verb)| verb.name == first) else {
             return Err(rejection(404, "no such verb"));
@@ -88,17 +88,17 @@
             Some(_) => return Err(rejection(400, "the command's cost is odd")),
         };
         let head = outgoing_head(method, path, head.headers);
-        Ok(Asked::Request(Request { id, verb: number, tenant, left, cost, head }))
+        Ok(ParsedMessage::Request(Request { id, verb: number, tenant, left, cost, head }))
     }
 }
 
 /// What is said of a message that is none; None where its sender has gone.
-pub fn rejection_of(bad: Bad) -> Option<Rejection> {
+pub fn rejection_of(bad: HttpError) -> Option<Rejection> {
     match bad {
-        Bad::Malformed => Some(rejection(400, "this is no HTTP/1.1 message")),
-        Bad::TooLarge => Some(rejection(413, "a head is too large")),
-        Bad::Late => Some(rejection(408, "it took too long to come")),
-        Bad::Ended | Bad::Broken => None,
+        HttpError::Malformed => Some(rejection(400, "this is no HTTP/1.1 message")),
+        HttpError::TooLarge => Some(rejection(413, "a head is too large")),
+        HttpError::TimedOut => Some(rejection(408, "it took too long to come")),
+        HttpError::Closed | HttpError::Broken => None,
     }
 }
 
@@ -113,7 +113,7 @@
     let mut head = format!("{method} {path} HTTP/1.1\r\n").into_bytes();
     // Each attempt tells the time that it has itself.
     let passed = |header: &&httparse::Header<'_>| {
-        http::passes_on(header.name) && !header.name.eq_ignore_ascii_case("x-expires-in-ms")
+        http::is_end_to_end(header.name) && !header.name.eq_ignore_ascii_case("x-expires-in-ms")
     };
     headers.iter().filter(passed).for_each(|header| add_header(&mut head, header));
     head
@@ -127,7 +127,7 @@
     let mut rsp = httparse::Response::new(&mut headers);
     // It was parsed once already, when its end was looked for.
     if rsp.parse(of).is_ok() {
-        let passed = rsp.headers.iter().filter(|header| http::passes_on(header.name));
+        let passed = rsp.headers.iter().filter(|header| http::is_end_to_end(header.name));
         passed.for_each(|header| add_header(&mut head, header));
     }
     head.extend_from_slice(framing.as_bytes());
