--- a/crates/sidecar/src/console/mod.rs
+++ b/crates/sidecar/src/console/mod.rs
@@ -150,7 +150,7 @@
             Some(Err(http::HttpError::Closed | http::HttpError::Broken)) => return,
             Some(Err(http::HttpError::TooLarge)) => calls::turned(413, "the call is too large"),
             Some(Err(http::HttpError::Malformed)) => calls::turned(400, "this is no HTTP/1.1 message"),
-            Some(Ok(message)) => match calls::understand(&message.head, &message.text()) {
+            Some(Ok(message)) => match calls::understand(&message.head, &message.body_bytes()) {
                 Err(said) => said,
                 Ok(call) => self.answer(call).await,
             },
--- a/crates/sidecar/src/control/call.rs
+++ b/crates/sidecar/src/control/call.rs
@@ -48,7 +48,7 @@
         };
         let (status, keep, long) = in_time(time, answer).await?;
         let mut bytes = Vec::new();
-        long.take((most * crate::net::buffers::SIZE) as u64)
+        long.take((most * crate::net::buffers::BUFFER_SIZE) as u64)
             .read_to_end(&mut bytes)
             .map_err(|wrong| wrong.to_string())?;
         self.0 = keep.then_some(conn);
@@ -65,7 +65,7 @@
     ) -> Result<Option<Vec<u8>>, String> {
         let head = format!("GET /control/v1/changes?{}", poll.query());
         let time = poll.wait + Follower::IN_TURN;
-        let most = CHANGE_MOST / crate::net::buffers::SIZE + 1;
+        let most = CHANGE_MOST / crate::net::buffers::BUFFER_SIZE + 1;
         let (status, bytes) = self.call(machine, &head, b"", stock, most, time).await?;
         // With what the heads have besides.
         let (sent, received) = (head.len() + 40, bytes.len() + if status == 200 { 72 } else { 27 });
--- a/crates/sidecar/src/control/machine/mod.rs
+++ b/crates/sidecar/src/control/machine/mod.rs
@@ -240,7 +240,7 @@
             };
             let (said, keep) = match timeout(CALL_WITHIN, read).await {
                 Some(Ok(coming)) => {
-                    let (keep, head, body) = (coming.keep_alive, coming.head.clone(), coming.text());
+                    let (keep, head, body) = (coming.keep_alive, coming.head.clone(), coming.body_bytes());
                     drop(coming);
                     match self.answer(&stream, &head, &body).await {
                         Some(said) => (said, keep),
--- a/crates/sidecar/src/control/machine/peers.rs
+++ b/crates/sidecar/src/control/machine/peers.rs
@@ -21,7 +21,7 @@
 /// Buffers for the versions of all scopes that there may be.
 const SUMMARY: usize = 256;
 const DIGEST: usize = 1;
-const SNAPSHOT: usize = landingspread_control::CHANGE_MOST / crate::net::buffers::SIZE + 1;
+const SNAPSHOT: usize = landingspread_control::CHANGE_MOST / crate::net::buffers::BUFFER_SIZE + 1;
 
 /// A scope whose version is to be told, and who hears once the other machine has it.
 pub type Push = (String, Sender<()>);
--- a/crates/sidecar/src/control/mod.rs
+++ b/crates/sidecar/src/control/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::clock::Clock;
 use crate::launch::{Changed, Configuration, Control, Live};
-use crate::net::buffers::{ResourcePool, SIZE};
+use crate::net::buffers::{BUFFER_SIZE, ResourcePool};
 use crate::net::callers::ClientSide;
 use crate::net::owner::{Event, EventQueue};
 use async_channel::{Receiver, Sender};
@@ -23,7 +23,7 @@
 use std::rc::Rc;
 
 /// An answer fits these, with its head.
-const BUFFERS: usize = CHANGE_MOST / SIZE + 2;
+const BUFFERS: usize = CHANGE_MOST / BUFFER_SIZE + 2;
 
 /// What a task that follows does with versions besides putting them in force.
 trait Keeps: Host {
--- a/crates/sidecar/src/net/buffers.rs
+++ b/crates/sidecar/src/net/buffers.rs
@@ -1,6 +1,5 @@
-//! What is scarce: the buffers, all of one size and used again, and the places for sockets. It owns how many
-//! of each there may be; whoever goes without
-//! can say so at once, or wait in turn where a part of a message is under way already.
+//! The scarce resources of a sidecar: buffers, all of one size and used again, and permits for sockets. It owns how many of
+//! each there may be. Whoever gets none can say so at once, or wait in turn where a part of a message is under way already.
 
 use crate::launch::Configuration;
 use async_io::Timer;
@@ -9,157 +8,174 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What one buffer holds: a head at most, or a piece of a body.
-pub const SIZE: usize = 16 * 1024;
-/// A body or an answer no longer than this is held whole, so that a command can be repeated; longer ones are passed on
-/// in pieces as they come.
-pub const HOLD_MOST: usize = 64 * 1024;
-/// How soon one who waits for a buffer looks again.
-const LOOK_AGAIN: Duration = Duration::from_millis(2);
-/// Descriptors for all that is neither a caller nor an endpoint: standard streams, the reactor's own, the
-/// signal pipe, the listener, discovery.
-const SET_ASIDE: usize = 24;
-/// What the console takes of them besides: its listener, its callers, its thread's own.
-const FOR_CONSOLE: usize = 24;
-/// What a process that takes over opens before this one has made room.
-const FOR_THE_NEXT: usize = 24;
-/// With the least of sockets that can be set there are so many places still.
-const PLACES_LEAST: usize = 16;
-/// Places kept for callers who come when all others are taken, so that they hear a word at least: so many,
-/// but a small part of what there is.
-const SPARE: usize = 16;
-const SPARE_PART: usize = 8;
-
+/// The size of each buffer in bytes: the longest head, or a part of a body.
+pub const BUFFER_SIZE: usize = 16 * 1024;
+/// The longest body in bytes that is buffered as a whole, so that its request can be retried. Longer ones are passed on in
+/// parts as they come.
+pub const MAX_BUFFERED_BODY: usize = 64 * 1024;
+/// How often a task that waits for a buffer looks again.
+const BUFFER_POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Descriptors that are neither clients' nor servers': standard streams, the reactor's own, the signal pipe, the listener,
+/// discovery.
+const RESERVED_DESCRIPTORS: usize = 24;
+/// Descriptors that the console takes besides: its listener, its clients, its thread's own.
+const CONSOLE_DESCRIPTORS: usize = 24;
+/// Descriptors that a process which takes over opens before this one has made room.
+const HANDOVER_DESCRIPTORS: usize = 24;
+/// The least number of socket permits, whatever limit is set.
+const MIN_SOCKETS: usize = 16;
+/// Permits that are kept for clients who come when all others are taken, so that they get an answer at least: this many, but
+/// no more than one part of `SPARE_FRACTION` of all.
+const MAX_SPARE: usize = 16;
+const SPARE_FRACTION: usize = 8;
+const BYTES_PER_MB: usize = 1024 * 1024;
+
+/// The buffers and socket permits of this process.
 pub struct ResourcePool {
-    idle: RefCell<Vec<Box<[u8]>>>,
-    buffers_out: Cell<usize>,
-    buffers_most: Cell<usize>,
-    whole: TotalResources,
-    pub for_callers: Rc<SocketBudget>,
+    free_buffers: RefCell<Vec<Box<[u8]>>>,
+    buffers_in_use: Cell<usize>,
+    max_buffers: Cell<usize>,
+    total: TotalResources,
+    pub for_clients: Rc<SocketBudget>,
     pub for_endpoints: Rc<SocketBudget>,
 }
 
-/// What there is for the whole sidecar, of which two processes may each have a part for a while.
+/// What the whole sidecar has. Two processes may each have a part of it for a while.
 struct TotalResources {
-    places: usize,
+    sockets: usize,
     buffers: usize,
-    all: Rc<SharedSocketCount>,
+    process_sockets: Rc<SocketCount>,
 }
 
 impl ResourcePool {
-    pub fn new(launch: &Configuration) -> Rc<ResourcePool> {
-        let console = if launch.console.is_some() { FOR_CONSOLE } else { 0 };
-        let next = if launch.inherited_listener.is_some() { FOR_THE_NEXT } else { 0 };
-        ResourcePool::with(launch.max_sockets.saturating_sub(console + next), launch.memory_mb)
+    /// The resources that the configuration allows.
+    pub fn new(configuration: &Configuration) -> Rc<ResourcePool> {
+        let console = if configuration.console.is_some() { CONSOLE_DESCRIPTORS } else { 0 };
+        let handover = if configuration.inherited_listener.is_some() { HANDOVER_DESCRIPTORS } else { 0 };
+        ResourcePool::with_limits(
+            configuration.max_sockets.saturating_sub(console + handover),
+            configuration.memory_mb,
+        )
     }
 
-    pub fn with(sockets: usize, memory_mb: usize) -> Rc<ResourcePool> {
-        let places = sockets.saturating_sub(SET_ASIDE).max(PLACES_LEAST);
-        // The other half is for all else.
-        ResourcePool::of(places, memory_mb * 1024 * 1024 / 2 / SIZE)
+    /// Resources within these limits: descriptors of the process, and memory in MB.
+    pub fn with_limits(descriptors: usize, memory_mb: usize) -> Rc<ResourcePool> {
+        let sockets = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_SOCKETS);
+        // The other half of the memory is for everything else.
+        ResourcePool::of(sockets, memory_mb * BYTES_PER_MB / 2 / BUFFER_SIZE)
     }
 
-    /// Buffers alone, for who has sockets of its own.
+    /// Buffers without sockets, for a part that has sockets of its own.
     pub fn buffers_only(buffers: usize) -> Rc<ResourcePool> {
         ResourcePool::of(0, buffers)
     }
 
-    fn of(places: usize, buffers: usize) -> Rc<ResourcePool> {
-        let all = Rc::new(SharedSocketCount::default());
-        let stock = ResourcePool {
-            idle: RefCell::default(),
-            buffers_out: Cell::new(0),
-            buffers_most: Cell::new(buffers),
-            for_callers: SocketBudget::new(&all),
-            for_endpoints: SocketBudget::new(&all),
-            whole: TotalResources { places, buffers, all },
+    fn of(sockets: usize, buffers: usize) -> Rc<ResourcePool> {
+        let process_sockets = Rc::new(SocketCount::default());
+        let pool = ResourcePool {
+            free_buffers: RefCell::default(),
+            buffers_in_use: Cell::new(0),
+            max_buffers: Cell::new(buffers),
+            for_clients: SocketBudget::new(&process_sockets),
+            for_endpoints: SocketBudget::new(&process_sockets),
+            total: TotalResources { sockets, buffers, process_sockets },
         };
-        stock.take_part(1);
-        Rc::new(stock)
+        pool.share_among(1);
+        Rc::new(pool)
     }
 
-    /// One of so many processes that share what there is. What is out past the part comes back as it ends.
-    pub fn take_part(&self, processes: usize) {
-        let places = self.whole.places / processes;
-        self.buffers_most.set((self.whole.buffers / processes).max(1));
+    /// Takes one process's share where this many share everything. What is in use beyond the share comes back as it ends.
+    pub fn share_among(&self, processes: usize) {
+        let sockets = self.total.sockets / processes;
+        self.max_buffers.set((self.total.buffers / processes).max(1));
         // The other process may need the memory now.
-        let kept = self.buffers_most.get().saturating_sub(self.buffers_out.get());
-        self.idle.borrow_mut().truncate(kept);
-        self.whole.all.most.set(places);
+        let still_free = self.max_buffers.get().saturating_sub(self.buffers_in_use.get());
+        self.free_buffers.borrow_mut().truncate(still_free);
+        self.total.process_sockets.max.set(sockets);
         // Neither side can take the last two fifths from the other, nor leave them unused.
-        self.for_callers.most.set(places * 3 / 5);
-        self.for_endpoints.most.set(places * 3 / 5);
+        self.for_clients.max.set(sockets * 3 / 5);
+        self.for_endpoints.max.set(sockets * 3 / 5);
     }
 
-    pub fn over_its_part(&self) -> bool {
-        self.whole.all.taken.get() > self.whole.all.most.get()
+    /// Whether more sockets are open than this process's share.
+    pub fn exceeds_share(&self) -> bool {
+        self.total.process_sockets.taken.get() > self.total.process_sockets.max.get()
     }
 
-    /// Read, a list takes several times the memory of its text: at 32 MB there is room for some 5,000 servers.
-    pub fn buffers_for_a_list(&self) -> usize {
-        (self.buffers_most.get() / 16).max(1)
+    /// How many buffers an endpoint list may take. Parsed, it takes several times the memory of its text: at 32 MB there is
+    /// room for some 5,000 servers.
+    pub fn endpoint_list_buffers(&self) -> usize {
+        (self.max_buffers.get() / 16).max(1)
     }
 
-    /// For one who has begun already: waits until there is one.
+    /// Waits until a buffer is free, for a message that has begun already.
     pub async fn buffer_in_turn(self: &Rc<Self>) -> Buffer {
         loop {
             match self.buffer() {
                 Some(buffer) => return buffer,
-                None => Timer::after(LOOK_AGAIN).await,
+                None => Timer::after(BUFFER_POLL_INTERVAL).await,
             };
         }
     }
 
+    /// A buffer, if one is free.
     pub fn buffer(self: &Rc<Self>) -> Option<Buffer> {
-        if self.buffers_out.get() >= self.buffers_most.get() {
+        if self.buffers_in_use.get() >= self.max_buffers.get() {
             return None;
         }
-        self.buffers_out.set(self.buffers_out.get() + 1);
-        let bytes = self.idle.borrow_mut().pop().unwrap_or_else(|| vec![0; SIZE].into_boxed_slice());
-        Some(Buffer { bytes, filled: 0, stock: self.clone() })
+        self.buffers_in_use.set(self.buffers_in_use.get() + 1);
+        let free = self.free_buffers.borrow_mut().pop();
+        let bytes = free.unwrap_or_else(|| vec![0; BUFFER_SIZE].into_boxed_slice());
+        Some(Buffer { bytes, filled: 0, pool: self.clone() })
     }
 }
 
+/// A buffer with some bytes filled from its start; dropped, it goes back to its pool.
 pub struct Buffer {
     bytes: Box<[u8]>,
     filled: usize,
-    stock: Rc<ResourcePool>,
+    pool: Rc<ResourcePool>,
 }
 
 impl Buffer {
-    /// Of no size, in the place of one that was taken.
-    pub fn none(stock: &Rc<ResourcePool>) -> Buffer {
-        Buffer { bytes: Box::default(), filled: 0, stock: stock.clone() }
+    /// An empty stand-in for a buffer that was taken.
+    pub fn none(pool: &Rc<ResourcePool>) -> Buffer {
+        Buffer { bytes: Box::default(), filled: 0, pool: pool.clone() }
     }
 
+    /// The bytes that are filled.
     pub fn filled(&self) -> &[u8] {
         &self.bytes[..self.filled]
     }
 
+    /// The bytes that are filled.
     pub fn filled_mut(&mut self) -> &mut [u8] {
         &mut self.bytes[..self.filled]
     }
 
+    /// The bytes that are not filled.
     pub fn spare(&mut self) -> &mut [u8] {
         &mut self.bytes[self.filled..]
     }
 
+    /// Removes the first `count` filled bytes.
     pub fn drop_front(&mut self, count: usize) {
         self.bytes.copy_within(count..self.filled, 0);
         self.filled -= count;
     }
 
-    /// Moves what lies behind the gap up to its start.
+    /// Removes a range of filled bytes: those behind it move up.
     pub fn close_gap(&mut self, gap: Range<usize>) {
         self.bytes.copy_within(gap.end..self.filled, gap.start);
         self.filled -= gap.len();
     }
 
-    /// Drops all but the first so many bytes.
+    /// Keeps the first `count` filled bytes.
     pub fn truncate(&mut self, count: usize) {
         self.filled = self.filled.min(count);
     }
 
+    /// Marks `count` more bytes as filled.
     pub fn fill(&mut self, count: usize) {
         self.filled += count;
     }
@@ -170,48 +186,51 @@
         if self.bytes.is_empty() {
             return;
         }
-        self.stock.buffers_out.set(self.stock.buffers_out.get() - 1);
-        let mut idle = self.stock.idle.borrow_mut();
-        if self.stock.buffers_out.get() + idle.len() < self.stock.buffers_most.get() {
-            idle.push(std::mem::take(&mut self.bytes));
+        self.pool.buffers_in_use.set(self.pool.buffers_in_use.get() - 1);
+        let mut free = self.pool.free_buffers.borrow_mut();
+        if self.pool.buffers_in_use.get() + free.len() < self.pool.max_buffers.get() {
+            free.push(std::mem::take(&mut self.bytes));
         }
     }
 }
 
-/// Places of all kinds.
+/// Sockets of all kinds.
 #[derive(Default)]
-struct SharedSocketCount {
-    most: Cell<usize>,
+struct SocketCount {
+    max: Cell<usize>,
     taken: Cell<usize>,
 }
 
-/// Places for sockets of one kind.
+/// The permits for sockets of one kind.
 pub struct SocketBudget {
-    most: Cell<usize>,
+    max: Cell<usize>,
     taken: Cell<usize>,
-    all: Rc<SharedSocketCount>,
+    all: Rc<SocketCount>,
 }
 
 impl SocketBudget {
-    fn new(all: &Rc<SharedSocketCount>) -> Rc<SocketBudget> {
-        Rc::new(SocketBudget { most: Cell::new(0), taken: Cell::new(0), all: all.clone() })
+    fn new(all: &Rc<SocketCount>) -> Rc<SocketBudget> {
+        Rc::new(SocketBudget { max: Cell::new(0), taken: Cell::new(0), all: all.clone() })
     }
 
-    fn left(&self) -> usize {
-        let free = self.all.most.get().saturating_sub(self.all.taken.get());
-        self.most.get().saturating_sub(self.taken.get()).min(free)
+    fn available(&self) -> usize {
+        let free = self.all.max.get().saturating_sub(self.all.taken.get());
+        self.max.get().saturating_sub(self.taken.get()).min(free)
     }
 
-    pub fn only_spare_ones_left(&self) -> bool {
-        self.left() < SPARE.min(self.most.get() / SPARE_PART)
+    /// Whether no permits are left but the spare ones.
+    pub fn only_spare_left(&self) -> bool {
+        self.available() < MAX_SPARE.min(self.max.get() / SPARE_FRACTION)
     }
 
+    /// How many sockets of this kind are open.
     pub fn taken(&self) -> usize {
         self.taken.get()
     }
 
+    /// A permit for one socket, if any is left.
     pub fn take(self: &Rc<Self>) -> Option<SocketPermit> {
-        if self.left() == 0 {
+        if self.available() == 0 {
             return None;
         }
         self.taken.set(self.taken.get() + 1);
@@ -220,7 +239,7 @@
     }
 }
 
-/// Kept beside a socket and dropped with it.
+/// The permit for one socket; kept beside the socket and dropped with it.
 pub struct SocketPermit(Rc<SocketBudget>);
 
 impl Drop for SocketPermit {
--- a/crates/sidecar/src/net/callers.rs
+++ b/crates/sidecar/src/net/callers.rs
@@ -3,18 +3,17 @@
 //! connection that waits, answer a taken command by its own choice, or reach the module but by the queue.
 
 use super::attempts::{AttemptGuard, RepeatRule};
-use super::buffers::{Buffer, HOLD_MOST, ResourcePool, SIZE, SocketPermit};
-use super::endpoints::{BodyEvent, OutgoingRequest, StreamedBody, UpstreamResponse};
+use super::buffers::{BUFFER_SIZE, Buffer, MAX_BUFFERED_BODY, ResourcePool, SocketPermit};
 use super::http::{self, BodyEncoding, HttpError, IncomingMessage};
 use super::leaving::{self, ClientPresence};
 use super::local_failure::{FailureCause, FailureLog, cause};
 use super::owner::{Event, EventQueue, FinalResponse, IncomingRequest};
-use super::pool::ConnectionPool;
 use super::read_ahead::ReadAhead;
 use super::request::{
     ParsedMessage, Rejection, Request, RequestParser, answer_head, rejection, rejection_of,
 };
 use super::timeout::timeout;
+use super::upstream::{BodyEvent, ConnectionPool, OutgoingRequest, StreamedBody, UpstreamResponse};
 use crate::clock::Clock;
 use crate::counters::{self, CloseReason, RefusalReason};
 use crate::invariants::must_hold;
@@ -169,7 +168,7 @@
     /// taken by then is taken too, as its clients may have written their commands already.
     pub async fn accept(self: Rc<Self>, listener: Async<TcpListener>) {
         loop {
-            let Some(place) = self.stock.for_callers.take() else {
+            let Some(place) = self.stock.for_clients.take() else {
                 let _ = self.close_strangers() || self.close_any();
                 Timer::after(NO_ROOM_YET).await;
                 continue;
@@ -201,7 +200,7 @@
             FailureCause::Descriptors => {
                 // Who is half way through a request is no more to blame than who waits.
                 let gives_way =
-                    self.pool.close_longest_kept() || self.close_strangers() || self.close_longest_idle();
+                    self.pool.close_longest_idle() || self.close_strangers() || self.close_longest_idle();
                 Timer::after(if gives_way { NO_DESCRIPTOR_YET } else { NO_ROOM_YET }).await;
             }
             FailureCause::LocalResources | FailureCause::Remote => {
@@ -218,7 +217,7 @@
     /// Makes room where only spare places are left. In a crowd that has just come it waits for who of them says
     /// nothing, rather than close callers who spoke well; for a few it must not, or taking stands still.
     async fn no_place_left(&self) -> bool {
-        while self.stock.for_callers.only_spare_ones_left() {
+        while self.stock.for_clients.only_spare_left() {
             let crowd = self.close_strangers() || self.fresh.get() >= CROWD;
             if !crowd || self.taking.is_closed() {
                 return !self.close_any();
@@ -260,7 +259,7 @@
 
     /// Another process of this sidecar shares what there is: what waits past this one's part goes.
     pub fn make_room(&self) {
-        while self.stock.over_its_part() && self.close_longest_idle() {}
+        while self.stock.exceeds_share() && self.close_longest_idle() {}
     }
 
     /// Each answer is its connection's last from now on.
@@ -279,7 +278,7 @@
     /// taken has its final word, what has come only in part is no longer waited for.
     pub async fn ended(&self) {
         self.part();
-        while self.stock.for_callers.taken() > 0 {
+        while self.stock.for_clients.taken() > 0 {
             while self.close_longest_idle() {}
             if self.left_to_end() == Some(Duration::ZERO) {
                 self.reading.close();
@@ -526,8 +525,8 @@
             let go_on = http::write(stream, b"HTTP/1.1 100 Continue\r\n\r\n", b"");
             timeout(WRITE_WITHIN, go_on).await.unwrap_or(Ok(()))?;
         }
-        let long = coming.length().is_some_and(|length| length > HOLD_MOST as u64);
-        let most = if long { SIZE } else { HOLD_MOST };
+        let long = coming.length().is_some_and(|length| length > MAX_BUFFERED_BODY as u64);
+        let most = if long { BUFFER_SIZE } else { MAX_BUFFERED_BODY };
         while !coming.is_complete() && coming.ensure_room(&self.stock, most) {
             coming.read_more(stream).await?;
             came();
@@ -579,11 +578,11 @@
         let body = coming.take_parts(&self.stock).await;
         let (give, next) = async_channel::bounded(1);
         let rest = (!whole).then(|| StreamedBody {
-            next,
-            marked,
+            events: next,
+            encoding: marked,
             length: coming.length(),
-            left,
-            spent: Cell::new(false),
+            time_limit: left,
+            consumed: Cell::new(false),
         });
         let guard = AttemptGuard::new(self.repeat_rules[verb]);
         let outgoing = OutgoingRequest {
@@ -591,8 +590,8 @@
             head,
             body,
             rest,
-            careful,
-            asker: ClientPresence::of(stream),
+            run_once: careful,
+            client: ClientPresence::of(stream),
             guard,
         };
         let (caller, word) = async_channel::bounded(1);
@@ -600,7 +599,7 @@
             number,
             arrival,
             outgoing,
-            caller,
+            responder: caller,
         })));
         let heard = async { word.recv().await.map_err(|_| HttpError::Closed) };
         let goes = async {
@@ -703,7 +702,7 @@
         keep: Result<(), CloseReason>,
         minor: u8,
     ) -> Result<(), CloseReason> {
-        let length = answer.coming.length();
+        let length = answer.message.length();
         let (marked, framing) = match length {
             Some(length) => (BodyEncoding::Identity, format!("Content-Length: {length}\r\n")),
             None if minor > 0 => (BodyEncoding::Chunked, "Transfer-Encoding: chunked\r\n".to_string()),
@@ -711,10 +710,10 @@
             None => (BodyEncoding::Identity, String::new()),
         };
         let ends_it = length.is_none() && marked == BodyEncoding::Identity;
-        let head = answer_head(&answer.coming.head, &framing, keep.is_ok() && !ends_it);
+        let head = answer_head(&answer.message.head, &framing, keep.is_ok() && !ends_it);
         let mut written = self.write(stream, &head, &answer, marked).await;
-        while written && !answer.coming.is_complete() {
-            answer.coming.discard_buffered();
+        while written && !answer.message.is_complete() {
+            answer.message.discard_buffered();
             if answer.read_more().await.is_err() {
                 self.queue.push(Event::ResponseBroke(answer.server().clone(), verb));
                 if ends_it {
@@ -743,7 +742,7 @@
         answer: &UpstreamResponse,
         marked: BodyEncoding,
     ) -> bool {
-        let writing = http::write_body_part(stream, head, answer.coming.buffered(), marked);
+        let writing = http::write_body_part(stream, head, answer.message.buffered(), marked);
         matches!(timeout(WRITE_WITHIN, writing).await, Some(Ok(())))
     }
 
--- a/crates/sidecar/src/net/discovery.rs
+++ b/crates/sidecar/src/net/discovery.rs
@@ -137,7 +137,7 @@
         in_time(UP_IN, http::write(&conn, head.as_bytes(), b"")).await?;
         self.start.discovery_called();
         // Of its own, and given back with the list: callers half way through a command may hold all others.
-        let most = self.stock.buffers_for_a_list();
+        let most = self.stock.endpoint_list_buffers();
         let buffers = ResourcePool::buffers_only(most + 1);
         let answer = http::read_buffered_response(&conn, &buffers, most);
         let (status, keep, mut rsp) = in_time(wait + IN_TURN, answer).await?;
--- /dev/null
+++ b/crates/sidecar/src/net/http/body.rs
@@ -0,0 +1,178 @@
+//! The body of a message while it is read: by its length, in chunks, or up to the end of the connection.
+
+use super::error::HttpError;
+use crate::net::buffers::Buffer;
+#[cfg(test)]
+use crate::net::buffers::{BUFFER_SIZE, ResourcePool};
+use async_io::Async;
+use futures_lite::AsyncReadExt;
+use std::io;
+use std::net::TcpStream;
+use std::ops::Range;
+#[cfg(test)]
+use std::rc::Rc;
+
+/// The longest line of a chunk size or a trailer, in bytes.
+const MAX_CHUNK_LINE: usize = 1024;
+
+/// How the end of a body is found.
+pub(super) enum Framing {
+    Length(usize),
+    Chunked,
+    /// A response without a length or chunks lasts until its connection ends.
+    UntilClose,
+}
+
+/// Decoded bytes of a body, in one buffer.
+pub struct BodyPart {
+    pub(super) buffer: Buffer,
+    pub(super) range: Range<usize>,
+}
+
+impl BodyPart {
+    /// This many zero bytes, in as many parts as they need.
+    #[cfg(test)]
+    pub fn filled(pool: &Rc<ResourcePool>, count: usize) -> Vec<BodyPart> {
+        let sizes = (0..count).step_by(BUFFER_SIZE).map(|from| BUFFER_SIZE.min(count - from));
+        let part = |size: usize| {
+            let mut buffer = pool.buffer().expect("a buffer");
+            buffer.fill(size);
+            BodyPart { buffer, range: 0..size }
+        };
+        sizes.map(part).collect()
+    }
+
+    /// The decoded bytes.
+    pub fn bytes(&self) -> &[u8] {
+        &self.buffer.filled()[self.range.clone()]
+    }
+}
+
+/// Reads what the connection has; returns how many bytes that were.
+pub(super) async fn read_some(
+    mut stream: &Async<TcpStream>,
+    buffer: &mut Buffer,
+) -> Result<usize, HttpError> {
+    let spare = buffer.spare();
+    if spare.is_empty() {
+        return Err(HttpError::TooLarge);
+    }
+    let count = loop {
+        match stream.read(spare).await {
+            // A signal ends no connection.
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+            read => break read?,
+        }
+    };
+    buffer.fill(count);
+    if count == 0 { Err(HttpError::Closed) } else { Ok(count) }
+}
+
+/// The state of a body while it is read. In the buffer, decoded bytes reach up to `end`; what follows is not decoded yet.
+pub(super) struct BodyDecoder {
+    framing: Framing,
+    pub(super) end: usize,
+    /// How much of the length, or of the current chunk, is still missing.
+    remaining: usize,
+    state: ChunkState,
+    connection_ended: bool,
+}
+
+/// What comes next in a chunked body.
+#[derive(Clone, Copy)]
+enum ChunkState {
+    Size,
+    Data,
+    Trailers,
+}
+
+impl BodyDecoder {
+    pub(super) fn new(framing: Framing) -> BodyDecoder {
+        let remaining = if let Framing::Length(length) = framing { length } else { 0 };
+        BodyDecoder { framing, end: 0, remaining, state: ChunkState::Size, connection_ended: false }
+    }
+
+    /// Reads more bytes into the buffer; returns how many.
+    pub(super) async fn read_more(
+        &mut self,
+        stream: &Async<TcpStream>,
+        buffer: &mut Buffer,
+    ) -> Result<usize, HttpError> {
+        match read_some(stream, buffer).await {
+            Err(HttpError::Closed) if matches!(self.framing, Framing::UntilClose) => {
+                self.connection_ended = true;
+                Ok(0)
+            }
+            other => other,
+        }
+    }
+
+    /// Decodes what was read since the last call; returns whether the body is complete.
+    pub(super) fn decode(&mut self, buffer: &mut Buffer) -> Result<bool, HttpError> {
+        match self.framing {
+            Framing::Length(_) => {
+                let count = self.remaining.min(buffer.filled().len() - self.end);
+                (self.end, self.remaining) = (self.end + count, self.remaining - count);
+                Ok(self.remaining == 0)
+            }
+            Framing::UntilClose => {
+                self.end = buffer.filled().len();
+                Ok(self.connection_ended)
+            }
+            Framing::Chunked => {
+                let mut read = self.end;
+                let complete = self.decode_chunks(buffer.filled_mut(), &mut read);
+                // Framing that was decoded is dropped: many small chunks must not fill the buffer with it.
+                buffer.close_gap(self.end..read);
+                complete
+            }
+        }
+    }
+
+    /// Decodes chunks in place: `read` is how far the raw bytes are decoded, `end` where the decoded bytes end.
+    pub(super) fn decode_chunks(&mut self, bytes: &mut [u8], read: &mut usize) -> Result<bool, HttpError> {
+        loop {
+            let rest = &bytes[*read..];
+            match self.state {
+                ChunkState::Size => {
+                    let (line, size) = match httparse::parse_chunk_size(rest) {
+                        Ok(httparse::Status::Complete(found)) => found,
+                        Ok(httparse::Status::Partial) if rest.len() > MAX_CHUNK_LINE => {
+                            return Err(HttpError::TooLarge);
+                        }
+                        Ok(httparse::Status::Partial) => return Ok(false),
+                        Err(_) => return Err(HttpError::Malformed),
+                    };
+                    self.remaining = usize::try_from(size).map_err(|_| HttpError::TooLarge)?;
+                    self.state = if size == 0 { ChunkState::Trailers } else { ChunkState::Data };
+                    *read += line;
+                }
+                ChunkState::Data => {
+                    let count = self.remaining.min(rest.len());
+                    bytes.copy_within(*read..*read + count, self.end);
+                    (self.end, self.remaining, *read) =
+                        (self.end + count, self.remaining - count, *read + count);
+                    let rest = &bytes[*read..];
+                    if self.remaining > 0 || rest.len() < 2 {
+                        return Ok(false);
+                    }
+                    if !rest.starts_with(b"\r\n") {
+                        return Err(HttpError::Malformed);
+                    }
+                    (self.state, *read) = (ChunkState::Size, *read + 2);
+                }
+                // Trailers are skipped, up to the empty line.
+                ChunkState::Trailers => match rest.windows(2).position(|pair| pair == b"\r\n") {
+                    Some(line) => {
+                        *read += line + 2;
+                        if line == 0 {
+                            return Ok(true);
+                        }
+                    }
+                    None if rest.len() > MAX_CHUNK_LINE => return Err(HttpError::TooLarge),
+                    None => return Ok(false),
+                },
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/sidecar/src/net/http/head.rs
@@ -0,0 +1,164 @@
+//! The head of a message: its headers, and what they say about the framing of the body.
+
+use super::body::{BodyDecoder, Framing};
+use super::error::HttpError;
+
+/// A head with more headers is rejected.
+const MAX_HEADERS: usize = 96;
+
+/// Space for the headers of one head, as httparse needs it.
+pub fn no_headers<'a>() -> [httparse::Header<'a>; MAX_HEADERS] {
+    [httparse::EMPTY_HEADER; MAX_HEADERS]
+}
+
+/// A value that is not UTF-8 must not read as a missing header: it becomes a character that no parser here accepts.
+fn value_text<'a>(header: &httparse::Header<'a>) -> &'a str {
+    std::str::from_utf8(header.value).map_or("\u{fffd}", str::trim)
+}
+
+/// The value of the first header with this name, in any case of letters.
+pub fn header<'a>(headers: &[httparse::Header<'a>], name: &str) -> Option<&'a str> {
+    headers.iter().find(|header| header.name.eq_ignore_ascii_case(name)).map(value_text)
+}
+
+/// Whether a header is forwarded. Headers about a single connection or its framing are not.
+pub fn is_end_to_end(name: &str) -> bool {
+    const HOP_BY_HOP: [&str; 9] = [
+        "connection",
+        "keep-alive",
+        "proxy-connection",
+        "transfer-encoding",
+        "content-length",
+        "te",
+        "trailer",
+        "upgrade",
+        "expect",
+    ];
+    !HOP_BY_HOP.iter().any(|hop_by_hop| name.eq_ignore_ascii_case(hop_by_hop))
+}
+
+/// The path and query of a request target, which may be in absolute form.
+pub fn path_of_target(target: &str) -> &str {
+    match target.split_once("://") {
+        Some((scheme, rest)) if !scheme.contains('/') => rest.find('/').map_or("/", |at| &rest[at..]),
+        _ => target,
+    }
+}
+
+/// The status code of a response's head.
+pub fn status(head: &[u8]) -> Option<u16> {
+    let mut headers = no_headers();
+    let mut response = httparse::Response::new(&mut headers);
+    response.parse(head).ok()?;
+    response.code
+}
+
+/// The reason phrase of the status codes that this program answers with.
+pub fn reason_phrase(status: u16) -> &'static str {
+    match status {
+        200 => "OK",
+        204 => "No Content",
+        400 => "Bad Request",
+        404 => "Not Found",
+        405 => "Method Not Allowed",
+        408 => "Request Timeout",
+        409 => "Conflict",
+        413 => "Content Too Large",
+        500 => "Internal Server Error",
+        502 => "Bad Gateway",
+        507 => "Insufficient Storage",
+        _ => "Service Unavailable",
+    }
+}
+
+/// Whether these bytes begin with a request that is complete to its last byte.
+pub fn is_complete_request(bytes: &[u8]) -> bool {
+    let Ok(Some(head)) = ParsedHead::of_request(bytes) else { return false };
+    let body = &bytes[head.length..];
+    match head.framing {
+        Framing::Length(length) => body.len() >= length,
+        Framing::Chunked => {
+            matches!(BodyDecoder::new(Framing::Chunked).decode_chunks(&mut body.to_vec(), &mut 0), Ok(true))
+        }
+        // A request is never framed by the end of its connection.
+        Framing::UntilClose => false,
+    }
+}
+
+/// What a head says about the rest of its message.
+pub(super) struct ParsedHead {
+    /// The head's own length in bytes.
+    pub(super) length: usize,
+    /// The minor version: 0 for HTTP/1.0.
+    pub(super) minor: u8,
+    pub(super) framing: Framing,
+    pub(super) keep_alive: bool,
+    pub(super) expects_continue: bool,
+    /// An interim response (1xx): the final one follows.
+    pub(super) interim: bool,
+}
+
+impl ParsedHead {
+    fn of(
+        length: usize,
+        minor: u8,
+        headers: &[httparse::Header<'_>],
+        unframed: Framing,
+    ) -> Result<ParsedHead, HttpError> {
+        let values = |name: &'static str| {
+            headers.iter().filter(move |header| header.name.eq_ignore_ascii_case(name)).map(value_text)
+        };
+        let contains = |name, word: &str| values(name).any(|text| text.to_ascii_lowercase().contains(word));
+        let codings: Vec<&str> = values("transfer-encoding").collect();
+        // The same length given twice is one length.
+        let mut lengths: Vec<&str> = values("content-length").collect();
+        lengths.dedup();
+        // Two lengths, a length beside a transfer coding, or a coding that another parser may read differently would
+        // allow request smuggling.
+        let framing = match (codings.as_slice(), lengths.as_slice()) {
+            ([], []) => unframed,
+            ([coding], []) if minor == 1 && coding.eq_ignore_ascii_case("chunked") => Framing::Chunked,
+            ([], [length]) if !length.is_empty() && length.bytes().all(|byte| byte.is_ascii_digit()) => {
+                Framing::Length(length.parse().map_err(|_| HttpError::TooLarge)?)
+            }
+            _ => return Err(HttpError::Malformed),
+        };
+        let keep_alive =
+            minor == 1 && !contains("connection", "close") && !matches!(framing, Framing::UntilClose);
+        let expects_continue = contains("expect", "100-continue");
+        Ok(ParsedHead { length, minor, framing, keep_alive, expects_continue, interim: false })
+    }
+
+    /// Parses a request's head; None while it is incomplete.
+    pub(super) fn of_request(bytes: &[u8]) -> Result<Option<ParsedHead>, HttpError> {
+        let mut headers = no_headers();
+        let mut head = httparse::Request::new(&mut headers);
+        match head.parse(bytes) {
+            Ok(httparse::Status::Complete(length)) => {
+                Self::of(length, head.version.unwrap_or(1), head.headers, Framing::Length(0)).map(Some)
+            }
+            Ok(httparse::Status::Partial) => Ok(None),
+            Err(httparse::Error::TooManyHeaders) => Err(HttpError::TooLarge),
+            Err(_) => Err(HttpError::Malformed),
+        }
+    }
+
+    /// Parses a response's head; None while it is incomplete.
+    pub(super) fn of_response(bytes: &[u8]) -> Result<Option<ParsedHead>, HttpError> {
+        let mut headers = no_headers();
+        let mut head = httparse::Response::new(&mut headers);
+        match head.parse(bytes) {
+            Ok(httparse::Status::Complete(length)) => {
+                let interim = matches!(head.code, Some(100..200));
+                let unframed = match head.code {
+                    Some(100..200 | 204 | 304) => Framing::Length(0),
+                    _ => Framing::UntilClose,
+                };
+                let parsed = Self::of(length, head.version.unwrap_or(1), head.headers, unframed)?;
+                Ok(Some(ParsedHead { interim, ..parsed }))
+            }
+            Ok(httparse::Status::Partial) => Ok(None),
+            Err(_) => Err(HttpError::Malformed),
+        }
+    }
+}
--- a/crates/sidecar/src/net/mod.rs
+++ b/crates/sidecar/src/net/mod.rs
@@ -5,7 +5,6 @@
 pub mod buffers;
 pub mod callers;
 pub mod discovery;
-pub mod endpoints;
 pub mod http;
 mod learnt;
 mod leaving;
@@ -13,11 +12,11 @@
 mod local_failure;
 pub mod owner;
 mod peers;
-mod pool;
 mod read_ahead;
 mod request;
 mod settings_fingerprint;
 pub mod timeout;
+pub mod upstream;
 
 use crate::console::Console;
 use crate::control;
@@ -34,13 +33,11 @@
 use buffers::ResourcePool;
 use callers::ClientSide;
 use discovery::Discovery;
-use endpoints::UpstreamClient;
 use futures_lite::StreamExt;
 use futures_lite::future::or;
 use local_failure::{FailureCause, FailureLog, cause};
 use owner::{OperatorChannels, Services};
 use peers::Peers;
-use pool::ConnectionPool;
 use std::cell::RefCell;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -49,6 +46,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
+use upstream::{ConnectionPool, UpstreamClient};
 
 /// How long after SIGTERM the platform lets commands finish, but for their longest time limit, and how much of
 /// that limit it goes by at most.
@@ -122,10 +120,10 @@
         let another = presence.borrow_mut().another();
         if shared.replace(another) != Some(another) {
             tracing::info!("{}", if another { "sharing with another process" } else { "the only process" });
-            stock.take_part(if another { 2 } else { 1 });
+            stock.share_among(if another { 2 } else { 1 });
         }
         callers.make_room();
-        pool.make_room();
+        pool.shrink_to_share();
         Timer::after(LOOK_EVERY).await;
     }
 }
@@ -197,7 +195,7 @@
     let takes_over = launch.inherited_listener.is_some();
     let stock = ResourcePool::new(&launch);
     let pool = Rc::new(ConnectionPool::new(&launch, stock.clone()));
-    let endpoints = Rc::new(UpstreamClient::new(&launch, pool.clone(), stock.clone()));
+    let upstream = Rc::new(UpstreamClient::new(&launch, pool.clone(), stock.clone()));
     let (queue, words) = owner::queue();
     let longest = launch.classes.iter().map(|verb| verb.time_limit).max().unwrap_or_default().min(LIMIT_MOST);
     let (ask, asked) = async_channel::bounded(1);
@@ -261,9 +259,9 @@
         Console { serving, orders, record, fleet, control: controlled }.open(at)?;
     }
     let some_known = !launch.initial_catalog.entries.is_empty();
-    let outside = Services { endpoints, pool, peers, fleet: link, ask: ask.clone(), start };
-    let operators = OperatorChannels { orders: ordered, recorded, listed };
-    executor.spawn(owner::own(launch, outside, operators, executor.clone(), queue, words)).detach();
+    let services = Services { upstream, pool, peers, fleet: link, poll_discovery: ask.clone(), start };
+    let operators = OperatorChannels { orders: ordered, recorded, list_received: listed };
+    executor.spawn(owner::run(launch, services, operators, executor.clone(), queue, words)).detach();
     Ok(Inside {
         callers,
         discovery,
--- /dev/null
+++ b/crates/sidecar/src/net/owner/event_loop.rs
@@ -0,0 +1,388 @@
+//! The owner's task: it takes events off the queue one by one, passes each to the decisions, and wakes them when they asked
+//! for it.
+
+use super::decision_host::DecisionHost;
+use super::event::{Event, EventQueue, FinalResponse, IncomingRequest};
+use super::request_table::{OpenRequest, RequestTable, Services};
+use crate::catalog::Catalog;
+use crate::clock::Clock;
+use crate::console::Order;
+use crate::counters::{self, RefusalReason};
+use crate::fleet;
+use crate::handover::record::Words;
+use crate::invariants::must_hold;
+use crate::launch::Configuration;
+use crate::net::learnt::{self, Before, SAVE_EVERY, SAVE_FIRST, Saving};
+use crate::net::upstream::AttemptResult;
+use async_channel::{Receiver, Sender};
+use async_executor::LocalExecutor;
+use async_io::Timer;
+use futures_lite::future::{or, pending};
+use landingspread_decisions::host::{AttemptEnd, Id, ReplicaView};
+use landingspread_decisions::peer_messages::IgnoredMessages;
+use landingspread_decisions::policy::Policy;
+use landingspread_decisions::zones::ZoneTraffic;
+use std::cell::RefCell;
+use std::cmp::Reverse;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// The operators' orders, and what the console is notified of.
+pub struct OperatorChannels {
+    pub orders: Receiver<Order>,
+    /// What was recorded before this process began.
+    pub recorded: Words,
+    /// Notified once an endpoint list has arrived.
+    pub list_received: Sender<()>,
+}
+
+/// What the event loop waits for. Operators' orders come before everything else that waits.
+enum Input {
+    Order(Order),
+    Event(Event),
+    FleetSize(ReplicaView),
+    ZoneTraffic(Vec<ZoneTraffic>),
+    /// It is time to wake the decisions.
+    WakeTime,
+}
+
+struct EventLoop {
+    table: Rc<RefCell<RequestTable>>,
+    policy: Policy<DecisionHost>,
+    clock: Clock,
+    /// What an earlier process learned, until a whole endpoint list has arrived.
+    before: Before,
+    operators: OperatorChannels,
+    fleet: Option<fleet::Link>,
+    /// When this copy's view of the zones is next reported to the fleet.
+    zones_reported_at: Duration,
+    /// The decisions' next sweep that may do anything; those before it are skipped unless something happens.
+    idle_until: Option<Duration>,
+    save_to: Option<PathBuf>,
+    save_at: Duration,
+    saving: Saving,
+}
+
+/// Owns the decisions for as long as the process runs.
+pub async fn run(
+    configuration: Configuration,
+    mut services: Services,
+    operators: OperatorChannels,
+    executor: Rc<LocalExecutor<'static>>,
+    queue: EventQueue,
+    events: Receiver<Event>,
+) {
+    let deployment = learnt::deployment(&configuration);
+    let fleet = services.fleet.take();
+    let clock = configuration.clock;
+    let max_attempts = configuration.policy.capabilities.max_attempts as usize;
+    let table = RequestTable::new(clock.clone(), max_attempts, services, executor, queue);
+    let table = Rc::new(RefCell::new(table));
+    let policy =
+        Policy::start(DecisionHost(table.clone()), configuration.policy, configuration.seed, clock.now());
+    let before = configuration.statistics_file.as_ref().map(|path| learnt::read(path, &deployment, &clock));
+    let before = before.unwrap_or_default();
+    table.borrow().services.start.kept_files_read();
+    let (save_at, save_to) = (clock.now() + SAVE_FIRST, configuration.statistics_file);
+    let mut event_loop = EventLoop {
+        table,
+        policy,
+        before,
+        operators,
+        fleet,
+        zones_reported_at: clock.now(),
+        idle_until: None,
+        save_to,
+        save_at,
+        saving: Saving::of(deployment),
+        clock,
+    };
+    event_loop.restore_operator_orders();
+    event_loop.begin_with_list(configuration.initial_catalog);
+    event_loop.run(events).await;
+}
+
+impl EventLoop {
+    /// What operators told an earlier process is in force before the first list is taken in.
+    fn restore_operator_orders(&mut self) {
+        let now = self.clock.now();
+        self.before.named.iter().for_each(|server| self.policy.restore_known_server(server));
+        for (server, word) in std::mem::take(&mut self.operators.recorded) {
+            let id = Id::from(server);
+            self.policy.restore_known_server(&id);
+            if word.out {
+                self.policy.exclude_server(now, &id);
+            }
+        }
+    }
+
+    /// Begins with the servers of the configuration, and with what an earlier process learned of them.
+    fn begin_with_list(&mut self, list: Catalog) {
+        let known = self.table.borrow_mut().update_servers(list);
+        let now = self.clock.now();
+        self.policy.endpoint_list_cached(now, &known);
+        self.policy.restore_statistics(now, &self.before.learnt);
+    }
+
+    async fn run(mut self, events: Receiver<Event>) {
+        loop {
+            let input = self.next_input(&events).await;
+            self.resume_sweeps(!matches!(input, Input::WakeTime));
+            match input {
+                Input::Order(order) => self.operator_order(order),
+                Input::Event(event) => self.handle(event),
+                Input::FleetSize(replicas) => self.fleet_size_changed(&replicas),
+                Input::ZoneTraffic(traffic) => self.policy.zone_traffic_changed(self.clock.now(), &traffic),
+                Input::WakeTime => {}
+            }
+            // Checked after each input: a long queue must not keep the decisions from their time.
+            let now = self.clock.now();
+            if self.next_wake().is_some_and(|at| at <= now) {
+                self.wake(now);
+            }
+        }
+    }
+
+    /// Waits for the next input. What comes first is: orders, what the fleet says, events, the time to wake.
+    async fn next_input(&self, events: &Receiver<Event>) -> Input {
+        let wake = self.next_wake();
+        let wake_time = async {
+            match wake {
+                Some(at) => Timer::at(self.clock.instant(at)).await,
+                None => pending().await,
+            };
+            Input::WakeTime
+        };
+        let order = received(Some(&self.operators.orders), Input::Order);
+        let event = received(Some(events), Input::Event);
+        let fleet = self.fleet.as_ref();
+        let fleet_size = received(fleet.map(|fleet| &fleet.copies), Input::FleetSize);
+        let zone_traffic = received(fleet.and_then(|fleet| fleet.zones.as_ref()), Input::ZoneTraffic);
+        or(order, or(or(fleet_size, zone_traffic), or(event, wake_time))).await
+    }
+
+    fn wake(&mut self, now: Duration) {
+        self.table.borrow_mut().wake_times.pop();
+        self.policy.timer_fired(now);
+        self.report_zones(now);
+        self.save(now);
+        self.skip_idle_sweeps();
+    }
+
+    fn operator_order(&mut self, order: Order) {
+        let (now, id) = (self.clock.now(), Id::from(order.server));
+        if order.recorded.is_some() {
+            self.policy.restore_known_server(&id);
+        }
+        let known = if order.out {
+            self.policy.exclude_server(now, &id)
+        } else {
+            let since = now.saturating_sub(order.recorded.unwrap_or_default());
+            self.policy.include_server(now, &id, since)
+        };
+        if order.out {
+            self.table.borrow_mut().cancel_unwritten_to(&id);
+        }
+        // Connections to a server that is restarted are of no more use.
+        self.table.borrow().services.pool.forget(&id);
+        let _ = order.known.try_send(known);
+    }
+
+    fn fleet_size_changed(&mut self, replicas: &ReplicaView) {
+        self.policy.replicas_changed(self.clock.now(), replicas);
+        let request_rate = self.policy.request_rate();
+        self.fleet.iter().for_each(|fleet| fleet.say_traffic(request_rate));
+    }
+
+    fn report_zones(&mut self, now: Duration) {
+        let Some(fleet) = self.fleet.as_ref().filter(|fleet| fleet.zones.is_some()) else { return };
+        if self.zones_reported_at <= now {
+            self.zones_reported_at = now + fleet::SEEN_EVERY;
+            fleet.say_seen(now, self.policy.zone_observations(now));
+        }
+    }
+
+    fn save(&mut self, now: Duration) {
+        if let Some(path) = self.save_to.clone().filter(|_| self.save_at <= now) {
+            self.save_at = now + SAVE_EVERY;
+            let known = self.policy.known_servers().map(|id| id.to_string()).collect();
+            self.saving.save(path, &self.policy.server_statistics(), known, &self.clock);
+        }
+    }
+
+    /// Skips the sweeps that would do nothing: an idle sidecar would be woken fifty times a second otherwise.
+    fn skip_idle_sweeps(&mut self) {
+        let (next, wake) = (self.policy.next_sweep(), self.next_wake());
+        self.idle_until = Some(next).filter(|next| wake.is_some_and(|wake| wake < *next));
+    }
+
+    /// Sweeps go on as if none had been skipped. `interrupted`: something came before the next one was due.
+    fn resume_sweeps(&mut self, interrupted: bool) {
+        let Some(until) = self.idle_until.take() else { return };
+        let now = self.clock.now();
+        let next = self.policy.skip_sweeps(if interrupted { now.min(until) } else { until });
+        let wake_times = &mut self.table.borrow_mut().wake_times;
+        wake_times.clear();
+        wake_times.push(Reverse(next));
+    }
+
+    fn next_wake(&self) -> Option<Duration> {
+        if self.idle_until.is_some() {
+            return self.idle_until;
+        }
+        self.table.borrow().wake_times.peek().map(|Reverse(at)| *at)
+    }
+
+    fn handle(&mut self, event: Event) {
+        let now = self.clock.now();
+        match event {
+            Event::RequestArrived(request) => self.request_arrived(now, *request),
+            Event::BodyComplete(id, number, deadline) => self.body_complete(now, &id, number, deadline),
+            Event::ClientLeft(id, number) => self.client_left(now, &id, number),
+            Event::ResponseBroke(server, verb) => self.policy.response_interrupted(now, &server, verb),
+            Event::AttemptEnded(id, number, result) => self.attempt_ended(now, id, number, *result),
+            Event::HealthCheckEnded(server, outcome, load) => {
+                self.policy.health_check_ended(now, outcome, &server, load);
+            }
+            Event::ListReceived(list) => self.list_received(now, list),
+            Event::PeerMessage(peer, message) => self.peer_message(now, peer, &message),
+            Event::ListPollFailed => self.policy.discovery_poll_failed(now),
+            Event::ListPollRefused => self.policy.discovery_poll_rejected(now),
+            Event::SettingsChanged(changed, applied) => {
+                self.policy.settings_changed(now, &changed.quotas, &changed.verbs);
+                let _ = applied.try_send(());
+            }
+            Event::ShutdownBy(at) => self.shut_down_by(now, at),
+            Event::ShutdownDeadline => self.table.borrow_mut().time_out_all(),
+        }
+    }
+
+    fn list_received(&mut self, now: Duration, list: Catalog) {
+        let _ = self.operators.list_received.try_send(());
+        let complete = list.complete;
+        let entries = self.table.borrow_mut().update_servers(list);
+        if complete {
+            self.policy.endpoint_list_received(now, &entries);
+            self.policy.restore_statistics(now, &std::mem::take(&mut self.before.learnt));
+        } else {
+            self.policy.endpoint_list_changed(now, &entries);
+        }
+    }
+
+    fn peer_message(&mut self, now: Duration, peer: u32, message: &[u8]) {
+        let before = self.policy.ignored_messages().all();
+        self.policy.peer_message_received(now, peer, message);
+        let IgnoredMessages { malformed, unknown_server } = self.policy.ignored_messages();
+        // Logged at 1, 2, 4, 8 and so on: a peer of another version sends such messages all day.
+        if (before + 1..=malformed + unknown_server).any(u64::is_power_of_two) {
+            tracing::warn!(malformed, unknown_server, peer, "messages of peers were ignored");
+        }
+    }
+
+    fn shut_down_by(&mut self, now: Duration, at: Duration) {
+        self.policy.shut_down_by(now, at);
+        let mut table = self.table.borrow_mut();
+        table.shutdown_by = at;
+        let (queue, deadline) = (table.queue.clone(), self.clock.instant(at));
+        let notify = async move {
+            Timer::at(deadline).await;
+            queue.push(Event::ShutdownDeadline);
+        };
+        table.executor.spawn(notify).detach();
+    }
+
+    fn request_arrived(&mut self, now: Duration, request: IncomingRequest) {
+        let IncomingRequest { number, arrival, outgoing, responder } = request;
+        let mut table = self.table.borrow_mut();
+        if table.requests.contains_key(&arrival.id) {
+            // Servers could not tell two requests with the same id apart.
+            counters::refused(&arrival.id, RefusalReason::SameId);
+            let _ = responder.try_send(FinalResponse::Failed);
+            return;
+        }
+        let open = OpenRequest {
+            number,
+            deadline: arrival.deadline,
+            outgoing: Rc::new(outgoing),
+            responder,
+            finished: false,
+            attempts: Vec::new(),
+        };
+        table.requests.insert(arrival.id.clone(), open);
+        drop(table);
+        self.policy.request_arrived(now, arrival);
+    }
+
+    fn body_complete(&mut self, now: Duration, id: &Id, number: u64, deadline: Duration) {
+        let mut table = self.table.borrow_mut();
+        let Some(open) = table.requests.get_mut(id).filter(|open| open.number == number) else { return };
+        open.deadline = deadline;
+        // A server begins when the last byte has arrived.
+        let in_flight = open.attempts.iter_mut().filter(|attempt| !attempt.has_ended());
+        in_flight.for_each(|attempt| attempt.sent = now);
+        drop(table);
+        self.policy.body_completed(now, id, deadline);
+    }
+
+    fn client_left(&mut self, now: Duration, id: &Id, number: u64) {
+        let mut table = self.table.borrow_mut();
+        // Its final response may have crossed its leaving; and a second client with an open id may leave before it
+        // receives its failure, which does not mean that the first one has left.
+        let waiting = |open: &&mut OpenRequest| open.number == number && !open.finished;
+        let Some(open) = table.requests.get_mut(id).filter(waiting) else { return };
+        open.finished = true;
+        open.outgoing.guard.request_over();
+        table.cancel_unwritten(id);
+        drop(table);
+        self.policy.client_disconnected(now, id);
+        self.table.borrow_mut().remove_if_over(id);
+    }
+
+    fn attempt_ended(&mut self, now: Duration, id: Id, number: u32, result: AttemptResult) {
+        let AttemptResult { outcome, load, response, consumed } = result;
+        let mut table = self.table.borrow_mut();
+        let Some(open) = table.requests.get_mut(&id) else {
+            must_hold!(Internal, false, "an attempt ends before its request is forgotten: {id}");
+            return;
+        };
+        let Some(attempt) = open.attempts.get_mut(number as usize) else { return };
+        must_hold!(OneAnswer, !attempt.has_ended(), "attempt {number} of {id} ends once");
+        attempt.outcome = Some(outcome);
+        attempt.task = None;
+        open.outgoing.guard.ended(number, outcome);
+        counters::attempt_ended(outcome);
+        let (server, latency) = (attempt.server.clone(), now.saturating_sub(attempt.sent));
+        if let Some(response) = response
+            && !open.finished
+        {
+            table.finish(&id, FinalResponse::Response(Box::new(response)));
+        }
+        tracing::debug!("request {id} attempt {number} to server {server}: {outcome:?} after {latency:?}");
+        let request_closed = table.requests.get(&id).is_none_or(|open| open.finished);
+        drop(table);
+        let ended = AttemptEnd {
+            request: id.clone(),
+            request_closed,
+            body_consumed: consumed,
+            outcome,
+            attempt: number,
+            latency,
+            server,
+            load,
+        };
+        self.policy.attempt_ended(now, ended);
+        self.table.borrow_mut().remove_if_over(&id);
+    }
+}
+
+/// The next message of a channel as an input; waits for ever where there is no channel or it is closed.
+async fn received<T>(channel: Option<&Receiver<T>>, as_input: fn(T) -> Input) -> Input {
+    match channel {
+        Some(channel) => match channel.recv().await {
+            Ok(message) => as_input(message),
+            Err(_) => pending().await,
+        },
+        None => pending().await,
+    }
+}
--- /dev/null
+++ b/crates/sidecar/src/net/owner/request_table.rs
@@ -0,0 +1,298 @@
+//! The open requests and how each of their attempts stands, and the known servers. It starts and cancels attempts and sends
+//! final responses as it is told; it decides nothing.
+
+use super::event::{Event, EventQueue, FinalResponse};
+use crate::catalog::Catalog;
+use crate::clock::Clock;
+use crate::counters::{self, RefusalReason};
+use crate::fleet;
+use crate::invariants::must_hold;
+use crate::net::attempts::Location;
+use crate::net::peers::Peers;
+use crate::net::upstream::{
+    AttemptResult, AttemptStage, ConnectionPool, OutgoingRequest, Target, UpstreamClient,
+};
+use crate::start::Start;
+use async_channel::Sender;
+use async_executor::{LocalExecutor, Task};
+use landingspread_decisions::host::{Id, Lifecycle, ListedServer, Outcome};
+use std::cell::Cell;
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BinaryHeap};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// The parts of the process that the owner acts through.
+pub struct Services {
+    pub upstream: Rc<UpstreamClient>,
+    pub pool: Rc<ConnectionPool>,
+    pub peers: Option<Rc<Peers>>,
+    /// None where this copy belongs to no fleet.
+    pub fleet: Option<fleet::Link>,
+    /// Asks for a poll of discovery.
+    pub poll_discovery: Sender<()>,
+    pub start: Rc<Start>,
+}
+
+/// One attempt of an open request.
+pub(super) struct Attempt {
+    pub(super) server: Id,
+    /// When it was started, or when the last byte of a streamed body arrived.
+    pub(super) sent: Duration,
+    stage: Rc<Cell<AttemptStage>>,
+    /// Dropped, it stops the attempt and closes its connection. None for one that was never sent.
+    pub(super) task: Option<Task<()>>,
+    /// None while it is in flight.
+    pub(super) outcome: Option<Outcome>,
+}
+
+impl Attempt {
+    pub(super) fn has_ended(&self) -> bool {
+        self.outcome.is_some()
+    }
+}
+
+/// A request that has no final response yet, or whose attempts have not all ended.
+pub(super) struct OpenRequest {
+    pub(super) number: u64,
+    /// When its response is due.
+    pub(super) deadline: Duration,
+    pub(super) outgoing: Rc<OutgoingRequest>,
+    pub(super) responder: Sender<FinalResponse>,
+    /// It has its final response, or its client has left.
+    pub(super) finished: bool,
+    pub(super) attempts: Vec<Attempt>,
+}
+
+impl OpenRequest {
+    /// Why it is refused or fails, by the outcomes of its attempts.
+    fn refusal_reason(&self, response: &FinalResponse) -> Option<RefusalReason> {
+        let never_ran = self.attempts.iter().all(|attempt| attempt.outcome.is_none_or(Outcome::never_ran));
+        match response {
+            FinalResponse::Response(_) => None,
+            FinalResponse::Rejected(_) | FinalResponse::Failed if self.attempts.is_empty() => {
+                Some(RefusalReason::Shed)
+            }
+            FinalResponse::Rejected(_) if never_ran => Some(RefusalReason::NeverRan),
+            FinalResponse::Rejected(_) => Some(RefusalReason::Repeatable),
+            FinalResponse::Failed => Some(RefusalReason::Unknown),
+        }
+    }
+}
+
+/// A server as the endpoint list gives it.
+struct KnownServer {
+    address: SocketAddr,
+    location: Location,
+    /// It gets no new requests.
+    draining: bool,
+}
+
+impl KnownServer {
+    fn target(&self, server: &Id) -> Target {
+        Target { server: server.clone(), address: self.address, location: self.location }
+    }
+}
+
+/// The owner's state, reached by the decisions' calls and by the event loop in turn.
+pub(super) struct RequestTable {
+    pub(super) clock: Clock,
+    max_attempts: usize,
+    pub(super) requests: BTreeMap<Id, OpenRequest>,
+    servers: BTreeMap<Id, KnownServer>,
+    /// When the decisions want to be woken.
+    pub(super) wake_times: BinaryHeap<Reverse<Duration>>,
+    /// No attempt lasts beyond this time.
+    pub(super) shutdown_by: Duration,
+    pub(super) services: Services,
+    pub(super) executor: Rc<LocalExecutor<'static>>,
+    pub(super) queue: EventQueue,
+}
+
+impl RequestTable {
+    pub(super) fn new(
+        clock: Clock,
+        max_attempts: usize,
+        services: Services,
+        executor: Rc<LocalExecutor<'static>>,
+        queue: EventQueue,
+    ) -> RequestTable {
+        RequestTable {
+            clock,
+            max_attempts,
+            requests: BTreeMap::new(),
+            servers: BTreeMap::new(),
+            wake_times: BinaryHeap::new(),
+            shutdown_by: Duration::MAX,
+            services,
+            executor,
+            queue,
+        }
+    }
+
+    /// Where a server is, if it is known.
+    pub(super) fn target(&self, server: &Id) -> Option<Target> {
+        self.servers.get(server).map(|known| known.target(server))
+    }
+
+    /// Sends the final response of a request.
+    pub(super) fn finish(&mut self, request: &Id, response: FinalResponse) {
+        let Some(open) = self.requests.get_mut(request) else { return };
+        tracing::debug!("request {request} is {}", response.name());
+        must_hold!(OneAnswer, !open.finished, "one final response for request {request}");
+        open.refusal_reason(&response).into_iter().for_each(|reason| counters::refused(request, reason));
+        open.outgoing.guard.request_over();
+        if !std::mem::replace(&mut open.finished, true) {
+            // A client that has just left receives nothing more.
+            let _ = open.responder.try_send(response);
+        }
+        self.cancel_unwritten(request);
+        self.remove_if_over(request);
+    }
+
+    /// Cancels the attempts of a finished request that are not written to their last byte, also where attempts may not be
+    /// cancelled: that is about attempts that a server has, and these it never had.
+    pub(super) fn cancel_unwritten(&mut self, request: &Id) {
+        let Some(open) = self.requests.get(request) else { return };
+        let unwritten = |attempt: &Attempt| {
+            matches!(attempt.stage.get(), AttemptStage::Unwritten | AttemptStage::Started)
+        };
+        let numbers: Vec<u32> = (0..)
+            .zip(&open.attempts)
+            .filter(|(_, attempt)| unwritten(attempt))
+            .map(|(number, _)| number)
+            .collect();
+        numbers.into_iter().for_each(|number| self.cancel(request, number));
+    }
+
+    /// Cancels the attempts that wait for a connection to this server, as nothing new goes there.
+    pub(super) fn cancel_unwritten_to(&mut self, server: &Id) {
+        let waits =
+            |attempt: &Attempt| attempt.server == *server && attempt.stage.get() == AttemptStage::Unwritten;
+        let waiting = self.attempts_where(|_, attempt| waits(attempt));
+        waiting.into_iter().for_each(|(request, number)| self.cancel(&request, number));
+    }
+
+    fn attempts_where(&self, wanted: impl Fn(&OpenRequest, &Attempt) -> bool) -> Vec<(Id, u32)> {
+        let of_request = |(request, open): (&Id, &OpenRequest)| {
+            let attempts = (0u32..).zip(&open.attempts).filter(|(_, attempt)| wanted(open, attempt));
+            attempts.map(|(number, _)| (request.clone(), number)).collect::<Vec<_>>()
+        };
+        self.requests.iter().flat_map(of_request).collect()
+    }
+
+    /// Forgets a finished request once all of its attempts have ended.
+    pub(super) fn remove_if_over(&mut self, request: &Id) {
+        let over = |open: &OpenRequest| open.finished && open.attempts.iter().all(Attempt::has_ended);
+        if self.requests.get(request).is_some_and(over) {
+            self.requests.remove(request);
+        }
+    }
+
+    /// Starts an attempt, to last no longer than `deadline` (0: as long as the request). One that may not start ends as
+    /// never sent.
+    pub(super) fn start_attempt(&mut self, request: &Id, server: &Id, deadline: Duration) {
+        let now = self.clock.now();
+        let Some(open) = self.requests.get_mut(request) else {
+            must_hold!(Internal, false, "attempts belong to open requests: {request}");
+            return;
+        };
+        let number = open.attempts.len() as u32;
+        let deadline = if deadline.is_zero() { open.deadline } else { deadline.min(open.deadline) };
+        let deadline = deadline.min(self.shutdown_by);
+        let stage = Rc::new(Cell::new(AttemptStage::Unwritten));
+        let last = open.attempts.last().and_then(|attempt| attempt.outcome);
+        last.into_iter().for_each(|last| counters::retried(request, number, last));
+        let known = self.servers.get(server);
+        // The decisions use no server once it drains, and nothing of its grace period.
+        let draining = known.is_some_and(|known| known.draining);
+        must_hold!(Sending, !draining, "attempt {number} of {request} to {server}, which drains");
+        let target = known.filter(|_| !draining).map(|known| known.target(server));
+        let may_start = !open.finished && now < deadline && open.attempts.len() < self.max_attempts;
+        let mut attempt = Attempt { server: server.clone(), sent: now, stage, task: None, outcome: None };
+        match target.filter(|_| may_start) {
+            Some(target) => {
+                let (upstream, queue) = (self.services.upstream.clone(), self.queue.clone());
+                let (outgoing, stage, request) =
+                    (open.outgoing.clone(), attempt.stage.clone(), request.clone());
+                let deadline = self.clock.instant(deadline);
+                attempt.task = Some(self.executor.spawn(async move {
+                    let end = upstream.attempt(&target, &outgoing, number, deadline, &stage).await;
+                    stage.set(AttemptStage::Ended);
+                    queue.push(Event::AttemptEnded(request, number, Box::new(end)));
+                }));
+            }
+            None => {
+                attempt.stage.set(AttemptStage::Ended);
+                let end = Box::new(AttemptResult::without_response(Outcome::NotSent));
+                self.queue.push(Event::AttemptEnded(request.clone(), number, end));
+            }
+        }
+        open.attempts.push(attempt);
+    }
+
+    /// Ends all attempts in flight of requests without a final response, as their time is over with the process's.
+    /// Responses that are being passed on go on.
+    pub(super) fn time_out_all(&mut self) {
+        let in_flight = self.attempts_where(|open, attempt| !attempt.has_ended() && !open.finished);
+        in_flight.iter().for_each(|(request, number)| self.stop(request, *number, Outcome::Timeout));
+    }
+
+    /// Cancels an attempt.
+    pub(super) fn cancel(&mut self, request: &Id, number: u32) {
+        self.stop(request, number, Outcome::Cancelled);
+    }
+
+    /// Stops an attempt here; its outcome is this one if it may have run.
+    fn stop(&mut self, request: &Id, number: u32, if_written: Outcome) {
+        let Some(open) = self.requests.get_mut(request) else { return };
+        let Some(attempt) = open.attempts.get_mut(number as usize) else { return };
+        // Where another outcome is on the queue already, that one counts.
+        let outcome = match attempt.stage.replace(AttemptStage::Ended) {
+            AttemptStage::Ended => return,
+            AttemptStage::Written => if_written,
+            AttemptStage::Unwritten | AttemptStage::Started => Outcome::NotSent,
+        };
+        attempt.task = None;
+        open.outgoing.guard.ended(number, outcome);
+        let consumed = !open.outgoing.can_be_sent_again();
+        let end = AttemptResult { consumed, ..AttemptResult::without_response(outcome) };
+        self.queue.push(Event::AttemptEnded(request.clone(), number, Box::new(end)));
+    }
+
+    /// Takes in an endpoint list, whole or changed entries. A server that is gone is forgotten, as new ones come under new
+    /// ids; attempts that wait for a connection to one that takes nothing new, or that has moved, are cancelled.
+    pub(super) fn update_servers(&mut self, list: Catalog) -> Vec<ListedServer> {
+        let mut unusable = Vec::new();
+        let RequestTable { servers, services: Services { pool, .. }, .. } = self;
+        let old = if list.complete { std::mem::take(servers) } else { BTreeMap::new() };
+        for entry in &list.entries {
+            let server = &entry.listed.server;
+            let lifecycle = entry.listed.lifecycle;
+            if lifecycle == Lifecycle::Removed {
+                pool.forget(server);
+            }
+            let before = servers.remove(server);
+            let before = before.as_ref().or(old.get(server));
+            let moved = before.is_some_and(|before| before.address != entry.address);
+            let known = KnownServer {
+                address: entry.address,
+                location: Location { zone: entry.listed.zone, cell: entry.listed.cell },
+                draining: lifecycle == Lifecycle::Draining,
+            };
+            if lifecycle != Lifecycle::Removed {
+                servers.insert(server.clone(), known);
+            }
+            if moved || lifecycle != Lifecycle::Ready {
+                unusable.push(server.clone());
+            }
+        }
+        for server in old.into_keys().filter(|server| !servers.contains_key(server)) {
+            pool.forget(&server);
+            unusable.push(server);
+        }
+        unusable.iter().for_each(|server| self.cancel_unwritten_to(server));
+        list.entries.into_iter().map(|entry| entry.listed).collect()
+    }
+}
--- a/crates/sidecar/src/net/read_ahead.rs
+++ b/crates/sidecar/src/net/read_ahead.rs
@@ -131,7 +131,7 @@
     /// Whether a request lies here that has come to its last byte.
     pub fn holds_whole_request(&self) -> bool {
         !self.lost.get()
-            && self.bytes.borrow().as_ref().is_some_and(|held| http::is_whole_request(held.filled()))
+            && self.bytes.borrow().as_ref().is_some_and(|held| http::is_complete_request(held.filled()))
     }
 
     /// How much more may be read; nothing where what is held is full, or there is no buffer to hold it.
--- /dev/null
+++ b/crates/sidecar/src/net/upstream/exchange.rs
@@ -0,0 +1,139 @@
+//! One exchange with a server: the request is written once while its response is awaited.
+
+use super::outgoing::{BodyEvent, OutgoingRequest, StreamedBody};
+use super::pool::{ConnectionPool, Target, UpstreamConnection};
+use super::response::STALL_TIMEOUT;
+use crate::net::buffers::ResourcePool;
+use crate::net::http::{self, BodyEncoding, BodyPart, HttpError, IncomingMessage};
+use crate::net::timeout::timeout;
+use async_io::Timer;
+use futures_lite::future::or;
+use landingspread_decisions::host::Outcome;
+use std::cell::Cell;
+use std::io;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+/// How long a response is awaited after a write failed: the server may have sent it before the break.
+const LAST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(20);
+
+/// Writes one message to a server and reads the head of the response. `write` makes the message once there is a
+/// connection, as the remaining time shrinks while one comes up; it sets the cell with the last byte. A server may
+/// respond before the message is complete: then nothing has run, and the connection is not used again.
+pub(super) async fn send_once(
+    pool: &ConnectionPool,
+    resources: &Rc<ResourcePool>,
+    to: &Target,
+    run_once: bool,
+    may_start: impl FnOnce() -> bool,
+    write: impl AsyncFnOnce(&UpstreamConnection, &Cell<bool>) -> Result<(), Outcome>,
+    after_write: impl AsyncFnOnce() -> Outcome,
+) -> Result<(IncomingMessage, UpstreamConnection), Outcome> {
+    let (connection, idle) = pool.connection(to, run_once).await?;
+    if !may_start() {
+        pool.keep(to, connection);
+        return Err(Outcome::NotSent);
+    }
+    let buffer = resources.buffer().ok_or(Outcome::NotSent)?;
+    let last_byte_written = Cell::new(false);
+    let writes = async {
+        let failure = match write(&connection, &last_byte_written).await {
+            Ok(()) => return Err(after_write().await),
+            Err(failure) => failure,
+        };
+        Timer::after(LAST_RESPONSE_TIMEOUT).await;
+        // What was written to its last byte may have run, whatever ended the attempt.
+        Err(if last_byte_written.get() && failure.never_ran() { Outcome::Reset } else { failure })
+    };
+    let reads = async { Ok(IncomingMessage::read_response(&connection.stream, buffer).await) };
+    let response = or(writes, reads).await?;
+    if let Some(idle) = idle {
+        let broke = matches!(response, Err(HttpError::Closed | HttpError::Broken));
+        pool.used_after(idle, broke);
+    }
+    match response {
+        // It began before there was anything to respond to: a late duplicate of another request's response.
+        Ok(message) if !last_byte_written.get() && http::status(&message.head) == Some(200) => {
+            Err(Outcome::ConnectFailed)
+        }
+        Ok(mut message) => {
+            message.keep_alive &= last_byte_written.get();
+            Ok((message, connection))
+        }
+        Err(error) => {
+            tracing::debug!("no response from server {}: {error}", to.server);
+            Err(if last_byte_written.get() { Outcome::Reset } else { Outcome::ConnectFailed })
+        }
+    }
+}
+
+/// The head of one attempt: that of the request, with the time that remains.
+pub(super) fn head_with_time(request: &OutgoingRequest, response_due: Instant) -> Vec<u8> {
+    let remaining = response_due.saturating_duration_since(Instant::now());
+    let remaining = request.rest.as_ref().map_or(remaining, |rest| rest.time_limit).as_millis();
+    [&request.head[..], format!("X-Expires-In-Ms: {remaining}\r\n\r\n").as_bytes()].concat()
+}
+
+/// Writes a request, the streamed rest of its body as it arrives.
+pub(super) async fn write_request(
+    connection: &UpstreamConnection,
+    head: &[u8],
+    request: &OutgoingRequest,
+    response_due: &Cell<Instant>,
+    on_last_byte: &dyn Fn(),
+) -> Result<(), Outcome> {
+    let buffered = request.body.iter().map(BodyPart::bytes);
+    let Some(rest) = &request.rest else {
+        let written = http::write_body_part(&connection.stream, head, buffered, BodyEncoding::Identity).await;
+        written.map_err(|_| Outcome::ConnectFailed)?;
+        on_last_byte();
+        return Ok(());
+    };
+    let buffered_len: usize = request.body.iter().map(|part| part.bytes().len()).sum();
+    let write = http::write_body_part(&connection.stream, head, buffered, rest.encoding);
+    written_in_time(timeout(STALL_TIMEOUT, write).await)?;
+    write_rest(connection, rest, buffered_len, response_due, on_last_byte).await
+}
+
+/// Writes the rest of a streamed body as the client side hands it on.
+async fn write_rest(
+    connection: &UpstreamConnection,
+    rest: &StreamedBody,
+    buffered_len: usize,
+    response_due: &Cell<Instant>,
+    on_last_byte: &dyn Fn(),
+) -> Result<(), Outcome> {
+    let mut missing = rest.length.map(|length| length.saturating_sub(buffered_len as u64));
+    loop {
+        match rest.events.recv().await {
+            Ok(BodyEvent::Part(part)) => {
+                rest.consumed.set(true);
+                let bytes = std::iter::once(part.bytes());
+                let write = http::write_body_part(&connection.stream, b"", bytes, rest.encoding);
+                written_in_time(timeout(STALL_TIMEOUT, write).await)?;
+                missing = missing.map(|missing| missing.saturating_sub(part.bytes().len() as u64));
+                // The server may respond before the client side says that this was the last part.
+                if missing == Some(0) {
+                    on_last_byte();
+                }
+            }
+            Ok(BodyEvent::Complete(due)) => {
+                rest.consumed.set(true);
+                let write = http::write_body_end(&connection.stream, rest.encoding);
+                written_in_time(timeout(STALL_TIMEOUT, write).await)?;
+                on_last_byte();
+                response_due.set(due);
+                return Ok(());
+            }
+            // The client has left: this attempt is about to be cancelled.
+            Err(_) => return Err(Outcome::NotSent),
+        }
+    }
+}
+
+fn written_in_time(written: Option<io::Result<()>>) -> Result<(), Outcome> {
+    match written {
+        Some(Ok(())) => Ok(()),
+        _ => Err(Outcome::ConnectFailed),
+    }
+}
--- /dev/null
+++ b/crates/sidecar/src/net/upstream/idle_breaks.rs
@@ -0,0 +1,46 @@
+//! How often idle connections break when they are used again, by how long they had been idle. Servers may drop idle
+//! connections sooner than they say, and not all of them close the socket when they do.
+
+use std::time::Duration;
+
+/// Counts of reused connections in bins of idle time that double from bin to bin.
+#[derive(Default)]
+pub(super) struct IdleBreakStats {
+    bins: [Bin; IdleBreakStats::BINS],
+}
+
+#[derive(Clone, Copy, Default)]
+struct Bin {
+    reused: u32,
+    broken: u32,
+}
+
+impl IdleBreakStats {
+    const BINS: usize = 12;
+    /// The idle time in milliseconds up to which the first bin reaches.
+    const FIRST_BIN_MS: u64 = 25;
+    /// A bin with this many uses is halved, so that old ones fade.
+    const FULL: u32 = 128;
+    /// More than one break in this many uses is too often.
+    const TOLERATED_RATIO: u32 = 24;
+
+    fn bin(idle: Duration) -> usize {
+        let steps = idle.as_millis() as u64 / Self::FIRST_BIN_MS;
+        ((u64::BITS - steps.leading_zeros()) as usize).min(Self::BINS - 1)
+    }
+
+    /// Records a use after this idle time.
+    pub(super) fn add(&mut self, idle: Duration, broke: bool) {
+        let bin = &mut self.bins[Self::bin(idle)];
+        (bin.reused, bin.broken) = (bin.reused + 1, bin.broken + u32::from(broke));
+        if bin.reused >= Self::FULL {
+            (bin.reused, bin.broken) = (bin.reused / 2, bin.broken / 2);
+        }
+    }
+
+    /// Whether connections break too often after this idle time: what does so after a shorter time does so after this.
+    pub(super) fn breaks_often_after(&self, idle: Duration) -> bool {
+        let too_often = |bin: &Bin| bin.broken >= 2 && bin.broken * Self::TOLERATED_RATIO > bin.reused;
+        self.bins[..=Self::bin(idle)].iter().any(too_often)
+    }
+}
--- /dev/null
+++ b/crates/sidecar/src/net/upstream/mod.rs
@@ -0,0 +1,219 @@
+//! Attempts and health checks on connections to servers. It tracks for each attempt whether the last byte was written, and
+//! reads what came of it. It never sends anything twice, picks no server, and never returns a connection to the pool whose
+//! last response was incomplete.
+
+mod exchange;
+mod idle_breaks;
+mod outgoing;
+mod pool;
+mod response;
+
+pub use outgoing::{AttemptStage, BodyEvent, OutgoingRequest, StreamedBody};
+pub use pool::{ConnectionPool, Target};
+pub use response::{AttemptResult, UpstreamResponse};
+
+use super::buffers::{MAX_BUFFERED_BODY, ResourcePool};
+use super::http::{self, HttpError, IncomingMessage};
+use super::timeout::timeout;
+use crate::launch::Configuration;
+use async_io::Timer;
+use futures_lite::future::{or, pending};
+use landingspread_decisions::host::{LoadReport, Outcome};
+use pool::UpstreamConnection;
+use response::{is_connection_reusable, read_load_report, read_outcome};
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
+/// A response of unknown length is buffered for this long, in case it is short; after that it is passed on as it comes.
+const BUFFER_TIMEOUT: Duration = Duration::from_millis(50);
+
+/// Sends attempts and health checks to servers.
+pub struct UpstreamClient {
+    pool: Rc<ConnectionPool>,
+    resources: Rc<ResourcePool>,
+    /// What a health check asks for: whether the process runs, or that and its load.
+    health_path: &'static str,
+}
+
+impl UpstreamClient {
+    /// A client on this pool.
+    pub fn new(
+        configuration: &Configuration,
+        pool: Rc<ConnectionPool>,
+        resources: Rc<ResourcePool>,
+    ) -> UpstreamClient {
+        let health_path = if configuration.policy.health_checks_report_load { "/_load" } else { "/ping" };
+        UpstreamClient { pool, resources, health_path }
+    }
+
+    /// Sends the request once and waits for the end, at the latest at `deadline`; while its body is still arriving, at the
+    /// time that comes with the body's end.
+    pub async fn attempt(
+        self: &Rc<Self>,
+        to: &Target,
+        request: &OutgoingRequest,
+        number: u32,
+        deadline: Instant,
+        stage: &Cell<AttemptStage>,
+    ) -> AttemptResult {
+        let response_due = Cell::new(deadline);
+        let late = async {
+            Timer::at(deadline).await;
+            let written = stage.get() == AttemptStage::Written;
+            AttemptResult::without_response(if written { Outcome::Timeout } else { Outcome::ConnectFailed })
+        };
+        let exchange = self.exchange(to, request, number, &response_due, stage);
+        let end = if request.rest.is_none() { or(exchange, late).await } else { exchange.await };
+        AttemptResult { consumed: !request.can_be_sent_again(), ..end }
+    }
+
+    async fn exchange(
+        self: &Rc<Self>,
+        to: &Target,
+        request: &OutgoingRequest,
+        number: u32,
+        response_due: &Cell<Instant>,
+        stage: &Cell<AttemptStage>,
+    ) -> AttemptResult {
+        // The client may have left in the very moment in which the connection came up, and retries may no longer be
+        // deduplicated by then.
+        let may_start =
+            || !request.client.left() && request.guard.begin(&request.id, number, to.location).is_ok();
+        let write = async |connection: &UpstreamConnection, last_byte_written: &Cell<bool>| {
+            stage.set(AttemptStage::Started);
+            let on_last_byte = || {
+                last_byte_written.set(true);
+                stage.set(AttemptStage::Written);
+            };
+            let head = exchange::head_with_time(request, response_due.get());
+            exchange::write_request(connection, &head, request, response_due, &on_last_byte).await
+        };
+        let after_write = async || {
+            streamed_body_late(request, response_due).await;
+            Outcome::Timeout
+        };
+        let (pool, resources) = (&self.pool, &self.resources);
+        let sent =
+            exchange::send_once(pool, resources, to, request.run_once, may_start, write, after_write).await;
+        match sent {
+            Ok((message, connection)) => {
+                self.read_response(to, request, response_due, message, connection).await
+            }
+            Err(outcome) => AttemptResult::without_response(outcome),
+        }
+    }
+
+    /// Reads the rest of a response whose head has arrived.
+    async fn read_response(
+        &self,
+        to: &Target,
+        request: &OutgoingRequest,
+        response_due: &Cell<Instant>,
+        mut message: IncomingMessage,
+        connection: UpstreamConnection,
+    ) -> AttemptResult {
+        let (outcome, load) = read_outcome(&message.head);
+        let wanted = outcome == Outcome::Ok;
+        let too_late = async {
+            streamed_body_late(request, response_due).await;
+            Err(HttpError::Broken)
+        };
+        match or(self.buffer_response(to, &mut message, connection, wanted), too_late).await {
+            Ok(connection) => {
+                let pool = self.pool.clone();
+                let response = || UpstreamResponse { message, connection, from: to.clone(), pool };
+                let response = wanted.then(response);
+                AttemptResult { load, response, ..AttemptResult::without_response(outcome) }
+            }
+            Err(error) => {
+                tracing::debug!("no response from server {}: {error}", to.server);
+                // A server that has said what came of the request has said so, complete or not.
+                AttemptResult::without_response(if wanted { Outcome::Reset } else { outcome })
+            }
+        }
+    }
+
+    /// Reads a response to its end if it is short enough, and returns its connection to the pool. One that is wanted and
+    /// longer is passed on as it comes, on the connection that is handed back.
+    async fn buffer_response(
+        &self,
+        to: &Target,
+        message: &mut IncomingMessage,
+        connection: UpstreamConnection,
+        wanted: bool,
+    ) -> Result<Option<UpstreamConnection>, HttpError> {
+        let long = message.length().is_some_and(|length| length > MAX_BUFFERED_BODY as u64);
+        let buffered = match message.length() {
+            _ if long => None,
+            Some(_) => {
+                Some(message.read_to_end(&connection.stream, &self.resources, MAX_BUFFERED_BODY).await)
+            }
+            None => {
+                let read = message.read_to_end(&connection.stream, &self.resources, MAX_BUFFERED_BODY);
+                timeout(BUFFER_TIMEOUT, read).await
+            }
+        };
+        match buffered {
+            Some(Ok(())) => {
+                if is_connection_reusable(message) {
+                    self.pool.keep(to, connection);
+                } else if !message.surplus().is_empty() {
+                    self.pool.surplus_received(&to.server);
+                }
+                Ok(None)
+            }
+            Some(Err(HttpError::TooLarge)) | None if wanted => Ok(Some(connection)),
+            Some(Err(error)) => Err(error),
+            None => Ok(None),
+        }
+    }
+
+    /// Checks a server's health, and reads its load where the check asks for it.
+    pub async fn check_health(&self, to: &Target) -> (Outcome, LoadReport) {
+        let late = (Outcome::Timeout, LoadReport::default());
+        timeout(HEALTH_CHECK_TIMEOUT, self.request_health(to)).await.unwrap_or(late)
+    }
+
+    async fn request_health(&self, to: &Target) -> (Outcome, LoadReport) {
+        let path = self.health_path;
+        let head = format!("GET {path} HTTP/1.1\r\nHost: {}\r\n\r\n", to.address);
+        let write = async |connection: &UpstreamConnection, last_byte_written: &Cell<bool>| {
+            let written = http::write(&connection.stream, head.as_bytes(), b"").await;
+            written.map_err(|_| Outcome::ConnectFailed)?;
+            last_byte_written.set(true);
+            Ok(())
+        };
+        let after_write = async || pending().await;
+        let (pool, resources) = (&self.pool, &self.resources);
+        let sent = exchange::send_once(pool, resources, to, false, || true, write, after_write).await;
+        let (mut response, connection) = match sent {
+            Ok(response) => response,
+            Err(outcome) => return (outcome, LoadReport::default()),
+        };
+        if self.buffer_response(to, &mut response, connection, false).await.is_err() {
+            return (Outcome::Reset, LoadReport::default());
+        }
+        let load = std::str::from_utf8(&response.body_bytes()).map(read_load_report).unwrap_or_default();
+        match http::status(&response.head) {
+            Some(200) => (Outcome::Ok, load),
+            Some(503) => (Outcome::Overloaded, load),
+            _ => (Outcome::Error, LoadReport::default()),
+        }
+    }
+}
+
+/// Returns when the response to a streamed body is late; never where the attempt's deadline holds from the start.
+async fn streamed_body_late(request: &OutgoingRequest, response_due: &Cell<Instant>) {
+    match &request.rest {
+        None => pending().await,
+        Some(_) => {
+            Timer::at(response_due.get()).await;
+        }
+    }
+}
+
+#[cfg(test)]
+#[path = "upstream_tests.rs"]
+mod tests;
--- /dev/null
+++ b/crates/sidecar/src/net/upstream/pool.rs
@@ -0,0 +1,269 @@
+//! The connection pool: connections to servers are dialed, kept between requests, and used again once they have been quiet
+//! for long enough. It owns every socket to a server that no attempt uses; it never reads or writes a message.
+
+use super::idle_breaks::IdleBreakStats;
+use crate::launch::Configuration;
+use crate::net::attempts::Location;
+use crate::net::buffers::{ResourcePool, SocketPermit};
+use crate::net::local_failure::{FailureCause, FailureLog, cause};
+use crate::net::timeout::timeout;
+use async_io::{Async, Timer};
+use landingspread_decisions::host::{Id, Outcome};
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::io;
+use std::net::{SocketAddr, TcpStream};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+/// The part of the server's own idle timeout after which a connection is closed here: a request written to one that the
+/// server is just closing would end with a reset.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
+/// How often unusable idle connections are looked for.
+const REAP_INTERVAL: Duration = Duration::from_secs(1);
+
+/// A duplicate response or other bytes may arrive some time after a response, and nothing in a response names its request.
+/// A connection is therefore used again only once it has been quiet for a while; otherwise late bytes would be read as
+/// the next request's response. This is the shortest quiet time, for retryable requests while many connections are idle.
+const MIN_QUIET: Duration = Duration::from_millis(3);
+/// The quiet time for requests that must not run twice, and while few connections are idle.
+const QUIET: Duration = Duration::from_millis(25);
+/// The quiet time after any server has sent more than its response.
+const QUIET_AFTER_SURPLUS: Duration = Duration::from_millis(60);
+/// For how long such a surplus is remembered.
+const SURPLUS_MEMORY: Duration = Duration::from_secs(60);
+/// With this many idle connections to a server, the longest idle one is used again after the shortest quiet time.
+const MANY_IDLE: usize = 8;
+/// The pause between dials after one that failed for a reason on this side.
+const REDIAL_INTERVAL: Duration = Duration::from_millis(5);
+/// The most idle connections to one server.
+const MAX_IDLE_PER_SERVER: usize = 32;
+
+/// Where an attempt or a health check goes. The same address may belong to another server later.
+#[derive(Clone)]
+pub struct Target {
+    pub server: Id,
+    pub address: SocketAddr,
+    pub location: Location,
+}
+
+/// An open connection to a server.
+pub struct UpstreamConnection {
+    pub stream: Async<TcpStream>,
+    _permit: SocketPermit,
+}
+
+/// Why there is no connection to a server.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ConnectError {
+    /// The server or the path to it refused the connection, or did not answer in time.
+    Unreachable,
+    /// This process or machine had no descriptor, port or memory for it. It says nothing about the server.
+    LocalResources,
+}
+
+impl From<ConnectError> for Outcome {
+    fn from(error: ConnectError) -> Outcome {
+        match error {
+            ConnectError::Unreachable => Outcome::ConnectFailed,
+            ConnectError::LocalResources => Outcome::NotSent,
+        }
+    }
+}
+
+struct IdleConnection {
+    connection: UpstreamConnection,
+    address: SocketAddr,
+    idle_since: Instant,
+}
+
+/// The idle connections to all servers, and the dialing of new ones.
+pub struct ConnectionPool {
+    idle: RefCell<BTreeMap<Id, Vec<IdleConnection>>>,
+    breaks: RefCell<IdleBreakStats>,
+    /// When a server last sent more than its response.
+    surplus_seen: Cell<Option<Instant>>,
+    failed_dials: FailureLog,
+    resources: Rc<ResourcePool>,
+    idle_timeout: Duration,
+    dial_timeout: Duration,
+}
+
+impl ConnectionPool {
+    /// The pool that the configuration asks for.
+    pub fn new(configuration: &Configuration, resources: Rc<ResourcePool>) -> ConnectionPool {
+        let idle_timeout = configuration.idle_connection_timeout.mul_f64(IDLE_TIMEOUT_FRACTION);
+        ConnectionPool::with_timeouts(idle_timeout, configuration.connect_timeout, resources)
+    }
+
+    /// A pool that closes idle connections, and gives up dials, after these times.
+    pub fn with_timeouts(
+        idle_timeout: Duration,
+        dial_timeout: Duration,
+        resources: Rc<ResourcePool>,
+    ) -> ConnectionPool {
+        ConnectionPool {
+            idle: RefCell::default(),
+            breaks: RefCell::default(),
+            surplus_seen: Cell::default(),
+            failed_dials: FailureLog::default(),
+            resources,
+            idle_timeout,
+            dial_timeout,
+        }
+    }
+
+    /// Records whether a connection that had been idle for so long broke when it was used again.
+    pub fn used_after(&self, idle: Duration, broke: bool) {
+        self.breaks.borrow_mut().add(idle, broke);
+    }
+
+    /// An idle connection or a new one, and for how long it had been idle. `run_once`: the request must not run twice, so
+    /// no connection is used that is likely to break.
+    pub async fn connection(
+        &self,
+        to: &Target,
+        run_once: bool,
+    ) -> Result<(UpstreamConnection, Option<Duration>), ConnectError> {
+        if let Some(idle) = self.take_idle(to, run_once) {
+            return Ok((idle.connection, Some(idle.idle_since.elapsed())));
+        }
+        let permit = loop {
+            match self.resources.for_endpoints.take() {
+                Some(permit) => break permit,
+                None if self.close_longest_idle() => {}
+                None => return Err(ConnectError::LocalResources),
+            }
+        };
+        let stream = self.dial(to).await?;
+        let _ = stream.get_ref().set_nodelay(true);
+        Ok((UpstreamConnection { stream, _permit: permit }, None))
+    }
+
+    /// Dials within the dial timeout. What fails on this side is tried again, and is held against no server.
+    async fn dial(&self, to: &Target) -> Result<Async<TcpStream>, ConnectError> {
+        let deadline = Instant::now() + self.dial_timeout;
+        loop {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let Some(dialed) = timeout(remaining, Async::<TcpStream>::connect(to.address)).await else {
+                return Err(ConnectError::Unreachable);
+            };
+            let error = match dialed {
+                Ok(stream) => return Ok(stream),
+                Err(error) => error,
+            };
+            let cause = cause(&error);
+            if cause == FailureCause::Remote {
+                return Err(ConnectError::Unreachable);
+            }
+            self.failed_dials.add("dial", &error);
+            if Instant::now() + REDIAL_INTERVAL >= deadline {
+                return Err(ConnectError::LocalResources);
+            }
+            if cause != FailureCause::Descriptors || !self.close_longest_idle() {
+                Timer::after(REDIAL_INTERVAL).await;
+            }
+        }
+    }
+
+    /// The most recently used connection that has been quiet for long enough, as it is the least likely to have ended. Only
+    /// candidates are inspected, since each inspection is a system call on a request's path; `reap` finds the others.
+    fn take_idle(&self, to: &Target, run_once: bool) -> Option<IdleConnection> {
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.get_mut(&to.server)?;
+        for index in (0..connections.len()).rev() {
+            let idle_for = connections[index].idle_since.elapsed();
+            if idle_for < self.required_quiet() {
+                continue;
+            }
+            // Those before it have been idle for longer still.
+            if run_once && self.breaks.borrow().breaks_often_after(idle_for) {
+                return None;
+            }
+            let candidate = connections.remove(index);
+            if self.fits(to, &candidate) {
+                return Some(candidate);
+            }
+        }
+        let reuse_early = !run_once && connections.len() >= MANY_IDLE && self.required_quiet() == QUIET;
+        let quiet = connections.first().is_some_and(|first| first.idle_since.elapsed() >= MIN_QUIET);
+        let longest_idle = (reuse_early && quiet).then(|| connections.remove(0));
+        longest_idle.filter(|candidate| self.fits(to, candidate))
+    }
+
+    fn fits(&self, to: &Target, candidate: &IdleConnection) -> bool {
+        candidate.address == to.address && self.is_usable(&to.server, candidate)
+    }
+
+    /// How long a connection must have been quiet before it is used again, where another one may be dialed.
+    fn required_quiet(&self) -> Duration {
+        match self.surplus_seen.get() {
+            Some(at) if at.elapsed() < SURPLUS_MEMORY => QUIET_AFTER_SURPLUS,
+            _ => QUIET,
+        }
+    }
+
+    /// A server has sent bytes that no request asked for.
+    pub fn surplus_received(&self, server: &Id) {
+        if self.surplus_seen.replace(Some(Instant::now())).is_none_or(|at| at.elapsed() > SURPLUS_MEMORY) {
+            tracing::warn!(
+                "server {server} sent more than its response; connections are reused only after {QUIET_AFTER_SURPLUS:?} idle"
+            );
+        }
+    }
+
+    /// Closes the idle connections to a server that is gone; its id never comes back.
+    pub fn forget(&self, server: &Id) {
+        self.idle.borrow_mut().remove(server);
+    }
+
+    /// Whether nothing has happened on an idle connection: a server that died or closed it shows here before a request is
+    /// risked on it, and so do bytes that nobody asked for.
+    fn is_usable(&self, server: &Id, idle: &IdleConnection) -> bool {
+        match idle.connection.stream.get_ref().peek(&mut [0]) {
+            Ok(1..) => {
+                self.surplus_received(server);
+                false
+            }
+            Err(error) => {
+                error.kind() == io::ErrorKind::WouldBlock && idle.idle_since.elapsed() < self.idle_timeout
+            }
+            Ok(_) => false,
+        }
+    }
+
+    /// Returns a connection whose last response was complete.
+    pub fn keep(&self, to: &Target, connection: UpstreamConnection) {
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.entry(to.server.clone()).or_default();
+        if connections.len() >= MAX_IDLE_PER_SERVER {
+            connections.remove(0);
+        }
+        connections.push(IdleConnection { connection, address: to.address, idle_since: Instant::now() });
+    }
+
+    /// Closes the connection that has been idle for longest, to any server. `false`: none is idle.
+    pub fn close_longest_idle(&self) -> bool {
+        let mut idle = self.idle.borrow_mut();
+        let idle_since =
+            |connections: &&mut Vec<IdleConnection>| connections.first().map(|first| first.idle_since);
+        let longest = idle.values_mut().filter(|connections| !connections.is_empty()).min_by_key(idle_since);
+        longest.map(|connections| connections.remove(0)).is_some()
+    }
+
+    /// Closes idle connections while this process uses more than its share, as another process of this sidecar needs it.
+    pub fn shrink_to_share(&self) {
+        while self.resources.exceeds_share() && self.close_longest_idle() {}
+    }
+
+    /// Closes connections that have ended or were idle for too long, for as long as the process runs.
+    pub async fn reap(self: Rc<Self>) {
+        loop {
+            Timer::after(REAP_INTERVAL).await;
+            self.idle.borrow_mut().retain(|server, connections| {
+                connections.retain(|idle| self.is_usable(server, idle));
+                !connections.is_empty()
+            });
+        }
+    }
+}
--- /dev/null
+++ b/crates/sidecar/src/net/upstream/response.rs
@@ -0,0 +1,98 @@
+//! What a server's response says: the response to pass on, the attempt's outcome, and the load report in its headers.
+
+use super::pool::{ConnectionPool, Target, UpstreamConnection};
+use crate::net::http::{self, HttpError, IncomingMessage};
+use crate::net::timeout::timeout;
+use landingspread_decisions::host::{Id, LoadReport, Outcome};
+use std::rc::Rc;
+use std::time::Duration;
+
+/// A server that sends nothing of a response for this long is given up.
+pub(super) const STALL_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// A 200 response: complete, or what has arrived of it with the connection that brings the rest.
+pub struct UpstreamResponse {
+    pub message: IncomingMessage,
+    pub(super) connection: Option<UpstreamConnection>,
+    pub(super) from: Target,
+    pub(super) pool: Rc<ConnectionPool>,
+}
+
+impl UpstreamResponse {
+    /// Reads more of the body, once the bytes that were read are taken.
+    pub async fn read_more(&mut self) -> Result<(), HttpError> {
+        let Some(connection) = &self.connection else { return Err(HttpError::Closed) };
+        let read = self.message.read_more(&connection.stream);
+        timeout(STALL_TIMEOUT, read).await.unwrap_or(Err(HttpError::Broken))
+    }
+
+    /// The server that it comes from.
+    pub fn server(&self) -> &Id {
+        &self.from.server
+    }
+
+    /// All of it was passed on: its connection may carry another request.
+    pub fn finish(self) {
+        let reusable = self.message.is_complete() && is_connection_reusable(&self.message);
+        if let Some(connection) = self.connection.filter(|_| reusable) {
+            self.pool.keep(&self.from, connection);
+        }
+    }
+}
+
+/// Whether the connection of this response may carry another, and nothing followed the response.
+pub(super) fn is_connection_reusable(response: &IncomingMessage) -> bool {
+    response.keep_alive && response.surplus().is_empty()
+}
+
+/// How an attempt ended.
+pub struct AttemptResult {
+    pub outcome: Outcome,
+    pub load: LoadReport,
+    pub response: Option<UpstreamResponse>,
+    /// What was sent of the request cannot be sent again.
+    pub consumed: bool,
+}
+
+impl AttemptResult {
+    /// An end without a response or a load report.
+    pub fn without_response(outcome: Outcome) -> AttemptResult {
+        AttemptResult { outcome, load: LoadReport::default(), response: None, consumed: false }
+    }
+}
+
+/// The outcome that a response's head tells, and its load report.
+pub(super) fn read_outcome(head: &[u8]) -> (Outcome, LoadReport) {
+    let mut headers = http::no_headers();
+    let mut response = httparse::Response::new(&mut headers);
+    // It was parsed before, when the end of the head was looked for.
+    if response.parse(head).is_err() {
+        return (Outcome::Error, LoadReport::default());
+    }
+    let load = http::header(response.headers, "endpoint-load-metrics").map(read_load_report);
+    let load = load.unwrap_or_default();
+    let never_ran = http::header(response.headers, "x-never-ran") == Some("1");
+    let outcome = match response.code {
+        Some(200) => Outcome::Ok,
+        Some(503 | 504) if never_ran => Outcome::Overloaded,
+        _ => Outcome::Error,
+    };
+    (outcome, load)
+}
+
+/// Reads `TEXT inflight=7, queue=2, util=0.61`; the settings have other names for some of these.
+pub(super) fn read_load_report(text: &str) -> LoadReport {
+    let mut load = LoadReport::default();
+    let text = text.trim().strip_prefix("TEXT").unwrap_or(text);
+    for pair in text.split(',') {
+        let Some((key, value)) = pair.split_once('=') else { continue };
+        let value = value.trim().parse().ok().filter(|value: &f64| value.is_finite() && *value >= 0.0);
+        match key.trim() {
+            "queue" | "waiting" => load.queued = value,
+            "inflight" | "active" => load.in_flight = value,
+            "util" | "cpu" => load.utilization = value,
+            _ => {}
+        }
+    }
+    load
+}
--- a/crates/sidecar/src/net/endpoints_tests.rs
+++ b/crates/sidecar/src/net/upstream/upstream_tests.rs
@@ -2,6 +2,8 @@
 
 use super::*;
 use crate::net::attempts::{AttemptGuard, Location, RepeatRule};
+use crate::net::http::{BodyEncoding, BodyPart};
+use crate::net::leaving::ClientPresence;
 use async_io::Async;
 use landingspread_decisions::settings::RetrySafety;
 use std::io::{Read, Write};
@@ -25,7 +27,7 @@
     let address = listener.local_addr().expect("an address");
     let client = Rc::new(Async::new(TcpStream::connect(address).expect("a client")).expect("a socket"));
     let _ = listener.accept().expect("the client's connection");
-    let stock = ResourcePool::with(64, 16);
+    let stock = ResourcePool::with_limits(64, 16);
     let head = b"POST /confirm HTTP/1.1\r\nContent-Length: 100000\r\n".to_vec();
     let told = "X-Expires-In-Ms: 1000\r\n\r\n";
     let size = head.len() + told.len() + BODY;
@@ -35,11 +37,11 @@
         assert!(give.try_send(BodyEvent::Part(piece)).is_ok(), "room for it");
     }
     let rest = StreamedBody {
-        next,
-        marked: BodyEncoding::Identity,
+        events: next,
+        encoding: BodyEncoding::Identity,
         length: Some(BODY as u64),
-        left: Duration::from_secs(1),
-        spent: Cell::new(false),
+        time_limit: Duration::from_secs(1),
+        consumed: Cell::new(false),
     };
     let rule = RepeatRule { repeats: RetrySafety::NonIdempotent, window: Duration::ZERO, parallel: false };
     let outgoing = OutgoingRequest {
@@ -47,17 +49,18 @@
         head,
         body: Vec::new(),
         rest: Some(rest),
-        careful: true,
-        asker: ClientPresence::of(&client),
+        run_once: true,
+        client: ClientPresence::of(&client),
         guard: AttemptGuard::new(rule),
     };
-    let pool = Rc::new(ConnectionPool::with(Duration::from_secs(1), Duration::from_secs(1), stock.clone()));
-    let endpoints = Rc::new(UpstreamClient { pool, stock, check_path: "/ping" });
+    let pool =
+        Rc::new(ConnectionPool::with_timeouts(Duration::from_secs(1), Duration::from_secs(1), stock.clone()));
+    let upstream = Rc::new(UpstreamClient { pool, resources: stock, health_path: "/ping" });
     let target = Target { server: "s1".into(), address, location: Location { zone: 0, cell: 0 } };
     let stage = Cell::new(AttemptStage::Unwritten);
     let attempt = async {
         let until = Instant::now() + Duration::from_secs(2);
-        endpoints.relay(&target, &outgoing, 0, until, &stage).await.outcome
+        upstream.attempt(&target, &outgoing, 0, until, &stage).await.outcome
     };
     let outcome = async_io::block_on(attempt);
     server.join().expect("the server answered");
