--- a/crates/sidecar/src/control/mod.rs
+++ b/crates/sidecar/src/control/mod.rs
@@ -11,7 +11,7 @@
 use crate::clock::Clock;
 use crate::launch::{Changed, Configuration, Control, Live};
 use crate::net::buffers::{BUFFER_SIZE, ResourcePool};
-use crate::net::callers::ClientSide;
+use crate::net::clients::ClientSide;
 use crate::net::owner::{Event, EventQueue};
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
@@ -50,7 +50,7 @@
         let Ok(changed) = self.live.read(contents) else { return };
         let Changed { verbs, discovery, .. } = &changed;
         let (take, taken) = async_channel::bounded(1);
-        self.callers.limits_changed(verbs.iter().map(|verb| verb.time_limit).collect());
+        self.callers.set_time_limits(verbs.iter().map(|verb| verb.time_limit).collect());
         let _ = self.discovery.try_send(*discovery);
         self.queue.push(Event::SettingsChanged(Box::new(changed), take));
         self.taken = Some(taken);
--- a/crates/sidecar/src/net/attempts.rs
+++ b/crates/sidecar/src/net/attempts.rs
@@ -1,6 +1,6 @@
-//! The one guard that every attempt passes right before its first byte. It keeps, for one request, what each of its attempts
-//! came to, and says whether another may begin. The decisions choose when and where to send; a connection may come up
-//! much later, and this is where the rules on sending and repeating are looked at again.
+//! The guard that every attempt passes right before its first byte. It keeps, for one request, the state of each attempt, and
+//! says whether another may start. The decisions choose when and where to send; a connection may come up much later, and
+//! here the rules on sending and retrying are checked again.
 
 use crate::invariants::must_hold;
 use landingspread_decisions::host::Outcome;
@@ -9,14 +9,14 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Where a server stands, for the groups that drop repeats.
+/// Where a server is, for the groups of servers that deduplicate retries together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Location {
     pub zone: u32,
     pub cell: u32,
 }
 
-/// What is known of an attempt whose first byte has gone.
+/// The state of an attempt whose first byte was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptState {
     InFlight,
@@ -26,89 +26,91 @@
 struct StartedAttempt {
     at: Instant,
     location: Location,
-    fate: AttemptState,
+    state: AttemptState,
 }
 
-/// Why an attempt does not begin. None of these is a violation: the connection came up too late.
+/// Why an attempt may not start. None of these is a violation of a rule: the connection came up too late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptDenied {
-    /// The request has its final answer, or its client has gone.
+    /// The request has its final response, or its client has left.
     RequestOver,
-    /// Repeats may no longer be dropped by then.
-    WindowElapsed,
+    /// The servers may no longer deduplicate the retry.
+    DedupWindowElapsed,
 }
 
-/// What the settings say of a request's further attempts.
+/// What the settings say about a request's further attempts.
 #[derive(Clone, Copy, Debug)]
-pub struct RepeatRule {
-    pub repeats: RetrySafety,
-    /// How long repeats of a deduplicated request are dropped, from the first byte of each attempt that may have run.
-    pub window: Duration,
-    /// Two attempts may be out at once.
-    pub parallel: bool,
+pub struct RetryRule {
+    pub safety: RetrySafety,
+    /// For how long retries with the same idempotency key are deduplicated, from the first byte of each attempt that may have
+    /// run.
+    pub dedup_window: Duration,
+    /// Two attempts may be in flight at once.
+    pub hedging: bool,
 }
 
 /// The guard of one request.
 pub struct AttemptGuard {
-    rule: RepeatRule,
+    rule: RetryRule,
     over: Cell<bool>,
-    /// Attempts whose first byte has gone, by number, but those that are known never to have run.
-    begun: RefCell<BTreeMap<u32, StartedAttempt>>,
+    /// Attempts whose first byte was sent, by number, without those that are known never to have run.
+    started: RefCell<BTreeMap<u32, StartedAttempt>>,
 }
 
 impl AttemptGuard {
-    pub fn new(rule: RepeatRule) -> AttemptGuard {
-        AttemptGuard { rule, over: Cell::new(false), begun: RefCell::default() }
+    /// A guard that has seen no attempt.
+    pub fn new(rule: RetryRule) -> AttemptGuard {
+        AttemptGuard { rule, over: Cell::new(false), started: RefCell::default() }
     }
 
-    /// The request has its final answer, or nobody waits for it any more.
+    /// The request has its final response, or nobody waits for it any more.
     pub fn request_over(&self) {
         self.over.set(true);
     }
 
-    /// Whether this attempt's first byte may go out now; it counts as gone then. `request` is for the log.
+    /// Whether this attempt's first byte may be sent now; it counts as sent then. `request` is for the log.
     pub fn begin(&self, request: &str, attempt: u32, to: Location) -> Result<(), AttemptDenied> {
         if self.over.get() {
             return Err(AttemptDenied::RequestOver);
         }
         let now = Instant::now();
-        let mut begun = self.begun.borrow_mut();
-        if let RetrySafety::IdempotencyKeyed(group) = self.rule.repeats {
-            let open =
-                |earlier: &StartedAttempt| now.saturating_duration_since(earlier.at) < self.rule.window;
-            if !begun.values().all(open) {
-                return Err(AttemptDenied::WindowElapsed);
+        let mut started = self.started.borrow_mut();
+        if let RetrySafety::IdempotencyKeyed(group) = self.rule.safety {
+            let in_window =
+                |earlier: &StartedAttempt| now.saturating_duration_since(earlier.at) < self.rule.dedup_window;
+            if !started.values().all(in_window) {
+                return Err(AttemptDenied::DedupWindowElapsed);
             }
             let place = |location: Location| (location.zone, location.cell);
-            let within = begun.values().all(|earlier| group.covers(place(earlier.location), place(to)));
+            let within = started.values().all(|earlier| group.covers(place(earlier.location), place(to)));
             must_hold!(
                 Repeating,
                 within,
-                "attempt {attempt} of {request} outside the group that drops repeats"
+                "attempt {attempt} of {request} outside the group that deduplicates retries"
             );
             if !within {
                 return Err(AttemptDenied::RequestOver);
             }
         }
-        let alone =
-            self.rule.parallel || begun.values().all(|earlier| earlier.fate != AttemptState::InFlight);
-        must_hold!(Repeating, alone, "attempt {attempt} of {request} beside another that is out");
-        let unsafe_again = self.rule.repeats == RetrySafety::NonIdempotent && !begun.is_empty();
-        must_hold!(Repeating, !unsafe_again, "attempt {attempt} of {request} after one that may have run");
-        if !alone || unsafe_again {
+        let in_flight = started.values().any(|earlier| earlier.state == AttemptState::InFlight);
+        let alone = self.rule.hedging || !in_flight;
+        must_hold!(Repeating, alone, "attempt {attempt} of {request} beside another in flight");
+        let unsafe_retry = self.rule.safety == RetrySafety::NonIdempotent && !started.is_empty();
+        must_hold!(Repeating, !unsafe_retry, "attempt {attempt} of {request} after one that may have run");
+        if !alone || unsafe_retry {
             return Err(AttemptDenied::RequestOver);
         }
-        begun.insert(attempt, StartedAttempt { at: now, location: to, fate: AttemptState::InFlight });
+        started.insert(attempt, StartedAttempt { at: now, location: to, state: AttemptState::InFlight });
         Ok(())
     }
 
-    /// An attempt has ended, by an answer, a failure or because it was called off.
+    /// An attempt has ended, by a response, a failure or because it was cancelled.
     pub fn ended(&self, attempt: u32, outcome: Outcome) {
-        let mut begun = self.begun.borrow_mut();
+        let mut started = self.started.borrow_mut();
         if outcome.never_ran() {
-            begun.remove(&attempt);
-        } else if let Some(one) = begun.get_mut(&attempt) {
-            one.fate = AttemptState::MayHaveRun;
+            started.remove(&attempt);
+        } else if let Some(attempt) = started.get_mut(&attempt) {
+            attempt.state = AttemptState::MayHaveRun;
         }
     }
 }
--- /dev/null
+++ b/crates/sidecar/src/net/clients/close.rs
@@ -0,0 +1,65 @@
+//! Closing connections: lingering behind an answer, and the shutdown of the whole client side.
+
+use super::state::{ClientSide, ROOM_POLL_INTERVAL};
+use crate::net::owner::Event;
+use crate::net::timeout::timeout;
+use async_io::{Async, Timer};
+use futures_lite::AsyncReadExt;
+use std::net::{Shutdown, TcpStream};
+use std::time::Duration;
+
+/// For how long, and for how many bytes, what a client still sends is read before its connection is closed.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+const MAX_LINGER_BYTES: usize = 1024 * 1024;
+/// How long lingering may go on past the shutdown's deadline: the process ends before it is killed.
+const SHUTDOWN_LINGER: Duration = Duration::from_millis(50);
+const LINGER_READ_SIZE: usize = 4096;
+
+impl ClientSide {
+    /// Each response is its connection's last from now on.
+    pub fn close_after_responses(&self) {
+        self.closing_connections.set(true);
+    }
+
+    /// Requests are taken as before, but each is due within this time.
+    pub fn begin_shutdown(&self, within: Duration) {
+        let at = self.clock.now() + within;
+        self.shutdown_deadline.set(Some(at));
+        self.queue.push(Event::ShutdownBy(at));
+    }
+
+    /// Closes idle connections, makes each response its connection's last, and returns when no client is left. Once all
+    /// requests have their final response, those that have arrived only in part are no longer waited for.
+    pub async fn finish_shutdown(&self) {
+        self.close_after_responses();
+        while self.resources.for_clients.taken() > 0 {
+            while self.close_longest_idle() {}
+            if self.time_to_shutdown() == Some(Duration::ZERO) {
+                self.reading.close();
+            }
+            Timer::after(ROOM_POLL_INTERVAL).await;
+        }
+    }
+
+    /// None unless the process is shutting down.
+    fn time_to_shutdown(&self) -> Option<Duration> {
+        self.shutdown_deadline.get().map(|deadline| deadline.saturating_sub(self.clock.now()))
+    }
+
+    /// Reads what the client still sends: closing on bytes that nobody has read resets the connection, and with it the
+    /// response on its way.
+    pub(super) async fn linger(&self, mut stream: &Async<TcpStream>) {
+        let _ = stream.get_ref().shutdown(Shutdown::Write);
+        let discard = async {
+            let (mut bytes, mut total) = ([0; LINGER_READ_SIZE], 0);
+            while let Ok(count @ 1..) = stream.read(&mut bytes).await {
+                total += count;
+                if total > MAX_LINGER_BYTES {
+                    break;
+                }
+            }
+        };
+        let limit = self.time_to_shutdown().map_or(LINGER_TIMEOUT, |left| left + SHUTDOWN_LINGER);
+        timeout(LINGER_TIMEOUT.min(limit), discard).await;
+    }
+}
--- /dev/null
+++ b/crates/sidecar/src/net/clients/connection.rs
@@ -0,0 +1,120 @@
+//! One client's connection: it waits for a request, answers it, and waits for the next one, until there is a reason to close.
+
+use super::state::ClientSide;
+use crate::counters::{self, CloseReason, RefusalReason};
+use crate::invariants::must_hold;
+use crate::net::buffers::SocketPermit;
+use crate::net::read_ahead::ReadAhead;
+use crate::net::request::{ParsedMessage, rejection};
+use async_io::Async;
+use futures_lite::future::yield_now;
+use std::cell::Cell;
+use std::net::TcpStream;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Counts an open request until it is dropped.
+struct OpenRequestGuard<'a>(&'a Cell<usize>);
+
+impl<'a> OpenRequestGuard<'a> {
+    fn new(open_requests: &'a Cell<usize>) -> OpenRequestGuard<'a> {
+        open_requests.set(open_requests.get() + 1);
+        OpenRequestGuard(open_requests)
+    }
+}
+
+impl Drop for OpenRequestGuard<'_> {
+    fn drop(&mut self) {
+        self.0.set(self.0.get() - 1);
+    }
+}
+
+impl ClientSide {
+    pub(super) async fn serve_connection(
+        self: Rc<Self>,
+        stream: Async<TcpStream>,
+        _permit: SocketPermit,
+        crowded: bool,
+    ) {
+        let _ = stream.get_ref().set_nodelay(true);
+        let stream = Rc::new(stream);
+        let mut connected_at = Some(self.clock.now());
+        let ahead = ReadAhead::new(&self.resources, &self.clock);
+        let reason = loop {
+            if ahead.is_empty()
+                && let Err(reason) = self.wait_for_request(&stream, connected_at).await
+            {
+                break reason;
+            }
+            if let Err(reason) = self.serve_message(&stream, connected_at, crowded, &ahead).await {
+                break reason;
+            }
+            connected_at = None;
+            // A client that writes ahead and reads as fast is never waited for: all others would wait instead.
+            if !ahead.is_empty() {
+                yield_now().await;
+            }
+        };
+        // A client that has left or asked for the end wants no answer; behind a part of a response there cannot be one.
+        let answer_owed = !matches!(
+            reason,
+            CloseReason::ClientLeft
+                | CloseReason::ClientAsked
+                | CloseReason::BadRequest
+                | CloseReason::AnswerBroken
+        );
+        must_hold!(
+            Closing,
+            !(answer_owed && ahead.holds_whole_request()),
+            "closed as {} over a request",
+            reason.name()
+        );
+        counters::connection_closed(reason);
+    }
+
+    /// Answers the next message. `connected_at` is set for a new client's first one. An error is why the connection ends.
+    async fn serve_message(
+        &self,
+        stream: &Rc<Async<TcpStream>>,
+        connected_at: Option<Duration>,
+        crowded: bool,
+        ahead: &ReadAhead,
+    ) -> Result<(), CloseReason> {
+        let Some(buffer) = ahead.take().or_else(|| self.resources.buffer()) else {
+            let _ = self.reject(stream, &rejection(503, "no buffer is free"), false).await;
+            counters::refused("", RefusalReason::NoBuffer);
+            return Err(CloseReason::Crowded);
+        };
+        let (mut message, parsed) = self.read_or_reject(stream, buffer, connected_at).await?;
+        let surplus = if message.is_complete() { message.surplus().len() } else { 0 };
+        let arrived_at = ahead.message_came(message.take_bytes_read(), surplus);
+        if message.is_complete() {
+            ahead.add(message.surplus());
+            message.drop_surplus();
+        }
+        let keep = self.may_keep_alive(&message, crowded, ahead);
+        let kept = match parsed {
+            ParsedMessage::Health if self.shutdown_deadline.get().is_some() => {
+                let _ = self.reject(stream, &rejection(503, "ending"), false).await;
+                Err(CloseReason::Shutdown)
+            }
+            ParsedMessage::Health => {
+                let written = self.write_short(stream, 200, b"", b"ready\n", keep.is_ok()).await;
+                self.start.health_answered();
+                written.and(keep)
+            }
+            ParsedMessage::Request(request)
+                if crowded || self.open_requests.get() >= self.max_open_requests =>
+            {
+                counters::refused(&request.id, RefusalReason::Crowded);
+                let too_many = rejection(503, "too many commands are open");
+                self.reject(stream, &too_many, keep.is_ok()).await.and(keep)
+            }
+            ParsedMessage::Request(request) => {
+                let _open = OpenRequestGuard::new(&self.open_requests);
+                self.serve_request(stream, request, message, arrived_at, crowded, ahead).await
+            }
+        };
+        if ahead.is_lost() { kept.and(Err(CloseReason::Crowded)) } else { kept }
+    }
+}
--- /dev/null
+++ b/crates/sidecar/src/net/clients/exchange.rs
@@ -0,0 +1,206 @@
+//! A request on its way: it is handed to the owner, the rest of a long body is passed on as it arrives, and the final
+//! response is awaited and written.
+
+use super::read::STALL_TIMEOUT;
+use super::state::ClientSide;
+use crate::counters::{self, CloseReason, RefusalReason};
+use crate::net::attempts::AttemptGuard;
+use crate::net::http::{BodyEncoding, HttpError, IncomingMessage};
+use crate::net::leaving::{self, ClientPresence};
+use crate::net::owner::{Event, FinalResponse, IncomingRequest};
+use crate::net::read_ahead::ReadAhead;
+use crate::net::request::{Request, rejection_of};
+use crate::net::timeout::timeout;
+use crate::net::upstream::{BodyEvent, OutgoingRequest, StreamedBody};
+use async_channel::{Receiver, Sender};
+use async_io::Async;
+use futures_lite::future::{or, pending};
+use landingspread_decisions::host::{Id, RequestArrival};
+use std::cell::Cell;
+use std::net::TcpStream;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// A body that takes longer than this belongs to no request.
+const BODY_TIMEOUT: Duration = Duration::from_secs(900);
+
+/// The rest of a long body while it is passed on.
+struct BodyUpload {
+    id: Id,
+    number: u64,
+    /// How long the client waits once the last byte has arrived.
+    time_limit: Duration,
+    events: Sender<BodyEvent>,
+}
+
+impl ClientSide {
+    /// Answers a request. `message` is complete, or too long to be buffered: then the rest of it is passed on as it arrives.
+    /// `arrived_at` is when the last byte of what was read arrived. An error is why the connection ends.
+    pub(super) async fn serve_request(
+        &self,
+        stream: &Rc<Async<TcpStream>>,
+        request: Request,
+        mut message: IncomingMessage,
+        arrived_at: Duration,
+        crowded: bool,
+        ahead: &ReadAhead,
+    ) -> Result<(), CloseReason> {
+        counters::request_taken();
+        let (complete, number) = (message.is_complete(), self.next_number());
+        // A request's time counts from its last byte.
+        let deadline = if complete {
+            self.deadline(arrived_at, request.time_limit)
+        } else {
+            self.clock.now() + BODY_TIMEOUT
+        };
+        let (id, verb, time_limit) = (request.id.clone(), request.verb, request.time_limit);
+        let arrival = RequestArrival {
+            id: id.clone(),
+            class: verb,
+            deadline,
+            body_incomplete: !complete,
+            tenant: request.tenant,
+            declared_work: request.declared_work,
+        };
+        let (events, body_events) = async_channel::bounded(1);
+        let outgoing = self.outgoing_request(stream, request, &mut message, body_events).await;
+        let (responder, response) = async_channel::bounded(1);
+        let incoming = IncomingRequest { number, arrival, outgoing, responder };
+        self.queue.push(Event::RequestArrived(Box::new(incoming)));
+        let upload = BodyUpload { id: id.clone(), number, time_limit, events };
+        let response = async { response.recv().await.map_err(|_| HttpError::Closed) };
+        let client_left = self.until_client_left(stream, &mut message, complete, &upload, ahead);
+        let response = match or(response, client_left).await {
+            Ok(response) => response,
+            Err(error) => return Err(self.request_aborted(stream, id, number, error).await),
+        };
+        let keep = self.may_keep_alive(&message, crowded, ahead);
+        let written = self.write_final(stream, response, verb, keep, message.http_minor).await;
+        let kept = written.and(keep);
+        // Behind a part of a response, or with nobody there, there is nothing that a reset could discard.
+        if !matches!(kept, Ok(()) | Err(CloseReason::AnswerBroken | CloseReason::ClientLeft)) {
+            self.linger(stream).await;
+        }
+        kept
+    }
+
+    /// When a request is due whose last byte arrived at `arrived_at`.
+    fn deadline(&self, arrived_at: Duration, time_limit: Duration) -> Duration {
+        let deadline = arrived_at + time_limit;
+        self.shutdown_deadline.get().map_or(deadline, |shutdown| shutdown.min(deadline))
+    }
+
+    /// The request as its attempts send it. Takes what has arrived of the body.
+    async fn outgoing_request(
+        &self,
+        stream: &Rc<Async<TcpStream>>,
+        request: Request,
+        message: &mut IncomingMessage,
+        events: Receiver<BodyEvent>,
+    ) -> OutgoingRequest {
+        let Request { id, verb, time_limit, mut head, .. } = request;
+        let complete = message.is_complete();
+        let run_once = !complete || self.parser.verbs[verb].method != "GET";
+        let (encoding, framing) = match message.length() {
+            Some(0) if self.parser.verbs[verb].method == "GET" => (BodyEncoding::Identity, String::new()),
+            Some(length) => (BodyEncoding::Identity, format!("Content-Length: {length}\r\n")),
+            None => (BodyEncoding::Chunked, "Transfer-Encoding: chunked\r\n".to_string()),
+        };
+        head.extend_from_slice(framing.as_bytes());
+        let body = message.take_parts(&self.resources).await;
+        let rest = (!complete).then(|| StreamedBody {
+            events,
+            encoding,
+            length: message.length(),
+            time_limit,
+            consumed: Cell::new(false),
+        });
+        let guard = AttemptGuard::new(self.retry_rules[verb]);
+        OutgoingRequest { id, head, body, rest, run_once, client: ClientPresence::of(stream), guard }
+    }
+
+    /// Passes on the rest of the body, if there is one, and then watches the connection. Returns when the client has left, or
+    /// when its body cannot be read; never with a response.
+    async fn until_client_left(
+        &self,
+        stream: &Rc<Async<TcpStream>>,
+        message: &mut IncomingMessage,
+        complete: bool,
+        upload: &BodyUpload,
+        ahead: &ReadAhead,
+    ) -> Result<FinalResponse, HttpError> {
+        if !complete {
+            let too_late = async {
+                self.reading.closed().await;
+                Err(HttpError::TimedOut)
+            };
+            let rest = self.pass_on_body(stream, message, &upload.events, ahead);
+            let arrived_at = or(rest, too_late).await?;
+            let deadline = self.deadline(arrived_at, upload.time_limit);
+            self.queue.push(Event::BodyComplete(upload.id.clone(), upload.number, deadline));
+            let end = async {
+                // Nobody takes it any more where the request is over.
+                let _ = upload.events.send(BodyEvent::Complete(self.clock.instant(deadline))).await;
+                Ok(())
+            };
+            or(end, client_gone(stream)).await?;
+        }
+        // During a shutdown, whatever is read would have to be answered too.
+        ahead.until_gone(stream, || !self.closing_connections.get()).await;
+        Err(HttpError::Closed)
+    }
+
+    /// The client has left, or its body cannot be read. Returns why the connection ends.
+    async fn request_aborted(
+        &self,
+        stream: &Async<TcpStream>,
+        id: Id,
+        number: u64,
+        error: HttpError,
+    ) -> CloseReason {
+        self.queue.push(Event::ClientLeft(id.clone(), number));
+        let Some(rejected) = rejection_of(error) else { return CloseReason::ClientLeft };
+        counters::refused(&id, RefusalReason::BadRequest);
+        let _ = self.reject(stream, &rejected, false).await;
+        CloseReason::BadRequest
+    }
+
+    /// Passes on the rest of a body, part by part, as fast as it is taken. Returns when its last byte arrived.
+    async fn pass_on_body(
+        &self,
+        stream: &Async<TcpStream>,
+        message: &mut IncomingMessage,
+        events: &Sender<BodyEvent>,
+        ahead: &ReadAhead,
+    ) -> Result<Duration, HttpError> {
+        let mut arrived_at = self.clock.now();
+        while !message.is_complete() {
+            let read = timeout(STALL_TIMEOUT, message.read_more(stream)).await;
+            read.unwrap_or(Err(HttpError::TimedOut))?;
+            let surplus = if message.is_complete() { message.surplus().len() } else { 0 };
+            arrived_at = ahead.message_came(message.take_bytes_read(), surplus);
+            if message.is_complete() {
+                ahead.add(message.surplus());
+                message.drop_surplus();
+            }
+            let pass_on = async {
+                for part in message.take_parts(&self.resources).await {
+                    if events.send(BodyEvent::Part(part)).await.is_err() {
+                        // The request is over, and its final response on its way.
+                        pending::<()>().await;
+                    }
+                }
+                Ok(())
+            };
+            // Where nothing is taken nothing is read, and the client's leaving would not be seen.
+            or(pass_on, client_gone(stream)).await?;
+        }
+        Ok(arrived_at)
+    }
+}
+
+/// Ends with the client's connection, as seen without reading from it.
+async fn client_gone(stream: &Async<TcpStream>) -> Result<(), HttpError> {
+    leaving::until_ended(stream).await;
+    Err(HttpError::Closed)
+}
--- /dev/null
+++ b/crates/sidecar/src/net/clients/wait.rs
@@ -0,0 +1,72 @@
+//! Waiting for a request on an idle connection.
+
+use super::state::{ClientSide, IdleKey};
+use crate::counters::CloseReason;
+use crate::net::leaving;
+use crate::net::timeout::timeout;
+use async_channel::{Receiver, Sender};
+use async_io::Async;
+use futures_lite::future::or;
+use std::net::TcpStream;
+use std::time::Duration;
+
+/// How long a connection may be idle between requests.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(300);
+/// For how long a new connection is not counted as idle: its first request follows at once, if it follows at all. If this
+/// were longer, a crowd of silent connections would hold up those that come after it.
+const FIRST_BYTE_WAIT: Duration = Duration::from_millis(20);
+
+/// An idle connection among those that may be closed for room; dropped, it is idle no longer.
+struct IdleGuard<'a> {
+    clients: &'a ClientSide,
+    key: IdleKey,
+    closed: Receiver<()>,
+}
+
+impl<'a> IdleGuard<'a> {
+    fn register(clients: &'a ClientSide, had_request: bool) -> IdleGuard<'a> {
+        let key = IdleKey { had_request, number: clients.next_number() };
+        let (close, closed): (Sender<()>, Receiver<()>) = async_channel::bounded(1);
+        clients.idle.borrow_mut().insert(key, close);
+        IdleGuard { clients, key, closed }
+    }
+}
+
+impl Drop for IdleGuard<'_> {
+    fn drop(&mut self) {
+        self.clients.idle.borrow_mut().remove(&self.key);
+    }
+}
+
+impl ClientSide {
+    /// Waits until bytes arrive. `connected_at` is set for a client without a request so far. An error is why the connection
+    /// ends instead.
+    pub(super) async fn wait_for_request(
+        &self,
+        stream: &Async<TcpStream>,
+        connected_at: Option<Duration>,
+    ) -> Result<(), CloseReason> {
+        if connected_at.is_some() {
+            // A client repeats no request that a new connection has lost, so this one does not count as idle yet.
+            let readable = timeout(FIRST_BYTE_WAIT, stream.readable()).await;
+            self.just_connected.set(self.just_connected.get() - 1);
+            if let Some(readable) = readable {
+                return readable.map_err(|_| CloseReason::ClientLeft);
+            }
+        }
+        let idle = IdleGuard::register(self, connected_at.is_none());
+        let readable = async { stream.readable().await.is_ok() };
+        let closed = async {
+            let _ = idle.closed.recv().await;
+            false
+        };
+        let limit = connected_at.map_or(IDLE_TIMEOUT, |at| self.first_request_time_left(at));
+        let readable = timeout(limit, or(readable, closed)).await.unwrap_or(false);
+        drop(idle);
+        // A request may have arrived in the very moment in which its connection was to be closed.
+        if readable || leaving::has_unread(stream) {
+            return Ok(());
+        }
+        Err(if self.closing_connections.get() { CloseReason::Shutdown } else { CloseReason::Idle })
+    }
+}
--- a/crates/sidecar/src/net/discovery.rs
+++ b/crates/sidecar/src/net/discovery.rs
@@ -1,9 +1,9 @@
-//! Discovery: the one watch on it. It owns the list's generation and the connection to discovery; it must never
-//! call discovery unasked, but for the next call of a watch that stands or has moved, nor change what the module
-//! was told.
+//! The discovery client: one watch of the endpoint list, by long polls. It owns the list's generation and the connection to
+//! discovery. It polls when it is asked to, and goes on by itself only while the watch stands or has moved; it never
+//! changes what the owner was given.
 
 use super::buffers::ResourcePool;
-use super::http;
+use super::http::{self, HttpError};
 use super::owner::{Event, EventQueue};
 use super::timeout::timeout;
 use crate::catalog::Catalog;
@@ -12,152 +12,185 @@
 use crate::start::Start;
 use async_channel::Receiver;
 use async_io::Async;
-use std::io::BufReader;
+use std::convert::Infallible;
+use std::fmt;
+use std::io::{self, BufReader};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A connection that has gone silent shows only when a call's time is over: until then drains are not heard
-/// of. So calls wait briefly, longer where all copies together would make more of them than so many a second; but a
-/// change counts as told 6 s after discovery had it, and a call that waits for 2.5 s is given up and made again by 4 s.
-const WATCH_LEAST: Duration = Duration::from_secs(2);
-const WATCH_MOST: Duration = Duration::from_millis(2500);
-const CALLS_A_SECOND: f64 = 50.0;
-const UP_IN: Duration = Duration::from_secs(1);
-/// A call that is refused so late stood in discovery's queue: it has more of them than it can work through, from how many
-/// copies of how many tiers nobody knows. Then each call waits twice as long, up to this, and by answers less again.
+/// How long a poll waits for a change. A connection that has gone silent shows only when the poll's time is over, and until
+/// then no drain is seen; so polls wait briefly, longer where all replicas together would poll more often than
+/// `MAX_POLLS_PER_SECOND`. A change has to be known 6 s after discovery has it, and a poll that waits for 2.5 s is given up
+/// and made again within 4 s.
+const MIN_WAIT: Duration = Duration::from_secs(2);
+const MAX_WAIT: Duration = Duration::from_millis(2500);
+const MAX_POLLS_PER_SECOND: f64 = 50.0;
+/// How long connecting, and writing a poll, may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// A poll that is refused after this time stood in discovery's queue: discovery has more polls than it can serve, from an
+/// unknown number of replicas. Each poll then waits twice as long, up to `MAX_OVERLOADED_WAIT`, and less again by
+/// `WAIT_DECAY` with each list.
 const QUEUED: Duration = Duration::from_millis(500);
-const WATCH_LONGEST: Duration = Duration::from_secs(8);
-const SHORTER: f64 = 0.75;
-/// Discovery works through calls in turn: how much later than it waits an answer may come.
-const IN_TURN: Duration = Duration::from_secs(1);
+const MAX_OVERLOADED_WAIT: Duration = Duration::from_secs(8);
+const WAIT_DECAY: f64 = 0.75;
+/// How much later than its wait a poll's response may arrive, as discovery serves polls in turn.
+const RESPONSE_SLACK: Duration = Duration::from_secs(1);
 
-/// Why there is no list.
+/// Why a poll brought no endpoint list.
+#[derive(Debug)]
 enum DiscoveryError {
-    /// Discovery has too many calls.
-    Refused,
-    Failed(String),
+    /// Discovery has too many polls.
+    Overloaded,
+    TimedOut(Duration),
+    Io(io::Error),
+    Http(HttpError),
+    Status(Option<u16>),
+    /// The list cannot be parsed.
+    InvalidList(String),
 }
 
-impl From<String> for DiscoveryError {
-    fn from(why: String) -> DiscoveryError {
-        DiscoveryError::Failed(why)
+impl fmt::Display for DiscoveryError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            DiscoveryError::Overloaded => f.write_str("refused, discovery has too many polls"),
+            DiscoveryError::TimedOut(after) => write!(f, "nothing within {after:?}"),
+            DiscoveryError::Io(error) => write!(f, "{error}"),
+            DiscoveryError::Http(error) => write!(f, "{error}"),
+            DiscoveryError::Status(status) => write!(f, "status {status:?}"),
+            DiscoveryError::InvalidList(why) => write!(f, "invalid endpoint list: {why}"),
+        }
+    }
+}
+
+impl From<io::Error> for DiscoveryError {
+    fn from(error: io::Error) -> DiscoveryError {
+        DiscoveryError::Io(error)
+    }
+}
+
+impl From<HttpError> for DiscoveryError {
+    fn from(error: HttpError) -> DiscoveryError {
+        DiscoveryError::Http(error)
     }
 }
 
+/// Polls discovery for the endpoint list.
 #[derive(Clone)]
 pub struct Discovery {
     address: SocketAddr,
-    /// What the list in hand is; none of what this discovery counts by, then its whole list is due.
+    /// The generation of the list in hand. None where it is not one of this discovery's: then the complete list is due.
     generation: Option<u64>,
-    /// How long a call waits for a change: at the least, and now.
-    least: Duration,
+    /// How long a poll waits for a change: at least, and now.
+    min_wait: Duration,
     wait: Duration,
     zones: Vec<String>,
     clock: Clock,
-    stock: Rc<ResourcePool>,
+    resources: Rc<ResourcePool>,
     queue: EventQueue,
     start: Rc<Start>,
 }
 
 impl Discovery {
-    /// None where the configuration names no discovery: the servers it lists are all there are.
+    /// None where the configuration names no discovery: the servers that it lists are all there are.
     pub fn new(
-        launch: &Configuration,
-        stock: Rc<ResourcePool>,
+        configuration: &Configuration,
+        resources: Rc<ResourcePool>,
         queue: EventQueue,
         start: Rc<Start>,
     ) -> Option<Discovery> {
-        let address = launch.discovery?;
-        let (zones, clock) = (launch.zones.clone(), launch.clock.clone());
-        // A process that takes over is told the whole list at once, and need not wait for a change to know that it
-        // stands.
-        let generation =
-            Some(launch.initial_catalog.generation).filter(|_| launch.inherited_listener.is_none());
-        let share = Duration::from_secs_f64(launch.policy.replicas / CALLS_A_SECOND);
-        let wait = share.clamp(WATCH_LEAST, WATCH_MOST);
-        Some(Discovery { address, generation, least: wait, wait, zones, clock, stock, queue, start })
+        let address = configuration.discovery?;
+        let (zones, clock) = (configuration.zones.clone(), configuration.clock.clone());
+        // A process that takes over asks for the complete list at once, instead of waiting for a change.
+        let generation = Some(configuration.initial_catalog.generation)
+            .filter(|_| configuration.inherited_listener.is_none());
+        let fair_wait = Duration::from_secs_f64(configuration.policy.replicas / MAX_POLLS_PER_SECOND);
+        let wait = fair_wait.clamp(MIN_WAIT, MAX_WAIT);
+        Some(Discovery { address, generation, min_wait: wait, wait, zones, clock, resources, queue, start })
     }
 
-    /// Another discovery may count its generations from elsewhere, and may have heard of drains that the old
-    /// one never told.
+    /// Polls another discovery from now on. It may count its generations from elsewhere, and may know of drains that the old
+    /// one never had.
     pub fn move_to(&mut self, address: SocketAddr) {
-        (self.address, self.generation, self.wait) = (address, None, self.least);
+        (self.address, self.generation, self.wait) = (address, None, self.min_wait);
     }
 
-    /// One watch for each time that the module asks; it lasts until a call fails.
+    /// Starts a watch whenever the decisions ask for one; it lasts until a poll fails.
     pub async fn follow(mut self, asked: Receiver<()>) {
         while asked.recv().await.is_ok() {
-            let wrong = match self.watch().await {
-                Err(wrong) => wrong,
+            let error = match self.watch().await {
+                Err(error) => error,
                 Ok(never) => match never {},
             };
-            // What was asked for while the watch stood is answered by the word that it has ended.
+            // What was asked for while the watch stood is answered by the event that it has ended.
             while asked.try_recv().is_ok() {}
-            match wrong {
-                DiscoveryError::Refused => {
-                    self.wait = (self.wait * 2).min(WATCH_LONGEST);
-                    tracing::warn!(discovery = %self.address, "watch ended: refused, it has too many calls");
+            tracing::warn!(discovery = %self.address, "endpoint list watch ended: {error}");
+            match error {
+                DiscoveryError::Overloaded => {
+                    self.wait = (self.wait * 2).min(MAX_OVERLOADED_WAIT);
                     self.queue.push(Event::ListPollRefused);
                 }
-                DiscoveryError::Failed(why) => {
-                    tracing::warn!(discovery = %self.address, "watch ended: {why}");
-                    self.queue.push(Event::ListPollFailed);
-                }
+                _ => self.queue.push(Event::ListPollFailed),
             }
         }
     }
 
-    async fn watch(&mut self) -> Result<std::convert::Infallible, DiscoveryError> {
-        let mut conn = None;
-        // The next call comes at once: later than 0.2 s after an answer it would begin a new watch.
+    async fn watch(&mut self) -> Result<Infallible, DiscoveryError> {
+        let mut connection = None;
+        // The next poll follows at once: 0.2 s after a response it would start a new watch at discovery.
         loop {
-            let catalog = self.call(&mut conn).await?;
-            let (generation, entries) = (catalog.generation, catalog.entries.len());
-            tracing::debug!(generation, whole = catalog.complete, entries, "a list");
+            let list = self.poll(&mut connection).await?;
+            let (generation, entries) = (list.generation, list.entries.len());
+            tracing::debug!(generation, complete = list.complete, entries, "endpoint list received");
             self.generation = Some(generation);
-            self.wait = self.wait.mul_f64(SHORTER).max(self.least);
+            self.wait = self.wait.mul_f64(WAIT_DECAY).max(self.min_wait);
             self.start.list_came();
-            self.queue.push(Event::ListReceived(catalog));
+            self.queue.push(Event::ListReceived(list));
         }
     }
 
-    async fn call(&self, kept: &mut Option<Async<TcpStream>>) -> Result<Catalog, DiscoveryError> {
-        // A dial that takes long is not to make the call longer.
+    /// One poll, on the connection that is kept if there is one.
+    async fn poll(&self, kept: &mut Option<Async<TcpStream>>) -> Result<Catalog, DiscoveryError> {
+        // The time of a slow connect is taken off the poll's wait.
         let begun = Instant::now();
-        let conn = match kept.take() {
-            Some(conn) => conn,
-            None => in_time(UP_IN, Async::<TcpStream>::connect(self.address)).await?,
+        let connection = match kept.take() {
+            Some(connection) => connection,
+            None => in_time(CONNECT_TIMEOUT, Async::<TcpStream>::connect(self.address)).await?,
         };
-        let _ = conn.get_ref().set_nodelay(true);
+        let _ = connection.get_ref().set_nodelay(true);
         let wait = self.wait.saturating_sub(begun.elapsed());
-        let query = |after: u64| format!("?after={after}&wait_ms={}", wait.as_millis());
-        let query = self.generation.map(query).unwrap_or_default();
-        let head = format!("GET /catalog/members{query} HTTP/1.1\r\nHost: {}\r\n\r\n", self.address);
-        in_time(UP_IN, http::write(&conn, head.as_bytes(), b"")).await?;
+        let head = self.poll_head(wait);
+        in_time(CONNECT_TIMEOUT, http::write(&connection, head.as_bytes(), b"")).await?;
         self.start.discovery_called();
-        // Of its own, and given back with the list: callers half way through a command may hold all others.
-        let most = self.stock.endpoint_list_buffers();
-        let buffers = ResourcePool::buffers_only(most + 1);
-        let answer = http::read_buffered_response(&conn, &buffers, most);
-        let (status, keep, mut rsp) = in_time(wait + IN_TURN, answer).await?;
+        // Buffers of its own, freed with the list: requests that arrive slowly may hold all others.
+        let max_buffers = self.resources.endpoint_list_buffers();
+        let buffers = ResourcePool::buffers_only(max_buffers + 1);
+        let response = http::read_buffered_response(&connection, &buffers, max_buffers);
+        let (status, keep_alive, mut body) = in_time(wait + RESPONSE_SLACK, response).await?;
         if status == Some(503) && begun.elapsed() >= QUEUED {
-            return Err(DiscoveryError::Refused);
+            return Err(DiscoveryError::Overloaded);
         }
         if status != Some(200) {
-            return Err(format!("status {status:?}").into());
+            return Err(DiscoveryError::Status(status));
         }
-        let value = serde_json::from_reader(BufReader::new(&mut rsp)).map_err(|wrong| wrong.to_string())?;
-        let catalog = Catalog::parse(&value, &self.zones, &self.clock)?;
-        *kept = keep.then_some(conn);
-        Ok(catalog)
+        let value = serde_json::from_reader(BufReader::new(&mut body));
+        let value = value.map_err(|error| DiscoveryError::InvalidList(error.to_string()))?;
+        let list = Catalog::parse(&value, &self.zones, &self.clock);
+        let list = list.map_err(DiscoveryError::InvalidList)?;
+        *kept = keep_alive.then_some(connection);
+        Ok(list)
+    }
+
+    fn poll_head(&self, wait: Duration) -> String {
+        let query = |after: u64| format!("?after={after}&wait_ms={}", wait.as_millis());
+        let query = self.generation.map(query).unwrap_or_default();
+        format!("GET /catalog/members{query} HTTP/1.1\r\nHost: {}\r\n\r\n", self.address)
     }
 }
 
-async fn in_time<T, E: std::fmt::Debug>(
-    span: Duration,
+async fn in_time<T, E: Into<DiscoveryError>>(
+    limit: Duration,
     work: impl Future<Output = Result<T, E>>,
-) -> Result<T, String> {
-    let done = timeout(span, work).await.ok_or_else(|| format!("nothing within {span:?}"))?;
-    done.map_err(|wrong| format!("{wrong:?}"))
+) -> Result<T, DiscoveryError> {
+    timeout(limit, work).await.ok_or(DiscoveryError::TimedOut(limit))?.map_err(Into::into)
 }
--- a/crates/sidecar/src/net/leaving.rs
+++ b/crates/sidecar/src/net/leaving.rs
@@ -1,5 +1,4 @@
-//! Whether a caller is still there. It owns the looks at a caller's connection that read nothing; what follows from a
-//! leaving is the owner's, and the bytes are `callers.rs`'s.
+//! Whether a client is still connected, as seen without reading from its connection.
 
 use async_io::{Async, Timer};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
@@ -8,61 +7,62 @@
 use std::rc::{Rc, Weak};
 use std::time::{Duration, Instant};
 
-/// How often a connection is looked at whose end is hidden by what was written ahead of it.
-pub const LOOK_EVERY: Duration = Duration::from_millis(20);
-/// A command that has waited for less needs no look: its caller's side has just looked.
-const JUST_NOW: Duration = Duration::from_millis(10);
+/// How often a connection is checked whose end is hidden behind unread bytes.
+pub const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// A request that has waited for less needs no check: its client side has just made one.
+const RECENTLY_CHECKED: Duration = Duration::from_millis(10);
 
-/// Whether the other side has ended the connection, also behind bytes that nobody has read yet. What still lies at the
-/// other side, as there is no room for it here, hides the end until it has come.
-pub fn ended(stream: &Async<TcpStream>) -> bool {
+/// Whether the other side has closed the connection, also behind bytes that are not read yet. Bytes that wait at the other
+/// side, as there is no room for them here, hide the end until they have come.
+pub fn has_ended(stream: &Async<TcpStream>) -> bool {
     match stream.get_ref().peek(&mut [0]) {
         Ok(0) => true,
         Ok(_) => {
-            let mut looked = [PollFd::new(stream, PollFlags::RDHUP)];
+            let mut polled = [PollFd::new(stream, PollFlags::RDHUP)];
             let now = Timespec { tv_sec: 0, tv_nsec: 0 };
-            // Where the system cannot tell, the bytes are read first, as before.
-            let told = poll(&mut looked, Some(&now)).is_ok_and(|count| count > 0);
-            let over = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-            told && looked[0].revents().intersects(over)
+            // Where the system cannot tell, the end shows once the bytes are read.
+            let ready = poll(&mut polled, Some(&now)).is_ok_and(|count| count > 0);
+            let end = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+            ready && polled[0].revents().intersects(end)
         }
-        Err(wrong) => !matches!(wrong.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted),
+        Err(error) => !matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted),
     }
 }
 
-/// Whether bytes lie at the system that nobody has read yet.
+/// Whether the system has bytes that are not read yet.
 pub fn has_unread(stream: &Async<TcpStream>) -> bool {
     loop {
         match stream.get_ref().peek(&mut [0]) {
-            Err(wrong) if wrong.kind() == ErrorKind::Interrupted => {}
-            looked => return matches!(looked, Ok(1..)),
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            peeked => return matches!(peeked, Ok(1..)),
         }
     }
 }
 
-/// Comes back when the connection has ended, looked at every `LOOK_EVERY`.
+/// Returns when the connection has ended; checks it every `CHECK_INTERVAL`.
 pub async fn until_ended(stream: &Async<TcpStream>) {
-    while !ended(stream) {
-        Timer::after(LOOK_EVERY).await;
+    while !has_ended(stream) {
+        Timer::after(CHECK_INTERVAL).await;
     }
 }
 
-/// Whoever asked for a command, as its relays see them.
+/// The client of a request, as the request's attempts see it.
 pub struct ClientPresence {
     stream: Weak<Async<TcpStream>>,
     since: Instant,
 }
 
 impl ClientPresence {
+    /// The client on this connection.
     pub fn of(stream: &Rc<Async<TcpStream>>) -> ClientPresence {
         ClientPresence { stream: Rc::downgrade(stream), since: Instant::now() }
     }
 
-    /// The end may be there to be seen before its word has come through the queue.
+    /// Whether it has left. The end of its connection may show before the event for it has come through the queue.
     pub fn left(&self) -> bool {
         match self.stream.upgrade() {
             None => true,
-            Some(stream) => self.since.elapsed() > JUST_NOW && ended(&stream),
+            Some(stream) => self.since.elapsed() > RECENTLY_CHECKED && has_ended(&stream),
         }
     }
 }
--- /dev/null
+++ b/crates/sidecar/src/net/listener.rs
@@ -0,0 +1,40 @@
+//! The listener for clients: inherited, or bound at the configured address.
+
+use super::local_failure::{FailureCause, FailureLog, cause};
+use crate::handover;
+use crate::launch::Configuration;
+use async_io::{Async, Timer};
+use std::io;
+use std::net::{SocketAddr, TcpListener};
+use std::time::{Duration, Instant};
+
+/// For how long the address is tried, as an earlier process may still have it.
+const BIND_TIMEOUT: Duration = Duration::from_secs(5);
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+
+/// The listener that whoever holds it for all processes passes on, or this process's own.
+pub(super) async fn listener(configuration: &Configuration) -> io::Result<Async<TcpListener>> {
+    match handover::inherited(configuration.inherited_listener, configuration.listen) {
+        Some(listener) => Async::new(listener),
+        None => bind(configuration.listen).await,
+    }
+}
+
+/// An earlier process may not have ended yet, and a shortage on this machine may pass: only an address that cannot be had
+/// for longer ends the start.
+async fn bind(address: SocketAddr) -> io::Result<Async<TcpListener>> {
+    let begun = Instant::now();
+    let failures = FailureLog::default();
+    loop {
+        let error = match Async::<TcpListener>::bind(address) {
+            Ok(listener) => return Ok(listener),
+            Err(error) => error,
+        };
+        let may_pass = error.kind() == io::ErrorKind::AddrInUse || cause(&error) != FailureCause::Remote;
+        if !may_pass || begun.elapsed() >= BIND_TIMEOUT {
+            return Err(io::Error::new(error.kind(), format!("{address}: {error}")));
+        }
+        failures.add("listen", &error);
+        Timer::after(BIND_RETRY_INTERVAL).await;
+    }
+}
--- a/crates/sidecar/src/net/request.rs
+++ b/crates/sidecar/src/net/request.rs
@@ -1,4 +1,4 @@
-//! What a client's message asks for, read from its head; and the heads that go out for it, to a server and back to the
+//! What a client's message asks for, parsed from its head; and the heads that are sent for it, to a server and back to the
 //! client. No sockets: bytes in, plain values or bytes out.
 
 use super::http::{self, HttpError};
@@ -6,30 +6,35 @@
 use landingspread_decisions::host::Id;
 use std::time::Duration;
 
-const LEFT_MOST_MS: u64 = 3_600_000;
-const COST_MOST_MS: f64 = 3_600_000.0;
-const ID_MOST: usize = 128;
+/// The longest time in milliseconds that a request may give in `X-Expires-In-Ms`.
+const MAX_TIME_LIMIT_MS: u64 = 3_600_000;
+/// The most work in milliseconds that a request may declare.
+const MAX_DECLARED_WORK_MS: f64 = 3_600_000.0;
+/// The longest request id in bytes.
+const MAX_ID_LENGTH: usize = 128;
 
-/// A message that is answered before the decisions hear of it.
+/// An answer to a message that the decisions do not get.
 pub struct Rejection {
     pub status: u16,
     pub why: &'static str,
 }
 
-/// Shorthand for a rejection's two parts.
+/// A rejection with this status and this text.
 pub fn rejection(status: u16, why: &'static str) -> Rejection {
     Rejection { status, why }
 }
 
-/// A request as its head tells it.
+/// A request as its head gives it.
 pub struct Request {
     pub id: Id,
+    /// The number of its verb.
     pub verb: usize,
+    /// The number of its tenant.
     pub tenant: usize,
-    /// How long the client waits, from the request's last byte.
-    pub left: Duration,
-    /// The work that it is said to take.
-    pub cost: Option<Duration>,
+    /// How long the client waits, from the request's last byte on.
+    pub time_limit: Duration,
+    /// The work that it is declared to take.
+    pub declared_work: Option<Duration>,
     /// The head of each attempt, but for what differs between attempts.
     pub head: Vec<u8>,
 }
@@ -40,61 +45,71 @@
     Request(Request),
 }
 
-/// What the settings say of requests.
+/// Parses requests by the settings.
 pub struct RequestParser {
     pub verbs: Vec<RequestClass>,
     pub tenants: Vec<String>,
+    /// The header in which a request declares its work, if there is one.
     pub cost_header: Option<String>,
 }
 
 impl RequestParser {
-    /// Reads a head; `limits` are the verbs' time limits by now, for requests that tell none of their own.
-    pub fn read(&self, bytes: &[u8], limits: &[Duration]) -> Result<ParsedMessage, Rejection> {
+    /// Parses a head. `time_limits` are the verbs' current ones, for requests that give none of their own.
+    pub fn parse(&self, bytes: &[u8], time_limits: &[Duration]) -> Result<ParsedMessage, Rejection> {
         let mut headers = http::no_headers();
         let mut head = httparse::Request::new(&mut headers);
         if head.parse(bytes).is_err() {
             return Err(rejection(400, "this is no HTTP/1.1 message"));
         }
         let (method, path) = (head.method.unwrap_or(""), http::path_of_target(head.path.unwrap_or("")));
-        let first = path.trim_start_matches('/').split(['/', '?']).next().unwrap_or("");
         if method == "GET" && path == "/_health" {
             return Ok(ParsedMessage::Health);
         }
-        let Some((number, verb)) = self.verbs.iter().enumerate().find(|(_, verb)| verb.name == first) else {
-            return Err(rejection(404, "no such verb"));
-        };
-        if method != verb.method {
-            return Err(rejection(405, "the verb takes another method"));
-        }
+        let (number, verb) = self.verb(method, path)?;
         let header = |name: &str| http::header(head.headers, name);
         if verb.idempotency_keyed && header("idempotency-key").is_none_or(str::is_empty) {
             return Err(rejection(400, "a receipted verb needs an Idempotency-Key"));
         }
-        let plain = |id: &&str| (1..=ID_MOST).contains(&id.len()) && id.bytes().all(|b| b.is_ascii_graphic());
-        let id = header("x-trace-id").filter(plain);
+        let valid_id =
+            |id: &&str| (1..=MAX_ID_LENGTH).contains(&id.len()) && id.bytes().all(|b| b.is_ascii_graphic());
+        let id = header("x-trace-id").filter(valid_id);
         let id = id.ok_or(rejection(400, "X-Trace-Id is missing or odd"))?.into();
-        let left = match header("x-expires-in-ms").map(str::parse::<u64>) {
-            None => limits.get(number).copied().unwrap_or(verb.time_limit),
-            Some(Ok(ms)) if (1..=LEFT_MOST_MS).contains(&ms) => Duration::from_millis(ms),
+        let time_limit = match header("x-expires-in-ms").map(str::parse::<u64>) {
+            None => time_limits.get(number).copied().unwrap_or(verb.time_limit),
+            Some(Ok(ms)) if (1..=MAX_TIME_LIMIT_MS).contains(&ms) => Duration::from_millis(ms),
             Some(_) => return Err(rejection(400, "X-Expires-In-Ms is odd")),
         };
-        // A tenant that the settings don't name has no share of its own.
-        let tenant =
-            header("x-customer").and_then(|name| self.tenants.iter().position(|known| known == name));
+        // Tenants that the settings do not name share one number behind the others.
+        let tenant = header("x-customer");
+        let tenant = tenant.and_then(|name| self.tenants.iter().position(|known| known == name));
         let tenant = tenant.unwrap_or(self.tenants.len());
-        let cost = match self.cost_header.as_ref().and_then(|name| header(name)).map(str::parse::<f64>) {
-            None => None,
-            Some(Ok(ms)) if ms > 0.0 && ms < COST_MOST_MS => Some(Duration::from_secs_f64(ms / 1000.0)),
-            Some(_) => return Err(rejection(400, "the command's cost is odd")),
-        };
+        let declared_work = self.cost_header.as_ref().and_then(|name| header(name));
+        let declared_work = declared_work.map(read_declared_work).transpose()?;
         let head = outgoing_head(method, path, head.headers);
-        Ok(ParsedMessage::Request(Request { id, verb: number, tenant, left, cost, head }))
+        Ok(ParsedMessage::Request(Request { id, verb: number, tenant, time_limit, declared_work, head }))
+    }
+
+    fn verb(&self, method: &str, path: &str) -> Result<(usize, &RequestClass), Rejection> {
+        let name = path.trim_start_matches('/').split(['/', '?']).next().unwrap_or("");
+        let verb = self.verbs.iter().enumerate().find(|(_, verb)| verb.name == name);
+        let (number, verb) = verb.ok_or(rejection(404, "no such verb"))?;
+        if method != verb.method {
+            return Err(rejection(405, "the verb takes another method"));
+        }
+        Ok((number, verb))
+    }
+}
+
+fn read_declared_work(text: &str) -> Result<Duration, Rejection> {
+    match text.parse::<f64>() {
+        Ok(ms) if ms > 0.0 && ms < MAX_DECLARED_WORK_MS => Ok(Duration::from_secs_f64(ms / 1000.0)),
+        _ => Err(rejection(400, "the command's cost is odd")),
     }
 }
 
-/// What is said of a message that is none; None where its sender has gone.
-pub fn rejection_of(bad: HttpError) -> Option<Rejection> {
-    match bad {
+/// How a message that could not be read is answered; None where its sender has gone.
+pub fn rejection_of(error: HttpError) -> Option<Rejection> {
+    match error {
         HttpError::Malformed => Some(rejection(400, "this is no HTTP/1.1 message")),
         HttpError::TooLarge => Some(rejection(413, "a head is too large")),
         HttpError::TimedOut => Some(rejection(408, "it took too long to come")),
@@ -111,24 +126,24 @@
 
 fn outgoing_head(method: &str, path: &str, headers: &[httparse::Header<'_>]) -> Vec<u8> {
     let mut head = format!("{method} {path} HTTP/1.1\r\n").into_bytes();
-    // Each attempt tells the time that it has itself.
-    let passed = |header: &&httparse::Header<'_>| {
+    // Each attempt sends the time that remains for itself.
+    let forwarded = |header: &&httparse::Header<'_>| {
         http::is_end_to_end(header.name) && !header.name.eq_ignore_ascii_case("x-expires-in-ms")
     };
-    headers.iter().filter(passed).for_each(|header| add_header(&mut head, header));
+    headers.iter().filter(forwarded).for_each(|header| add_header(&mut head, header));
     head
 }
 
-/// The head of an answer as it is passed on to the client.
-pub fn answer_head(of: &[u8], framing: &str, keep: bool) -> Vec<u8> {
-    let close = if keep { "" } else { "Connection: close\r\n" };
+/// The head of a server's response as it is passed on to the client.
+pub fn response_head(from_server: &[u8], framing: &str, keep_alive: bool) -> Vec<u8> {
+    let close = if keep_alive { "" } else { "Connection: close\r\n" };
     let mut head = format!("HTTP/1.1 200 OK\r\n{close}").into_bytes();
     let mut headers = http::no_headers();
-    let mut rsp = httparse::Response::new(&mut headers);
-    // It was parsed once already, when its end was looked for.
-    if rsp.parse(of).is_ok() {
-        let passed = rsp.headers.iter().filter(|header| http::is_end_to_end(header.name));
-        passed.for_each(|header| add_header(&mut head, header));
+    let mut response = httparse::Response::new(&mut headers);
+    // It was parsed before, when the end of the head was looked for.
+    if response.parse(from_server).is_ok() {
+        let forwarded = response.headers.iter().filter(|header| http::is_end_to_end(header.name));
+        forwarded.for_each(|header| add_header(&mut head, header));
     }
     head.extend_from_slice(framing.as_bytes());
     head.extend_from_slice(b"\r\n");
--- a/crates/sidecar/src/net/timeout.rs
+++ b/crates/sidecar/src/net/timeout.rs
@@ -1,13 +1,13 @@
-//! Waiting with an end.
+//! Timeouts for futures.
 
 use async_io::Timer;
 use futures_lite::future::or;
 use std::time::Duration;
 
-/// What the work brings, or None when it takes longer.
-pub async fn timeout<T>(span: Duration, work: impl Future<Output = T>) -> Option<T> {
+/// What the work returns, or None if it takes longer than `limit`.
+pub async fn timeout<T>(limit: Duration, work: impl Future<Output = T>) -> Option<T> {
     let late = async {
-        Timer::after(span).await;
+        Timer::after(limit).await;
         None
     };
     or(async { Some(work.await) }, late).await
--- a/crates/sidecar/src/net/upstream/upstream_tests.rs
+++ b/crates/sidecar/src/net/upstream/upstream_tests.rs
@@ -1,7 +1,7 @@
 //! Attempts on a real socket, with what reaches them from the caller's side held back by hand.
 
 use super::*;
-use crate::net::attempts::{AttemptGuard, Location, RepeatRule};
+use crate::net::attempts::{AttemptGuard, Location, RetryRule};
 use crate::net::http::{BodyEncoding, BodyPart};
 use crate::net::leaving::ClientPresence;
 use async_io::Async;
@@ -43,7 +43,7 @@
         time_limit: Duration::from_secs(1),
         consumed: Cell::new(false),
     };
-    let rule = RepeatRule { repeats: RetrySafety::NonIdempotent, window: Duration::ZERO, parallel: false };
+    let rule = RetryRule { safety: RetrySafety::NonIdempotent, dedup_window: Duration::ZERO, hedging: false };
     let outgoing = OutgoingRequest {
         id: "r1".into(),
         head,
