--- a/crates/sidecar/src/net/discovery.rs
+++ b/crates/sidecar/src/net/discovery.rs
@@ -6,7 +6,7 @@
 use super::http::{self, HttpError};
 use super::owner::{Event, EventQueue};
 use super::timeout::timeout;
-use crate::catalog::Catalog;
+use crate::catalog::{Catalog, CatalogError};
 use crate::clock::Clock;
 use crate::launch::Configuration;
 use crate::start::Start;
@@ -46,8 +46,9 @@
     Io(io::Error),
     Http(HttpError),
     Status(Option<u16>),
-    /// The list cannot be parsed.
-    InvalidList(String),
+    /// The response is not JSON.
+    InvalidJson(serde_json::Error),
+    InvalidList(CatalogError),
 }
 
 impl fmt::Display for DiscoveryError {
@@ -58,7 +59,8 @@
             DiscoveryError::Io(error) => write!(f, "{error}"),
             DiscoveryError::Http(error) => write!(f, "{error}"),
             DiscoveryError::Status(status) => write!(f, "status {status:?}"),
-            DiscoveryError::InvalidList(why) => write!(f, "invalid endpoint list: {why}"),
+            DiscoveryError::InvalidJson(error) => write!(f, "endpoint list is not JSON: {error}"),
+            DiscoveryError::InvalidList(error) => write!(f, "invalid endpoint list: {error}"),
         }
     }
 }
@@ -174,7 +176,7 @@
             return Err(DiscoveryError::Status(status));
         }
         let value = serde_json::from_reader(BufReader::new(&mut body));
-        let value = value.map_err(|error| DiscoveryError::InvalidList(error.to_string()))?;
+        let value = value.map_err(DiscoveryError::InvalidJson)?;
         let list = Catalog::parse(&value, &self.zones, &self.clock);
         let list = list.map_err(DiscoveryError::InvalidList)?;
         *kept = keep_alive.then_some(connection);
