--- a/crates/sidecar/src/counters.rs
+++ b/crates/sidecar/src/counters.rs
@@ -14,16 +14,16 @@
     ClientLeft,
     /// The client asked for it, by `Connection: close` or by HTTP/1.0.
     ClientAsked,
-    /// It was idle for too long, or had to give way to another.
+    /// It was idle for too long, or was closed to make room for another.
     Idle,
-    /// What came is no request, or stopped half way.
+    /// What arrived is not a valid request, or it stopped before its end.
     BadRequest,
-    /// All places or all buffers are taken.
+    /// No socket or no buffer is left.
     Crowded,
-    /// The process ends, or hands over to another.
+    /// The process shuts down, or hands over to another.
     Shutdown,
-    /// An answer that was being passed on broke off, or could not be written.
-    AnswerBroken,
+    /// A response that was being passed on broke off, or could not be written.
+    ResponseBroken,
 }
 
 impl CloseReason {
@@ -34,7 +34,7 @@
         CloseReason::BadRequest,
         CloseReason::Crowded,
         CloseReason::Shutdown,
-        CloseReason::AnswerBroken,
+        CloseReason::ResponseBroken,
     ];
 
     /// Its name as a label.
@@ -46,32 +46,32 @@
             CloseReason::BadRequest => "bad_request",
             CloseReason::Crowded => "crowded",
             CloseReason::Shutdown => "shutdown",
-            CloseReason::AnswerBroken => "answer_broken",
+            CloseReason::ResponseBroken => "answer_broken",
         }
     }
 }
 
-/// Why a request was refused or failed without a server's answer.
+/// Why a request was rejected or failed without a server's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// It is no request that this sidecar serves.
+    /// It is not a request that this sidecar serves.
     BadRequest,
-    /// Too many requests are open, or no place is left.
+    /// Too many requests are open, or no socket is left.
     Crowded,
     /// No buffer is free.
     NoBuffer,
-    /// The process ends.
+    /// The process shuts down.
     Shutdown,
     /// The decisions shed it before any attempt.
     Shed,
     /// No attempt ran, and none that could is left.
     NeverRan,
-    /// An attempt may have run, and trying again is harmless.
-    Repeatable,
-    /// An attempt may have run, and nobody knows.
+    /// An attempt may have run, and the client may retry without harm.
+    MayBeRetried,
+    /// An attempt may have run, and its result is unknown.
     Unknown,
     /// Another request with the same id is open.
-    SameId,
+    DuplicateId,
 }
 
 impl RefusalReason {
@@ -82,9 +82,9 @@
         RefusalReason::Shutdown,
         RefusalReason::Shed,
         RefusalReason::NeverRan,
-        RefusalReason::Repeatable,
+        RefusalReason::MayBeRetried,
         RefusalReason::Unknown,
-        RefusalReason::SameId,
+        RefusalReason::DuplicateId,
     ];
 
     /// Its name as a label.
@@ -96,9 +96,9 @@
             RefusalReason::Shutdown => "shutdown",
             RefusalReason::Shed => "shed",
             RefusalReason::NeverRan => "never_ran",
-            RefusalReason::Repeatable => "repeatable",
+            RefusalReason::MayBeRetried => "repeatable",
             RefusalReason::Unknown => "unknown",
-            RefusalReason::SameId => "same_id",
+            RefusalReason::DuplicateId => "same_id",
         }
     }
 }
@@ -136,40 +136,40 @@
 static ATTEMPTS: [AtomicU64; OUTCOMES.len()] = [const { AtomicU64::new(0) }; OUTCOMES.len()];
 static RETRIES: [AtomicU64; OUTCOMES.len()] = [const { AtomicU64::new(0) }; OUTCOMES.len()];
 
-fn place(outcome: Outcome) -> usize {
+fn index(outcome: Outcome) -> usize {
     OUTCOMES.iter().position(|known| *known == outcome).unwrap_or(0)
 }
 
-fn add(to: &AtomicU64) {
-    to.fetch_add(1, Ordering::Relaxed);
+fn increment(counter: &AtomicU64) {
+    counter.fetch_add(1, Ordering::Relaxed);
 }
 
 /// A request was handed to the decisions.
 pub fn request_taken() {
-    add(&REQUESTS);
+    increment(&REQUESTS);
 }
 
 /// A client's connection was closed.
 pub fn connection_closed(why: CloseReason) {
     tracing::debug!(reason = why.name(), "client connection closed");
-    add(&CLOSES[why as usize]);
+    increment(&CLOSES[why as usize]);
 }
 
-/// A request had a refusal or a failure as its final answer.
+/// A request had a rejection or a failure as its final response.
 pub fn refused(request: &str, why: RefusalReason) {
     tracing::debug!(request, reason = why.name(), "refused");
-    add(&REFUSALS[why as usize]);
+    increment(&REFUSALS[why as usize]);
 }
 
 /// An attempt ended.
 pub fn attempt_ended(outcome: Outcome) {
-    add(&ATTEMPTS[place(outcome)]);
+    increment(&ATTEMPTS[index(outcome)]);
 }
 
 /// A further attempt was made, after one that ended so.
 pub fn retried(request: &str, attempt: u32, after: Outcome) {
     tracing::debug!(request, attempt, after = outcome_name(after), "retry");
-    add(&RETRIES[place(after)]);
+    increment(&RETRIES[index(after)]);
 }
 
 /// All counters as lines of text, in the form that metric collectors read: `name{label="value"} count`.
--- a/crates/sidecar/src/invariants.rs
+++ b/crates/sidecar/src/invariants.rs
@@ -1,6 +1,6 @@
-//! The rules that this process must keep, checked at the places where they could be broken. A violation is counted by its
-//! rule and logged as an error with the request's id; debug builds panic, so that no test passes over one. The counts are
-//! told by `counters`, with all else that is counted.
+//! The invariants of this process, checked at run time at the places where they could be violated. A violation is counted
+//! and logged as an error with the request's id; debug builds panic, so that no test misses one. `counters` reports the
+//! counts with all other counters.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,13 +8,13 @@
 /// A rule that is checked while the process runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// Each request has exactly one final answer.
-    OneAnswer,
+    /// Each request has exactly one final response.
+    OneFinalResponse,
     /// An attempt begins only for a request that is open, and only at a server that takes new requests.
     Sending,
-    /// A further attempt begins only where every earlier one allows it, and never beside another that is out.
-    Repeating,
-    /// A client's connection is closed only once every request that was read from it has its answer.
+    /// A retry starts only where every earlier attempt allows it, and never beside another in flight, unless hedging is on.
+    Retrying,
+    /// A client's connection is closed only once every request that was read from it has its response.
     Closing,
     /// A server in slow start gets an attempt only against a credit.
     SlowStart,
@@ -25,9 +25,9 @@
 impl Invariant {
     /// All of them, in the order in which they are counted.
     pub const ALL: [Invariant; 6] = [
-        Invariant::OneAnswer,
+        Invariant::OneFinalResponse,
         Invariant::Sending,
-        Invariant::Repeating,
+        Invariant::Retrying,
         Invariant::Closing,
         Invariant::SlowStart,
         Invariant::Internal,
@@ -36,9 +36,9 @@
     /// Its name as a label of a counter and as a field of a log line.
     pub fn name(self) -> &'static str {
         match self {
-            Invariant::OneAnswer => "one_answer",
+            Invariant::OneFinalResponse => "one_answer",
             Invariant::Sending => "sending",
-            Invariant::Repeating => "repeating",
+            Invariant::Retrying => "repeating",
             Invariant::Closing => "closing",
             Invariant::SlowStart => "slow_start",
             Invariant::Internal => "internal",
--- a/crates/sidecar/src/net/attempts.rs
+++ b/crates/sidecar/src/net/attempts.rs
@@ -84,7 +84,7 @@
             let place = |location: Location| (location.zone, location.cell);
             let within = started.values().all(|earlier| group.covers(place(earlier.location), place(to)));
             must_hold!(
-                Repeating,
+                Retrying,
                 within,
                 "attempt {attempt} of {request} outside the group that deduplicates retries"
             );
@@ -94,9 +94,9 @@
         }
         let in_flight = started.values().any(|earlier| earlier.state == AttemptState::InFlight);
         let alone = self.rule.hedging || !in_flight;
-        must_hold!(Repeating, alone, "attempt {attempt} of {request} beside another in flight");
+        must_hold!(Retrying, alone, "attempt {attempt} of {request} beside another in flight");
         let unsafe_retry = self.rule.safety == RetrySafety::NonIdempotent && !started.is_empty();
-        must_hold!(Repeating, !unsafe_retry, "attempt {attempt} of {request} after one that may have run");
+        must_hold!(Retrying, !unsafe_retry, "attempt {attempt} of {request} after one that may have run");
         if !alone || unsafe_retry {
             return Err(AttemptDenied::RequestOver);
         }
--- a/crates/sidecar/src/net/clients/connection.rs
+++ b/crates/sidecar/src/net/clients/connection.rs
@@ -61,7 +61,7 @@
             CloseReason::ClientLeft
                 | CloseReason::ClientAsked
                 | CloseReason::BadRequest
-                | CloseReason::AnswerBroken
+                | CloseReason::ResponseBroken
         );
         must_hold!(
             Closing,
--- a/crates/sidecar/src/net/clients/exchange.rs
+++ b/crates/sidecar/src/net/clients/exchange.rs
@@ -78,7 +78,7 @@
         let written = self.write_final(stream, response, verb, keep, message.http_minor).await;
         let kept = written.and(keep);
         // Behind a part of a response, or with nobody there, there is nothing that a reset could discard.
-        if !matches!(kept, Ok(()) | Err(CloseReason::AnswerBroken | CloseReason::ClientLeft)) {
+        if !matches!(kept, Ok(()) | Err(CloseReason::ResponseBroken | CloseReason::ClientLeft)) {
             self.linger(stream).await;
         }
         kept
--- a/crates/sidecar/src/net/clients/write.rs
+++ b/crates/sidecar/src/net/clients/write.rs
@@ -62,7 +62,7 @@
                     // Only a reset tells the client that this is not the end of the response.
                     let _ = rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO));
                 }
-                return Err(CloseReason::AnswerBroken);
+                return Err(CloseReason::ResponseBroken);
             }
             written = self.write_buffered(stream, b"", &response, encoding).await;
             // Where both sides are as fast as this one nothing here waits, and all other tasks would.
@@ -71,7 +71,7 @@
         let ended = written && timeout(WRITE_TIMEOUT, http::write_body_end(stream, encoding)).await.is_some();
         response.finish();
         match ended {
-            false => Err(CloseReason::AnswerBroken),
+            false => Err(CloseReason::ResponseBroken),
             true if ends_connection => Err(CloseReason::ClientAsked),
             true => Ok(()),
         }
--- a/crates/sidecar/src/net/owner/event_loop.rs
+++ b/crates/sidecar/src/net/owner/event_loop.rs
@@ -297,7 +297,7 @@
         let mut table = self.table.borrow_mut();
         if table.requests.contains_key(&arrival.id) {
             // Servers could not tell two requests with the same id apart.
-            counters::refused(&arrival.id, RefusalReason::SameId);
+            counters::refused(&arrival.id, RefusalReason::DuplicateId);
             let _ = responder.try_send(FinalResponse::Failed);
             return;
         }
@@ -347,7 +347,7 @@
             return;
         };
         let Some(attempt) = open.attempts.get_mut(number as usize) else { return };
-        must_hold!(OneAnswer, !attempt.has_ended(), "attempt {number} of {id} ends once");
+        must_hold!(OneFinalResponse, !attempt.has_ended(), "attempt {number} of {id} ends once");
         attempt.outcome = Some(outcome);
         attempt.task = None;
         open.outgoing.guard.ended(number, outcome);
--- a/crates/sidecar/src/net/owner/request_table.rs
+++ b/crates/sidecar/src/net/owner/request_table.rs
@@ -75,7 +75,7 @@
                 Some(RefusalReason::Shed)
             }
             FinalResponse::Rejected(_) if never_ran => Some(RefusalReason::NeverRan),
-            FinalResponse::Rejected(_) => Some(RefusalReason::Repeatable),
+            FinalResponse::Rejected(_) => Some(RefusalReason::MayBeRetried),
             FinalResponse::Failed => Some(RefusalReason::Unknown),
         }
     }
@@ -140,7 +140,7 @@
     pub(super) fn finish(&mut self, request: &Id, response: FinalResponse) {
         let Some(open) = self.requests.get_mut(request) else { return };
         tracing::debug!("request {request} is {}", response.name());
-        must_hold!(OneAnswer, !open.finished, "one final response for request {request}");
+        must_hold!(OneFinalResponse, !open.finished, "one final response for request {request}");
         open.refusal_reason(&response).into_iter().for_each(|reason| counters::refused(request, reason));
         open.outgoing.guard.request_over();
         if !std::mem::replace(&mut open.finished, true) {
