--- a/crates/sidecar/src/control/call.rs
+++ b/crates/sidecar/src/control/call.rs
@@ -1,7 +1,7 @@
 //! One side's connection to a control machine. It owns the messages' form; what they say is the crate's.
 
 use super::said::Shared;
-use crate::net::buffers::Stock;
+use crate::net::buffers::ResourcePool;
 use crate::net::http;
 use crate::net::timeout::timeout;
 use async_io::Async;
@@ -28,7 +28,7 @@
         to: SocketAddr,
         head: &str,
         body: &[u8],
-        stock: &Rc<Stock>,
+        stock: &Rc<ResourcePool>,
         most: usize,
         time: Duration,
     ) -> Result<(u16, Vec<u8>), String> {
@@ -43,12 +43,12 @@
         in_time(UP_IN, http::write(&conn, head.as_bytes(), body)).await?;
         let answer = async {
             // No buffer is taken before there is something to read.
-            conn.readable().await.map_err(|_| http::Bad::Broken)?;
-            http::read_long(&conn, stock, most).await
+            conn.readable().await.map_err(|_| http::HttpError::Broken)?;
+            http::read_buffered_response(&conn, stock, most).await
         };
         let (status, keep, long) = in_time(time, answer).await?;
         let mut bytes = Vec::new();
-        long.take((most * crate::net::buffers::SIZE) as u64)
+        long.take((most * crate::net::buffers::BUFFER_SIZE) as u64)
             .read_to_end(&mut bytes)
             .map_err(|wrong| wrong.to_string())?;
         self.0 = keep.then_some(conn);
@@ -60,12 +60,12 @@
         &mut self,
         machine: SocketAddr,
         poll: &Poll,
-        stock: &Rc<Stock>,
+        stock: &Rc<ResourcePool>,
         shared: &Shared,
     ) -> Result<Option<Vec<u8>>, String> {
         let head = format!("GET /control/v1/changes?{}", poll.query());
         let time = poll.wait + Follower::IN_TURN;
-        let most = CHANGE_MOST / crate::net::buffers::SIZE + 1;
+        let most = CHANGE_MOST / crate::net::buffers::BUFFER_SIZE + 1;
         let (status, bytes) = self.call(machine, &head, b"", stock, most, time).await?;
         // With what the heads have besides.
         let (sent, received) = (head.len() + 40, bytes.len() + if status == 200 { 72 } else { 27 });
