--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,15 +1,12 @@
-//! Where a command goes, whether it goes again, and when it is given up.
+//! The decisions of landingspread: which server gets a request, whether it is sent again, and when it is rejected. There
+//! is no I/O here: a host hands in events and the time, and acts on what `policy::Policy` asks for by `host::Host`.
+
+#![warn(missing_docs)]
 
-mod book;
-mod fleet;
 pub mod host;
-mod overrides;
 pub mod peer_messages;
 pub mod policy;
-mod replicas;
 pub mod settings;
-mod settings_change;
-mod shutdown;
+mod state;
 pub mod statistics;
-mod stats;
 pub mod zones;
--- a/crates/decisions/src/peer_messages.rs
+++ b/crates/decisions/src/peer_messages.rs
@@ -1,46 +1,58 @@
-//! What copies tell each other, as bytes. Nothing is decided here.
+//! The messages between replicas, as bytes. Each message is a row of events; a reader stops at the first that its
+//! version does not know. Nothing is decided here.
 
 use std::time::Duration;
 
-/// The most that one message holds.
+/// The most bytes that one message holds.
 pub const MAX_MESSAGE_BYTES: usize = 256;
+/// Tag of the event that an idle connection broke.
 const IDLE_BROKE: u8 = 1;
+/// Tag of the event that tells a replica's request rate.
 const TRAFFIC: u8 = 2;
-/// With the verb's number added; of later verbs than these nothing is told.
-const VERBS: u8 = 64;
-const VERB_FAILED: u8 = 64;
-const VERB_ANSWERED: u8 = 128;
-
-/// Who hears a peer's words, one method for each.
+/// Request classes from this number on are not told of.
+const CLASSES: u8 = 64;
+/// Tag of a failure of class 0; the class's number is added.
+const CLASS_FAILED: u8 = 64;
+/// Tag of an answer of class 0; the class's number is added.
+const CLASS_ANSWERED: u8 = 128;
+/// The first tag after those of answers.
+const CLASS_ANSWERED_END: u8 = CLASS_ANSWERED + CLASSES;
+/// Request rates are sent in tenths.
+const RATE_STEPS: f64 = 10.0;
+
+/// Who receives a peer's events, one method for each.
 pub trait PeerMessageHandler {
+    /// A connection that had been idle for so long broke as it was used.
     fn idle_broke(&mut self, idle: Duration);
-    /// `false`: it knows no such server.
-    fn verb_went(&mut self, server: u32, verb: usize, answered: bool) -> bool;
-    fn traffic(&mut self, per_s: f64);
+    /// A server failed a request of this class, or answered it. `false`: the receiver knows no such server.
+    fn class_outcome(&mut self, server: u32, class: usize, answered: bool) -> bool;
+    /// The peer gets so many requests per second.
+    fn traffic(&mut self, per_second: f64);
 }
 
-/// Words gathered for one message; what no longer fits is dropped, as a message may be lost anyway.
+/// Events that wait for the next message. What no longer fits is dropped, as a message may be lost anyway.
 #[derive(Debug, Default)]
-pub struct Words(Vec<u8>);
+pub struct Outbox(Vec<u8>);
 
-impl Words {
-    fn add(&mut self, word: &[u8]) {
-        if self.0.len() + word.len() <= MAX_MESSAGE_BYTES {
-            self.0.extend(word);
+impl Outbox {
+    fn add(&mut self, event: &[u8]) {
+        if self.0.len() + event.len() <= MAX_MESSAGE_BYTES {
+            self.0.extend(event);
         }
     }
 
+    /// A connection that had been idle for so long broke; up to 65 seconds are told.
     pub fn idle_broke(&mut self, idle: Duration) {
-        let ms = u16::try_from(idle.as_millis()).unwrap_or(u16::MAX).to_be_bytes();
-        self.add(&[IDLE_BROKE, ms[0], ms[1]]);
+        let [high, low] = u16::try_from(idle.as_millis()).unwrap_or(u16::MAX).to_be_bytes();
+        self.add(&[IDLE_BROKE, high, low]);
     }
 
-    /// That a server failed a verb, or answered it.
-    pub fn verb_went(&mut self, server: u32, verb: usize, answered: bool) {
-        let kind = if answered { VERB_ANSWERED } else { VERB_FAILED };
-        let Some(verb) = u8::try_from(verb).ok().filter(|verb| *verb < VERBS) else { return };
+    /// A server, by its short name of 24 bits, failed a request of this class or answered it.
+    pub fn class_outcome(&mut self, server: u32, class: usize, answered: bool) {
+        let tag = if answered { CLASS_ANSWERED } else { CLASS_FAILED };
+        let Some(class) = u8::try_from(class).ok().filter(|class| *class < CLASSES) else { return };
         let [_, a, b, c] = server.to_be_bytes();
-        self.add(&[kind + verb, a, b, c]);
+        self.add(&[tag + class, a, b, c]);
     }
 
     /// Bytes so far.
@@ -48,116 +60,70 @@
         self.0.len()
     }
 
+    /// The message, if there is any event.
     pub fn take(&mut self) -> Option<Vec<u8>> {
         Some(std::mem::take(&mut self.0)).filter(|bytes| !bytes.is_empty())
     }
 }
 
-/// A message of its own, in tenths of a command a second.
-pub fn traffic(per_s: f64) -> [u8; 3] {
-    let [a, b] = ((per_s * 10.0).clamp(0.0, 65535.0) as u16).to_be_bytes();
-    [TRAFFIC, a, b]
+/// A message of its own: this replica's requests per second.
+pub fn traffic_message(per_second: f64) -> [u8; 3] {
+    let [high, low] = ((per_second * RATE_STEPS).clamp(0.0, 65535.0) as u16).to_be_bytes();
+    [TRAFFIC, high, low]
 }
 
-/// What of peers' words went for nothing: messages with a word that this version doesn't know or that is cut, and words
-/// of servers that this copy doesn't know.
+/// Counts of what peers sent in vain.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct IgnoredMessages {
+    /// Messages with an event that this version does not know or that is cut off.
     pub malformed: u64,
+    /// Events of servers that this replica does not know.
     pub unknown_server: u64,
 }
 
 impl IgnoredMessages {
+    /// Adds other counts to these.
     pub fn add(&mut self, other: IgnoredMessages) {
-        (self.malformed, self.unknown_server) =
-            (self.malformed + other.malformed, self.unknown_server + other.unknown_server);
+        self.malformed += other.malformed;
+        self.unknown_server += other.unknown_server;
     }
 
+    /// All of them.
     pub fn all(&self) -> u64 {
         self.malformed + self.unknown_server
     }
 }
 
-/// Reads a message up to its end or to the first word that this version doesn't know.
-pub fn read(mut bytes: &[u8], hearer: &mut impl PeerMessageHandler) -> IgnoredMessages {
-    let mut unheard = IgnoredMessages::default();
+/// Reads a message up to its end or to the first event that this version does not know.
+pub fn read(mut bytes: &[u8], receiver: &mut impl PeerMessageHandler) -> IgnoredMessages {
+    let mut ignored = IgnoredMessages::default();
     loop {
         bytes = match bytes {
-            [IDLE_BROKE, a, b, rest @ ..] => {
-                hearer.idle_broke(Duration::from_millis(u16::from_be_bytes([*a, *b]).into()));
+            [IDLE_BROKE, high, low, rest @ ..] => {
+                receiver.idle_broke(Duration::from_millis(u16::from_be_bytes([*high, *low]).into()));
                 rest
             }
-            [kind @ VERB_FAILED..VERB_ANSWERED, a, b, c, rest @ ..] => {
+            [tag @ CLASS_FAILED..CLASS_ANSWERED, a, b, c, rest @ ..] => {
                 let server = u32::from_be_bytes([0, *a, *b, *c]);
-                let known = hearer.verb_went(server, (kind - VERB_FAILED).into(), false);
-                unheard.unknown_server += u64::from(!known);
+                let known = receiver.class_outcome(server, (tag - CLASS_FAILED).into(), false);
+                ignored.unknown_server += u64::from(!known);
                 rest
             }
-            [kind @ VERB_ANSWERED..192, a, b, c, rest @ ..] => {
+            [tag @ CLASS_ANSWERED..CLASS_ANSWERED_END, a, b, c, rest @ ..] => {
                 let server = u32::from_be_bytes([0, *a, *b, *c]);
-                let known = hearer.verb_went(server, (kind - VERB_ANSWERED).into(), true);
-                unheard.unknown_server += u64::from(!known);
+                let known = receiver.class_outcome(server, (tag - CLASS_ANSWERED).into(), true);
+                ignored.unknown_server += u64::from(!known);
                 rest
             }
-            [TRAFFIC, a, b, rest @ ..] => {
-                hearer.traffic(f64::from(u16::from_be_bytes([*a, *b])) / 10.0);
+            [TRAFFIC, high, low, rest @ ..] => {
+                receiver.traffic(f64::from(u16::from_be_bytes([*high, *low])) / RATE_STEPS);
                 rest
             }
-            [] => return unheard,
+            [] => return ignored,
             _ => {
-                unheard.malformed += 1;
-                return unheard;
+                ignored.malformed += 1;
+                return ignored;
             }
         };
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[derive(Debug, Default, PartialEq)]
-    struct Heard(Vec<String>);
-
-    impl PeerMessageHandler for Heard {
-        fn idle_broke(&mut self, idle: Duration) {
-            self.0.push(format!("broke {idle:?}"));
-        }
-        fn verb_went(&mut self, server: u32, verb: usize, answered: bool) -> bool {
-            self.0.push(format!("{server} {verb} {answered}"));
-            server != 0
-        }
-        fn traffic(&mut self, per_s: f64) {
-            self.0.push(format!("traffic {per_s}"));
-        }
-    }
-
-    #[test]
-    fn words_are_heard_as_they_were_said_and_no_message_is_too_long() {
-        let mut words = Words::default();
-        words.idle_broke(Duration::from_millis(1100));
-        words.verb_went(77, 2, false);
-        words.verb_went(0xff_ffff, 63, true);
-        words.verb_went(1, 64, true);
-        let (mut heard, bytes) = (Heard::default(), words.take().expect("there are words"));
-        read(&bytes, &mut heard);
-        read(&traffic(2.5), &mut heard);
-        assert_eq!(heard.0, ["broke 1.1s", "77 2 false", "16777215 63 true", "traffic 2.5"]);
-        assert!(words.take().is_none());
-        (0..100).for_each(|server| words.verb_went(server, 1, false));
-        let bytes = words.take().expect("there are words");
-        assert_eq!(bytes.len(), MAX_MESSAGE_BYTES / 4 * 4);
-        // Cut anywhere, or followed by what a later version says, the words before it are heard.
-        for end in 0..bytes.len() {
-            let (mut cut, mut later) = (Heard::default(), Heard::default());
-            let unheard = read(&bytes[..end], &mut cut);
-            assert_eq!(cut.0.len(), end / 4);
-            // The first word is of a server that this hearer doesn't know.
-            let wanted =
-                IgnoredMessages { malformed: u64::from(end % 4 > 0), unknown_server: u64::from(end >= 4) };
-            assert_eq!(unheard, wanted);
-            read(&[&bytes[..end / 4 * 4], &[200, 1, 2, 3, 4]].concat(), &mut later);
-            assert_eq!(later.0.len(), end / 4);
-        }
-    }
-}
--- a/crates/decisions/tests/decisions/logged_run.rs
+++ b/crates/decisions/tests/decisions/logged_run.rs
@@ -5,7 +5,7 @@
 use landingspread_decisions::host::{
     AttemptEnd, Id, Lifecycle, ListedServer, LoadReport, Outcome, ReplicaView, RequestArrival,
 };
-use landingspread_decisions::peer_messages::{self, Words};
+use landingspread_decisions::peer_messages::{self, Outbox};
 use landingspread_decisions::policy::Policy;
 use landingspread_decisions::settings::Settings;
 use landingspread_decisions::zones::ZoneTraffic;
@@ -185,11 +185,11 @@
                 );
             }
             10..=12 => {
-                let mut words = Words::default();
+                let mut words = Outbox::default();
                 words.idle_broke(ms(300 + self.draw(2000)));
-                words.verb_went(self.draw(1 << 24) as u32, self.draw(3) as usize, self.draw(2) == 0);
+                words.class_outcome(self.draw(1 << 24) as u32, self.draw(3) as usize, self.draw(2) == 0);
                 let mut words = words.take().expect("there are words");
-                words.extend(peer_messages::traffic(self.draw(90) as f64));
+                words.extend(peer_messages::traffic_message(self.draw(90) as f64));
                 words.truncate(words.len() - self.draw(2) as usize);
                 self.policy.peer_message_received(now, number, &words);
             }
--- a/crates/decisions/tests/decisions/main.rs
+++ b/crates/decisions/tests/decisions/main.rs
@@ -4,6 +4,7 @@
 mod logged_run;
 mod maintenance;
 mod moved;
+mod peer_messages;
 mod pinned;
 mod plain;
 mod rest;
--- a/crates/decisions/tests/decisions/pinned.rs
+++ b/crates/decisions/tests/decisions/pinned.rs
@@ -3,7 +3,7 @@
 
 use crate::logged_run::{SETTINGS, play};
 use crate::scripted::ms;
-use landingspread_decisions::peer_messages::{self, PeerMessageHandler, Words};
+use landingspread_decisions::peer_messages::{self, Outbox, PeerMessageHandler};
 use std::collections::BTreeSet;
 use std::fmt::Write;
 use std::path::Path;
@@ -54,7 +54,7 @@
         writeln!(self.0, "  broke {}", idle.as_nanos()).expect("a string takes all");
     }
 
-    fn verb_went(&mut self, server: u32, verb: usize, answered: bool) -> bool {
+    fn class_outcome(&mut self, server: u32, verb: usize, answered: bool) -> bool {
         writeln!(self.0, "  verb {server} {verb} {answered}").expect("a string takes all");
         server != 0
     }
@@ -67,7 +67,7 @@
 #[test]
 fn the_bytes_of_words_are_as_pinned() {
     let mut messages = Vec::new();
-    let mut words = Words::default();
+    let mut words = Outbox::default();
     for span in [0, 1, 299, 1100, 65_535, 65_536, 900_000] {
         words.idle_broke(ms(span));
     }
@@ -75,14 +75,15 @@
     for (server, verb, answered) in
         [(77, 2, false), (0xff_ffff, 63, true), (1, 64, true), (0x0123_4567, 0, false), (0, 1, true)]
     {
-        words.verb_went(server, verb, answered);
+        words.class_outcome(server, verb, answered);
     }
     messages.extend(words.take());
-    (0..100).for_each(|server| words.verb_went(server, 1, server % 2 == 0));
+    (0..100).for_each(|server| words.class_outcome(server, 1, server % 2 == 0));
     messages.extend(words.take());
     messages.extend(words.take());
     messages.extend(
-        [0.0, 0.04, 2.5, 6553.5, 1e9, -1.0, f64::NAN].map(|per_s| peer_messages::traffic(per_s).to_vec()),
+        [0.0, 0.04, 2.5, 6553.5, 1e9, -1.0, f64::NAN]
+            .map(|per_s| peer_messages::traffic_message(per_s).to_vec()),
     );
     messages.extend([
         vec![],
