--- a/crates/decisions/tests/decisions/logged_run.rs
+++ b/crates/decisions/tests/decisions/logged_run.rs
@@ -287,7 +287,7 @@
 }
 
 /// Name, group and settings, servers, commands a second.
-pub const SETTINGS: [(&str, &str, u32, u64); 9] = [
+pub const SETTINGS: [(&str, &str, u32, u64); 11] = [
     ("plain", "zone", 8, 60),
     (
         "trials",
@@ -341,6 +341,20 @@
         40,
         120,
     ),
+    (
+        "crowded",
+        "zone Balancers=1 Verbs.0.ResponseGoal=90000 Verbs.1.ResponseGoal=150000 Verbs.2.ResponseGoal=400000 \
+         Verbs.3.ResponseGoal=60000",
+        3,
+        250,
+    ),
+    (
+        "refused",
+        "all Discovery=subscribe Balancers=150 Ordinal=9 Costs.Peer=0.02 PolicyLimits.Peers=true \
+         Verbs.0.ResponseGoal=100000 Verbs.1.ResponseGoal=60000",
+        6,
+        20,
+    ),
 ];
 
 /// A minute of virtual time.
