--- a/crates/decisions/src/policy/zones.rs
+++ b/crates/decisions/src/policy/zones.rs
@@ -13,21 +13,21 @@
 const USUAL_QUANTILE: f64 = 0.9;
 
 impl<H: Host> Policy<H> {
-    /// The share that each zone has by now. Those that are not named keep theirs.
-    pub fn zone_traffic_changed(&mut self, now: Duration, shares: &[ZoneTraffic]) {
+    /// The fraction of its usual traffic that each zone gets by now. Zones that are not named keep theirs.
+    pub fn zone_traffic_changed(&mut self, now: Duration, traffic: &[ZoneTraffic]) {
         self.now = now;
-        for share in shares {
-            self.take_zone_share(share);
+        for told in traffic {
+            self.take_zone_traffic(told);
         }
     }
 
-    fn take_zone_share(&mut self, told: &ZoneTraffic) {
-        let share = if told.fraction.is_finite() { told.fraction.clamp(0.0, 1.0) } else { 1.0 };
+    fn take_zone_traffic(&mut self, told: &ZoneTraffic) {
+        let fraction = if told.fraction.is_finite() { told.fraction.clamp(0.0, 1.0) } else { 1.0 };
         let zone = self.zones.get_or_add(told.zone, self.now);
-        let before = std::mem::replace(&mut zone.share, share);
+        let before = std::mem::replace(&mut zone.fraction, fraction);
         let new_trial = told.trial.filter(|trial| zone.trial != Some(*trial));
         zone.trial = told.trial;
-        let drained = share <= 0.0;
+        let drained = fraction <= 0.0;
         let was_drained = before <= 0.0;
         if !drained && !was_drained && new_trial.is_some() {
             zone.check_requested_at = Some(self.now);
@@ -46,7 +46,7 @@
         }
     }
 
-    /// How the zones look for which shares were told.
+    /// How the zones look for which fractions were told.
     pub fn zone_observations(&mut self, now: Duration) -> Vec<ZoneObservation> {
         let late_after = self.late_after();
         let mut seen: Vec<ZoneObservation> = Vec::with_capacity(self.zones.iter().len());
--- a/crates/decisions/src/state/server_set.rs
+++ b/crates/decisions/src/state/server_set.rs
@@ -394,15 +394,21 @@
 /// The window.
 impl ServerSet {
     /// Chooses the window anew: on each ring from the position that `start`, from 0 to 1, gives, until so much is
-    /// taken of the replica's own zone and of the others. `share` is what one server counts.
-    pub fn choose_window(&mut self, start: f64, local: f64, remote: f64, share: impl Fn(&Server) -> f64) {
+    /// taken of the replica's own zone and of the others. `counted_as` is what one server counts.
+    pub fn choose_window(
+        &mut self,
+        start: f64,
+        local: f64,
+        remote: f64,
+        counted_as: impl Fn(&Server) -> f64,
+    ) {
         for slot in std::mem::take(&mut self.window) {
             self[slot].in_window = false;
         }
         let local_ring = std::mem::take(&mut self.local_ring);
         let remote_ring = std::mem::take(&mut self.remote_ring);
-        self.choose_on_ring(&remote_ring, start, remote, &share);
-        self.choose_on_ring(&local_ring, start, local, &share);
+        self.choose_on_ring(&remote_ring, start, remote, &counted_as);
+        self.choose_on_ring(&local_ring, start, local, &counted_as);
         self.local_ring = local_ring;
         self.remote_ring = remote_ring;
         let mut window = std::mem::take(&mut self.window);
@@ -415,7 +421,7 @@
         ring: &[(u64, Slot)],
         start: f64,
         mut wanted: f64,
-        share: &impl Fn(&Server) -> f64,
+        counted_as: &impl Fn(&Server) -> f64,
     ) {
         let from = (start * ring.len() as f64) as usize;
         for (_, slot) in ring[from..].iter().chain(&ring[..from]) {
@@ -424,7 +430,7 @@
             }
             let server = &mut self[*slot];
             server.in_window = true;
-            wanted -= share(server);
+            wanted -= counted_as(server);
             self.window.push(*slot);
         }
     }
--- a/crates/decisions/src/state/zones.rs
+++ b/crates/decisions/src/state/zones.rs
@@ -1,6 +1,6 @@
-//! What came of the attempts that were sent to each zone for which the fleet tells a share. A zone with a share of 0 is
+//! What came of the attempts that were sent to each zone for which the fleet tells a fraction of traffic. A zone with a fraction of 0 is
 //! drained: its servers are held ejected and are checked only when this replica has the turn. Nothing here costs
-//! anything before shares are first told.
+//! anything before fractions are first told.
 
 use crate::host::Outcome;
 use crate::state::server_set::Server;
@@ -22,8 +22,8 @@
 pub struct Zone {
     /// The zone.
     pub id: u32,
-    /// Its share of its usual traffic.
-    pub share: f64,
+    /// The fraction of its usual traffic that it gets.
+    pub fraction: f64,
     /// The last trial number that was told.
     pub trial: Option<u64>,
     /// When the last attempt that was answered had been sent.
@@ -39,17 +39,17 @@
     pub check_requested_at: Option<Duration>,
 }
 
-/// The zones for which shares were told.
+/// The zones for which fractions were told.
 #[derive(Debug, Default)]
 pub struct Zones(Vec<Zone>);
 
 impl Zones {
-    /// A zone for which a share was told.
+    /// A zone for which a fraction was told.
     pub fn get_mut(&mut self, zone: u32) -> Option<&mut Zone> {
         self.0.iter_mut().find(|known| known.id == zone)
     }
 
-    /// The zone, which is added with its full share if it is new.
+    /// The zone, which is added with its full traffic if it is new.
     pub fn get_or_add(&mut self, zone: u32, now: Duration) -> &mut Zone {
         let known = self.0.iter().position(|known| known.id == zone);
         let at = known.unwrap_or_else(|| {
@@ -64,24 +64,24 @@
         self.0.iter()
     }
 
-    /// The zone's share; 1 where none was told.
-    pub fn share(&self, zone: u32) -> f64 {
-        self.0.iter().find(|known| known.id == zone).map_or(1.0, |known| known.share)
+    /// The fraction of its usual traffic that the zone gets; 1 where none was told.
+    pub fn fraction(&self, zone: u32) -> f64 {
+        self.0.iter().find(|known| known.id == zone).map_or(1.0, |known| known.fraction)
     }
 
-    /// What a server's weight is multiplied by. An ejected one is drawn for trials only, whatever its zone's share.
+    /// What a server's weight is multiplied by. An ejected one is drawn for trials only, whatever its zone's fraction.
     pub fn weight_factor(&self, server: &Server) -> f64 {
-        if server.ejection().is_some() { 1.0 } else { self.share(server.zone) }
+        if server.ejection().is_some() { 1.0 } else { self.fraction(server.zone) }
     }
 
     /// Whether the zone is drained.
     pub fn is_drained(&self, zone: u32) -> bool {
-        self.share(zone) <= 0.0
+        self.fraction(zone) <= 0.0
     }
 
     /// Whether any zone is drained.
     pub fn any_drained(&self) -> bool {
-        self.0.iter().any(|known| known.share <= 0.0)
+        self.0.iter().any(|known| known.fraction <= 0.0)
     }
 
     /// Whether time alone may make any zone silent, or end its silence.
@@ -121,7 +121,9 @@
         let requested = zone.check_requested_at.is_some_and(|at| now <= at + REQUESTED_CHECK_WINDOW);
         match outcome {
             Outcome::Ok | Outcome::Error | Outcome::Overloaded => zone.count_answer(now),
-            Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset if zone.share <= 0.0 || requested => {
+            Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset
+                if zone.fraction <= 0.0 || requested =>
+            {
                 // A trial that nobody answers says as much as several requests.
                 zone.waiting_since.get_or_insert(now);
                 zone.lost = zone.lost.max(MIN_LOSSES);
@@ -136,7 +138,7 @@
     fn new(id: u32, now: Duration) -> Self {
         Zone {
             id,
-            share: 1.0,
+            fraction: 1.0,
             trial: None,
             answered: None,
             waiting_since: None,
