--- a/crates/decisions/tests/decisions/logged_run.rs
+++ b/crates/decisions/tests/decisions/logged_run.rs
@@ -5,7 +5,7 @@
 use landingspread_decisions::host::{
     AttemptEnd, Id, Lifecycle, ListedServer, LoadReport, Outcome, ReplicaView, RequestArrival,
 };
-use landingspread_decisions::peer_messages::{self, Words};
+use landingspread_decisions::peer_messages::{self, Outbox};
 use landingspread_decisions::policy::Policy;
 use landingspread_decisions::settings::Settings;
 use landingspread_decisions::zones::ZoneTraffic;
@@ -185,11 +185,11 @@
                 );
             }
             10..=12 => {
-                let mut words = Words::default();
+                let mut words = Outbox::default();
                 words.idle_broke(ms(300 + self.draw(2000)));
-                words.verb_went(self.draw(1 << 24) as u32, self.draw(3) as usize, self.draw(2) == 0);
+                words.class_outcome(self.draw(1 << 24) as u32, self.draw(3) as usize, self.draw(2) == 0);
                 let mut words = words.take().expect("there are words");
-                words.extend(peer_messages::traffic(self.draw(90) as f64));
+                words.extend(peer_messages::traffic_message(self.draw(90) as f64));
                 words.truncate(words.len() - self.draw(2) as usize);
                 self.policy.peer_message_received(now, number, &words);
             }
@@ -287,7 +287,7 @@
 }
 
 /// Name, group and settings, servers, commands a second.
-pub const SETTINGS: [(&str, &str, u32, u64); 9] = [
+pub const SETTINGS: [(&str, &str, u32, u64); 11] = [
     ("plain", "zone", 8, 60),
     (
         "trials",
@@ -341,6 +341,20 @@
         40,
         120,
     ),
+    (
+        "crowded",
+        "zone Balancers=1 Verbs.0.ResponseGoal=90000 Verbs.1.ResponseGoal=150000 Verbs.2.ResponseGoal=400000 \
+         Verbs.3.ResponseGoal=60000",
+        3,
+        250,
+    ),
+    (
+        "refused",
+        "all Discovery=subscribe Balancers=150 Ordinal=9 Costs.Peer=0.02 PolicyLimits.Peers=true \
+         Verbs.0.ResponseGoal=100000 Verbs.1.ResponseGoal=60000",
+        6,
+        20,
+    ),
 ];
 
 /// A minute of virtual time.
