--- a/crates/capacity/src/size.rs
+++ b/crates/capacity/src/size.rs
@@ -2,7 +2,7 @@
 //! lists, fleets, changes a second); it must never hold a size of its own but the built-in file.
 
 use crate::sums::{Class, edges, total};
-use landingspread_files::{Wrong, from_toml};
+use landingspread_files::{FileError, parse_toml};
 use serde::Deserialize;
 use std::collections::BTreeSet;
 
@@ -132,9 +132,9 @@
     /// # Errors
     /// The line and the key: not TOML, an unknown key, a figure out of its range, services or endpoints whose sum is
     /// not the operators', calls that don't agree with being called, or a key with no reason or two.
-    pub fn read(file: &str, text: &str) -> Result<Size, Wrong> {
-        let size: Size = from_toml(file, text)?;
-        let wrong = |key: &str, what: String| Err(Wrong::at_key(file, text, key, what));
+    pub fn read(file: &str, text: &str) -> Result<Size, FileError> {
+        let size: Size = parse_toml(file, text)?;
+        let wrong = |key: &str, what: String| Err(FileError::at_key(file, text, key, what));
         if let Err((key, what)) = size.operators.check() {
             return wrong(&format!("operators.{key}"), what);
         }
--- a/crates/capacity/src/slope.rs
+++ b/crates/capacity/src/slope.rs
@@ -2,7 +2,7 @@
 //! its own points don't give.
 
 use crate::fit::{Fit, Point};
-use landingspread_files::{Wrong, from_toml};
+use landingspread_files::{FileError, parse_toml};
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::fmt::{self, Write};
@@ -162,12 +162,13 @@
     /// # Errors
     /// The line and the key: not TOML, an unknown key or role, a figure twice, a name that is not in snake case, a
     /// text that is empty, or a line, range or count that the points don't give.
-    pub fn read(file: &str, text: &str) -> Result<Slopes, Wrong> {
-        let read: Slopes = from_toml(file, text)?;
+    pub fn read(file: &str, text: &str) -> Result<Slopes, FileError> {
+        let read: Slopes = parse_toml(file, text)?;
         let mut known = BTreeSet::new();
         for (at, slope) in read.slopes.iter().enumerate() {
-            let told =
-                |(key, what): (&str, String)| Wrong::at_key(file, text, &format!("slope.{at}.{key}"), what);
+            let told = |(key, what): (&str, String)| {
+                FileError::at_key(file, text, &format!("slope.{at}.{key}"), what)
+            };
             checked(slope).map_err(told)?;
             if !known.insert((slope.role, &slope.figure, &slope.by)) {
                 let what = format!("{} of {} by {} stands twice", slope.figure, slope.role, slope.by);
--- a/crates/control/src/follower.rs
+++ b/crates/control/src/follower.rs
@@ -1,205 +1,274 @@
-//! A sidecar's side: which version is in force, which machine is asked, and when again. It owns the last good version; it
-//! must never put a part of one in force, nor an older one than it has.
+//! A sidecar's side of the exchange: which version is in force, which control machine is polled, and when again. It never
+//! applies a part of a version, nor an older version than the one in force.
 
-use crate::change::{Change, Snapshot, Unfit};
-use crate::contents::{Contents, Fault};
-use crate::machines::{Machine, mixed, ordered};
+use crate::config::{ConfigError, Contents};
+use crate::delta::{Delta, DeltaError, Snapshot};
 use crate::poll::Poll;
+use crate::rendezvous::{ControlMachine, mix64, rendezvous_order};
 use crate::version::Version;
 use std::fmt;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A call waits so long for a change. A machine that falls silent without a word is found out after it, and the change
-/// has to be here within 10 s all the same.
-const WAIT: Duration = Duration::from_secs(6);
-/// The first call waits for nothing, so that what holds by now is known soon.
-const PAUSE_LEAST: Duration = Duration::from_millis(20);
-const PAUSE_SPREAD: Duration = Duration::from_millis(80);
-/// Once all machines have failed in turn, pauses grow up to this.
-const PAUSE_MOST: Duration = Duration::from_secs(4);
-/// After so long at another machine, and up to as long again, the one that is first in order is tried anew.
-const RETURN_AFTER: Duration = Duration::from_secs(30);
-
-/// What puts a version in force.
-pub trait Host {
-    /// Whether all of it can be gone by; the fault is the first key that can't. Nothing changes by it.
-    fn check(&mut self, contents: &Contents) -> Result<(), Fault>;
-    /// It holds from here on, in place of all that was in force before.
-    fn enforce(&mut self, version: &Version, contents: &Contents);
+/// How long a poll waits at the machine for a newer version. A machine that falls silent is noticed only after it, and
+/// a version has to be in force within 10 s all the same.
+const POLL_WAIT: Duration = Duration::from_secs(6);
+/// The shortest backoff.
+const MIN_BACKOFF: Duration = Duration::from_millis(20);
+/// What jitter adds to it at most while another machine has not been tried.
+const BACKOFF_JITTER: Duration = Duration::from_millis(80);
+/// The least part of the jitter that is always added.
+const MIN_JITTER_FRACTION: f64 = 0.2;
+/// Once every machine has failed, the jitter is this many times as long, doubled with each further round.
+const ROUND_JITTER_FACTOR: u32 = 6;
+/// Rounds after which the jitter is no longer doubled.
+const MAX_BACKOFF_ROUNDS: usize = 4;
+/// The longest backoff.
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
+/// After this time at another machine, and up to as long again, the first one in order is tried again.
+const FAILBACK_AFTER: Duration = Duration::from_secs(30);
+/// The increment of SplitMix64.
+const SEED_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
+
+/// What applies a version to the process.
+pub trait ConfigHost {
+    /// Whether all of the contents can be applied. It changes nothing.
+    ///
+    /// # Errors
+    /// The first key that can't be applied.
+    fn check(&mut self, contents: &Contents) -> Result<(), ConfigError>;
+
+    /// Applies contents that [`ConfigHost::check`] accepted, in place of all that was applied before.
+    fn apply(&mut self, version: &Version, contents: &Contents);
 }
 
-/// A version that is not gone by.
+/// A version that the host refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
+    /// The version.
     pub version: Version,
-    pub fault: Fault,
+    /// The key that can't be applied, and why.
+    pub error: ConfigError,
+    /// When it was refused, on the caller's clock.
     pub at: Duration,
 }
 
-/// What an answer came to.
+/// What a delta led to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Took {
-    Enforced(Version),
-    /// The last good one stays in force.
+pub enum ApplyOutcome {
+    /// This version is in force.
+    Applied(Version),
+    /// The host refused the version; the one before it stays in force.
     Refused(Refusal),
-    /// It is what is in force, or was refused already.
-    Nothing,
+    /// The version is in force already, or was refused before.
+    Unchanged,
 }
 
-/// An answer that is none: the next machine is asked.
+/// Why an answer is of no use. The next machine is polled then.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wrong {
-    Unfit(Unfit),
-    /// The machine is behind: what it has is older than what is in force.
-    Older(Version),
+pub enum AnswerError {
+    /// It can't be applied.
+    Delta(DeltaError),
+    /// The machine is behind: its version is older than the one in force.
+    Stale(Version),
 }
 
-impl fmt::Display for Wrong {
+impl fmt::Display for AnswerError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Wrong::Unfit(unfit) => unfit.fmt(f),
-            Wrong::Older(version) => write!(f, "version: {version} is older than what is in force"),
+            AnswerError::Delta(error) => error.fmt(f),
+            AnswerError::Stale(version) => write!(f, "version: {version} is older than what is in force"),
         }
     }
 }
 
+impl std::error::Error for AnswerError {}
+
+/// Why a cached snapshot is not restored.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum RestoreError {
+    /// It is truncated, corrupt or of another scope.
+    Delta(DeltaError),
+    /// The host refuses it, as the sidecar's own file has changed.
+    Config(ConfigError),
+}
+
+impl fmt::Display for RestoreError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            RestoreError::Delta(error) => error.fmt(f),
+            RestoreError::Config(error) => error.fmt(f),
+        }
+    }
+}
+
+impl std::error::Error for RestoreError {}
+
+impl From<DeltaError> for RestoreError {
+    fn from(error: DeltaError) -> RestoreError {
+        RestoreError::Delta(error)
+    }
+}
+
+impl From<ConfigError> for RestoreError {
+    fn from(error: ConfigError) -> RestoreError {
+        RestoreError::Config(error)
+    }
+}
+
+/// A sidecar that follows the configuration of one scope.
 pub struct Follower {
     scope: String,
     name: String,
+    /// In the order in which they are tried.
     machines: Vec<SocketAddr>,
-    /// Which of them is asked.
-    at: usize,
+    /// The index of the one that is polled.
+    current: usize,
     in_force: Option<Snapshot>,
     refused: Option<Refusal>,
-    /// What came did not fit what is here.
-    whole: bool,
-    /// Calls that failed in turn.
-    failures: u32,
-    /// None before the first answer of the machine that is asked now.
+    /// Whether the last delta did not apply to the version in force.
+    wants_snapshot: bool,
+    consecutive_failures: u32,
+    /// Whether the machine that is polled has answered since it was chosen.
     answered: bool,
-    home_at: Duration,
+    failback_at: Duration,
     seed: u64,
 }
 
 impl Follower {
-    /// `name` is the sidecar's own, and one of its kind within the scope; `region` is where it stands.
-    pub fn start(scope: &str, name: &str, machines: &[Machine], region: &str, seed: u64) -> Follower {
+    /// How long an answer may take beyond the time that the poll waits.
+    pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+
+    /// A follower without a version. `name` is the sidecar's own, unique within the scope; machines of `region` are
+    /// tried first; `seed` feeds the jitter.
+    pub fn new(scope: &str, name: &str, machines: &[ControlMachine], region: &str, seed: u64) -> Follower {
         Follower {
             scope: scope.into(),
             name: name.into(),
-            machines: ordered(machines, name, region),
-            at: 0,
+            machines: rendezvous_order(machines, name, region),
+            current: 0,
             in_force: None,
             refused: None,
-            whole: false,
-            failures: 0,
+            wants_snapshot: false,
+            consecutive_failures: 0,
             answered: false,
-            home_at: Duration::MAX,
+            failback_at: Duration::MAX,
             seed,
         }
     }
 
-    /// Puts in force what an earlier process kept, before any machine is asked.
-    pub fn recall(&mut self, kept: &[u8], host: &mut impl Host) -> Result<Version, String> {
-        let change = Change::read(kept).map_err(|unfit| unfit.to_string())?;
-        let kept = change.onto(&self.scope, None).map_err(|unfit| unfit.to_string())?;
-        host.check(kept.contents()).map_err(|fault| fault.to_string())?;
-        host.enforce(&kept.version(), kept.contents());
-        let version = kept.version();
-        self.in_force = Some(kept);
+    /// Applies the snapshot that an earlier process cached, before any machine is polled.
+    ///
+    /// # Errors
+    /// The snapshot can't be read or the host refuses it; nothing is applied then.
+    pub fn restore(&mut self, cached: &[u8], host: &mut impl ConfigHost) -> Result<Version, RestoreError> {
+        let snapshot = Delta::from_json(cached)?.apply(&self.scope, None)?;
+        host.check(snapshot.contents())?;
+        host.apply(&snapshot.version(), snapshot.contents());
+        let version = snapshot.version();
+        self.in_force = Some(snapshot);
         Ok(version)
     }
 
+    /// The snapshot that is in force.
     pub fn in_force(&self) -> Option<&Snapshot> {
         self.in_force.as_ref()
     }
 
-    /// The newest version that was refused, as long as none has come after it.
+    /// The newest refused version, as long as no newer one is in force.
     pub fn refused(&self) -> Option<&Refusal> {
         self.refused.as_ref()
     }
 
-    /// The machine to ask; none where there are none.
+    /// The machine to poll; none where no machine is configured.
     pub fn machine(&self) -> Option<SocketAddr> {
-        self.machines.get(self.at).copied()
+        self.machines.get(self.current).copied()
     }
 
-    /// The next call.
-    pub fn asks(&self) -> Poll {
-        let refused = self.refused.as_ref().map(|refused| (refused.version, refused.fault.to_string()));
+    /// The next poll.
+    pub fn next_poll(&self) -> Poll {
+        let refused = self.refused.as_ref().map(|refused| (refused.version, refused.error.to_string()));
         Poll {
             scope: self.scope.clone(),
             name: self.name.clone(),
-            have: self.in_force.as_ref().map(Snapshot::version),
+            acknowledged: self.in_force.as_ref().map(Snapshot::version),
             refused,
-            whole: self.whole,
-            wait: if self.answered { WAIT } else { Duration::ZERO },
+            wants_snapshot: self.wants_snapshot,
+            // The first poll doesn't wait, so that the current version is known soon.
+            wait: if self.answered { POLL_WAIT } else { Duration::ZERO },
         }
     }
 
-    /// How long an answer may take, past the time that the call waits.
-    pub const IN_TURN: Duration = Duration::from_secs(1);
-
-    /// The machine has nothing new. `true`: another one is asked from here on, by a new connection.
-    pub fn unchanged(&mut self, now: Duration) -> bool {
-        self.heard();
-        self.home(now)
+    /// The machine has no newer version. Returns whether another machine is polled from here on, over a new connection.
+    pub fn on_unchanged(&mut self, now: Duration) -> bool {
+        self.record_answer();
+        self.fail_back(now)
     }
 
-    /// A change has come, as bytes. Whatever is wrong with it, what was in force is so still.
-    pub fn answered(&mut self, now: Duration, bytes: &[u8], host: &mut impl Host) -> Result<Took, Wrong> {
-        let unfit = |unfit| Wrong::Unfit(unfit);
-        let change = Change::read(bytes).map_err(unfit)?;
-        let here = self.in_force.as_ref().map(Snapshot::version);
-        if change.scope == self.scope && here.is_some_and(|here| change.version < here) {
-            return Err(Wrong::Older(change.version));
+    /// The machine answered with a delta, as bytes.
+    ///
+    /// # Errors
+    /// The answer is of no use; the version in force stays so.
+    pub fn on_delta(
+        &mut self,
+        now: Duration,
+        bytes: &[u8],
+        host: &mut impl ConfigHost,
+    ) -> Result<ApplyOutcome, AnswerError> {
+        let delta = Delta::from_json(bytes).map_err(AnswerError::Delta)?;
+        let current = self.in_force.as_ref().map(Snapshot::version);
+        if delta.scope == self.scope && current.is_some_and(|current| delta.version < current) {
+            return Err(AnswerError::Stale(delta.version));
         }
-        let fits = change.onto(&self.scope, self.in_force.as_ref());
-        let next = fits.inspect_err(|_| self.whole = true).map_err(unfit)?;
-        self.whole = false;
-        self.heard();
+        let applied = delta.apply(&self.scope, self.in_force.as_ref());
+        let next = applied.inspect_err(|_| self.wants_snapshot = true).map_err(AnswerError::Delta)?;
+        self.wants_snapshot = false;
+        self.record_answer();
         let version = next.version();
-        let known = self.refused.as_ref().is_some_and(|refused| version <= refused.version);
-        if here == Some(version) || known {
-            return Ok(Took::Nothing);
+        let refused_before = self.refused.as_ref().is_some_and(|refused| version <= refused.version);
+        if current == Some(version) || refused_before {
+            return Ok(ApplyOutcome::Unchanged);
         }
-        if let Err(fault) = host.check(next.contents()) {
-            let refused = Refusal { version, fault, at: now };
-            self.refused = Some(refused.clone());
-            return Ok(Took::Refused(refused));
+        if let Err(error) = host.check(next.contents()) {
+            let refusal = Refusal { version, error, at: now };
+            self.refused = Some(refusal.clone());
+            return Ok(ApplyOutcome::Refused(refusal));
         }
-        host.enforce(&version, next.contents());
+        host.apply(&version, next.contents());
         (self.in_force, self.refused) = (Some(next), None);
-        Ok(Took::Enforced(version))
+        Ok(ApplyOutcome::Applied(version))
     }
 
-    fn heard(&mut self) {
-        (self.answered, self.failures) = (true, 0);
+    fn record_answer(&mut self) {
+        (self.answered, self.consecutive_failures) = (true, 0);
     }
 
-    /// No answer came, or one that is none: the next machine is asked after this time.
-    pub fn failed(&mut self, now: Duration) -> Duration {
+    /// No answer came, or one of no use. Returns the backoff before the next machine is polled.
+    pub fn on_failure(&mut self, now: Duration) -> Duration {
         let count = self.machines.len().max(1);
-        self.at = (self.at + 1) % count;
-        (self.answered, self.failures) = (false, self.failures.saturating_add(1));
-        self.home_at = now + RETURN_AFTER + RETURN_AFTER.mul_f64(self.chance());
-        let rounds = (self.failures as usize / count).min(4) as u32;
-        let spread = if rounds == 0 { PAUSE_SPREAD } else { PAUSE_SPREAD * 6 * (1 << rounds) };
-        (PAUSE_LEAST + spread.mul_f64(0.2 + 0.8 * self.chance())).min(PAUSE_MOST)
+        self.current = (self.current + 1) % count;
+        self.answered = false;
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        self.failback_at = now + FAILBACK_AFTER + FAILBACK_AFTER.mul_f64(self.random());
+        let rounds = (self.consecutive_failures as usize / count).min(MAX_BACKOFF_ROUNDS) as u32;
+        let jitter =
+            if rounds == 0 { BACKOFF_JITTER } else { BACKOFF_JITTER * ROUND_JITTER_FACTOR * (1 << rounds) };
+        let fraction = MIN_JITTER_FRACTION + (1.0 - MIN_JITTER_FRACTION) * self.random();
+        (MIN_BACKOFF + jitter.mul_f64(fraction)).min(MAX_BACKOFF)
     }
 
-    fn home(&mut self, now: Duration) -> bool {
-        let due = self.at > 0 && now >= self.home_at;
+    /// Goes back to the first machine in order when it is time.
+    fn fail_back(&mut self, now: Duration) -> bool {
+        let due = self.current > 0 && now >= self.failback_at;
         if due {
-            (self.at, self.answered) = (0, false);
+            (self.current, self.answered) = (0, false);
         }
         due
     }
 
-    /// Of a draw from 0 to 1.
-    fn chance(&mut self) -> f64 {
-        self.seed = self.seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        (mixed(self.seed) >> 11) as f64 / (1u64 << 53) as f64
+    /// The next pseudo-random number from 0 to 1.
+    fn random(&mut self) -> f64 {
+        self.seed = self.seed.wrapping_add(SEED_INCREMENT);
+        (mix64(self.seed) >> 11) as f64 / (1u64 << 53) as f64
     }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,22 +1,28 @@
-//! Configuration of services as numbered versions: snapshots, deltas, acknowledgements, and how control machines agree. It
-//! owns what a version is and which of two goes first; it must never read a clock, a socket or a seed of its own, nor know
-//! what a key means: the host that puts contents in force checks them.
+//! The configuration of services as numbered versions: snapshots, deltas, acknowledgements, and how control machines agree.
 //!
-//! `follower.rs` is a sidecar's side, `board.rs` a control machine's; `change.rs` and `poll.rs` are what passes between
-//! them. Why it is so stands in `docs/control.md`.
+//! A *scope* is one service's configuration. A control machine keeps the last versions of each scope in its
+//! [`VersionStore`]; a sidecar is the [`Follower`] of one scope: it polls a control machine, checks the [`Delta`] that
+//! it is answered with, and applies it through its [`ConfigHost`]. The next [`Poll`] acknowledges the version, or reports
+//! its refusal. Control machines exchange complete snapshots; the greater [`Version`] wins wherever it was published.
+//!
+//! The crate does no I/O: it reads no clock and no socket and draws no seed of its own, and it doesn't know what a key
+//! means. The reasons behind the protocol are in `docs/control.md`.
+#![warn(missing_docs)]
 
-mod board;
-mod change;
-mod contents;
+mod config;
+mod delta;
 mod follower;
-mod machines;
 mod poll;
+mod rendezvous;
+mod scope_status;
 mod version;
+mod version_store;
 
-pub use board::{Board, Merged, Rejected, SCOPES_MOST, Standing, Summary, View};
-pub use change::{CHANGE_MOST, Change, Snapshot, Unfit};
-pub use contents::{Contents, Fault, KEY_MOST, KEYS_MOST, VALUE_MOST};
-pub use follower::{Follower, Host, Refusal, Took, Wrong};
-pub use machines::{Machine, ordered};
-pub use poll::{NAME_MOST, Odd, Poll, SCOPE_MOST, is_scope};
-pub use version::Version;
+pub use config::{ConfigError, Contents, MAX_KEY_BYTES, MAX_KEYS, MAX_VALUE_BYTES};
+pub use delta::{Delta, DeltaError, MAX_DELTA_BYTES, Snapshot};
+pub use follower::{AnswerError, ApplyOutcome, ConfigHost, Follower, Refusal, RestoreError};
+pub use poll::{MAX_NAME_BYTES, MAX_SCOPE_BYTES, MalformedPoll, Poll, is_valid_scope};
+pub use rendezvous::{ControlMachine, rendezvous_order};
+pub use scope_status::{FollowerStatus, ScopeStatus};
+pub use version::{Version, VersionParseError};
+pub use version_store::{MAX_SCOPES, MergeOutcome, PublishError, VersionStore, VersionSummary};
--- a/crates/control/src/poll.rs
+++ b/crates/control/src/poll.rs
@@ -1,44 +1,55 @@
-//! A sidecar's call as the query of a path, both ways. It owns the names of its parts and how odd signs are written.
+//! A sidecar's poll as the query of a path, written and read. It owns the parameters' names and the percent-encoding.
 
 use crate::version::Version;
-use std::fmt::Write;
+use std::fmt::{self, Write};
 use std::time::Duration;
 
-pub const SCOPE_MOST: usize = 64;
+/// Bytes of a scope's name.
+pub const MAX_SCOPE_BYTES: usize = 64;
 /// Bytes of a sidecar's name.
-pub const NAME_MOST: usize = 128;
-const WAIT_MOST: Duration = Duration::from_secs(60);
-/// Bytes of what a refusal says.
-const REFUSED_MOST: usize = 400;
+pub const MAX_NAME_BYTES: usize = 128;
+/// The longest that a machine lets a poll wait.
+const MAX_WAIT: Duration = Duration::from_secs(60);
+/// Bytes of a refusal's reason; a longer one is truncated.
+const MAX_REASON_BYTES: usize = 400;
 
-/// What a sidecar tells with each call, and asks for.
+/// What a sidecar reports and requests with each call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Poll {
+    /// The service whose configuration is requested.
     pub scope: String,
-    /// The sidecar's.
+    /// The sidecar's name, unique within the scope.
     pub name: String,
-    /// In force there: what is acknowledged.
-    pub have: Option<Version>,
-    /// The last one that was refused since, with the key and what is wrong with it.
+    /// The version that is in force at the sidecar: the acknowledgement.
+    pub acknowledged: Option<Version>,
+    /// The last version that was refused since then, with the key and the reason.
     pub refused: Option<(Version, String)>,
-    /// A snapshot is wanted, whatever the base.
-    pub whole: bool,
-    /// How long the machine may wait for a change.
+    /// Whether the answer has to be a snapshot even where a delta would do.
+    pub wants_snapshot: bool,
+    /// How long the machine may wait for a newer version before it answers.
     pub wait: Duration,
 }
 
-/// The part of a call that can't be read.
+/// A query that is no poll, with the name of its first parameter that is missing or invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Odd(pub &'static str);
+pub struct MalformedPoll(pub &'static str);
 
-/// A service's name, also usable as a file's.
-pub fn is_scope(text: &str) -> bool {
-    let sign =
+impl fmt::Display for MalformedPoll {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{} is missing or odd", self.0)
+    }
+}
+
+impl std::error::Error for MalformedPoll {}
+
+/// Whether a text can be a scope's name. Such a name can be a file's name as well.
+pub fn is_valid_scope(text: &str) -> bool {
+    let is_allowed =
         |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || matches!(byte, b'-' | b'_' | b'.');
-    (1..=SCOPE_MOST).contains(&text.len()) && text.bytes().all(sign) && !text.starts_with('.')
+    (1..=MAX_SCOPE_BYTES).contains(&text.len()) && text.bytes().all(is_allowed) && !text.starts_with('.')
 }
 
-fn escaped(text: &str) -> String {
+fn percent_encoded(text: &str) -> String {
     let mut out = String::new();
     for byte in text.bytes() {
         match byte {
@@ -50,7 +61,7 @@
     out
 }
 
-fn unescaped(text: &str) -> Option<String> {
+fn percent_decoded(text: &str) -> Option<String> {
     let (mut out, mut rest) = (Vec::new(), text.as_bytes());
     while let Some((first, after)) = rest.split_first() {
         rest = after;
@@ -65,46 +76,78 @@
     String::from_utf8(out).ok()
 }
 
+/// The longest beginning of the text within `max` bytes that ends between two characters.
+fn truncated(text: &str, max: usize) -> &str {
+    let end = (0..=text.len().min(max)).rev().find(|at| text.is_char_boundary(*at));
+    &text[..end.unwrap_or(0)]
+}
+
+/// The parameters of a query.
+struct Query<'a>(&'a str);
+
+impl<'a> Query<'a> {
+    /// The raw value of a parameter; the first where it is given twice.
+    fn raw(&self, name: &str) -> Option<&'a str> {
+        let pairs = self.0.split('&').filter_map(|pair| pair.split_once('='));
+        pairs.filter(|(key, _)| *key == name).map(|(_, value)| value).next()
+    }
+
+    fn text(&self, name: &'static str) -> Result<Option<String>, MalformedPoll> {
+        let decoded = |raw| percent_decoded(raw).ok_or(MalformedPoll(name));
+        self.raw(name).map(decoded).transpose()
+    }
+
+    fn version(&self, name: &'static str) -> Result<Option<Version>, MalformedPoll> {
+        let parsed = |raw: &str| raw.parse::<Version>().map_err(|_| MalformedPoll(name));
+        self.raw(name).map(parsed).transpose()
+    }
+}
+
 impl Poll {
-    /// `scope=...&name=...`, behind a path's question mark.
-    pub fn query(&self) -> String {
-        let mut text = format!("scope={}&name={}", escaped(&self.scope), escaped(&self.name));
-        if let Some(have) = self.have {
-            let _ = write!(text, "&have={have}");
+    /// The query `scope=...&name=...` that goes behind a path's question mark.
+    pub fn to_query(&self) -> String {
+        let (scope, name) = (percent_encoded(&self.scope), percent_encoded(&self.name));
+        let mut query = format!("scope={scope}&name={name}");
+        // Writing to a String cannot fail.
+        if let Some(version) = self.acknowledged {
+            let _ = write!(query, "&have={version}");
         }
-        if let Some((version, why)) = &self.refused {
-            let most =
-                (0..=why.len().min(REFUSED_MOST)).rev().find(|at| why.is_char_boundary(*at)).unwrap_or(0);
-            let _ = write!(text, "&refused={version}&why={}", escaped(&why[..most]));
+        if let Some((version, reason)) = &self.refused {
+            let reason = percent_encoded(truncated(reason, MAX_REASON_BYTES));
+            let _ = write!(query, "&refused={version}&why={reason}");
         }
-        if self.whole {
-            text.push_str("&whole=1");
+        if self.wants_snapshot {
+            query.push_str("&whole=1");
         }
-        let _ = write!(text, "&wait_ms={}", self.wait.as_millis());
-        text
+        let _ = write!(query, "&wait_ms={}", self.wait.as_millis());
+        query
     }
 
-    /// The reverse; parts that nothing here knows are passed over, as a later build may send them.
-    pub fn read(query: &str) -> Result<Poll, Odd> {
-        let part = |name: &str| {
-            let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
-            pairs.filter(|(key, _)| *key == name).map(|(_, value)| value).next()
-        };
-        let text = |name: &'static str| part(name).map(|raw| unescaped(raw).ok_or(Odd(name))).transpose();
-        let version = |name: &'static str| {
-            part(name).map(|raw| raw.parse::<Version>().map_err(|_| Odd(name))).transpose()
-        };
-        let scope = text("scope")?.filter(|scope| is_scope(scope)).ok_or(Odd("scope"))?;
-        let plain =
-            |name: &String| (1..=NAME_MOST).contains(&name.len()) && !name.chars().any(char::is_control);
-        let name = text("name")?.filter(plain).ok_or(Odd("name"))?;
-        let why = text("why")?.unwrap_or_default();
-        if why.len() > REFUSED_MOST || why.chars().any(char::is_control) {
-            return Err(Odd("why"));
+    /// Parses a query. Unknown parameters are ignored, as a later build may send them.
+    ///
+    /// # Errors
+    /// The first parameter that is missing or invalid.
+    pub fn from_query(query: &str) -> Result<Poll, MalformedPoll> {
+        let query = Query(query);
+        let scope = query.text("scope")?.filter(|scope| is_valid_scope(scope));
+        let scope = scope.ok_or(MalformedPoll("scope"))?;
+        let is_valid_name =
+            |name: &String| (1..=MAX_NAME_BYTES).contains(&name.len()) && !name.chars().any(char::is_control);
+        let name = query.text("name")?.filter(is_valid_name).ok_or(MalformedPoll("name"))?;
+        let reason = query.text("why")?.unwrap_or_default();
+        if reason.len() > MAX_REASON_BYTES || reason.chars().any(char::is_control) {
+            return Err(MalformedPoll("why"));
         }
-        let refused = version("refused")?.map(|version| (version, why));
-        let wait = part("wait_ms").map_or(Ok(0), |raw| raw.parse::<u64>().map_err(|_| Odd("wait_ms")))?;
-        let wait = Duration::from_millis(wait).min(WAIT_MOST);
-        Ok(Poll { scope, name, have: version("have")?, refused, whole: part("whole") == Some("1"), wait })
+        let refused = query.version("refused")?.map(|version| (version, reason));
+        let wait_ms = query.raw("wait_ms").map_or(Ok(0), str::parse::<u64>);
+        let wait_ms = wait_ms.map_err(|_| MalformedPoll("wait_ms"))?;
+        Ok(Poll {
+            scope,
+            name,
+            acknowledged: query.version("have")?,
+            refused,
+            wants_snapshot: query.raw("whole") == Some("1"),
+            wait: Duration::from_millis(wait_ms).min(MAX_WAIT),
+        })
     }
 }
--- a/crates/control/src/version.rs
+++ b/crates/control/src/version.rs
@@ -1,35 +1,54 @@
-//! A version: which one of a scope's contents, and which of two goes first.
+//! Versions: which state of a scope's contents it is, and which of two versions is newer.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 use std::str::FromStr;
 
-/// One state of a scope's contents. Versions are ordered by epoch, then number, then digest: two that were published on
-/// both sides of a cut may have one number, and all come to the same by the greater digest.
+/// One state of a scope's contents.
+///
+/// Versions are ordered by epoch, then number, then digest: two versions that were published on both sides of a network
+/// partition may have one number, and all machines converge on the greater digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Version {
-    /// When the scope was first published, in seconds of Unix time: a scope that was begun anew, after all machines had
-    /// lost it, goes before what it was.
+    /// When the scope was first published, in seconds of Unix time: a scope that is published anew, after all machines
+    /// had lost it, is newer than before.
     pub epoch: u64,
     /// Counted from 1 within the epoch.
     pub number: u64,
-    /// Over the scope's name, epoch, number and contents. It finds what was cut or garbled, not what was forged.
+    /// Over the scope's name, epoch, number and contents. It detects truncation and corruption, not forgery.
     pub digest: u128,
 }
 
-/// FNV-1a over 128 bits.
+/// A text that is not a version.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct VersionParseError {
+    text: String,
+}
+
+impl fmt::Display for VersionParseError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{:?} is no version", self.text)
+    }
+}
+
+impl std::error::Error for VersionParseError {}
+
+/// The FNV-1a hash over 128 bits.
 pub(crate) struct Digest(u128);
 
+const FNV_OFFSET_BASIS: u128 = 0x6c62_272e_07bb_0142_62b8_2175_6295_c58d;
+const FNV_PRIME: u128 = 0x0000_0000_0100_0000_0000_0000_0000_013b;
+
 impl Digest {
     pub(crate) fn new() -> Digest {
-        Digest(0x6c62_272e_07bb_0142_62b8_2175_6295_c58d)
+        Digest(FNV_OFFSET_BASIS)
     }
 
-    /// A part of its own: the length goes before it, so that no two lists of parts read alike.
-    pub(crate) fn part(&mut self, bytes: &[u8]) {
-        let length = (bytes.len() as u64).to_be_bytes();
-        for byte in length.iter().chain(bytes) {
-            self.0 = (self.0 ^ u128::from(*byte)).wrapping_mul(0x0000_0000_0100_0000_0000_0000_0000_013b);
+    /// Adds one part. Its length goes before it, so that no two lists of parts hash the same bytes.
+    pub(crate) fn add(&mut self, part: &[u8]) {
+        let length = (part.len() as u64).to_be_bytes();
+        for byte in length.iter().chain(part) {
+            self.0 = (self.0 ^ u128::from(*byte)).wrapping_mul(FNV_PRIME);
         }
     }
 
@@ -38,7 +57,7 @@
     }
 }
 
-/// `EPOCH.NUMBER.DIGEST`, the digest in 32 hex digits; the one form of it in queries, JSON and kept files.
+/// `EPOCH.NUMBER.DIGEST`, the digest in 32 hexadecimal digits; the only form of a version in queries, JSON and files.
 impl fmt::Display for Version {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}.{}.{:032x}", self.epoch, self.number, self.digest)
@@ -46,34 +65,39 @@
 }
 
 impl FromStr for Version {
-    type Err = String;
-
-    fn from_str(text: &str) -> Result<Version, String> {
-        let read = || {
-            let mut parts = text.split('.');
-            let (epoch, number, digest) = (parts.next()?, parts.next()?, parts.next()?);
-            let plain =
-                |part: &str| (1..=20).contains(&part.len()) && part.bytes().all(|b| b.is_ascii_digit());
-            let hex =
-                digest.len() == 32 && digest.bytes().all(|b| b.is_ascii_digit() || matches!(b, b'a'..=b'f'));
-            if !plain(epoch) || !plain(number) || !hex || parts.next().is_some() {
-                return None;
-            }
-            let digest = u128::from_str_radix(digest, 16).ok()?;
-            Some(Version { epoch: epoch.parse().ok()?, number: number.parse().ok()?, digest })
-        };
-        read().filter(|version| version.number > 0).ok_or_else(|| format!("{text:?} is no version"))
+    type Err = VersionParseError;
+
+    fn from_str(text: &str) -> Result<Version, VersionParseError> {
+        let version = parse(text).filter(|version| version.number > 0);
+        version.ok_or_else(|| VersionParseError { text: text.into() })
+    }
+}
+
+fn parse(text: &str) -> Option<Version> {
+    /// The decimal digits of the greatest `u64`.
+    const MAX_DIGITS: usize = 20;
+    const DIGEST_DIGITS: usize = 32;
+    let mut parts = text.split('.');
+    let (epoch, number, digest) = (parts.next()?, parts.next()?, parts.next()?);
+    let is_decimal =
+        |part: &str| (1..=MAX_DIGITS).contains(&part.len()) && part.bytes().all(|b| b.is_ascii_digit());
+    let is_hex = digest.len() == DIGEST_DIGITS
+        && digest.bytes().all(|b| b.is_ascii_digit() || matches!(b, b'a'..=b'f'));
+    if !is_decimal(epoch) || !is_decimal(number) || !is_hex || parts.next().is_some() {
+        return None;
     }
+    let digest = u128::from_str_radix(digest, 16).ok()?;
+    Some(Version { epoch: epoch.parse().ok()?, number: number.parse().ok()?, digest })
 }
 
 impl Serialize for Version {
-    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        to.collect_str(self)
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_str(self)
     }
 }
 
 impl<'de> Deserialize<'de> for Version {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Version, D::Error> {
-        String::deserialize(from)?.parse().map_err(serde::de::Error::custom)
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Version, D::Error> {
+        String::deserialize(deserializer)?.parse().map_err(serde::de::Error::custom)
     }
 }
--- a/crates/control/tests/agree.rs
+++ b/crates/control/tests/convergence.rs
@@ -1,7 +1,9 @@
 //! Machines and sidecars that pass versions to each other in any order, with messages lost, doubled, held back, cut and
 //! garbled: what is in force is one published version, whole, and never an older one; after the faults all agree.
 
-use landingspread_control::{Board, Change, Contents, Fault, Follower, Host, Machine, Took, Version};
+use landingspread_control::{
+    ApplyOutcome, ConfigError, ConfigHost, Contents, ControlMachine, Delta, Follower, Version, VersionStore,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
@@ -18,15 +20,15 @@
     all: Vec<Version>,
 }
 
-impl Host for Force {
-    fn check(&mut self, contents: &Contents) -> Result<(), Fault> {
+impl ConfigHost for Force {
+    fn check(&mut self, contents: &Contents) -> Result<(), ConfigError> {
         match contents.get_key_value("bad") {
-            Some((key, _)) => Err(Fault::of(key, "needs a restart")),
+            Some((key, _)) => Err(ConfigError::new(key, "needs a restart")),
             None => Ok(()),
         }
     }
 
-    fn enforce(&mut self, version: &Version, contents: &Contents) {
+    fn apply(&mut self, version: &Version, contents: &Contents) {
         self.now = Some((*version, contents.clone()));
         self.all.push(*version);
     }
@@ -111,14 +113,16 @@
 }
 
 fn started(number: usize) -> Follower {
-    let machine =
-        |at: usize| Machine { address: ([127, 0, 0, 1], 7800 + at as u16).into(), region: String::new() };
-    let machines: Vec<Machine> = (0..MACHINES).map(machine).collect();
-    Follower::start(SCOPE, &format!("s{number}"), &machines, "", number as u64)
+    let machine = |at: usize| ControlMachine {
+        address: ([127, 0, 0, 1], 7800 + at as u16).into(),
+        region: String::new(),
+    };
+    let machines: Vec<ControlMachine> = (0..MACHINES).map(machine).collect();
+    Follower::new(SCOPE, &format!("s{number}"), &machines, "", number as u64)
 }
 
 struct World {
-    boards: Vec<Board>,
+    stores: Vec<VersionStore>,
     sidecars: Vec<Sidecar>,
     published: BTreeMap<Version, Contents>,
     now: Duration,
@@ -129,7 +133,7 @@
         let sidecar =
             |number| Sidecar { follower: started(number), force: Force::default(), held_back: None };
         World {
-            boards: (0..MACHINES).map(|_| Board::default()).collect(),
+            stores: (0..MACHINES).map(|_| VersionStore::default()).collect(),
             sidecars: (0..FOLLOWERS).map(sidecar).collect(),
             published: BTreeMap::new(),
             now: Duration::ZERO,
@@ -137,26 +141,26 @@
     }
 
     fn pass(&mut self, from: usize, to: usize) {
-        let theirs = self.boards[from].summary();
-        for scope in self.boards[to].wanted(&theirs) {
-            let change = self.boards[from].holds(&scope).expect("it is in the summary").whole();
-            let change = Change::read(change.text().as_bytes()).expect("it reads as written");
-            self.boards[to].merge(change).expect("another machine's snapshot fits");
+        let theirs = self.stores[from].summary();
+        for scope in self.stores[to].outdated_scopes(&theirs) {
+            let delta = self.stores[from].current(&scope).expect("it is in the summary").full_delta();
+            let delta = Delta::from_json(delta.to_json().as_bytes()).expect("it reads as written");
+            self.stores[to].merge(delta).expect("another machine's snapshot fits");
         }
     }
 
     fn poll(&mut self, number: usize, at: usize, fate: Fate) {
         let sidecar = &mut self.sidecars[number];
-        let poll = sidecar.follower.asks();
-        self.boards[at].called(self.now, &poll);
-        let Some(change) = self.boards[at].answer(&poll) else {
-            sidecar.follower.unchanged(self.now);
+        let poll = sidecar.follower.next_poll();
+        self.stores[at].record_poll(self.now, &poll);
+        let Some(delta) = self.stores[at].delta_for(&poll) else {
+            sidecar.follower.on_unchanged(self.now);
             return;
         };
-        let mut bytes = change.text().into_bytes();
+        let mut bytes = delta.to_json().into_bytes();
         match fate {
             Fate::Lost => {
-                sidecar.follower.failed(self.now);
+                sidecar.follower.on_failure(self.now);
                 return;
             }
             Fate::Late => {
@@ -182,21 +186,21 @@
     fn hear(&mut self, number: usize, bytes: &[u8]) {
         let Sidecar { follower, force, .. } = &mut self.sidecars[number];
         let before = force.now.clone();
-        match follower.answered(self.now, bytes, force) {
-            Ok(Took::Enforced(version)) => {
+        match follower.on_delta(self.now, bytes, force) {
+            Ok(ApplyOutcome::Applied(version)) => {
                 assert!(
                     before.is_none_or(|(before, _)| before < version),
                     "only a newer one is put in force"
                 );
             }
-            Ok(Took::Refused(refusal)) => {
-                assert_eq!(refusal.fault.key, "bad");
+            Ok(ApplyOutcome::Refused(refusal)) => {
+                assert_eq!(refusal.error.key, "bad");
                 assert_eq!(force.now, before, "the last good one stays in force");
             }
-            Ok(Took::Nothing) => assert_eq!(force.now, before),
+            Ok(ApplyOutcome::Unchanged) => assert_eq!(force.now, before),
             Err(_) => {
                 assert_eq!(force.now, before, "the last good one stays in force");
-                follower.failed(self.now);
+                follower.on_failure(self.now);
             }
         }
     }
@@ -205,31 +209,31 @@
         self.now += Duration::from_millis(100);
         match does {
             Does::Publish { at, contents } => {
-                let base = self.boards[at].version(SCOPE);
+                let base = self.stores[at].version(SCOPE);
                 let version =
-                    self.boards[at].publish(SCOPE, base, contents.clone(), 7).expect("it is published");
+                    self.stores[at].publish(SCOPE, base, contents.clone(), 7).expect("it is published");
                 self.published.insert(version, contents);
             }
             Does::GoBack { at, to } => {
-                let Some(standing) = self.boards[at].standing(self.now, SCOPE) else { return };
-                let Some(back) = standing.kept.get(to).copied() else { return };
-                let version = self.boards[at].go_back(SCOPE, standing.version, back, 7).expect("it is kept");
+                let Some(status) = self.stores[at].scope_status(self.now, SCOPE) else { return };
+                let Some(back) = status.history.get(to).copied() else { return };
+                let version = self.stores[at].roll_back(SCOPE, status.version, back, 7).expect("it is kept");
                 let contents = self.published[&back].clone();
                 self.published.insert(version, contents);
             }
             Does::Pass { from, to } => self.pass(from, to),
             Does::Poll { follower, at, fate } => self.poll(follower, at, fate),
             Does::Restart { follower: number, cut } => {
-                let kept = self.sidecars[number].follower.in_force().map(|kept| kept.whole().text());
+                let kept = self.sidecars[number].follower.in_force().map(|kept| kept.full_delta().to_json());
                 let (mut follower, mut force) = (started(number), Force::default());
                 if let Some(kept) = kept {
                     let bytes = &kept.as_bytes()[..if cut { kept.len() / 2 } else { kept.len() }];
-                    let recalled = follower.recall(bytes, &mut force);
-                    assert_eq!(recalled.is_err(), cut, "{recalled:?}");
+                    let restored = follower.restore(bytes, &mut force);
+                    assert_eq!(restored.is_err(), cut, "{restored:?}");
                 }
                 self.sidecars[number] = Sidecar { follower, force, held_back: None };
             }
-            Does::Forget { at } => self.boards[at] = Board::default(),
+            Does::Forget { at } => self.stores[at] = VersionStore::default(),
         }
         for sidecar in &self.sidecars {
             if let Some((version, contents)) = &sidecar.force.now {
@@ -256,25 +260,25 @@
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: RngSeed::Fixed(41), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_is_in_force_is_whole_and_never_goes_back_and_all_agree_once_healed(
+    fn version_in_force_is_complete_and_monotonic_and_machines_converge_after_faults(
         all in proptest::collection::vec(does(), 1..120)
     ) {
         let mut world = World::new();
         all.into_iter().for_each(|does| world.play(does));
         world.heal();
-        let digests: Vec<u128> = world.boards.iter().map(Board::digest).collect();
+        let digests: Vec<u128> = world.stores.iter().map(VersionStore::digest).collect();
         prop_assert!(digests.windows(2).all(|pair| pair[0] == pair[1]), "machines agree");
-        let Some(holds) = world.boards[0].holds(SCOPE).cloned() else { return Ok(()) };
-        let good = !holds.contents().contains_key("bad");
+        let Some(current) = world.stores[0].current(SCOPE).cloned() else { return Ok(()) };
+        let good = !current.contents().contains_key("bad");
         for sidecar in &world.sidecars {
             let has = sidecar.force.now.as_ref().map(|(version, _)| *version);
             let refused = sidecar.follower.refused().map(|refused| refused.version);
             // Where all machines lost what a sidecar has, it keeps that until a greater one is published.
-            let newer = has > Some(holds.version()) || refused > Some(holds.version());
+            let newer = has > Some(current.version()) || refused > Some(current.version());
             if good && !newer {
-                prop_assert_eq!(has, Some(holds.version()));
+                prop_assert_eq!(has, Some(current.version()));
             } else if !good && !newer {
-                prop_assert!(refused == Some(holds.version()) && has != refused);
+                prop_assert!(refused == Some(current.version()) && has != refused);
             }
         }
     }
--- a/crates/lab/src/capacity.rs
+++ b/crates/lab/src/capacity.rs
@@ -3,17 +3,17 @@
 
 use crate::args::Capacity;
 use landingspread_capacity::{BUILT_IN, BUILT_IN_AFTER, BUILT_IN_SLOPES, Size, Slopes, put, sections, text};
-use landingspread_files::{Wrong, text_of};
+use landingspread_files::{FileError, read_text};
 use std::path::Path;
 
 /// A file that is named, or the built-in one, read and checked.
 fn found<T>(
     named: Option<&Path>,
     (name, built_in): (&str, &str),
-    read: fn(&str, &str) -> Result<T, Wrong>,
+    read: fn(&str, &str) -> Result<T, FileError>,
 ) -> Result<T, String> {
     let (file, text) = match named {
-        Some(path) => text_of(path).map_err(|wrong| wrong.to_string())?,
+        Some(path) => read_text(path).map_err(|wrong| wrong.to_string())?,
         None => (name.into(), built_in.into()),
     };
     read(&file, &text).map_err(|wrong| wrong.to_string())
@@ -35,7 +35,7 @@
         return Ok(());
     };
     let told = |wrong: String| format!("{}: {wrong}", path.display());
-    let (_, page) = text_of(path).map_err(|wrong| wrong.to_string())?;
+    let (_, page) = read_text(path).map_err(|wrong| wrong.to_string())?;
     let page = put(&page, &sections).map_err(told)?;
     std::fs::write(path, page).map_err(|wrong| told(wrong.to_string()))
 }
--- a/crates/lab/src/experiment/ready.rs
+++ b/crates/lab/src/experiment/ready.rs
@@ -4,7 +4,7 @@
 use super::builtin::{builtin, builtins};
 use crate::pickers::Named;
 use crate::plan::{self, Fault, Scenario};
-use landingspread_files::{Wrong, from_toml};
+use landingspread_files::{FileError, parse_toml};
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 use std::rc::Rc;
@@ -103,11 +103,11 @@
 }
 
 /// Finds an experiment or a world by a built-in name or a file. A world alone is an experiment with one case.
-pub fn find(name: &str) -> Result<Ready, Wrong> {
+pub fn find(name: &str) -> Result<Ready, FileError> {
     let (file, text) = text_of(name, None)?;
     let is_experiment = text.lines().any(|line| line.trim_start().starts_with("world"));
     if is_experiment {
-        let experiment: Experiment = from_toml(&file, &text)?;
+        let experiment: Experiment = parse_toml(&file, &text)?;
         return ready(&file, &text, experiment);
     }
     let scenario = plan::parse(&file, &text)?;
@@ -127,7 +127,7 @@
 }
 
 /// The text behind a name, and what messages call it.
-pub fn text_of(name: &str, beside: Option<&Path>) -> Result<(String, String), Wrong> {
+pub fn text_of(name: &str, beside: Option<&Path>) -> Result<(String, String), FileError> {
     if let Some(text) = builtin(name) {
         return Ok((format!("{name}.toml"), text.to_string()));
     }
@@ -136,22 +136,19 @@
     let known = || builtins().map(|(name, _)| name).collect::<Vec<_>>().join(", ");
     match std::fs::read_to_string(&path) {
         Ok(text) => Ok((file, text)),
-        Err(wrong) => {
-            let what = format!("{wrong}; built in are {}", known());
-            Err(Wrong { file, line: None, what })
-        }
+        Err(wrong) => Err(FileError::unreadable(file, format_args!("{wrong}; built in are {}", known()))),
     }
 }
 
-fn ready(file: &str, text: &str, experiment: Experiment) -> Result<Ready, Wrong> {
+fn ready(file: &str, text: &str, experiment: Experiment) -> Result<Ready, FileError> {
     let wrong = |key: &str, what: String| {
         let line = text.lines().position(|line| line.trim_start().starts_with(key)).map(|at| at + 1);
-        Wrong { file: file.into(), line, what: format!("{key}: {what}") }
+        FileError::at_line(file, line, key, what)
     };
     let (world_file, world) = text_of(&experiment.world, Path::new(file).parent())?;
     // The world is checked as it stands, so that its faults are told by its own lines.
     plan::parse(&world_file, &world)?;
-    let bare: toml::Value = from_toml(&world_file, &world)?;
+    let bare: toml::Value = parse_toml(&world_file, &world)?;
     if experiment.cases.is_empty() || experiment.pickers.is_empty() {
         return Err(wrong("cases", "at least one case and one picker are wanted".into()));
     }
@@ -174,9 +171,8 @@
             if let Some((key, what)) = plan::check_fault(&scenario) {
                 let own = scenario.faults.len() - case.faults.len();
                 let key = renumber(&key, own);
-                let what = format!("cases.{number} ({}): {key}: {what}", case.name);
-                let line = line_of_case(text, number);
-                return Err(Wrong { file: file.into(), line, what });
+                let (at, line) = (format!("cases.{number} ({})", case.name), line_of_case(text, number));
+                return Err(FileError::at_line(file, line, &at, format_args!("{key}: {what}")));
             }
             let point = point.iter().map(|(key, value)| (key.clone(), value.to_string())).collect();
             let about = format!("{}; {}", scenario.about, case.about);
--- a/crates/lab/src/fleet/plan.rs
+++ b/crates/lab/src/fleet/plan.rs
@@ -1,6 +1,6 @@
 //! A plan of faults round a fleet, as a TOML file says it. It owns this form's names, its defaults and its checks.
 
-use landingspread_files::{Wrong, from_toml};
+use landingspread_files::{FileError, parse_toml};
 use serde::{Deserialize, Serialize};
 
 pub const PROCESSES_MOST: usize = 5_000;
@@ -281,11 +281,11 @@
 }
 
 /// Reads and checks a plan. `processes` goes before what it says of their number.
-pub fn read(file: &str, text: &str, processes: Option<usize>) -> Result<FleetPlan, Wrong> {
-    let mut plan: FleetPlan = from_toml(file, text)?;
+pub fn read(file: &str, text: &str, processes: Option<usize>) -> Result<FleetPlan, FileError> {
+    let mut plan: FleetPlan = parse_toml(file, text)?;
     plan.processes = processes.unwrap_or(plan.processes);
     match first_fault(&plan) {
-        Some((key, what)) => Err(Wrong::at_key(file, text, &key, what)),
+        Some((key, what)) => Err(FileError::at_key(file, text, &key, what)),
         None => Ok(plan),
     }
 }
--- a/crates/lab/src/fleets.rs
+++ b/crates/lab/src/fleets.rs
@@ -2,7 +2,7 @@
 //! and the exit code says the same (0 or 1; 2 where the plan can't be read).
 
 use crate::args::{Check, Fleet};
-use landingspread_files::text_of;
+use landingspread_files::read_text;
 use landingspread_lab::fleet::check::{Variant, check as checked};
 use landingspread_lab::fleet::emulated::{Played, Ways, play};
 use landingspread_lab::fleet::plan::{FleetPlan, read};
@@ -22,7 +22,7 @@
         let known: Vec<&str> = builtins().map(|(name, _)| name).collect();
         return Err(format!("{:?} is neither built in ({}) nor a file", wanted.name, known.join(", ")));
     }
-    let (file, text) = text_of(Path::new(&wanted.name)).map_err(|wrong| wrong.to_string())?;
+    let (file, text) = read_text(Path::new(&wanted.name)).map_err(|wrong| wrong.to_string())?;
     read(&file, &text, wanted.processes).map_err(|wrong| wrong.to_string())
 }
 
--- a/crates/sidecar/src/control/call.rs
+++ b/crates/sidecar/src/control/call.rs
@@ -5,7 +5,7 @@
 use crate::net::http;
 use crate::net::timeout::timeout;
 use async_io::Async;
-use landingspread_control::{CHANGE_MOST, Follower, Poll};
+use landingspread_control::{Follower, MAX_DELTA_BYTES, Poll};
 use std::io::Read;
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
@@ -63,9 +63,9 @@
         stock: &Rc<Stock>,
         shared: &Shared,
     ) -> Result<Option<Vec<u8>>, String> {
-        let head = format!("GET /control/v1/changes?{}", poll.query());
-        let time = poll.wait + Follower::IN_TURN;
-        let most = CHANGE_MOST / crate::net::buffers::SIZE + 1;
+        let head = format!("GET /control/v1/changes?{}", poll.to_query());
+        let time = poll.wait + Follower::ANSWER_TIMEOUT;
+        let most = MAX_DELTA_BYTES / crate::net::buffers::SIZE + 1;
         let (status, bytes) = self.call(machine, &head, b"", stock, most, time).await?;
         // With what the heads have besides.
         let (sent, received) = (head.len() + 40, bytes.len() + if status == 200 { 72 } else { 27 });
--- a/crates/sidecar/src/control/followers.rs
+++ b/crates/sidecar/src/control/followers.rs
@@ -7,7 +7,7 @@
 use crate::net::buffers::Stock;
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use landingspread_control::{Contents, Fault, Follower, Host, Machine, Version};
+use landingspread_control::{ConfigError, ConfigHost, Contents, ControlMachine, Follower, Version};
 use std::io::Write;
 use std::time::{Duration, SystemTime};
 
@@ -21,12 +21,12 @@
     number: u32,
 }
 
-impl Host for Prints {
-    fn check(&mut self, contents: &Contents) -> Result<(), Fault> {
-        if contents.contains_key("refuse") { Err(Fault::of("refuse", "as it says")) } else { Ok(()) }
+impl ConfigHost for Prints {
+    fn check(&mut self, contents: &Contents) -> Result<(), ConfigError> {
+        if contents.contains_key("refuse") { Err(ConfigError::new("refuse", "as it says")) } else { Ok(()) }
     }
 
-    fn enforce(&mut self, version: &Version, _contents: &Contents) {
+    fn apply(&mut self, version: &Version, _contents: &Contents) {
         let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         println!("enforced {} {} {version}", since.as_micros(), self.number);
     }
@@ -48,9 +48,9 @@
         let (address, region) = text.split_once('=').unwrap_or((text, ""));
         let address =
             address.parse().map_err(|_| format!("machines: {address:?} is no address with a port"))?;
-        Ok(Machine { address, region: region.into() })
+        Ok(ControlMachine { address, region: region.into() })
     };
-    let machines: Vec<Machine> = machines.split(',').map(machine).collect::<Result<_, String>>()?;
+    let machines: Vec<ControlMachine> = machines.split(',').map(machine).collect::<Result<_, String>>()?;
     let mut regions: Vec<String> = machines.iter().map(|machine| machine.region.clone()).collect();
     regions.sort();
     regions.dedup();
@@ -61,7 +61,7 @@
     for number in 0..count {
         let (scope, name) = (format!("s{}", number % scopes), format!("{prefix}{number}"));
         let region = &regions[(number / scopes) as usize % regions.len()];
-        let follower = Follower::start(&scope, &name, &machines, region, u64::from(number) ^ 0x51);
+        let follower = Follower::new(&scope, &name, &machines, region, u64::from(number) ^ 0x51);
         let told = Shared::new(&scope);
         shared.push(told.clone());
         let (clock, stock) = (clock.clone(), stock.clone());
--- a/crates/sidecar/src/control/kept.rs
+++ b/crates/sidecar/src/control/kept.rs
@@ -3,7 +3,7 @@
 
 use super::Hand;
 use crate::handover;
-use landingspread_control::{CHANGE_MOST, Follower, Version};
+use landingspread_control::{Follower, MAX_DELTA_BYTES, Version};
 use std::io::Read;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -27,9 +27,9 @@
         let path = self.path.display();
         let mut bytes = Vec::new();
         let read = std::fs::File::open(&self.path)
-            .and_then(|file| file.take(CHANGE_MOST as u64 + 1).read_to_end(&mut bytes));
+            .and_then(|file| file.take(MAX_DELTA_BYTES as u64 + 1).read_to_end(&mut bytes));
         let recalled = match read {
-            Ok(_) => follower.recall(&bytes, hand),
+            Ok(_) => follower.restore(&bytes, hand).map_err(|wrong| wrong.to_string()),
             Err(wrong) => Err(wrong.to_string()),
         };
         match recalled {
@@ -45,7 +45,7 @@
             return;
         }
         self.saved = Some(holds.version());
-        let (text, path, busy) = (holds.whole().text(), self.path.clone(), self.busy.clone());
+        let (text, path, busy) = (holds.full_delta().to_json(), self.path.clone(), self.busy.clone());
         std::thread::spawn(move || {
             write(&path, text.as_bytes());
             busy.store(false, Ordering::Release);
--- a/crates/sidecar/src/control/kept_tests.rs
+++ b/crates/sidecar/src/control/kept_tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use landingspread_control::{Contents, Fault, Host};
+use landingspread_control::{ConfigError, ConfigHost, Contents};
 
 /// Written by an earlier release of the program.
 const EARLIER: &str = include_str!("../../tests/fixtures/state/node_1__.control");
@@ -8,20 +8,20 @@
 #[derive(Default)]
 struct Enforced(Option<Contents>);
 
-impl Host for Enforced {
-    fn check(&mut self, _contents: &Contents) -> Result<(), Fault> {
+impl ConfigHost for Enforced {
+    fn check(&mut self, _contents: &Contents) -> Result<(), ConfigError> {
         Ok(())
     }
 
-    fn enforce(&mut self, _version: &Version, contents: &Contents) {
+    fn apply(&mut self, _version: &Version, contents: &Contents) {
         self.0 = Some(contents.clone());
     }
 }
 
 fn recalled() -> (Follower, Enforced, Version) {
-    let mut follower = Follower::start("checkout", "node/1 é", &[], "", 7);
+    let mut follower = Follower::new("checkout", "node/1 é", &[], "", 7);
     let mut host = Enforced::default();
-    let version = follower.recall(EARLIER.as_bytes(), &mut host).expect("it can be read");
+    let version = follower.restore(EARLIER.as_bytes(), &mut host).expect("it can be read");
     (follower, host, version)
 }
 
--- a/crates/sidecar/src/control/machine/calls.rs
+++ b/crates/sidecar/src/control/machine/calls.rs
@@ -4,7 +4,7 @@
 use super::Machine;
 use crate::net::http;
 use async_io::Async;
-use landingspread_control::{Change, Contents, Fault, Rejected, Standing, Version};
+use landingspread_control::{ConfigError, Contents, Delta, PublishError, ScopeStatus, Version};
 use serde_json::{Value, json};
 use std::fmt::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -52,24 +52,25 @@
     }
 }
 
-fn rejected(rejected: &Rejected) -> Said {
+fn rejected(rejected: &PublishError) -> Said {
     let status = match rejected {
-        Rejected::Base(_) => 409,
-        Rejected::Unknown(_) => 404,
-        Rejected::Fault(_) => 400,
-        Rejected::Full => 507,
+        PublishError::BaseMismatch(_) => 409,
+        PublishError::UnknownVersion(_) => 404,
+        PublishError::Config(_) => 400,
+        PublishError::TooManyScopes => 507,
     };
     turned(status, &rejected.to_string())
 }
 
 /// Texts by key; figures and flags are texts too.
-fn contents(body: &[u8]) -> Result<Contents, Fault> {
+fn contents(body: &[u8]) -> Result<Contents, ConfigError> {
     let read = serde_json::from_slice::<serde_json::Map<String, Value>>(body);
-    let keys = read.map_err(|wrong| Fault::of("body", format_args!("it is no JSON object: {wrong}")))?;
+    let keys =
+        read.map_err(|wrong| ConfigError::new("body", format_args!("it is no JSON object: {wrong}")))?;
     let text = |(key, value): (String, Value)| match value {
         Value::String(text) => Ok((key, text)),
         Value::Number(_) | Value::Bool(_) => Ok((key, value.to_string())),
-        _ => Err(Fault::of(&key, "it is no text, figure or flag")),
+        _ => Err(ConfigError::new(&key, "it is no text, figure or flag")),
     };
     keys.into_iter().map(text).collect()
 }
@@ -99,15 +100,15 @@
             }
             ("GET", "/control/v1/snapshot", _) => {
                 let board = self.board.borrow();
-                match part("scope").and_then(|scope| Some(board.holds(&scope)?.whole())) {
-                    Some(change) => Said::json(200, change.text()),
+                match part("scope").and_then(|scope| Some(board.current(&scope)?.full_delta())) {
+                    Some(change) => Said::json(200, change.to_json()),
                     None => turned(404, "nothing was published of this scope"),
                 }
             }
             ("PUT", "/control/v1/snapshot", _) => {
                 let from = part("from").and_then(|from| from.parse().ok());
                 let from = from.unwrap_or_else(|| SocketAddr::from(([0, 0, 0, 0], 0)));
-                match Change::read(body).and_then(|change| self.merge(change, from)) {
+                match Delta::from_json(body).and_then(|change| self.merge(change, from)) {
                     Ok(()) => Said::nothing(),
                     Err(unfit) => turned(400, &unfit.to_string()),
                 }
@@ -138,7 +139,7 @@
                 Err(fault) => return turned(400, &fault.to_string()),
             },
             Some(text) => match text.parse::<Version>() {
-                Ok(back) => self.board.borrow_mut().go_back(scope, base, back, epoch),
+                Ok(back) => self.board.borrow_mut().roll_back(scope, base, back, epoch),
                 Err(wrong) => return turned(400, &format!("back: {wrong}")),
             },
         };
@@ -152,7 +153,7 @@
     }
 
     async fn standing(&self, scope: &str, own: bool, json: bool) -> Said {
-        let known = self.board.borrow().standing(self.clock.now(), scope);
+        let known = self.board.borrow().scope_status(self.clock.now(), scope);
         if own {
             return match known {
                 Some(standing) => Said::json(200, serde_json::to_string(&standing).unwrap_or_default()),
@@ -166,10 +167,10 @@
                 Line::default().call(peer.address, &head, b"", &self.stock, STANDING, OTHERS_WITHIN).await;
             let Ok((status, bytes)) = asked else { continue };
             heard += 1;
-            let theirs = serde_json::from_slice::<Standing>(&bytes).ok().filter(|_| status == 200);
+            let theirs = serde_json::from_slice::<ScopeStatus>(&bytes).ok().filter(|_| status == 200);
             standing = match (standing, theirs) {
                 (Some(mut mine), Some(theirs)) => {
-                    mine.join(theirs);
+                    mine.merge(theirs);
                     Some(mine)
                 }
                 (mine, theirs) => mine.or(theirs),
@@ -182,21 +183,22 @@
         }
     }
 
-    fn in_json(&self, standing: &Standing, heard: usize) -> String {
+    fn in_json(&self, standing: &ScopeStatus, heard: usize) -> String {
         let refused: serde_json::Map<_, _> =
-            standing.refused().map(|(name, why)| (name.clone(), why.as_str().into())).collect();
+            standing.refusals().map(|(name, why)| (name.clone(), why.as_str().into())).collect();
         let behind: serde_json::Map<_, _> =
-            standing.behind().map(|(name, silent)| (name.clone(), silent.into())).collect();
-        let kept: Vec<String> = standing.kept.iter().map(Version::to_string).collect();
+            standing.lagging().map(|(name, silent)| (name.clone(), silent.into())).collect();
+        let kept: Vec<String> = standing.history.iter().map(Version::to_string).collect();
         let told = json!({"scope": standing.scope, "version": standing.version, "contents": standing.contents,
             "acknowledged": standing.acknowledged(), "refused": refused, "behind_and_silent": behind,
             "kept": kept, "machines": self.peers.len() + 1, "machines_heard": heard});
         told.to_string() + "\n"
     }
 
-    fn in_text(&self, standing: &Standing, heard: usize) -> String {
+    fn in_text(&self, standing: &ScopeStatus, heard: usize) -> String {
         let version = standing.version.map_or("none".into(), |version| version.to_string());
-        let (refused, behind): (Vec<_>, Vec<_>) = (standing.refused().collect(), standing.behind().collect());
+        let (refused, behind): (Vec<_>, Vec<_>) =
+            (standing.refusals().collect(), standing.lagging().collect());
         let mut text = format!("scope         {}\nversion       {version}\n", standing.scope);
         // Writing to a String cannot fail.
         let _ = writeln!(text, "machines      {heard} of {} heard", self.peers.len() + 1);
@@ -212,7 +214,7 @@
         for (key, value) in &standing.contents {
             let _ = writeln!(text, "    {key} = {value}");
         }
-        for kept in standing.kept.iter().rev().skip(1) {
+        for kept in standing.history.iter().rev().skip(1) {
             let _ = writeln!(text, "kept          {kept}");
         }
         text
--- a/crates/sidecar/src/control/machine/file.rs
+++ b/crates/sidecar/src/control/machine/file.rs
@@ -1,6 +1,6 @@
 //! A control machine's file: its names, defaults and checks.
 
-use landingspread_files::{Wrong, from_toml, text_of};
+use landingspread_files::{FileError, parse_toml, read_text};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -31,10 +31,10 @@
 }
 
 pub fn read(path: &Path) -> Result<Checked, String> {
-    let (name, text) = text_of(path).map_err(|wrong| wrong.to_string())?;
-    let file: File = from_toml(&name, &text).map_err(|wrong| wrong.to_string())?;
+    let (name, text) = read_text(path).map_err(|wrong| wrong.to_string())?;
+    let file: File = parse_toml(&name, &text).map_err(|wrong| wrong.to_string())?;
     let File { listen, mut machines, state, connections } = file;
-    let fault = |key: &str, what: &str| Err(Wrong::at_key(&name, &text, key, what).to_string());
+    let fault = |key: &str, what: &str| Err(FileError::at_key(&name, &text, key, what).to_string());
     if !machines.contains(&listen) || machines.len() > MACHINES_MOST {
         return fault("machines", "`listen` is not among them, or there are more than 64");
     }
--- a/crates/sidecar/src/control/machine/mod.rs
+++ b/crates/sidecar/src/control/machine/mod.rs
@@ -17,7 +17,7 @@
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
 use futures_lite::future::or;
-use landingspread_control::{Board, Change, Merged, Poll, SCOPES_MOST, Unfit, Version};
+use landingspread_control::{Delta, DeltaError, MAX_SCOPES, MergeOutcome, Poll, Version, VersionStore};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
@@ -53,7 +53,7 @@
 struct Machine {
     listen: SocketAddr,
     clock: Clock,
-    board: RefCell<Board>,
+    board: RefCell<VersionStore>,
     digest: Cell<Option<u128>>,
     waiting: RefCell<BTreeMap<String, Waiting>>,
     stock: Rc<Stock>,
@@ -128,9 +128,9 @@
         let mut paths: Vec<PathBuf> =
             entries.filter(|path| path.extension().is_some_and(|ending| ending == "json")).collect();
         paths.sort();
-        for path in paths.into_iter().take(SCOPES_MOST) {
+        for path in paths.into_iter().take(MAX_SCOPES) {
             let read = std::fs::read(&path).map_err(|wrong| wrong.to_string());
-            let change = read.and_then(|bytes| Change::read(&bytes).map_err(|unfit| unfit.to_string()));
+            let change = read.and_then(|bytes| Delta::from_json(&bytes).map_err(|unfit| unfit.to_string()));
             let merged = change
                 .and_then(|change| self.board.borrow_mut().merge(change).map_err(|unfit| unfit.to_string()));
             if let Err(wrong) = merged {
@@ -145,9 +145,9 @@
         self.digest.set(None);
         self.waiting.borrow_mut().remove(scope);
         let board = self.board.borrow();
-        if let (Some(writes), Some(folder), Some(holds)) = (&self.writes, &self.state, board.holds(scope)) {
+        if let (Some(writes), Some(folder), Some(holds)) = (&self.writes, &self.state, board.current(scope)) {
             let path = folder.join(format!("{scope}.json"));
-            if writes.try_send((path, holds.whole().text())).is_err() {
+            if writes.try_send((path, holds.full_delta().to_json())).is_err() {
                 tracing::warn!(scope, "control machine: the disk is too slow: this version is not kept");
             }
         }
@@ -174,13 +174,13 @@
     }
 
     /// Another machine's.
-    fn merge(&self, change: Change, from: SocketAddr) -> Result<(), Unfit> {
+    fn merge(&self, change: Delta, from: SocketAddr) -> Result<(), DeltaError> {
         let (scope, version) = (change.scope.clone(), change.version);
         let merged = self.board.borrow_mut().merge(change)?;
         match merged {
-            Merged::Kept => return Ok(()),
-            Merged::Newer => tracing::info!(scope, %version, %from, "control machine: heard"),
-            Merged::Rival(lost) => tracing::error!(
+            MergeOutcome::Unchanged => return Ok(()),
+            MergeOutcome::Updated => tracing::info!(scope, %version, %from, "control machine: heard"),
+            MergeOutcome::Replaced(lost) => tracing::error!(
                 scope, %version, %lost, %from,
                 "control machine: two versions were published at once, and one is lost: publish again"
             ),
@@ -198,7 +198,7 @@
     async fn tidy(self: Rc<Self>) {
         loop {
             Timer::after(TIDY_EVERY).await;
-            self.board.borrow_mut().tidy(self.clock.now());
+            self.board.borrow_mut().expire(self.clock.now());
             for waiting in self.waiting.borrow_mut().values_mut() {
                 waiting.calls.retain(|call| !call.is_closed());
             }
@@ -235,7 +235,7 @@
             let read = async {
                 let buffer = self.stock.buffer_in_turn().await;
                 let mut coming = Coming::command(&stream, buffer, &|| ()).await?;
-                coming.hold(&stream, &self.stock, landingspread_control::CHANGE_MOST).await?;
+                coming.hold(&stream, &self.stock, landingspread_control::MAX_DELTA_BYTES).await?;
                 Ok(coming)
             };
             let (said, keep) = match timeout(CALL_WITHIN, read).await {
@@ -261,15 +261,15 @@
 
     /// None where the other side has left meanwhile.
     async fn changes(&self, stream: &Async<TcpStream>, query: &str) -> Option<calls::Said> {
-        let poll = match Poll::read(query) {
+        let poll = match Poll::from_query(query) {
             Ok(poll) => poll,
             Err(odd) => return Some(calls::turned(400, &format!("{} is missing or odd", odd.0))),
         };
         self.note(&poll);
         let until = Instant::now() + poll.wait;
         loop {
-            if let Some(change) = self.board.borrow().answer(&poll) {
-                return Some(calls::Said::json(200, change.text()));
+            if let Some(change) = self.board.borrow().delta_for(&poll) {
+                return Some(calls::Said::json(200, change.to_json()));
             }
             let left = until.saturating_duration_since(Instant::now());
             if left.is_zero() {
@@ -300,11 +300,12 @@
     /// A sidecar's word on what it has; a refusal is told once.
     fn note(&self, poll: &Poll) {
         let (now, mut board) = (self.clock.now(), self.board.borrow_mut());
-        let news = poll.refused.as_ref().filter(|refused| !board.refused(&poll.scope, &poll.name, refused.0));
+        let news =
+            poll.refused.as_ref().filter(|refused| !board.has_refused(&poll.scope, &poll.name, refused.0));
         if let Some((version, why)) = news {
             let (scope, name) = (&poll.scope, &poll.name);
             tracing::warn!(scope, name, %version, "control machine: refused: {why}");
         }
-        board.called(now, poll);
+        board.record_poll(now, poll);
     }
 }
--- a/crates/sidecar/src/control/machine/peers.rs
+++ b/crates/sidecar/src/control/machine/peers.rs
@@ -4,7 +4,7 @@
 use super::super::call::Line;
 use super::Machine;
 use async_channel::{Receiver, Sender};
-use landingspread_control::{Change, Summary};
+use landingspread_control::{Delta, VersionSummary};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,7 +21,7 @@
 /// Buffers for the versions of all scopes that there may be.
 const SUMMARY: usize = 256;
 const DIGEST: usize = 1;
-const SNAPSHOT: usize = landingspread_control::CHANGE_MOST / crate::net::buffers::SIZE + 1;
+const SNAPSHOT: usize = landingspread_control::MAX_DELTA_BYTES / crate::net::buffers::SIZE + 1;
 
 /// A scope whose version is to be told, and who hears once the other machine has it.
 pub type Push = (String, Sender<()>);
@@ -103,7 +103,7 @@
     }
 
     async fn push(&self, peer: &Peer, line: &mut Line, scope: &str) -> Result<(), String> {
-        let Some(text) = self.board.borrow().holds(scope).map(|holds| holds.whole().text()) else {
+        let Some(text) = self.board.borrow().current(scope).map(|holds| holds.full_delta().to_json()) else {
             return Ok(());
         };
         self.ask(peer, line, &format!("PUT /control/v1/snapshot?from={}", self.listen), &text, DIGEST)
@@ -118,12 +118,12 @@
             return Ok(());
         }
         let theirs = self.ask(peer, line, "GET /control/v1/versions", "", SUMMARY).await?;
-        let theirs: Summary = serde_json::from_slice(&theirs).map_err(|wrong| wrong.to_string())?;
-        let wanted = self.board.borrow().wanted(&theirs);
+        let theirs: VersionSummary = serde_json::from_slice(&theirs).map_err(|wrong| wrong.to_string())?;
+        let wanted = self.board.borrow().outdated_scopes(&theirs);
         for scope in wanted {
             let head = format!("GET /control/v1/snapshot?scope={scope}");
             let bytes = self.ask(peer, line, &head, "", SNAPSHOT).await?;
-            let change = Change::read(&bytes).map_err(|unfit| unfit.to_string())?;
+            let change = Delta::from_json(&bytes).map_err(|unfit| unfit.to_string())?;
             self.merge(change, peer.address).map_err(|unfit| unfit.to_string())?;
         }
         Ok(())
--- a/crates/sidecar/src/control/mod.rs
+++ b/crates/sidecar/src/control/mod.rs
@@ -17,16 +17,18 @@
 use async_io::Timer;
 use call::Line;
 use kept::Kept;
-use landingspread_control::{CHANGE_MOST, Contents, Fault, Follower, Host, Took, Version};
+use landingspread_control::{
+    ApplyOutcome, ConfigError, ConfigHost, Contents, Follower, MAX_DELTA_BYTES, Version,
+};
 use said::Shared;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 /// An answer fits these, with its head.
-const BUFFERS: usize = CHANGE_MOST / SIZE + 2;
+const BUFFERS: usize = MAX_DELTA_BYTES / SIZE + 2;
 
 /// What a task that follows does with versions besides putting them in force.
-trait Keeps: Host {
+trait Keeps: ConfigHost {
     /// What was put in force has reached all who go by it.
     async fn settled(&mut self);
 }
@@ -40,12 +42,12 @@
     taken: Option<Receiver<()>>,
 }
 
-impl Host for Hand {
-    fn check(&mut self, contents: &Contents) -> Result<(), Fault> {
+impl ConfigHost for Hand {
+    fn check(&mut self, contents: &Contents) -> Result<(), ConfigError> {
         self.live.read(contents).map(drop)
     }
 
-    fn enforce(&mut self, _version: &Version, contents: &Contents) {
+    fn apply(&mut self, _version: &Version, contents: &Contents) {
         // It was checked just now.
         let Ok(changed) = self.live.read(contents) else { return };
         let Changed { verbs, discovery, .. } = &changed;
@@ -84,7 +86,7 @@
         discovery: Sender<Option<SocketAddr>>,
     ) -> Option<Followed> {
         let Control { scope, region, machines, kept } = launch.control.as_ref()?;
-        let mut follower = Follower::start(scope, &launch.name, machines, region, launch.seed);
+        let mut follower = Follower::new(scope, &launch.name, machines, region, launch.seed);
         let mut hand = Hand { live: Live::of(launch), queue, callers, discovery, taken: None };
         let shared = Shared::new(scope);
         let kept = Kept::at(kept.as_deref(), launch.state_folder.as_deref(), &launch.name);
@@ -114,7 +116,7 @@
     loop {
         let Some(machine) = follower.machine() else { return };
         shared.asks(machine);
-        let answer = line.poll(machine, &follower.asks(), &stock, &shared).await;
+        let answer = line.poll(machine, &follower.next_poll(), &stock, &shared).await;
         let now = clock.now();
         let wrong = match answer {
             Ok(None) => {
@@ -122,13 +124,13 @@
                 failures = 0;
                 // One that was being written when the last version came was left out.
                 kept.iter_mut().for_each(|kept| kept.save(&follower));
-                if follower.unchanged(now) {
+                if follower.on_unchanged(now) {
                     line.close();
                 }
                 continue;
             }
-            Ok(Some(bytes)) => match follower.answered(now, &bytes, &mut host) {
-                Ok(Took::Enforced(version)) => {
+            Ok(Some(bytes)) => match follower.on_delta(now, &bytes, &mut host) {
+                Ok(ApplyOutcome::Applied(version)) => {
                     host.settled().await;
                     shared.answered();
                     shared.enforced(&follower);
@@ -137,15 +139,15 @@
                     failures = 0;
                     continue;
                 }
-                Ok(Took::Refused(refusal)) => {
+                Ok(ApplyOutcome::Refused(refusal)) => {
                     shared.answered();
                     shared.refused(&refusal);
-                    let (version, key) = (refusal.version, &refusal.fault.key);
-                    tracing::error!(%version, key, "control: refused as a whole: {}", refusal.fault.what);
+                    let (version, key) = (refusal.version, &refusal.error.key);
+                    tracing::error!(%version, key, "control: refused as a whole: {}", refusal.error.reason);
                     failures = 0;
                     continue;
                 }
-                Ok(Took::Nothing) => "it told what is known here, at once".to_string(),
+                Ok(ApplyOutcome::Unchanged) => "it told what is known here, at once".to_string(),
                 Err(wrong) => {
                     shared.turned(machine, &wrong.to_string());
                     wrong.to_string()
@@ -159,6 +161,6 @@
             tracing::warn!(%machine, failures, "control: what is in force stays so: {wrong}");
         }
         line.close();
-        Timer::after(follower.failed(now)).await;
+        Timer::after(follower.on_failure(now)).await;
     }
 }
--- a/crates/sidecar/src/control/said.rs
+++ b/crates/sidecar/src/control/said.rs
@@ -72,7 +72,7 @@
     }
 
     pub fn refused(&self, refusal: &Refusal) {
-        let (key, what) = (refusal.fault.key.clone(), refusal.fault.what.clone());
+        let (key, what) = (refusal.error.key.clone(), refusal.error.reason.clone());
         self.now().refused = Some((refusal.version, key, what, Instant::now()));
     }
 
--- a/crates/sidecar/src/launch/control.rs
+++ b/crates/sidecar/src/launch/control.rs
@@ -1,6 +1,6 @@
 //! The `[control]` part of the operators' form: its names, defaults and checks.
 
-use landingspread_control::{Machine, NAME_MOST, is_scope};
+use landingspread_control::{ControlMachine, MAX_NAME_BYTES, is_valid_scope};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -32,7 +32,7 @@
     pub scope: String,
     /// Machines that stand in the same one are asked first.
     pub region: String,
-    pub machines: Vec<Machine>,
+    pub machines: Vec<ControlMachine>,
     /// The file through which the last good version outlives the process.
     pub kept: Option<PathBuf>,
 }
@@ -41,10 +41,10 @@
     /// The first key whose value can't be gone by; `name` is the sidecar's.
     pub fn first_fault(&self, name: &str) -> Option<(String, String)> {
         let found = |key: &str, what: &str| Some((key.to_string(), what.to_string()));
-        if name.is_empty() || name.len() > NAME_MOST || name.chars().any(char::is_control) {
+        if name.is_empty() || name.len() > MAX_NAME_BYTES || name.chars().any(char::is_control) {
             return found("name", "machines know sidecars by it: it is empty, too long or no plain text");
         }
-        if !is_scope(&self.scope) {
+        if !is_valid_scope(&self.scope) {
             return found(
                 "control.scope",
                 "it is empty, too long, or has other signs than a-z, 0-9, -, _ and .",
@@ -62,7 +62,7 @@
     }
 
     pub fn checked(self) -> Control {
-        let machine = |at: At| Machine { address: at.address, region: at.region };
+        let machine = |at: At| ControlMachine { address: at.address, region: at.region };
         let machines = self.machines.into_iter().map(machine).collect();
         Control { scope: self.scope, region: self.region, machines, kept: self.kept }
     }
--- a/crates/sidecar/src/launch/file.rs
+++ b/crates/sidecar/src/launch/file.rs
@@ -11,7 +11,7 @@
 use landingspread_decisions::settings::{
     self, Capabilities, Costs, DedupScope, ObjectiveWeights, RetrySafety as Repeated, Settings, SlowStart,
 };
-use landingspread_files::{Wrong, from_toml, text_of};
+use landingspread_files::{FileError, parse_toml, read_text};
 use serde::Deserialize;
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
@@ -202,14 +202,14 @@
     1.0
 }
 
-impl From<Wrong> for ConfigError {
-    fn from(wrong: Wrong) -> ConfigError {
+impl From<FileError> for ConfigError {
+    fn from(wrong: FileError) -> ConfigError {
         ConfigError(wrong.to_string())
     }
 }
 
 pub fn read(path: &Path, told: &dyn Fn(&str) -> Option<String>) -> Result<Configuration, ConfigError> {
-    let (name, text) = text_of(path)?;
+    let (name, text) = read_text(path)?;
     take(&name, &text, told)
 }
 
@@ -218,7 +218,7 @@
     text: &str,
     told: &dyn Fn(&str) -> Option<String>,
 ) -> Result<Configuration, ConfigError> {
-    let mut file: File = from_toml(name, text)?;
+    let mut file: File = parse_toml(name, text)?;
     for (variable, into) in [("NODE_LISTEN", &mut file.listen)] {
         if let Some(address) = told(variable) {
             *into = parsed(variable, &address)?;
@@ -233,7 +233,7 @@
     }
     file.name = told("NODE_NAME").unwrap_or(file.name);
     if let Some((key, what)) = first_fault(&file) {
-        return Err(Wrong::at_key(name, text, &key, what).into());
+        return Err(FileError::at_key(name, text, &key, what).into());
     }
     Ok(Configuration { inherited_listener: inherited(told)?, ..launch(file) })
 }
--- a/crates/sidecar/src/launch/live.rs
+++ b/crates/sidecar/src/launch/live.rs
@@ -3,7 +3,7 @@
 //! on top of what the file says: what it does not name is as there.
 
 use super::checked::{Configuration, verb_fault};
-use landingspread_control::{Contents, Fault};
+use landingspread_control::{ConfigError, Contents};
 use landingspread_decisions::settings;
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -61,7 +61,7 @@
     }
 
     /// All of it, or the first key at fault.
-    pub fn read(&self, contents: &Contents) -> Result<Changed, Fault> {
+    pub fn read(&self, contents: &Contents) -> Result<Changed, ConfigError> {
         let mut changed = Changed {
             quotas: self.tenants.iter().map(|(_, quota)| *quota).collect(),
             verbs: self.verbs.iter().map(|(_, verb)| verb.clone()).collect(),
@@ -75,14 +75,14 @@
             {
                 let key = |leaf: &&str| format!("verbs.{name}.{leaf}");
                 let said = leaves.iter().map(key).find(|key| contents.contains_key(key));
-                return Err(Fault { key: said.unwrap_or_else(|| key(&leaves[0])), what });
+                return Err(ConfigError { key: said.unwrap_or_else(|| key(&leaves[0])), reason: what });
             }
         }
         Ok(changed)
     }
 
-    fn take(&self, key: &str, value: &str, into: &mut Changed) -> Result<(), Fault> {
-        let needs = || Fault::of(key, "it needs a restart");
+    fn take(&self, key: &str, value: &str, into: &mut Changed) -> Result<(), ConfigError> {
+        let needs = || ConfigError::new(key, "it needs a restart");
         let (top, rest) = key.split_once('.').unwrap_or((key, ""));
         match (top, rest.rsplit_once('.')) {
             ("discovery", None) if rest == "address" => {
@@ -91,10 +91,13 @@
             }
             ("tenants", Some((name, "quota"))) => {
                 let at = self.tenants.iter().position(|(known, _)| known == name);
-                let at = at.ok_or_else(|| Fault::of(key, "a new tenant needs a restart"))?;
+                let at = at.ok_or_else(|| ConfigError::new(key, "a new tenant needs a restart"))?;
                 let quota: f64 = figure(key, value, "a number")?;
                 if !(0.0..=QUOTA_MOST).contains(&quota) {
-                    return Err(Fault::of(key, format_args!("{value} does not lie from 0 to {QUOTA_MOST}")));
+                    return Err(ConfigError::new(
+                        key,
+                        format_args!("{value} does not lie from 0 to {QUOTA_MOST}"),
+                    ));
                 }
                 into.quotas[at] = quota;
                 Ok(())
@@ -102,10 +105,11 @@
             ("verbs", Some((name, leaf @ ("goal" | "limit" | "utility" | "overdue_utility")))) => {
                 let at = self.verbs.iter().position(|(known, _)| known == name);
                 let verb = at.and_then(|at| into.verbs.get_mut(at));
-                let verb = verb.ok_or_else(|| Fault::of(key, "a new verb needs a restart"))?;
+                let verb = verb.ok_or_else(|| ConfigError::new(key, "a new verb needs a restart"))?;
                 let span = || {
-                    humantime::parse_duration(value)
-                        .map_err(|_| Fault::of(key, format_args!("{value:?} is no span such as \"300ms\"")))
+                    humantime::parse_duration(value).map_err(|_| {
+                        ConfigError::new(key, format_args!("{value:?} is no span such as \"300ms\""))
+                    })
                 };
                 match leaf {
                     "goal" => verb.latency_objective = span()?,
@@ -117,13 +121,13 @@
             }
             ("verbs" | "tenants", Some(_)) => Err(needs()),
             _ if NEED_A_RESTART.contains(&top) => Err(needs()),
-            _ => Err(Fault::of(key, "there is no such key")),
+            _ => Err(ConfigError::new(key, "there is no such key")),
         }
     }
 }
 
-fn figure<T: FromStr>(key: &str, value: &str, what: &str) -> Result<T, Fault> {
-    value.parse().map_err(|_| Fault::of(key, format_args!("{value:?} is not {what}")))
+fn figure<T: FromStr>(key: &str, value: &str, what: &str) -> Result<T, ConfigError> {
+    value.parse().map_err(|_| ConfigError::new(key, format_args!("{value:?} is not {what}")))
 }
 
 #[cfg(test)]
--- a/crates/sidecar/src/launch/live_tests.rs
+++ b/crates/sidecar/src/launch/live_tests.rs
@@ -8,7 +8,7 @@
     let launch =
         of_text("l.toml", if discovery { &with_discovery } else { &tenants }).map_err(|_| "the example")?;
     let contents = changes.iter().map(|(key, value)| (key.to_string(), value.to_string())).collect();
-    Live::of(&launch).read(&contents).map_err(|fault| format!("{} | {}", fault.key, fault.what))
+    Live::of(&launch).read(&contents).map_err(|fault| format!("{} | {}", fault.key, fault.reason))
 }
 
 #[test]
--- a/crates/sidecar/tests/control.rs
+++ b/crates/sidecar/tests/control.rs
@@ -525,13 +525,13 @@
     let good = snapshot(4, &quick);
     let old = snapshot(3, &[("verbs.view.goal", "1s")]);
     let next = snapshot(5, &[("verbs.view.goal", "1s")]);
-    let text = |snapshot: &Snapshot| snapshot.whole().text();
+    let text = |snapshot: &Snapshot| snapshot.full_delta().to_json();
     let odd = [
         text(&next).as_bytes()[..60].to_vec(),
         text(&next).replace("1s", "2s").into_bytes(),
         text(&next).replace(SCOPE, "orders").into_bytes(),
         text(&old).into_bytes(),
-        next.since(&snapshot(2, &[])).text().into_bytes(),
+        next.delta_since(&snapshot(2, &[])).to_json().into_bytes(),
         vec![b'x'; 150_000],
         Vec::new(),
     ];
@@ -743,7 +743,7 @@
     let (_servers, servers) = slow_servers();
     let quick = [("verbs.view.goal", "40ms"), ("verbs.view.limit", "40ms")];
     let (old, good, next) = (snapshot(3, &[]), snapshot(4, &quick), snapshot(5, &[]));
-    let text = |snapshot: &Snapshot| snapshot.whole().text().into_bytes();
+    let text = |snapshot: &Snapshot| snapshot.full_delta().to_json().into_bytes();
     // The region's own machine begins well, then forgets what it had; the other one goes on.
     let (near, near_calls) = scripted(vec![text(&good), text(&old)]);
     let (far, far_calls) = scripted(vec![text(&next)]);
