--- /dev/null
+++ b/crates/sidecar/src/console/handlers.rs
@@ -0,0 +1,126 @@
+//! What the console does by each request: asks the owner or the fleet, has an operator's order recorded, and answers.
+
+use super::reply::Reply;
+use super::request::Request;
+use super::{MaintenanceOrder, OWNER_TIMEOUT, Server};
+use crate::counters;
+use crate::handover::LOOK_EVERY;
+use crate::handover::record::{WORDS_MOST, Word, unix_ms};
+use crate::net::timeout::timeout;
+use async_io::Timer;
+use std::rc::Rc;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+
+const NO_FLEET: &str = "this copy is one of no fleet";
+const FLEET_SILENT: &str = "the fleet's thread does not answer";
+const NO_ZONES: &str = "the fleet leaves no zones";
+
+impl Server {
+    /// Answers one request.
+    pub(super) async fn handle(&self, request: Request) -> Reply {
+        match request {
+            Request::Status if self.serving.load(Ordering::Acquire) => Reply::text(200, "serving\n"),
+            Request::Status => Reply::text(503, "not serving\n"),
+            Request::Counters => Reply::text(200, &counters::text()),
+            Request::ListMaintenance => self.list_maintenance(),
+            Request::Members { json } => self.members(json).await,
+            Request::Zones { json } => self.zones(json).await,
+            Request::Control { json } => match &self.control {
+                None => Reply::error(404, "configuration comes from the file alone"),
+                Some(status) => Reply::report(&status.report(json), json),
+            },
+            Request::SetZone { zone, leave } => self.set_zone(zone, leave).await,
+            Request::SetMaintenance { server, out } => self.set_maintenance(server, out).await,
+        }
+    }
+
+    fn list_maintenance(&self) -> Reply {
+        let orders = self.orders_in_force.borrow();
+        let out = orders.iter().filter(|(_, order)| order.out).map(|(server, _)| format!("{server}\n"));
+        Reply::text(200, &out.collect::<String>())
+    }
+
+    async fn members(&self, json: bool) -> Reply {
+        let Some(fleet) = &self.fleet else { return Reply::error(404, NO_FLEET) };
+        match fleet.members(json, OWNER_TIMEOUT).await {
+            Some(text) => Reply::report(&text, json),
+            None => Reply::error(503, FLEET_SILENT),
+        }
+    }
+
+    async fn zones(&self, json: bool) -> Reply {
+        let Some(fleet) = &self.fleet else { return Reply::error(404, NO_FLEET) };
+        match fleet.zones(json, OWNER_TIMEOUT).await {
+            Some(text) if text.is_empty() => Reply::error(404, NO_ZONES),
+            Some(text) => Reply::report(&text, json),
+            None => Reply::error(503, FLEET_SILENT),
+        }
+    }
+
+    /// The order is the fleet's from here on, whether this process lives or not.
+    async fn set_zone(&self, zone: String, leave: bool) -> Reply {
+        let Some(fleet) = &self.fleet else { return Reply::error(404, NO_FLEET) };
+        match fleet.zone_said(zone.clone(), leave, OWNER_TIMEOUT).await {
+            None => Reply::error(503, FLEET_SILENT),
+            Some(None) => Reply::error(404, NO_ZONES),
+            Some(Some(false)) => Reply::error(404, "there is no such zone"),
+            Some(Some(true)) => {
+                tracing::info!("operators {} zone {zone}", if leave { "leave" } else { "take back" });
+                Reply::text(200, "yes\n")
+            }
+        }
+    }
+
+    async fn set_maintenance(&self, server: String, out: bool) -> Reply {
+        if out && self.orders_in_force.borrow().len() >= WORDS_MOST {
+            return Reply::error(507, "too many endpoints are out");
+        }
+        match self.send_order(&server, out, None).await {
+            None => return Reply::error(503, "the sidecar does not answer"),
+            Some(false) => return Reply::error(404, "no list ever named this endpoint"),
+            Some(true) => {}
+        }
+        if let Some(record) = &mut *self.record.borrow_mut()
+            && let Err(error) = record.say(&server, out)
+        {
+            tracing::error!("console: {error}");
+            return Reply::error(500, "it holds for this process alone: it could not be recorded");
+        }
+        tracing::info!("operators {} {server}", if out { "leave out" } else { "use again" });
+        let at_unix_ms = unix_ms();
+        let mut orders = self.orders_in_force.borrow_mut();
+        orders.insert(server, Word { out, at_unix_ms });
+        orders.retain(|_, order| order.counts());
+        Reply::text(200, "yes\n")
+    }
+
+    /// Sends an order to the owner. Returns whether a list ever named the endpoint; none where the owner does not answer.
+    async fn send_order(&self, server: &str, out: bool, recorded: Option<Duration>) -> Option<bool> {
+        let (known, reply) = async_channel::bounded(1);
+        let order = MaintenanceOrder { server: server.to_string(), out, recorded, known };
+        self.orders.send(order).await.ok()?;
+        timeout(OWNER_TIMEOUT, reply.recv()).await?.ok()
+    }
+
+    /// Takes over the orders that the other process of an upgrade recorded, for ever.
+    pub(super) async fn follow_record(self: Rc<Self>) {
+        loop {
+            Timer::after(LOOK_EVERY).await;
+            let recorded = {
+                let mut record = self.record.borrow_mut();
+                let Some(record) = &mut *record else { return };
+                if !record.look() {
+                    continue;
+                }
+                record.words.clone()
+            };
+            let before = std::mem::replace(&mut *self.orders_in_force.borrow_mut(), recorded.clone());
+            for (server, order) in recorded {
+                if before.get(&server).is_none_or(|before| before.out != order.out) {
+                    let _ = self.send_order(&server, order.out, Some(order.age())).await;
+                }
+            }
+        }
+    }
+}
--- a/crates/sidecar/src/control/kept.rs
+++ b/crates/sidecar/src/control/kept.rs
@@ -1,7 +1,7 @@
 //! The file through which the last good version outlives the process: the snapshot as a machine would tell it, digest and
 //! all. One that is cut, garbled, or of another service is passed over.
 
-use super::Hand;
+use super::host::SidecarHost;
 use crate::handover;
 use landingspread_control::{Follower, MAX_DELTA_BYTES, Version};
 use std::io::Read;
@@ -23,7 +23,7 @@
         Some(Kept { path, saved: None, busy: Arc::default() })
     }
 
-    pub fn recall(&self, follower: &mut Follower, hand: &mut Hand) {
+    pub fn recall(&self, follower: &mut Follower, hand: &mut SidecarHost) {
         let path = self.path.display();
         let mut bytes = Vec::new();
         let read = std::fs::File::open(&self.path)
--- /dev/null
+++ b/crates/sidecar/src/control/machine/polls.rs
@@ -0,0 +1,99 @@
+//! Sidecars' polls: answered at once where a newer version is known, else held until one is published or the wait is over.
+
+use super::Server;
+use super::connections::readable;
+use super::reply::Reply;
+use crate::net::timeout::timeout;
+use async_channel::{Receiver, Sender};
+use async_io::Async;
+use futures_lite::future::or;
+use landingspread_control::Poll;
+use std::collections::BTreeMap;
+use std::net::TcpStream;
+use std::time::Instant;
+
+/// Polls of a scope beyond which those that have ended are removed.
+const MIN_PRUNE_AT: usize = 16;
+
+/// The polls that wait for the next version of a scope.
+#[derive(Default)]
+struct Waiting {
+    polls: Vec<Sender<()>>,
+    /// At this size polls that have ended are removed.
+    prune_at: usize,
+}
+
+/// The waiting polls of all scopes.
+#[derive(Default)]
+pub struct WaitingPolls(BTreeMap<String, Waiting>);
+
+impl WaitingPolls {
+    /// Adds a poll, which is notified by the receiver.
+    fn add(&mut self, scope: &str) -> Receiver<()> {
+        let (notify, notified) = async_channel::bounded(1);
+        let waiting = self.0.entry(scope.into()).or_default();
+        if waiting.polls.len() >= waiting.prune_at {
+            waiting.polls.retain(|poll| !poll.is_closed());
+            waiting.prune_at = (2 * waiting.polls.len()).max(MIN_PRUNE_AT);
+        }
+        waiting.polls.push(notify);
+        notified
+    }
+
+    /// Wakes all polls of a scope: dropping their senders closes the channels.
+    pub fn notify(&mut self, scope: &str) {
+        self.0.remove(scope);
+    }
+
+    /// Removes polls that have ended.
+    pub fn prune(&mut self) {
+        for waiting in self.0.values_mut() {
+            waiting.polls.retain(|poll| !poll.is_closed());
+        }
+        self.0.retain(|_, waiting| !waiting.polls.is_empty());
+    }
+}
+
+impl Server {
+    /// Answers a poll; none where the client left meanwhile.
+    pub(super) async fn answer_poll(&self, stream: &Async<TcpStream>, query: &str) -> Option<Reply> {
+        let poll = match Poll::from_query(query) {
+            Ok(poll) => poll,
+            Err(error) => return Some(Reply::error(400, &error.to_string())),
+        };
+        self.record_poll(&poll);
+        let deadline = Instant::now() + poll.wait;
+        loop {
+            if let Some(delta) = self.store.borrow().delta_for(&poll) {
+                return Some(Reply::json(200, delta.to_json()));
+            }
+            let left = deadline.saturating_duration_since(Instant::now());
+            if left.is_zero() {
+                return Some(Reply::no_content());
+            }
+            let notified = self.waiting.borrow_mut().add(&poll.scope);
+            let published = async {
+                let _ = timeout(left, notified.recv()).await;
+                Some(())
+            };
+            // The client sends nothing while it waits: what can be read is its end.
+            let disconnected = async {
+                readable(stream).await;
+                None
+            };
+            or(published, disconnected).await?;
+        }
+    }
+
+    /// Records what a poll acknowledges, and logs a refusal once.
+    fn record_poll(&self, poll: &Poll) {
+        let (now, mut store) = (self.clock.now(), self.store.borrow_mut());
+        let refused = poll.refused.as_ref();
+        let new = refused.filter(|refused| !store.has_refused(&poll.scope, &poll.name, refused.0));
+        if let Some((version, reason)) = new {
+            let (scope, name) = (&poll.scope, &poll.name);
+            tracing::warn!(scope, name, %version, "control machine: follower refused version: {reason}");
+        }
+        store.record_poll(now, poll);
+    }
+}
--- /dev/null
+++ b/crates/sidecar/src/control/machine/report.rs
@@ -0,0 +1,124 @@
+//! What a control machine reports to operators: how a scope stands, as all machines that answer know it, and how the
+//! machine itself does.
+
+use super::super::client::{ControlClient, Request};
+use super::Server;
+use super::peers::Peer;
+use super::reply::Reply;
+use landingspread_control::{ScopeStatus, Version};
+use serde_json::json;
+use std::fmt::Write;
+use std::time::Duration;
+
+/// How long each other machine has to report the followers that it knows.
+const PEER_TIMEOUT: Duration = Duration::from_millis(800);
+/// Buffers for what one machine knows of a scope.
+const STATUS_BUFFERS: usize = 256;
+/// Names of followers in a text; JSON has all of them.
+const MAX_NAMES: usize = 50;
+
+impl Server {
+    /// What this machine alone knows of a scope, for other machines.
+    pub(super) fn own_scope_status(&self, scope: &str) -> Reply {
+        match self.store.borrow().scope_status(self.clock.now(), scope) {
+            Some(status) => Reply::json(200, serde_json::to_string(&status).unwrap_or_default()),
+            None => Reply::error(404, "nobody asked for this scope here"),
+        }
+    }
+
+    /// What all machines that answer know of a scope, as JSON or as text.
+    pub(super) async fn scope_status(&self, scope: &str, json: bool) -> Reply {
+        let mut status = self.store.borrow().scope_status(self.clock.now(), scope);
+        let mut heard = 1;
+        for peer in self.peers.iter().filter(|peer| peer.is_available()) {
+            let Ok(theirs) = self.peer_scope_status(peer, scope).await else { continue };
+            heard += 1;
+            status = match (status, theirs) {
+                (Some(mut ours), Some(theirs)) => {
+                    ours.merge(theirs);
+                    Some(ours)
+                }
+                (ours, theirs) => ours.or(theirs),
+            };
+        }
+        match status {
+            None => Reply::error(404, "nobody published or asked for this scope"),
+            Some(status) if json => Reply::json(200, self.status_json(&status, heard)),
+            Some(status) => Reply::text(200, self.status_text(&status, heard)),
+        }
+    }
+
+    /// What another machine knows of a scope; none where it knows nothing.
+    async fn peer_scope_status(
+        &self,
+        peer: &Peer,
+        scope: &str,
+    ) -> Result<Option<ScopeStatus>, super::super::client::CallError> {
+        let target = format!("GET /control/v1/scopes/{scope}?own=1");
+        let request =
+            Request { target: &target, body: b"", max_buffers: STATUS_BUFFERS, timeout: PEER_TIMEOUT };
+        let response = ControlClient::default().call(peer.address, &request, &self.stock).await?;
+        Ok(serde_json::from_slice(&response.body).ok().filter(|_| response.status == 200))
+    }
+
+    fn status_json(&self, status: &ScopeStatus, heard: usize) -> String {
+        let refused: serde_json::Map<_, _> =
+            status.refusals().map(|(name, reason)| (name.clone(), reason.as_str().into())).collect();
+        let behind: serde_json::Map<_, _> =
+            status.lagging().map(|(name, silent)| (name.clone(), silent.into())).collect();
+        let kept: Vec<String> = status.history.iter().map(Version::to_string).collect();
+        let report = json!({
+            "scope": status.scope,
+            "version": status.version,
+            "contents": status.contents,
+            "acknowledged": status.acknowledged(),
+            "refused": refused,
+            "behind_and_silent": behind,
+            "kept": kept,
+            "machines": self.peers.len() + 1,
+            "machines_heard": heard,
+        });
+        report.to_string() + "\n"
+    }
+
+    fn status_text(&self, status: &ScopeStatus, heard: usize) -> String {
+        let version = status.version.map_or("none".into(), |version| version.to_string());
+        let (refused, behind): (Vec<_>, Vec<_>) = (status.refusals().collect(), status.lagging().collect());
+        let mut text = format!("scope         {}\nversion       {version}\n", status.scope);
+        // Writing to a String cannot fail.
+        let _ = writeln!(text, "machines      {heard} of {} heard", self.peers.len() + 1);
+        let _ = writeln!(text, "acknowledged  {}", status.acknowledged());
+        let _ = writeln!(text, "refused       {}", refused.len());
+        for (name, reason) in refused.iter().take(MAX_NAMES) {
+            let _ = writeln!(text, "    {name}: {reason}");
+        }
+        let _ = writeln!(text, "behind        {}", behind.len());
+        for (name, silent) in behind.iter().take(MAX_NAMES) {
+            let _ = writeln!(text, "    {name}{}", if *silent { ", silent" } else { "" });
+        }
+        for (key, value) in &status.contents {
+            let _ = writeln!(text, "    {key} = {value}");
+        }
+        for version in status.history.iter().rev().skip(1) {
+            let _ = writeln!(text, "kept          {version}");
+        }
+        text
+    }
+
+    /// The machine's own status as text.
+    pub(super) fn machine_status(&self) -> String {
+        let scopes = self.store.borrow().summary().len();
+        let connections = self.connections.get();
+        let mut text = format!("machine       {}\nscopes        {scopes}\n", self.listen);
+        // Writing to a String cannot fail.
+        let _ = writeln!(text, "connections   {connections} of {}", self.max_connections);
+        let _ = writeln!(text, "digest        {:032x}", self.digest());
+        for peer in &self.peers {
+            let age = peer
+                .last_answer_age()
+                .map_or("never".into(), |age| format!("{:.1} s ago", age.as_secs_f64()));
+            let _ = writeln!(text, "other         {}, answered {age}", peer.address);
+        }
+        text
+    }
+}
--- a/crates/sidecar/src/hollow.rs
+++ b/crates/sidecar/src/hollow.rs
@@ -1,65 +1,101 @@
 //! Many sidecars in one process, for tests of size: their configurations, made from one template. It owns how a copy's
-//! number becomes its name, address, zone and seeds; it must never run anything of its own making.
+//! number becomes its name, address, zone and seeds.
 
 use crate::launch::{self, Configuration};
+use std::fmt;
+use std::io;
 use std::net::Ipv4Addr;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
 /// Where addresses begin: apart from those that tests draw otherwise.
 const FIRST_ADDRESS: u32 = u32::from_be_bytes([127, 251, 0, 0]);
 /// Past this they would leave loopback.
-pub const NUMBERS_MOST: u32 = 4 * 65_536;
-const SEEDS: u32 = 3;
-const PORT: u16 = 7946;
+pub const MAX_NUMBERS: u32 = 4 * 65_536;
+/// Seeds of one fleet.
+const MAX_SEEDS: u32 = 3;
+const FLEET_PORT: u16 = 7946;
 
-/// Which copies this process runs, and how all of them are parted.
-pub struct Numbers {
+/// Which copies this process runs, and how all of them are divided into fleets.
+pub struct CopyRange {
+    /// The number of the first copy.
     pub first: u32,
     pub count: u32,
-    /// From where fleets are counted.
+    /// The number from which fleets are counted.
     pub base: u32,
     /// Copies of one fleet; all where it is 0.
     pub fleet_size: u32,
+    /// The zones that copies stand in, in turn.
     pub zones: Vec<String>,
 }
 
+/// Why copies have no configuration.
+#[derive(Debug)]
+pub enum HollowError {
+    /// There is no zone, or the first number is under the base.
+    Range,
+    /// The copies from `first` to `end` are none, or too many.
+    Count { first: u32, end: u32 },
+    /// The template can't be read.
+    Template { path: PathBuf, error: io::Error },
+    /// A copy's configuration is faulty: the first fault, with its line and key.
+    Configuration(String),
+}
+
+impl fmt::Display for HollowError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            HollowError::Range => {
+                f.write_str("expected a zone, and a first number that is not under the base")
+            }
+            HollowError::Count { first, end } => {
+                write!(f, "copies {first} to {end}: expected 1 or more, up to {MAX_NUMBERS}")
+            }
+            HollowError::Template { path, error } => write!(f, "{}: {error}", path.display()),
+            HollowError::Configuration(fault) => f.write_str(fault),
+        }
+    }
+}
+
+impl std::error::Error for HollowError {}
+
 fn address(number: u32) -> Ipv4Addr {
     Ipv4Addr::from(FIRST_ADDRESS + number)
 }
 
-impl Numbers {
-    fn text(&self, template: &str, number: u32) -> String {
-        let place = number - self.base;
-        let fleet = place.checked_div(self.fleet_size).unwrap_or(0);
+impl CopyRange {
+    /// The template filled in for one copy.
+    fn configuration(&self, template: &str, number: u32) -> String {
+        let index = number - self.base;
+        let fleet = index.checked_div(self.fleet_size).unwrap_or(0);
         let start = self.base + fleet * self.fleet_size;
-        let size = if self.fleet_size == 0 { SEEDS } else { self.fleet_size.min(SEEDS) };
+        let seeds = if self.fleet_size == 0 { MAX_SEEDS } else { self.fleet_size.min(MAX_SEEDS) };
         let seeds: Vec<String> =
-            (start..start + size).map(|seed| format!("\"{}:{PORT}\"", address(seed))).collect();
+            (start..start + seeds).map(|seed| format!("\"{}:{FLEET_PORT}\"", address(seed))).collect();
         template
             .replace("{n}", &number.to_string())
             .replace("{fleet}", &fleet.to_string())
             .replace("{at}", &address(number).to_string())
-            .replace("{zone}", &self.zones[place as usize % self.zones.len()])
+            .replace("{zone}", &self.zones[index as usize % self.zones.len()])
             .replace("{seeds}", &seeds.join(", "))
     }
 
     /// Every copy's configuration, read and checked as an operator's file is.
-    ///
-    /// # Errors
-    /// A number that is out of range, or the first fault of a configuration, with its line and key.
-    pub fn launches(&self, template: &Path) -> Result<Vec<Configuration>, String> {
-        if self.zones.is_empty() || self.first < self.base {
-            return Err("expected a zone, and a first number that is not under the base".into());
+    pub fn launches(&self, template: &Path) -> Result<Vec<Configuration>, HollowError> {
+        let first = self.first;
+        if self.zones.is_empty() || first < self.base {
+            return Err(HollowError::Range);
         }
-        let end = self.first.saturating_add(self.count);
-        if self.count == 0 || end > NUMBERS_MOST {
-            return Err(format!("copies {} to {end}: expected 1 or more, up to {NUMBERS_MOST}", self.first));
+        let end = first.saturating_add(self.count);
+        if self.count == 0 || end > MAX_NUMBERS {
+            return Err(HollowError::Count { first, end });
         }
         let text = std::fs::read_to_string(template);
-        let text = text.map_err(|wrong| format!("{}: {wrong}", template.display()))?;
-        let name = template.display().to_string();
-        let one =
-            |number| launch::of_text(&name, &self.text(&text, number)).map_err(|wrong| wrong.to_string());
-        (self.first..end).map(one).collect()
+        let text = text.map_err(|error| HollowError::Template { path: template.into(), error })?;
+        let file = template.display().to_string();
+        let launch = |number| {
+            let launch = launch::of_text(&file, &self.configuration(&text, number));
+            launch.map_err(|fault| HollowError::Configuration(fault.to_string()))
+        };
+        (first..end).map(launch).collect()
     }
 }
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -160,8 +160,9 @@
     let Hollow { template, count, first, base, fleet_size, zones } = wanted;
     let zones = zones.split(',').map(str::to_string).collect();
     let numbers =
-        hollow::Numbers { first: *first, count: *count, base: *base, fleet_size: *fleet_size, zones };
-    net::hollow(numbers.launches(template)?).map_err(|wrong| wrong.to_string())
+        hollow::CopyRange { first: *first, count: *count, base: *base, fleet_size: *fleet_size, zones };
+    let launches = numbers.launches(template).map_err(|wrong| wrong.to_string())?;
+    net::hollow(launches).map_err(|wrong| wrong.to_string())
 }
 
 fn main() -> ExitCode {
@@ -191,10 +192,12 @@
             Ok(())
         }
         Wanted::Hold(Hold { listen, command }) => Err(handover::hold::hold(listen, &command).to_string()),
-        Wanted::Control(Control { file }) => begin_log().and_then(|()| control::machine::run(&file)),
+        Wanted::Control(Control { file }) => {
+            begin_log().and_then(|()| control::machine::run(&file).map_err(|wrong| wrong.to_string()))
+        }
         Wanted::Followers(wanted) => begin_log().and_then(|()| {
             let Followers { count, scopes, prefix, machines } = wanted;
-            control::followers::play(count, scopes, &prefix, &machines)
+            control::followers::run(count, scopes, &prefix, &machines).map_err(|wrong| wrong.to_string())
         }),
         Wanted::Version(Version {}) => {
             println!("landingspread {}", env!("CARGO_PKG_VERSION"));
--- a/crates/sidecar/src/net/mod.rs
+++ b/crates/sidecar/src/net/mod.rs
@@ -219,15 +219,15 @@
         let _ = ask.try_send(());
     }
     let (move_discovery, moves) = async_channel::unbounded();
-    let followed = control::Followed::of(&launch, queue.clone(), callers.clone(), move_discovery);
-    let controlled = followed.as_ref().map(|followed| followed.shared.clone());
+    let followed = control::FollowTask::for_sidecar(&launch, queue.clone(), callers.clone(), move_discovery);
+    let controlled = followed.as_ref().map(|followed| followed.status.clone());
     // What was in force before the restart is so before the first command and the first watch.
     let (in_file, told_by_control) = (launch.discovery, moves.try_recv().ok().flatten());
     if let (Some(address), Some(moved)) = (told_by_control, &mut discovery) {
         moved.move_to(address);
     }
     if let Some(followed) = followed {
-        executor.spawn(followed.follow()).detach();
+        executor.spawn(followed.run()).detach();
     }
     let following = follow(discovery.as_ref(), executor, &asked);
     executor.spawn(pool.clone().reap()).detach();
--- a/crates/sidecar/src/net/owner.rs
+++ b/crates/sidecar/src/net/owner.rs
@@ -10,7 +10,7 @@
 use super::pool::{Pool, Target};
 use crate::catalog::Catalog;
 use crate::clock::Clock;
-use crate::console::Order;
+use crate::console::MaintenanceOrder;
 use crate::counters::{self, RefusalReason};
 use crate::fleet;
 use crate::handover::record::Words;
@@ -164,7 +164,7 @@
 
 /// What operators said, and are to be told.
 pub struct Operators {
-    pub orders: Receiver<Order>,
+    pub orders: Receiver<MaintenanceOrder>,
     /// What was recorded before this process began.
     pub recorded: Words,
     /// Told once a list has come.
@@ -372,7 +372,7 @@
 
 /// Operators are heard before all that waits.
 enum Heard {
-    Order(Order),
+    Order(MaintenanceOrder),
     Word(Word),
     Copies(ReplicaView),
     Zones(Vec<ZoneTraffic>),
@@ -458,7 +458,7 @@
         }
     }
 
-    fn operators_say(&mut self, order: Order) {
+    fn operators_say(&mut self, order: MaintenanceOrder) {
         let (now, id) = (self.clock.now(), Id::from(order.server));
         if order.recorded.is_some() {
             self.policy.restore_known_server(&id);
