--- a/crates/sidecar/src/control/machine/versions.rs
+++ b/crates/sidecar/src/control/machine/versions.rs
@@ -2,7 +2,7 @@
 //! change.
 
 use super::Server;
-use crate::control::kept::write;
+use crate::control::snapshot_cache::write;
 use crate::net::timeout::timeout;
 use async_io::Timer;
 use landingspread_control::{Delta, DeltaError, MAX_SCOPES, MergeOutcome, Version};
--- a/crates/sidecar/src/control/mod.rs
+++ b/crates/sidecar/src/control/mod.rs
@@ -8,8 +8,8 @@
 mod client;
 pub mod followers;
 mod host;
-mod kept;
 pub mod machine;
+mod snapshot_cache;
 pub mod status;
 mod task;
 
--- a/crates/sidecar/src/control/kept.rs
+++ b/crates/sidecar/src/control/snapshot_cache.rs
@@ -1,5 +1,5 @@
-//! The file through which the last good version outlives the process: the snapshot as a machine would tell it, digest and
-//! all. One that is cut, garbled, or of another service is passed over.
+//! The file through which the version in force outlives the process: the snapshot as a control machine would send it, with
+//! its digest. A file that is truncated, corrupt or of another service is ignored.
 
 use super::host::SidecarHost;
 use crate::handover;
@@ -9,36 +9,39 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-pub struct Kept {
+/// A sidecar's cached snapshot.
+pub struct SnapshotCache {
     path: PathBuf,
     saved: Option<Version>,
     busy: Arc<AtomicBool>,
 }
 
-impl Kept {
-    /// In the folder of the sidecar's state where no file is named; none where there is neither.
-    pub fn at(named: Option<&Path>, state: Option<&Path>, name: &str) -> Option<Kept> {
+impl SnapshotCache {
+    /// The file that is named, else one in the folder of the sidecar's state; none where there is neither.
+    pub fn at(named: Option<&Path>, state: Option<&Path>, name: &str) -> Option<SnapshotCache> {
         let in_state = || state.map(|folder| folder.join(format!("{}.control", handover::plain(name))));
         let path = named.map(Path::to_path_buf).or_else(in_state)?;
-        Some(Kept { path, saved: None, busy: Arc::default() })
+        Some(SnapshotCache { path, saved: None, busy: Arc::default() })
     }
 
-    pub fn recall(&self, follower: &mut Follower, hand: &mut SidecarHost) {
+    /// Applies the cached snapshot, if it can be used.
+    pub fn restore(&self, follower: &mut Follower, host: &mut SidecarHost) {
         let path = self.path.display();
         let mut bytes = Vec::new();
         let read = std::fs::File::open(&self.path)
             .and_then(|file| file.take(MAX_DELTA_BYTES as u64 + 1).read_to_end(&mut bytes));
-        let recalled = match read {
-            Ok(_) => follower.restore(&bytes, hand).map_err(|wrong| wrong.to_string()),
+        let restored = match read {
+            Ok(_) => follower.restore(&bytes, host).map_err(|wrong| wrong.to_string()),
             Err(wrong) => Err(wrong.to_string()),
         };
-        match recalled {
-            Ok(version) => tracing::info!(%version, "control: in force as it was kept in {path}"),
+        match restored {
+            Ok(version) => tracing::info!(%version, "control: restored cached snapshot from {path}"),
             Err(wrong) => tracing::warn!("control: {path}: {wrong}; the file's configuration is in force"),
         }
     }
 
-    /// What is in force, if it is not written already or just now; by a thread, as a slow disk must hold up no command.
+    /// Saves the snapshot in force, unless it is saved or a save is in progress; by a thread, as a slow disk must delay no
+    /// request.
     pub fn save(&mut self, follower: &Follower) {
         let Some(holds) = follower.in_force() else { return };
         if self.saved == Some(holds.version()) || self.busy.swap(true, Ordering::AcqRel) {
@@ -53,7 +56,7 @@
     }
 }
 
-/// Written aside and then named, so that no reader finds a half.
+/// Replaces the file at once, so that no reader finds a part of it.
 pub fn write(path: &Path, bytes: &[u8]) {
     let aside = path.with_extension(format!("new{}", std::process::id()));
     if let Err(wrong) = std::fs::write(&aside, bytes).and_then(|()| std::fs::rename(&aside, path)) {
@@ -62,5 +65,5 @@
 }
 
 #[cfg(test)]
-#[path = "kept_tests.rs"]
+#[path = "snapshot_cache_tests.rs"]
 mod tests;
--- a/crates/sidecar/src/control/task.rs
+++ b/crates/sidecar/src/control/task.rs
@@ -3,7 +3,7 @@
 
 use super::client::{CallError, ControlClient};
 use super::host::{AsyncConfigHost, SidecarHost};
-use super::kept::Kept;
+use super::snapshot_cache::SnapshotCache;
 use super::status::ControlStatus;
 use crate::clock::Clock;
 use crate::launch::{Configuration, Control};
@@ -46,7 +46,7 @@
     pub clock: Clock,
     pub stock: Rc<Stock>,
     /// None where no version outlives the process.
-    pub cache: Option<Kept>,
+    pub cache: Option<SnapshotCache>,
     /// What the console reports.
     pub status: ControlStatus,
 }
@@ -64,9 +64,10 @@
         let mut follower = Follower::new(scope, &configuration.name, machines, region, configuration.seed);
         let mut host = SidecarHost::new(configuration, queue, callers, discovery);
         let status = ControlStatus::new(scope);
-        let cache = Kept::at(kept.as_deref(), configuration.state_folder.as_deref(), &configuration.name);
+        let cache =
+            SnapshotCache::at(kept.as_deref(), configuration.state_folder.as_deref(), &configuration.name);
         if let Some(cache) = &cache {
-            cache.recall(&mut follower, &mut host);
+            cache.restore(&mut follower, &mut host);
             status.applied(&follower);
         }
         let stock = Stock::small(ANSWER_BUFFERS);
