--- a/crates/sidecar/tests/operator_formats.rs
+++ b/crates/sidecar/tests/operator_formats.rs
@@ -184,7 +184,7 @@
 ];
 
 #[test]
-fn answers_are_in_the_same_form_as_before() {
+fn answers_have_the_form_of_the_fixture() {
     let world = World::start(true, true);
     within("the sidecar has called", || json(world.console, "/control")["answered_ms_ago"].is_u64());
     let mut told = String::new();
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn files_of_before_are_gone_by_and_new_ones_have_their_form() {
+fn stored_files_of_the_fixture_are_restored_and_new_ones_have_their_form() {
     let snapshot: Value = serde_json::from_str(SNAPSHOT).expect("JSON");
     let cached = World::start(false, true);
     let told = json(cached.console, "/control");
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn followers_write_the_lines_that_are_read_again() {
+fn followers_print_the_lines_that_the_lab_reads() {
     let world = World::start(false, false);
     let machines = format!("{}=north", world.machine);
     let mut command = Command::new(env!("CARGO_BIN_EXE_landingspread"));
--- a/crates/sidecar/tests/operators.rs
+++ b/crates/sidecar/tests/operators.rs
@@ -36,29 +36,29 @@
     call(console, &format!("PUT /maintenance/{what} HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{id}"))
 }
 
-fn ready(entries: &[(&str, SocketAddr)], generation: u64) -> Value {
+fn ready_catalog(entries: &[(&str, SocketAddr)], generation: u64) -> Value {
     let entries: Vec<_> = entries.iter().map(|(id, address)| (*id, *address, "ready")).collect();
     catalog(generation, &entries)
 }
 
 #[test]
-fn operators_are_answered_within_a_second_while_the_data_path_is_full_and_callers_sit_on_the_console() {
+fn console_answers_within_a_second_under_full_load_and_idle_connections() {
     let slow = endpoint(Does::Wait(1500));
     let console = address();
     let discovery = list_source();
-    let known = ready(&[("s1", slow.address)], 1);
+    let known = ready_catalog(&[("s1", slow.address)], 1);
     let sidecar =
         Sidecar::start_as(&known, discovery.address, |told| told["console"] = json!(console.to_string()));
     within("the console answers", || status(console) == Some(200));
-    let crowd: Vec<_> = (0..150).filter_map(|_| sidecar.open()).collect();
-    let half: Vec<_> = (0..40)
+    let idle: Vec<_> = (0..150).filter_map(|_| sidecar.open()).collect();
+    let incomplete: Vec<_> = (0..40)
         .filter_map(|_| {
             let mut stream = TcpStream::connect(console).ok()?;
             stream.write_all(b"PUT /maintenance/enter HTTP/1.1\r\nContent-Length: 9\r\n\r\ns").ok()?;
             Some(stream)
         })
         .collect();
-    let busy: Vec<_> = (0..30)
+    let waiting: Vec<_> = (0..30)
         .filter_map(|number| {
             let mut stream = sidecar.open()?;
             stream.write_all(cmd("view", &format!("b{number}"), 1900).as_bytes()).ok()?;
@@ -70,14 +70,14 @@
         assert_eq!(maintenance(console, if round % 2 == 0 { "enter" } else { "exit" }, "s1"), Some(200));
         assert_eq!(maintenance(console, "enter", "nobody"), Some(404));
     }
-    assert!(crowd.len() + half.len() + busy.len() > 150);
+    assert!(idle.len() + incomplete.len() + waiting.len() > 150);
 }
 
 #[test]
-fn calls_come_in_all_forms_and_what_is_no_call_is_a_no() {
+fn requests_in_all_forms_are_answered_and_others_are_rejected() {
     let endpoint = endpoint(Does::Answer);
     let (console, discovery) = (address(), list_source());
-    let known = ready(&[("s1", endpoint.address)], 1);
+    let known = ready_catalog(&[("s1", endpoint.address)], 1);
     let _sidecar =
         Sidecar::start_as(&known, discovery.address, |told| told["console"] = json!(console.to_string()));
     within("the console answers", || status(console) == Some(200));
@@ -111,11 +111,11 @@
 }
 
 #[test]
-fn an_endpoint_left_out_gets_nothing_through_new_lists_and_commands_again_after_the_call_back() {
+fn endpoint_in_maintenance_gets_no_requests_until_it_exits() {
     let endpoints = [(); 2].map(|()| endpoint(Does::Answer));
     let entries = [("s1", endpoints[0].address), ("s2", endpoints[1].address)];
     let (console, discovery) = (address(), list_source());
-    let sidecar = Sidecar::start_as(&ready(&entries, 1), discovery.address, |told| {
+    let sidecar = Sidecar::start_as(&ready_catalog(&entries, 1), discovery.address, |told| {
         told["console"] = json!(console.to_string());
         told["settings"]["Discovery"] = json!("automatic");
     });
@@ -126,7 +126,7 @@
     assert_eq!(maintenance(console, "enter", "s1"), Some(200));
     let before = endpoints[0].count();
     for (generation, list) in [(2, &entries[..]), (3, &entries[1..]), (4, &entries[..])] {
-        discovery.write(generation, ready(list, generation).to_string());
+        discovery.write(generation, ready_catalog(list, generation).to_string());
         for number in 0..20 {
             assert_eq!(sidecar.cmd("view", &format!("m{generation}-{number}"), 1500), 200);
         }
@@ -144,26 +144,26 @@
 }
 
 /// A sidecar whose clients' listener the test holds, as the platform does.
-struct Held {
+struct HeldListener {
     listener: TcpListener,
     folder: PathBuf,
     discovery: Arc<Discovery>,
     known: Value,
 }
 
-impl Held {
+impl HeldListener {
     /// Before these endpoints, s1 and so on.
-    fn before(name: &str, endpoints: &[sockets::Scripted]) -> Held {
+    fn before(name: &str, endpoints: &[sockets::Scripted]) -> HeldListener {
         let ids: Vec<String> = (1..=endpoints.len()).map(|number| format!("s{number}")).collect();
         let entries = ids.iter().zip(endpoints).map(|(id, endpoint)| (id.as_str(), endpoint.address));
-        let known = ready(&entries.collect::<Vec<_>>(), 1);
+        let known = ready_catalog(&entries.collect::<Vec<_>>(), 1);
         let discovery = list_source();
         discovery.write(1, known.to_string());
         let listener = free();
         rustix::io::fcntl_setfd(&listener, rustix::io::FdFlags::empty()).expect("children inherit it");
         let folder = std::env::temp_dir().join(format!("landingspread-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
-        Held { listener, folder, discovery, known }
+        HeldListener { listener, folder, discovery, known }
     }
 
     /// Another process of the sidecar, and its console.
@@ -187,51 +187,51 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for HeldListener {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// A command's id, and the status of its answer.
-type Said = (String, Option<u16>);
+/// A request's id, and the status of its answer.
+type Answered = (String, Option<u16>);
 
-/// Callers who keep their connections while they may, each with one effectful command after another.
-struct Load {
-    over: Arc<AtomicBool>,
-    given: Arc<AtomicU32>,
-    callers: Vec<thread::JoinHandle<Vec<Said>>>,
+/// Clients that keep their connections while they may, each with one effectful request after another.
+struct BackgroundLoad {
+    stopped: Arc<AtomicBool>,
+    next_id: Arc<AtomicU32>,
+    callers: Vec<thread::JoinHandle<Vec<Answered>>>,
 }
 
-impl Load {
-    fn begin(at: SocketAddr) -> Load {
-        let (over, given) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU32::new(0)));
+impl BackgroundLoad {
+    fn start(at: SocketAddr) -> BackgroundLoad {
+        let (stopped, next_id) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU32::new(0)));
         let caller = |number: usize| {
-            let (over, given) = (over.clone(), given.clone());
-            thread::spawn(move || ask_on(at, number, &over, &given))
+            let (stopped, next_id) = (stopped.clone(), next_id.clone());
+            thread::spawn(move || send_requests(at, number, &stopped, &next_id))
         };
-        Load { callers: (0..8).map(caller).collect(), over, given }
+        BackgroundLoad { callers: (0..8).map(caller).collect(), stopped, next_id }
     }
 
-    fn so_far(&self) -> u32 {
-        self.given.load(Ordering::Relaxed)
+    fn sent(&self) -> u32 {
+        self.next_id.load(Ordering::Relaxed)
     }
 
-    fn end(self) -> Vec<Said> {
-        self.over.store(true, Ordering::Relaxed);
+    fn end(self) -> Vec<Answered> {
+        self.stopped.store(true, Ordering::Relaxed);
         self.callers.into_iter().flat_map(|caller| caller.join().expect("a caller ends")).collect()
     }
 }
 
-fn ask_on(at: SocketAddr, caller: usize, over: &AtomicBool, given: &AtomicU32) -> Vec<Said> {
+fn send_requests(at: SocketAddr, caller: usize, stopped: &AtomicBool, next_id: &AtomicU32) -> Vec<Answered> {
     let (mut heard, mut kept) = (Vec::new(), None::<TcpStream>);
-    while !over.load(Ordering::Relaxed) {
+    while !stopped.load(Ordering::Relaxed) {
         let mut stream = kept.take().unwrap_or_else(|| {
             let stream = TcpStream::connect(at).expect("the listener is there");
             stream.set_read_timeout(Some(BOUNDED)).expect("a time");
             stream
         });
-        let id = format!("c{caller}-{}", given.fetch_add(1, Ordering::Relaxed));
+        let id = format!("c{caller}-{}", next_id.fetch_add(1, Ordering::Relaxed));
         let written = stream.write_all(cmd("confirm", &id, 1900).as_bytes());
         let word = written.ok().and_then(|()| answer(&mut stream));
         heard.push((id, word.as_ref().map(|(status, _, _)| *status)));
@@ -241,7 +241,7 @@
     heard
 }
 
-fn none_lost_or_doubled(heard: &[Said], endpoints: &[sockets::Scripted]) {
+fn assert_none_lost_or_repeated(heard: &[Answered], endpoints: &[sockets::Scripted]) {
     let lost: Vec<_> = heard.iter().filter(|(_, status)| *status != Some(200)).collect();
     assert!(lost.is_empty(), "{} of {} commands: {:?}", lost.len(), heard.len(), &lost[..lost.len().min(5)]);
     let mut ran: BTreeMap<String, usize> = BTreeMap::new();
@@ -255,12 +255,12 @@
 }
 
 #[test]
-fn upgrades_under_load_lose_and_double_no_command_and_carry_maintenance_over() {
+fn upgrades_under_load_lose_and_repeat_no_request_and_keep_maintenance() {
     let endpoints = [(); 3].map(|()| endpoint(Does::Answer));
-    let held = Held::before("upgrade", &endpoints);
+    let held = HeldListener::before("upgrade", &endpoints);
     let (mut old, console) = held.serving();
-    let load = Load::begin(old.address);
-    within("commands flow", || load.so_far() > 200);
+    let load = BackgroundLoad::start(old.address);
+    within("commands flow", || load.sent() > 200);
     assert_eq!(maintenance(console, "enter", "s3"), Some(200));
     let left_out = endpoints[2].count();
     for round in 0..2 {
@@ -271,21 +271,21 @@
         assert!(begun.elapsed() < ms(2700), "before it would be killed");
         assert_eq!(old.child.wait().expect("a child").code(), Some(0));
         old = new;
-        let so_far = load.so_far();
-        within("commands flow on", || load.so_far() > so_far + 200);
+        let sent = load.sent();
+        within("commands flow on", || load.sent() > sent + 200);
         assert_eq!(maintenance(console, "enter", "s3"), Some(200), "round {round}");
     }
     assert!(endpoints[2].count() <= left_out + 8, "but for what was out as the word came");
-    none_lost_or_doubled(&load.end(), &endpoints);
+    assert_none_lost_or_repeated(&load.end(), &endpoints);
 }
 
 #[test]
-fn a_new_process_that_dies_leaves_the_old_one_serving_and_words_to_it_are_kept() {
+fn dying_new_process_leaves_the_old_one_serving_with_its_maintenance_orders() {
     let endpoints = [(); 2].map(|()| endpoint(Does::Answer));
-    let held = Held::before("half-way", &endpoints);
+    let held = HeldListener::before("half-way", &endpoints);
     let (mut old, first) = held.serving();
-    let load = Load::begin(old.address);
-    within("commands flow", || load.so_far() > 100);
+    let load = BackgroundLoad::start(old.address);
+    within("commands flow", || load.sent() > 100);
     // One that dies before it serves, and one that is told of an endpoint first.
     drop(held.process());
     let (new, second) = held.serving();
@@ -293,20 +293,20 @@
     assert_eq!(status(first), Some(200));
     thread::sleep(ms(300));
     let left_out = endpoints[1].count();
-    let died = load.so_far();
+    let died = load.sent();
     new.signal("-TERM");
-    within("commands flow on", || load.so_far() > died + 200);
+    within("commands flow on", || load.sent() > died + 200);
     assert!(old.running() && status(first) == Some(200));
     assert_eq!(endpoints[1].count(), left_out, "a word to one process binds the other");
     assert_eq!(maintenance(first, "exit", "s2"), Some(200));
     within("it is used again", || endpoints[1].count() > left_out);
-    none_lost_or_doubled(&load.end(), &endpoints);
+    assert_none_lost_or_repeated(&load.end(), &endpoints);
 }
 
 #[test]
-fn where_the_old_process_dies_first_the_new_one_serves_and_knows_what_was_said() {
+fn new_process_serves_with_maintenance_orders_if_the_old_one_is_killed() {
     let endpoints = [(); 2].map(|()| endpoint(Does::Answer));
-    let held = Held::before("dies-first", &endpoints);
+    let held = HeldListener::before("dies-first", &endpoints);
     let (old, first) = held.serving();
     assert_eq!(maintenance(first, "enter", "s1"), Some(200));
     let (new, second) = held.process();
