--- a/crates/sidecar/src/net/owner/event_loop.rs
+++ b/crates/sidecar/src/net/owner/event_loop.rs
@@ -6,7 +6,7 @@
 use super::request_table::{OpenRequest, RequestTable, Services};
 use crate::catalog::Catalog;
 use crate::clock::Clock;
-use crate::console::Order;
+use crate::console::MaintenanceOrder;
 use crate::counters::{self, RefusalReason};
 use crate::fleet;
 use crate::handover::record::Words;
@@ -30,7 +30,7 @@
 
 /// The operators' orders, and what the console is notified of.
 pub struct OperatorChannels {
-    pub orders: Receiver<Order>,
+    pub orders: Receiver<MaintenanceOrder>,
     /// What was recorded before this process began.
     pub recorded: Words,
     /// Notified once an endpoint list has arrived.
@@ -39,7 +39,7 @@
 
 /// What the event loop waits for. Operators' orders come before everything else that waits.
 enum Input {
-    Order(Order),
+    Order(MaintenanceOrder),
     Event(Event),
     FleetSize(ReplicaView),
     ZoneTraffic(Vec<ZoneTraffic>),
@@ -170,7 +170,7 @@
         self.skip_idle_sweeps();
     }
 
-    fn operator_order(&mut self, order: Order) {
+    fn operator_order(&mut self, order: MaintenanceOrder) {
         let (now, id) = (self.clock.now(), Id::from(order.server));
         if order.recorded.is_some() {
             self.policy.restore_known_server(&id);
--- a/crates/sidecar/src/net/service.rs
+++ b/crates/sidecar/src/net/service.rs
@@ -144,25 +144,26 @@
     queue: &owner::EventQueue,
     clients: &Rc<ClientSide>,
     executor: &LocalExecutor<'static>,
-) -> (DiscoveryWatch, Option<control::said::Shared>) {
+) -> (DiscoveryWatch, Option<control::status::ControlStatus>) {
     let (move_discovery, control_moves) = async_channel::unbounded();
-    let follower = control::Followed::of(configuration, queue.clone(), clients.clone(), move_discovery);
-    let shared = follower.as_ref().map(|follower| follower.shared.clone());
+    let follower =
+        control::FollowTask::for_sidecar(configuration, queue.clone(), clients.clone(), move_discovery);
+    let status = follower.as_ref().map(|follower| follower.status.clone());
     let channels = WatchChannels { poll, poll_requests, control_moves };
     // What was in force before the restart is so before the first request and the first poll.
     let mut watch = DiscoveryWatch::new(discovery, configuration.discovery, channels);
     if let Some(follower) = follower {
-        executor.spawn(follower.follow()).detach();
+        executor.spawn(follower.run()).detach();
     }
     watch.start(executor);
-    (watch, shared)
+    (watch, status)
 }
 
 /// Opens the console, where the configuration names its address.
 fn open_console(
     configuration: &Configuration,
     fleet: Option<fleet::Door>,
-    control: Option<control::said::Shared>,
+    control: Option<control::status::ControlStatus>,
 ) -> io::Result<ConsoleLink> {
     let serving = Arc::new(AtomicBool::new(false));
     let (orders, ordered) = async_channel::bounded(MAX_WAITING_ORDERS);
