--- a/crates/lab/src/fleet/check.rs
+++ b/crates/lab/src/fleet/check.rs
@@ -1,9 +1,10 @@
-//! A check of the zones' verdicts by trying everything: a few copies of one zone, the program's own `Localities`, and each
+//! A check of the zones' verdicts by trying everything: a few copies of one zone, the program's own `ZoneFailover`, and each
 //! way in which words between them can be lost, late or doubled, a zone be lost and found, a copy stand still or operators
 //! speak, up to a depth. It owns the little world and its invariants; it must never draw by chance.
 
 use landingspread_localities::{
-    About, Host, Localities, Looks, Own, Paces, Peer, Stage, Verdict, read, write,
+    FailoverConfig, Host, OwnObservation, PeerReport, RecoveryTimings, Verdict, ZoneFailover, ZoneHealth,
+    ZoneStage, decode, encode,
 };
 use rayon::iter::{IntoParallelRefIterator, ParallelIterator};
 use std::collections::HashSet;
@@ -28,7 +29,7 @@
 struct Passed(Vec<Verdict>);
 
 impl Host for Passed {
-    fn passed(&mut self, _: &str, verdict: &Verdict, _: &landingspread_localities::Evidence) {
+    fn verdict_issued(&mut self, _: &str, verdict: &Verdict, _: &landingspread_localities::Evidence) {
         self.0.push(*verdict);
     }
 }
@@ -45,7 +46,7 @@
 
 #[derive(Clone, Debug)]
 struct Copy {
-    own: Localities<Passed>,
+    own: ZoneFailover<Passed>,
     /// How the zone away looks to it: when the last answered was sent, and when the last was lost.
     answered: Option<Duration>,
     lost: Option<Duration>,
@@ -106,14 +107,14 @@
 
 impl Copy {
     fn start(id: usize, copies: usize) -> Copy {
-        let about = About {
+        let about = FailoverConfig {
             id: id as u64,
             zone: ZONES[0].into(),
             zones: ZONES.map(String::from).into(),
-            paces: Paces { wait: STEP, step: STEP },
+            timings: RecoveryTimings { min_evacuation: STEP, min_ramp_step: STEP },
         };
         Copy {
-            own: Localities::start(Passed::default(), about),
+            own: ZoneFailover::start(Passed::default(), about),
             answered: None,
             lost: None,
             words: Default::default(),
@@ -122,24 +123,24 @@
         }
     }
 
-    fn looks(&self, now: Duration) -> Looks {
+    fn looks(&self, now: Duration) -> ZoneHealth {
         match (self.lost, self.answered) {
             (Some(lost), answered) if answered.is_none_or(|at| at < lost) => {
-                Looks::Silent { since: now - lost }
+                ZoneHealth::Silent { since: now - lost }
             }
-            (_, Some(at)) => Looks::Answers { sent: now - at, slow: false },
-            _ => Looks::Unknown,
+            (_, Some(at)) => ZoneHealth::Answering { sent_ago: now - at, slow: false },
+            _ => ZoneHealth::Unknown,
         }
     }
 
-    fn stage(&self) -> Stage {
-        self.own.standings().nth(AWAY).map_or(Stage::Whole, |standing| standing.stage)
+    fn stage(&self) -> ZoneStage {
+        self.own.statuses().nth(AWAY).map_or(ZoneStage::InService, |standing| standing.stage)
     }
 
     /// Sends something to the zone away, if it may, and tells how that ended.
     fn send(&mut self, now: Duration, lost: bool) {
-        let share = self.own.shares()[AWAY];
-        if share.share > 0.0 || share.trial.is_some() {
+        let share = self.own.traffic()[AWAY];
+        if share.traffic_fraction > 0.0 || share.trial.is_some() {
             if lost { self.lost = Some(now) } else { self.answered = Some(now) }
         }
     }
@@ -173,7 +174,7 @@
             (self.turns + u8::from(next.turn), self.said + u8::from(next.operators.is_some()));
         self.carry(next);
         if let Some(leave) = next.operators {
-            self.copies[0].own.operators_say(self.now, ZONES[AWAY], leave);
+            self.copies[0].own.operator_command(self.now, ZONES[AWAY], leave);
         }
         let mut wrong = Vec::new();
         for number in 0..self.copies.len() {
@@ -221,36 +222,40 @@
             .collect();
         let times = if variant == Variant::CountedOften { 4 } else { 1 };
         let peers = known.iter().flat_map(|(from, word, age)| {
-            (0..times).map(move |time| Peer {
+            (0..times).map(move |time| PeerReport {
                 id: (from + time * 100) as u64,
                 name: "peer",
                 zone: ZONES[0],
-                said: Some(word.as_slice()),
+                report: Some(word.as_slice()),
                 age: *age,
             })
         });
         let own = [
-            Own { zone: 0, ready: 3, looks: Looks::Answers { sent: Duration::ZERO, slow: false } },
-            Own { zone: AWAY, ready: 3, looks: copy.looks(now) },
+            OwnObservation {
+                zone: 0,
+                ready: 3,
+                health: ZoneHealth::Answering { sent_ago: Duration::ZERO, slow: false },
+            },
+            OwnObservation { zone: AWAY, ready: 3, health: copy.looks(now) },
         ];
         let before = (copy.number, copy.stage());
         copy.own.tick(now, &own, peers);
         let stage = copy.stage();
-        copy.words = [(copy.own.word().to_vec(), now), copy.words[0].clone()];
-        copy.number = copy.own.standings().nth(AWAY).map_or(0, |standing| standing.number);
+        copy.words = [(copy.own.report_bytes().to_vec(), now), copy.words[0].clone()];
+        copy.number = copy.own.statuses().nth(AWAY).map_or(0, |standing| standing.number);
         let passed = std::mem::take(&mut copy.own.host().0);
         let operators = self.said > 0;
         if copy.number < before.0 && !operators {
             wrong.push(format!("c{number} went back from verdict {} to {}", before.0, copy.number));
         }
-        for verdict in passed.iter().filter(|verdict| !verdict.operators) {
+        for verdict in passed.iter().filter(|verdict| !verdict.by_operator) {
             let (saw, all) = (self.saw.count_ones() as usize, self.copies.len());
-            if verdict.stage == Stage::Left && saw < 3.min(all).max(all.div_ceil(2)) {
+            if verdict.stage == ZoneStage::Evacuated && saw < 3.min(all).max(all.div_ceil(2)) {
                 wrong.push(format!("c{number} left the zone, which {saw} copies ever found silent"));
             }
         }
-        let whole = passed.iter().any(|verdict| verdict.stage == Stage::Whole);
-        if before.1 == Stage::Left && stage == Stage::Whole && whole && !operators {
+        let whole = passed.iter().any(|verdict| verdict.stage == ZoneStage::InService);
+        if before.1 == ZoneStage::Evacuated && stage == ZoneStage::InService && whole && !operators {
             wrong.push(format!("c{number} took the zone back at one go"));
         }
     }
@@ -261,10 +266,10 @@
         for _ in 0..CALM {
             calm.pass(PLAIN, variant);
         }
-        let verdicts: Vec<(Stage, u32)> =
+        let verdicts: Vec<(ZoneStage, u32)> =
             calm.copies.iter().map(|copy| (copy.stage(), copy.number)).collect();
         // While steps follow each other one may be a moment ahead of the others.
-        let far = |one: &(Stage, u32), other: &(Stage, u32)| one.1.abs_diff(other.1) > 1;
+        let far = |one: &(ZoneStage, u32), other: &(ZoneStage, u32)| one.1.abs_diff(other.1) > 1;
         let odd = verdicts.iter().any(|one| verdicts.iter().any(|other| far(one, other)));
         odd.then(|| format!("after calm they hold {verdicts:?}"))
     }
@@ -312,7 +317,8 @@
             let played: Vec<_> = part.par_iter().flat_map_iter(next).collect();
             checked.moves += played.len();
             for (digest, state, path, wrong) in played {
-                checked.left += usize::from(state.copies.iter().any(|copy| copy.stage() == Stage::Left));
+                checked.left +=
+                    usize::from(state.copies.iter().any(|copy| copy.stage() == ZoneStage::Evacuated));
                 for wrong in wrong {
                     if checked.broken.len() < TOLD_MOST {
                         let told: Vec<String> = path.iter().map(|number| moves[*number].told()).collect();
@@ -350,11 +356,11 @@
 
 /// A word as it would be if whichever verdict is heard last counted: each has the number after the reader's own.
 fn without_numbers(word: &[u8], own: u32) -> Vec<u8> {
-    let Some(mut said) = read(word) else { return word.to_vec() };
+    let Some(mut said) = decode(word) else { return word.to_vec() };
     for (verdict, _) in &mut said.verdicts {
         verdict.number = own + 1;
     }
-    write(&said)
+    encode(&said)
 }
 
 #[cfg(test)]
--- a/crates/lab/src/fleet/emulated.rs
+++ b/crates/lab/src/fleet/emulated.rs
@@ -5,7 +5,7 @@
 use super::plan::{Fault, FleetPlan, Kind};
 use super::views::{Allowed, Figures, Judge, Look, Set, Truth};
 use super::weather::{Party, Weather};
-use landingspread_membership::{About, Address, Budget, Counted, Host, Member, Membership};
+use landingspread_membership::{Address, Budget, FleetSize, Host, Member, MemberConfig, Membership};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
@@ -103,7 +103,7 @@
     pub bytes_most: f64,
     pub suspicions: u64,
     /// What each copy hands to its decisions at the end.
-    pub counted: Vec<Option<Counted>>,
+    pub counted: Vec<Option<FleetSize>>,
     pub steps: u64,
 }
 
@@ -217,7 +217,7 @@
         let seconds = self.plan.seconds.max(1e-3) * self.copies.len() as f64;
         self.played.datagrams = self.all_sent.0 as f64 / seconds;
         self.played.bytes = self.all_sent.1 as f64 / seconds;
-        let counted = |copy: &Copy| copy.membership.as_ref().map(Membership::counted);
+        let counted = |copy: &Copy| copy.membership.as_ref().map(Membership::fleet_size);
         self.played.counted = self.copies.iter().map(counted).collect();
         self.played.figures = self.judge.close();
         self.played
@@ -248,7 +248,7 @@
                     };
                 }
                 self.copies[copy].waiting = self.copies[copy].waiting.saturating_sub(1);
-                self.with(copy, |membership, now| membership.heard(now, &bytes));
+                self.with(copy, |membership, now| membership.receive(now, &bytes));
             }
             What::Begin(fault) => self.begin(fault),
             What::End(fault) => self.end(fault),
@@ -278,18 +278,18 @@
         let life = here.life;
         let started = self.now.as_millis() as u64;
         let zones = &self.plan.zones;
-        let about = About {
+        let config = MemberConfig {
             address: address_of(copy),
             name: format!("c{copy}"),
             zone: zones[copy % zones.len()].clone(),
             fleet: self.plan.name.clone(),
-            life: if self.ways.clock_back && life > 1 { BEGAN - started } else { BEGAN + started },
+            incarnation: if self.ways.clock_back && life > 1 { BEGAN - started } else { BEGAN + started },
             seeds: (0..3).map(|seed| address_of(seed % self.copies.len())).collect(),
             budget: Budget::default(),
-            configured: self.copies.len() as f64,
+            configured_members: self.copies.len() as f64,
         };
         let seed = self.ways.seed ^ (copy as u64) << 24 ^ u64::from(life) << 56;
-        self.copies[copy].membership = Some(Membership::start(Post::default(), about, seed, self.now));
+        self.copies[copy].membership = Some(Membership::start(Post::default(), config, seed, self.now));
         self.put(self.now, What::Tick(copy, life));
     }
 
@@ -376,7 +376,7 @@
         };
         let view = |(number, copy): (usize, &Copy)| {
             let membership = copy.membership.as_ref()?;
-            let live = membership.members().filter(|member| member.standing().counts());
+            let live = membership.members().filter(|member| member.state().is_live());
             let others = live.filter_map(|member| self.by_address.get(&member.address()).copied());
             Some(Set::of(others.chain([number])))
         };
--- a/crates/lab/src/pickers/fleeted.rs
+++ b/crates/lab/src/pickers/fleeted.rs
@@ -10,8 +10,10 @@
 use landingspread_decisions::policy::Policy;
 use landingspread_decisions::settings::Settings;
 use landingspread_decisions::zones::{ZoneObservation, ZoneTraffic};
-use landingspread_localities::{self as localities, Localities, Looks, Own, Paces, Peer};
-use landingspread_membership::{About, Address, Budget, Host, Membership};
+use landingspread_localities::{
+    self as localities, OwnObservation, PeerReport, RecoveryTimings, ZoneFailover, ZoneHealth,
+};
+use landingspread_membership::{Address, Budget, Host, MemberConfig, Membership};
 use std::time::Duration;
 
 const SEEDS: usize = 3;
@@ -31,7 +33,7 @@
 struct Notes(Hand);
 
 impl localities::Host for Notes {
-    fn passed(&mut self, zone: &str, verdict: &localities::Verdict, _: &localities::Evidence) {
+    fn verdict_issued(&mut self, zone: &str, verdict: &localities::Verdict, _: &localities::Evidence) {
         self.0.note(&format!("mark zone {zone} {}", verdict.stage.name()));
     }
 }
@@ -39,17 +41,17 @@
 pub struct Fleeted {
     policy: Policy<Hand>,
     membership: Membership<Mail>,
-    zones: Option<Localities<Notes>>,
+    zones: Option<ZoneFailover<Notes>>,
     /// What this copy says of zones is made up.
     lies: bool,
     tick_at: Duration,
 }
 
-fn looks(seen: &ZoneObservation) -> Looks {
+fn looks(seen: &ZoneObservation) -> ZoneHealth {
     match (seen.silent, seen.answered) {
-        (Some(since), _) => Looks::Silent { since },
-        (None, Some(sent)) => Looks::Answers { sent, slow: seen.slow },
-        (None, None) => Looks::Unknown,
+        (Some(since), _) => ZoneHealth::Silent { since },
+        (None, Some(sent)) => ZoneHealth::Answering { sent_ago: sent, slow: seen.slow },
+        (None, None) => ZoneHealth::Unknown,
     }
 }
 
@@ -61,62 +63,65 @@
     /// `zones`: whether the fleet leaves any; `lies`: whether a seventh of the copies says of them what is not so.
     pub fn start(hand: Hand, terms: Settings, seed: u64, now: Duration, zones: bool, lies: bool) -> Fleeted {
         let (copy, zone, copies, first) = hand.about();
-        let of_zones = localities::About {
+        let of_zones = localities::FailoverConfig {
             id: copy as u64,
             zone: zone.clone(),
             zones: hand.zones(),
-            paces: Paces::default(),
+            timings: RecoveryTimings::default(),
         };
-        let zones = zones.then(|| Localities::start(Notes(hand.clone()), of_zones));
+        let zones = zones.then(|| ZoneFailover::start(Notes(hand.clone()), of_zones));
         let lies = lies && copy % LIARS_EACH == 0;
-        let about = About {
+        let config = MemberConfig {
             address: address_of(copy),
             name: format!("n{copy}"),
             zone,
             fleet: format!("tier {}", terms.tier),
-            life: BEGAN + now.as_millis() as u64,
+            incarnation: BEGAN + now.as_millis() as u64,
             seeds: (first..first + copies.min(SEEDS)).map(address_of).collect(),
             budget: Budget::default(),
-            configured: terms.replicas,
+            configured_members: terms.replicas,
         };
-        let membership = Membership::start(Mail(hand.clone()), about, seed ^ 0x6d65_6d62, now);
+        let membership = Membership::start(Mail(hand.clone()), config, seed ^ 0x6d65_6d62, now);
         Fleeted { policy: Policy::start(hand, terms, seed, now), membership, zones, lies, tick_at: now }
     }
 
     fn tick_zones(&mut self, now: Duration) {
         let Some(zones) = &mut self.zones else { return };
         let seen = self.policy.zone_observations(now);
-        let own =
-            |seen: &ZoneObservation| Own { zone: seen.zone as usize, ready: seen.ready, looks: looks(seen) };
-        let mut own: Vec<Own> = seen.iter().map(own).collect();
+        let own = |seen: &ZoneObservation| OwnObservation {
+            zone: seen.zone as usize,
+            ready: seen.ready,
+            health: looks(seen),
+        };
+        let mut own: Vec<OwnObservation> = seen.iter().map(own).collect();
         for own in own.iter_mut().filter(|_| self.lies) {
             // Now silent, now not, for a second or so at a time.
             let lie =
                 (now.as_millis() as u64 / 700 + own.zone as u64 * 5 + id_of(self.membership.address())) % 3;
-            own.looks = match lie {
-                0 => own.looks,
-                _ => Looks::Silent { since: Duration::ZERO },
+            own.health = match lie {
+                0 => own.health,
+                _ => ZoneHealth::Silent { since: Duration::ZERO },
             };
         }
-        let live = self.membership.members().filter(|member| member.standing().counts());
-        let news = zones.tick(
+        let live = self.membership.members().filter(|member| member.state().is_live());
+        let urgent = zones.tick(
             now,
             &own,
-            live.map(|member| Peer {
+            live.map(|member| PeerReport {
                 id: id_of(member.address()),
                 name: member.name(),
                 zone: member.zone(),
-                said: member.said().map(|(said, _)| said),
-                age: member.said().map_or(Duration::ZERO, |(_, at)| now.saturating_sub(at)),
+                report: member.payload().map(|(report, _)| report),
+                age: member.payload().map_or(Duration::ZERO, |(_, at)| now.saturating_sub(at)),
             }),
         );
-        self.membership.say(zones.word(), news);
-        let share = |share: localities::Share| ZoneTraffic {
-            zone: share.zone as u32,
-            fraction: share.share,
-            trial: share.trial,
+        self.membership.set_payload(zones.report_bytes(), urgent);
+        let share = |traffic: localities::ZoneTraffic| ZoneTraffic {
+            zone: traffic.zone as u32,
+            fraction: traffic.traffic_fraction,
+            trial: traffic.trial,
         };
-        let shares: Vec<ZoneTraffic> = zones.shares().into_iter().map(share).collect();
+        let shares: Vec<ZoneTraffic> = zones.traffic().into_iter().map(share).collect();
         self.policy.zone_traffic_changed(now, &shares);
     }
 }
@@ -156,16 +161,16 @@
 
     fn timer_fired(&mut self, now: Duration) {
         if self.tick_at <= now {
-            self.tick_at = now + Membership::<Mail>::TICK;
-            self.membership.traffic(self.policy.request_rate());
+            self.tick_at = now + Membership::<Mail>::TICK_INTERVAL;
+            self.membership.set_traffic(self.policy.request_rate());
             self.tick_zones(now);
             self.membership.tick(now);
-            let counted = self.membership.counted();
+            let size = self.membership.fleet_size();
             let copies = ReplicaView {
-                count: counted.copies,
-                max_alive: counted.may_live,
-                ordinal: counted.place().map(u32::from),
-                mean_request_rate: counted.traffic,
+                count: size.members,
+                max_alive: size.possibly_live,
+                ordinal: size.ordinal().map(u32::from),
+                mean_request_rate: size.mean_traffic,
             };
             self.policy.replicas_changed(now, &copies);
         }
@@ -177,6 +182,6 @@
     }
 
     fn datagram_came(&mut self, now: Duration, bytes: &[u8]) {
-        self.membership.heard(now, bytes);
+        self.membership.receive(now, bytes);
     }
 }
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -104,9 +104,9 @@
     let (_, took) = &played.figures.agreed_after[0];
     assert!(*took <= 4.0, "{took}");
     let places: std::collections::BTreeSet<Option<u16>> =
-        played.counted.iter().map(|counted| counted.and_then(|counted| counted.place())).collect();
+        played.counted.iter().map(|counted| counted.and_then(|counted| counted.ordinal())).collect();
     assert_eq!(places.len(), 200, "each has a place of its own");
-    assert!(played.counted.iter().flatten().all(|counted| (counted.copies - 200.0).abs() < 1e-9));
+    assert!(played.counted.iter().flatten().all(|counted| (counted.members - 200.0).abs() < 1e-9));
 }
 
 #[test]
--- a/crates/localities/src/lib.rs
+++ b/crates/localities/src/lib.rs
@@ -5,12 +5,14 @@
 //! Everything here is a function of what each member last said of itself: `words.rs` has its bytes, `rule.rs` what it comes
 //! to, `localities.rs` the course of time. Why it is so stands in `docs/zones-design.md`.
 
-mod localities;
-mod rule;
+mod evidence;
+mod report;
 mod verdict;
-mod words;
+mod zone_failover;
 
-pub use localities::{About, Host, Localities, Own, Paces, Peer, Share, Standing};
-pub use rule::{Evidence, Tally};
-pub use verdict::{Stage, Verdict, newer};
-pub use words::{Looks, MOST as WORD_MOST, Said, ZoneWord, read, write, zone_id};
+pub use evidence::{Evidence, Tally};
+pub use report::{MAX_REPORT_BYTES, ZoneHealth, ZoneObservation, ZoneReport, decode, encode, zone_id};
+pub use verdict::{Verdict, ZoneStage, supersedes};
+pub use zone_failover::{
+    FailoverConfig, Host, OwnObservation, PeerReport, RecoveryTimings, ZoneFailover, ZoneStatus, ZoneTraffic,
+};
--- a/crates/localities/src/verdict.rs
+++ b/crates/localities/src/verdict.rs
@@ -3,58 +3,63 @@
 
 /// How far a zone is in use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum ZoneStage {
     /// As ever.
-    Whole,
+    InService,
     /// Nothing goes there but trials in turn.
-    Left,
+    Evacuated,
     /// On the way back, from 1 on.
-    Step(u8),
+    Recovering(u8),
 }
 
-impl Stage {
+impl ZoneStage {
     /// What a zone gets at each step, of what it would get.
-    const STEPS: [f64; 2] = [0.2, 0.5];
+    const RAMP_FRACTIONS: [f64; 2] = [0.2, 0.5];
 
-    pub fn share(self) -> f64 {
+    pub fn traffic_fraction(self) -> f64 {
         match self {
-            Stage::Whole => 1.0,
-            Stage::Left => 0.0,
-            Stage::Step(step) => Stage::STEPS[usize::from(step.max(1) - 1).min(Stage::STEPS.len() - 1)],
+            ZoneStage::InService => 1.0,
+            ZoneStage::Evacuated => 0.0,
+            ZoneStage::Recovering(step) => {
+                ZoneStage::RAMP_FRACTIONS
+                    [usize::from(step.max(1) - 1).min(ZoneStage::RAMP_FRACTIONS.len() - 1)]
+            }
         }
     }
 
-    pub fn next(self) -> Stage {
+    pub fn next(self) -> ZoneStage {
         match self {
-            Stage::Whole => Stage::Whole,
-            Stage::Left => Stage::Step(1),
-            Stage::Step(step) if usize::from(step) < Stage::STEPS.len() => Stage::Step(step + 1),
-            Stage::Step(_) => Stage::Whole,
+            ZoneStage::InService => ZoneStage::InService,
+            ZoneStage::Evacuated => ZoneStage::Recovering(1),
+            ZoneStage::Recovering(step) if usize::from(step) < ZoneStage::RAMP_FRACTIONS.len() => {
+                ZoneStage::Recovering(step + 1)
+            }
+            ZoneStage::Recovering(_) => ZoneStage::InService,
         }
     }
 
     pub(crate) fn code(self) -> u8 {
         match self {
-            Stage::Whole => 0,
-            Stage::Left => 15,
-            Stage::Step(step) => step,
+            ZoneStage::InService => 0,
+            ZoneStage::Evacuated => 15,
+            ZoneStage::Recovering(step) => step,
         }
     }
 
-    pub(crate) fn of_code(code: u8) -> Option<Stage> {
+    pub(crate) fn from_code(code: u8) -> Option<ZoneStage> {
         match code {
-            0 => Some(Stage::Whole),
-            15 => Some(Stage::Left),
-            step if usize::from(step) <= Stage::STEPS.len() => Some(Stage::Step(step)),
+            0 => Some(ZoneStage::InService),
+            15 => Some(ZoneStage::Evacuated),
+            step if usize::from(step) <= ZoneStage::RAMP_FRACTIONS.len() => Some(ZoneStage::Recovering(step)),
             _ => None,
         }
     }
 
     pub fn name(self) -> &'static str {
         match self {
-            Stage::Whole => "whole",
-            Stage::Left => "left",
-            Stage::Step(_) => "returning",
+            ZoneStage::InService => "whole",
+            ZoneStage::Evacuated => "left",
+            ZoneStage::Recovering(_) => "returning",
         }
     }
 }
@@ -65,26 +70,26 @@
     pub zone: u32,
     /// The first has 1.
     pub number: u32,
-    pub stage: Stage,
-    pub operators: bool,
+    pub stage: ZoneStage,
+    pub by_operator: bool,
     /// How many times it has been left within the span in which that counts.
-    pub departures: u8,
+    pub evacuations: u8,
 }
 
 impl Verdict {
     fn order(&self) -> (u32, u8, u8) {
-        (self.number, self.stage.code(), self.departures)
+        (self.number, self.stage.code(), self.evacuations)
     }
 }
 
 /// Whether the one goes before the other. Of two with one number, passed by copies that did not hear of each other, the one
 /// that sends less there does: everybody decides so, whichever came first.
-pub fn newer(one: &Verdict, known: &Verdict) -> bool {
+pub fn supersedes(one: &Verdict, known: &Verdict) -> bool {
     let cautious = |verdict: &Verdict| match verdict.stage {
-        Stage::Whole => (verdict.number, 0, verdict.departures),
+        ZoneStage::InService => (verdict.number, 0, verdict.evacuations),
         // A lesser step is the more cautious one.
-        Stage::Step(step) => (verdict.number, 15 - step, verdict.departures),
-        Stage::Left => verdict.order(),
+        ZoneStage::Recovering(step) => (verdict.number, 15 - step, verdict.evacuations),
+        ZoneStage::Evacuated => verdict.order(),
     };
     cautious(one) > cautious(known)
 }
@@ -95,26 +100,29 @@
 
     #[test]
     fn of_one_number_the_more_cautious_goes_first_and_any_order_comes_to_the_same() {
-        let of = |number, stage, departures| Verdict { zone: 1, number, stage, operators: false, departures };
+        let of =
+            |number, stage, evacuations| Verdict { zone: 1, number, stage, by_operator: false, evacuations };
         let all = [
-            of(1, Stage::Left, 1),
-            of(2, Stage::Whole, 1),
-            of(2, Stage::Step(2), 1),
-            of(2, Stage::Step(1), 1),
-            of(2, Stage::Left, 1),
-            of(2, Stage::Left, 2),
-            of(3, Stage::Whole, 2),
+            of(1, ZoneStage::Evacuated, 1),
+            of(2, ZoneStage::InService, 1),
+            of(2, ZoneStage::Recovering(2), 1),
+            of(2, ZoneStage::Recovering(1), 1),
+            of(2, ZoneStage::Evacuated, 1),
+            of(2, ZoneStage::Evacuated, 2),
+            of(3, ZoneStage::InService, 2),
         ];
         for (low, one) in all.iter().enumerate() {
-            assert!(!newer(one, one));
-            all[low + 1..].iter().for_each(|other| assert!(newer(other, one) && !newer(one, other)));
+            assert!(!supersedes(one, one));
+            all[low + 1..]
+                .iter()
+                .for_each(|other| assert!(supersedes(other, one) && !supersedes(one, other)));
         }
-        let mut stage = Stage::Left;
-        let mut shares = vec![stage.share()];
-        while stage != Stage::Whole {
+        let mut stage = ZoneStage::Evacuated;
+        let mut traffic = vec![stage.traffic_fraction()];
+        while stage != ZoneStage::InService {
             stage = stage.next();
-            shares.push(stage.share());
+            traffic.push(stage.traffic_fraction());
         }
-        assert_eq!(shares, [0.0, 0.2, 0.5, 1.0]);
+        assert_eq!(traffic, [0.0, 0.2, 0.5, 1.0]);
     }
 }
--- a/crates/localities/tests/pins.rs
+++ b/crates/localities/tests/pins.rs
@@ -2,8 +2,8 @@
 //! LANDINGSPREAD_WRITE_FIXTURES=1 writes those anew.
 
 use landingspread_localities::{
-    About, Evidence, Host, Localities, Looks, Own, Paces, Peer, Said, Stage, Verdict, WORD_MOST, ZoneWord,
-    read, write, zone_id,
+    Evidence, FailoverConfig, Host, MAX_REPORT_BYTES, OwnObservation, PeerReport, RecoveryTimings, Verdict,
+    ZoneFailover, ZoneHealth, ZoneObservation, ZoneReport, ZoneStage, decode, encode, zone_id,
 };
 use std::fmt::Write;
 use std::time::Duration;
@@ -25,43 +25,46 @@
 #[test]
 fn zone_words_are_the_bytes_of_the_fixture_and_are_read_to_the_same_values() {
     let ms = Duration::from_millis;
-    let looks = [
-        Looks::Unknown,
-        Looks::Answers { sent: ms(40), slow: false },
-        Looks::Answers { sent: ms(5100), slow: true },
-        Looks::Silent { since: ms(2000) },
+    let health = [
+        ZoneHealth::Unknown,
+        ZoneHealth::Answering { sent_ago: ms(40), slow: false },
+        ZoneHealth::Answering { sent_ago: ms(5100), slow: true },
+        ZoneHealth::Silent { since: ms(2000) },
     ];
-    let stages = [Stage::Whole, Stage::Left, Stage::Step(1), Stage::Step(2)];
-    let mut all = vec![Said::default(), Said { cut_off: true, ..Said::default() }];
-    for (number, looks) in looks.into_iter().enumerate() {
-        let looks = vec![ZoneWord { zone: zone_id(&format!("zone-{number}")), looks }];
-        all.push(Said { looks, ..Said::default() });
+    let stages =
+        [ZoneStage::InService, ZoneStage::Evacuated, ZoneStage::Recovering(1), ZoneStage::Recovering(2)];
+    let mut all = vec![ZoneReport::default(), ZoneReport { isolated: true, ..ZoneReport::default() }];
+    for (number, health) in health.into_iter().enumerate() {
+        let observations = vec![ZoneObservation { zone: zone_id(&format!("zone-{number}")), health }];
+        all.push(ZoneReport { observations, ..ZoneReport::default() });
     }
     for stage in stages {
-        for operators in [false, true] {
+        for by_operator in [false, true] {
             let verdict =
-                Verdict { zone: zone_id("b"), number: 0x0102_0304, stage, operators, departures: 3 };
-            all.push(Said { verdicts: vec![(verdict, ms(1230))], ..Said::default() });
+                Verdict { zone: zone_id("b"), number: 0x0102_0304, stage, by_operator, evacuations: 3 };
+            all.push(ZoneReport { verdicts: vec![(verdict, ms(1230))], ..ZoneReport::default() });
         }
     }
-    let mut text = format!("at most {WORD_MOST} bytes\n");
-    for said in all {
-        let bytes = write(&said);
-        assert_eq!(read(&bytes), Some(said));
+    let mut text = format!("at most {MAX_REPORT_BYTES} bytes\n");
+    for report in all {
+        let bytes = encode(&report);
+        assert_eq!(decode(&bytes), Some(report));
         writeln!(text, "{}", hex(&bytes)).expect("text");
     }
     // What is past the bounds is left out or clipped.
-    let many = Said {
-        cut_off: true,
-        looks: (0..20).map(|zone| ZoneWord { zone, looks: Looks::Silent { since: ms(60_000) } }).collect(),
+    let many = ZoneReport {
+        isolated: true,
+        observations: (0..20)
+            .map(|zone| ZoneObservation { zone, health: ZoneHealth::Silent { since: ms(60_000) } })
+            .collect(),
         verdicts: (0..20)
             .map(|zone| {
-                let stage = Stage::Left;
-                (Verdict { zone, number: 1, stage, operators: true, departures: 255 }, ms(9_000_000))
+                let stage = ZoneStage::Evacuated;
+                (Verdict { zone, number: 1, stage, by_operator: true, evacuations: 255 }, ms(9_000_000))
             })
             .collect(),
     };
-    writeln!(text, "{}", hex(&write(&many))).expect("text");
+    writeln!(text, "{}", hex(&encode(&many))).expect("text");
     compare("words.txt", &text);
 }
 
@@ -69,21 +72,21 @@
 struct Log(Vec<String>);
 
 fn verdict_text(verdict: &Verdict) -> String {
-    let Verdict { zone, number, stage, operators, departures } = verdict;
-    format!("{zone:08x} {number} {} {} {operators} {departures}", stage.name(), stage.share())
+    let Verdict { zone, number, stage, by_operator, evacuations } = verdict;
+    format!("{zone:08x} {number} {} {} {by_operator} {evacuations}", stage.name(), stage.traffic_fraction())
 }
 
 fn evidence_text(evidence: &Evidence) -> String {
-    let (near, all) = (evidence.near, evidence.all);
-    let near = (near.answered, near.slow, near.silent);
-    format!("{near:?} {:?} {}", (all.answered, all.slow, all.silent), evidence.silent_from)
+    let (same_zone, all) = (evidence.same_zone, evidence.all);
+    let same_zone = (same_zone.answered, same_zone.slow, same_zone.silent);
+    format!("{same_zone:?} {:?} {}", (all.answered, all.slow, all.silent), evidence.silent_zones)
 }
 
 impl Host for Log {
-    fn passed(&mut self, zone: &str, verdict: &Verdict, evidence: &Evidence) {
+    fn verdict_issued(&mut self, zone: &str, verdict: &Verdict, evidence: &Evidence) {
         self.0.push(format!("passed {zone} {} by {}", verdict_text(verdict), evidence_text(evidence)));
     }
-    fn heard(&mut self, zone: &str, verdict: &Verdict, by: &str) {
+    fn verdict_adopted(&mut self, zone: &str, verdict: &Verdict, by: &str) {
         self.0.push(format!("heard {zone} {} by {by}", verdict_text(verdict)));
     }
 }
@@ -114,67 +117,71 @@
 
 fn run() -> String {
     let ms = Duration::from_millis;
-    let about = |copy: usize| About {
+    let config = |copy: usize| FailoverConfig {
         id: copy as u64 * 1000 + 7,
         zone: ZONES[copy % 3].into(),
         zones: ZONES.map(String::from).to_vec(),
-        paces: Paces::default(),
+        timings: RecoveryTimings::default(),
     };
-    let mut copies: Vec<_> = (0..COPIES).map(|copy| Localities::start(Log::default(), about(copy))).collect();
+    let mut copies: Vec<_> =
+        (0..COPIES).map(|copy| ZoneFailover::start(Log::default(), config(copy))).collect();
     let mut words: Vec<Vec<u8>> = vec![Vec::new(); COPIES];
-    let mut seen = [[(Looks::Unknown, 0); 3]; COPIES];
+    let mut seen = [[(ZoneHealth::Unknown, 0); 3]; COPIES];
     let (mut text, mut digest) = (String::new(), 0xcbf2_9ce4_8422_2325);
     for at in (0..END_MS).step_by(TICK_MS as usize) {
         let now = ms(START_MS + at);
         let before = words.clone();
         for (number, copy) in copies.iter_mut().enumerate() {
             match (at, number) {
-                (36_000, 4) => assert!(copy.operators_say(now, "a", true)),
-                (40_000, 5) => assert!(copy.operators_say(now, "a", false)),
+                (36_000, 4) => assert!(copy.operator_command(now, "a", true)),
+                (40_000, 5) => assert!(copy.operator_command(now, "a", false)),
                 _ => {}
             }
-            let shares = copy.shares();
-            let own: Vec<Own> = (0..3)
+            let traffic = copy.traffic();
+            let own: Vec<OwnObservation> = (0..3)
                 .map(|zone| {
-                    if shares[zone].share > 0.0 || shares[zone].trial.is_some() {
+                    if traffic[zone].traffic_fraction > 0.0 || traffic[zone].trial.is_some() {
                         let slow = (at / 1000 + number as u64).is_multiple_of(11);
-                        let looks = match answers(at, number, zone) {
-                            true => Looks::Answers { sent: Duration::ZERO, slow },
-                            false => Looks::Silent { since: Duration::ZERO },
+                        let health = match answers(at, number, zone) {
+                            true => ZoneHealth::Answering { sent_ago: Duration::ZERO, slow },
+                            false => ZoneHealth::Silent { since: Duration::ZERO },
                         };
-                        seen[number][zone] = (looks, at);
+                        seen[number][zone] = (health, at);
                     }
-                    let (looks, since) = seen[number][zone];
-                    let looks = match looks {
-                        Looks::Unknown => Looks::Unknown,
-                        Looks::Answers { slow, .. } => Looks::Answers { sent: ms(at - since), slow },
-                        Looks::Silent { .. } => Looks::Silent { since: ms(at - since) },
+                    let (health, since) = seen[number][zone];
+                    let health = match health {
+                        ZoneHealth::Unknown => ZoneHealth::Unknown,
+                        ZoneHealth::Answering { slow, .. } => {
+                            ZoneHealth::Answering { sent_ago: ms(at - since), slow }
+                        }
+                        ZoneHealth::Silent { .. } => ZoneHealth::Silent { since: ms(at - since) },
                     };
-                    Own { zone, ready: 2, looks }
+                    OwnObservation { zone, ready: 2, health }
                 })
                 .collect();
-            let peers = (0..COPIES).filter(|other| *other != number).map(|other| Peer {
+            let peers = (0..COPIES).filter(|other| *other != number).map(|other| PeerReport {
                 id: other as u64 * 1000 + 7,
                 name: ["p0", "p1", "p2"][other / 3],
                 zone: ZONES[other % 3],
-                said: Some(before[other].as_slice()).filter(|word| !word.is_empty()),
+                report: Some(before[other].as_slice()).filter(|report_bytes| !report_bytes.is_empty()),
                 age: ms(TICK_MS),
             });
             let news = copy.tick(now, &own, peers);
-            words[number] = copy.word().to_vec();
-            digest = digested(digest, copy.word());
+            words[number] = copy.report_bytes().to_vec();
+            digest = digested(digest, copy.report_bytes());
             if !at.is_multiple_of(1000) {
                 continue;
             }
-            write!(text, "{at} {number} {news} {} {digest:016x}", copy.cut_off()).expect("text");
-            for (standing, share) in copy.standings().zip(copy.shares()) {
+            write!(text, "{at} {number} {news} {} {digest:016x}", copy.isolated()).expect("text");
+            for (standing, traffic_fraction) in copy.statuses().zip(copy.traffic()) {
                 let (stage, evidence) = (standing.stage.name(), evidence_text(&standing.evidence));
-                let (verdict, departures) = (standing.number, standing.departures);
-                let (operators, since, trial) = (standing.operators, standing.since, share.trial);
-                let share = share.share;
+                let (verdict, evacuations) = (standing.number, standing.evacuations);
+                let (by_operator, since, trial) =
+                    (standing.by_operator, standing.since, traffic_fraction.trial);
+                let traffic_fraction = traffic_fraction.traffic_fraction;
                 write!(
                     text,
-                    "; {stage} {verdict} {departures} {operators} {since:?} {share} {trial:?} {evidence}"
+                    "; {stage} {verdict} {evacuations} {by_operator} {since:?} {traffic_fraction} {trial:?} {evidence}"
                 )
                 .expect("text");
             }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -5,17 +5,17 @@
 //! After SWIM (Das, Gupta, Motivala, DSN 2002) and Lifeguard (Dadgar, Phillips, Currey, 2018); where it departs from
 //! them, and why, stands in `docs/fleet-design.md`.
 
-mod books;
 mod budget;
-mod counted;
+mod fleet_size;
+mod member;
+mod member_table;
 mod membership;
-mod places;
+mod ordinals;
 mod probes;
 mod wire;
-mod word;
 
 pub use budget::Budget;
-pub use counted::Counted;
-pub use membership::{About, Host, Membership, Spent};
-pub use wire::{MAGIC, MOST as MESSAGE_MOST, SAID_MOST, Unread, as_later, reads};
-pub use word::{Address, Member, NAME_MOST, Standing};
+pub use fleet_size::FleetSize;
+pub use member::{Address, MAX_NAME_BYTES, Member, MemberState};
+pub use membership::{Counters, Host, MemberConfig, Membership};
+pub use wire::{MAGIC, MAX_MESSAGE_BYTES, MAX_PAYLOAD_BYTES, MessageError, as_newer_version, is_well_formed};
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -7,148 +7,153 @@
 //! An accuser declares it dead once three accuse it (or all who can be heard, where they are fewer) and half a second
 //! has brought no such word. A copy that hears nobody tells nobody what it thinks of them.
 
-use crate::books::{Books, Digests};
-use crate::budget::Purse;
-use crate::counted::{Count, Counted};
-use crate::places;
-use crate::probes::{Probe, Prober, Probes};
-use crate::wire::{self, Head, Kind, Reader, Unread, Writer};
-use crate::word::{Address, Member, Said, Standing, Word};
+use crate::budget::SendBudget;
+use crate::fleet_size::{FleetSize, FleetSizeEstimator};
+use crate::member::{Address, Announcement, Member, MemberState, Payload};
+use crate::member_table::{Digests, MemberTable};
+use crate::ordinals;
+use crate::probes::{Probe, ProbeSender, ProbeTracker};
+use crate::wire::{self, EntryVisitor, Header, MessageError, MessageKind, MessageWriter};
 use rand::seq::index::sample;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-mod hearing;
+mod dissemination;
 mod host;
 mod probing;
-mod telling;
+mod receive;
 
-pub use host::{About, Host, Spent};
+pub use host::{Counters, Host, MemberConfig};
 
-use hearing::Heard;
+use receive::EntryHandler;
 
 /// What is told of a life has 48 bits; an epoch, which has as many, grows by no more than this in one message.
-const LIFE_MOST: u64 = 0xffff_ffff_ffff;
-const EPOCHS_AT_ONCE: u64 = 1 << 32;
-const PERIOD: Duration = Duration::from_millis(250);
-const HELPERS: usize = 3;
+const MAX_INCARNATION: u64 = 0xffff_ffff_ffff;
+const MAX_EPOCH_ADVANCE: u64 = 1 << 32;
+const PROTOCOL_PERIOD: Duration = Duration::from_millis(250);
+const INDIRECT_PROBES: usize = 3;
 /// So many have to accuse a member before it is declared dead.
-const AGREE: usize = 3;
+const DEATH_QUORUM: usize = 3;
 /// So many of all who hear an accusation look for themselves, on average.
-const LOOK_TOO: f64 = 3.0;
+const EXPECTED_VERIFIERS: f64 = 3.0;
 /// Who has not been heard for so long counts for no agreement.
-const HEARD_WITHIN: Duration = Duration::from_secs(1);
+const CONTACT_TIMEOUT: Duration = Duration::from_secs(1);
 /// One who is declared dead has so long from the first doubt, for its own word to come.
-const GRACE: Duration = Duration::from_millis(400);
+const REFUTATION_GRACE: Duration = Duration::from_millis(400);
 /// Views that differed are brought together for so long after the last sign of it.
-const DIFFER_FOR: Duration = Duration::from_millis(500);
+const ANTI_ENTROPY_DURATION: Duration = Duration::from_millis(500);
 /// Members that are away, and seeds, are looked for this often.
-const FAR_EVERY: Duration = Duration::from_millis(500);
-const LEAVE_TO: usize = 12;
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(500);
+const LEAVE_FANOUT: usize = 12;
 /// A tick that comes so much later than the last shows that this copy was held up.
-const LATE: Duration = Duration::from_millis(150);
-const DOUBT_MOST: u32 = 4;
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(150);
+const MAX_HEALTH_PENALTY: u32 = 4;
 /// So long after its start a copy takes a place.
-const SETTLED: Duration = Duration::from_millis(1500);
-const COUNT_EVERY: Duration = Duration::from_millis(250);
+const ORDINAL_DELAY: Duration = Duration::from_millis(1500);
+const FLEET_SIZE_INTERVAL: Duration = Duration::from_millis(250);
 /// Words of traffic older than this are not counted.
-const TRAFFIC_FOR: Duration = Duration::from_secs(60);
+const TRAFFIC_REPORT_TTL: Duration = Duration::from_secs(60);
 /// As long a dead member may be alive beyond a cut, and send to a cold server.
-const MAY_LIVE: Duration = Duration::from_secs(30);
+const POSSIBLY_LIVE_FOR: Duration = Duration::from_secs(30);
 
 pub struct Membership<H: Host> {
     host: H,
     fleet: Box<str>,
-    own: Word,
+    own: Announcement,
     /// Its own word beside, and how many times it is still told at once.
-    said: Said,
-    said_tells: u32,
+    payload: Payload,
+    payload_transmissions_left: u32,
     seeds: Vec<Address>,
-    books: Books,
-    chance: ChaCha8Rng,
-    purse: Purse,
-    probes: Probes,
+    members: MemberTable,
+    rng: ChaCha8Rng,
+    send_budget: SendBudget,
+    probes: ProbeTracker,
     epoch: u64,
-    began: Duration,
+    started_at: Duration,
     now: Duration,
-    ticked: Duration,
-    probe_at: Duration,
-    press_at: Duration,
-    news_at: Duration,
-    far_at: Duration,
-    count_at: Duration,
-    differ_until: Duration,
+    last_tick: Duration,
+    next_probe_at: Duration,
+    next_suspect_ping_at: Duration,
+    next_gossip_at: Duration,
+    next_reconnect_at: Duration,
+    next_size_update_at: Duration,
+    views_differ_until: Duration,
     /// The last epoch that anybody was declared dead in: who affirmed it since is alive, whatever was declared.
-    disputed: u64,
+    last_death_epoch: u64,
     /// Members still to be asked in this round.
-    round: Vec<Address>,
+    probe_round: Vec<Address>,
     /// Since when this copy accuses whom it accuses.
-    accusing: Vec<(Address, Duration)>,
+    own_suspicions: Vec<(Address, Duration)>,
     /// How far it doubts itself: it was held up, or accused who was alive.
-    doubt: u32,
-    count: Count,
+    health_penalty: u32,
+    size_estimator: FleetSizeEstimator,
     /// Copies by the configuration: as many may live, whatever is heard.
-    configured: f64,
-    counted: Counted,
-    spent: Spent,
-    refused: u64,
-    heard_by_any: bool,
+    configured_members: f64,
+    fleet_size: FleetSize,
+    counters: Counters,
+    rejected_members: u64,
+    any_member_heard: bool,
 }
 
 impl<H: Host> Membership<H> {
     /// How often `tick` is to be called.
-    pub const TICK: Duration = Duration::from_millis(50);
-
-    pub fn start(host: H, about: About, seed: u64, now: Duration) -> Membership<H> {
-        let own = Word {
-            address: about.address,
-            life: about.life.min(LIFE_MOST),
-            beat: 0,
-            affirmed: 1,
-            traffic: 0,
-            place: places::NONE,
+    pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
+
+    pub fn start(host: H, config: MemberConfig, seed: u64, now: Duration) -> Membership<H> {
+        let own = Announcement {
+            address: config.address,
+            incarnation: config.incarnation.min(MAX_INCARNATION),
+            sequence: 0,
+            affirmed_epoch: 1,
+            traffic_tenths: 0,
+            ordinal: ordinals::UNASSIGNED,
             left: false,
-            gone: false,
-            name: wire::clipped(&about.name).into(),
-            zone: wire::clipped(&about.zone).into(),
+            considered_dead: false,
+            name: wire::truncated_name(&config.name).into(),
+            zone: wire::truncated_name(&config.zone).into(),
         };
-        let seeds = about.seeds.into_iter().filter(|seed| *seed != about.address).collect();
-        let mut chance = ChaCha8Rng::seed_from_u64(seed);
+        let seeds = config.seeds.into_iter().filter(|seed| *seed != config.address).collect();
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
         // Copies that start together must not ask together for ever.
-        let first = PERIOD.mul_f64(chance.random());
-        let (copies, may_live) = (about.configured, about.configured);
+        let first = PROTOCOL_PERIOD.mul_f64(rng.random());
+        let (copies, possibly_live) = (config.configured_members, config.configured_members);
         Membership {
             host,
-            fleet: about.fleet.into(),
+            fleet: config.fleet.into(),
             own,
-            said: Said::default(),
-            said_tells: 0,
+            payload: Payload::default(),
+            payload_transmissions_left: 0,
             seeds,
-            books: Books::default(),
-            chance,
-            purse: Purse::new(about.budget, now),
-            probes: Probes::default(),
+            members: MemberTable::default(),
+            rng,
+            send_budget: SendBudget::new(config.budget, now),
+            probes: ProbeTracker::default(),
             epoch: 1,
-            began: now,
+            started_at: now,
             now,
-            ticked: now,
-            probe_at: now + first,
-            press_at: now,
-            news_at: now,
-            far_at: now,
-            count_at: now,
-            differ_until: now,
-            disputed: 0,
-            round: Vec::new(),
-            accusing: Vec::new(),
-            doubt: 0,
-            count: Count::new(about.configured, now),
-            configured: about.configured,
-            counted: Counted { copies, may_live, place: places::NONE, traffic: None },
-            spent: Spent::default(),
-            refused: 0,
-            heard_by_any: false,
+            last_tick: now,
+            next_probe_at: now + first,
+            next_suspect_ping_at: now,
+            next_gossip_at: now,
+            next_reconnect_at: now,
+            next_size_update_at: now,
+            views_differ_until: now,
+            last_death_epoch: 0,
+            probe_round: Vec::new(),
+            own_suspicions: Vec::new(),
+            health_penalty: 0,
+            size_estimator: FleetSizeEstimator::new(config.configured_members, now),
+            configured_members: config.configured_members,
+            fleet_size: FleetSize {
+                members: copies,
+                possibly_live,
+                ordinal: ordinals::UNASSIGNED,
+                mean_traffic: None,
+            },
+            counters: Counters::default(),
+            rejected_members: 0,
+            any_member_heard: false,
         }
     }
 
@@ -164,43 +169,43 @@
 
     /// All other members that are known, those that are away among them.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
-        self.books.all()
+        self.members.all()
     }
 
     /// How many count, this copy among them.
-    pub fn live(&self) -> usize {
-        self.books.live().len() + usize::from(!self.own.left)
+    pub fn live_count(&self) -> usize {
+        self.members.live().len() + usize::from(!self.own.left)
     }
 
     /// Two copies that count the same members have the same digest.
     pub fn digest(&self) -> u64 {
-        self.digests().whole()
+        self.digests().combined()
     }
 
     fn digests(&self) -> Digests {
-        let mut digests = self.books.digests().clone();
+        let mut digests = self.members.digests().clone();
         if !self.own.left {
-            digests.turn(&self.own);
+            digests.toggle(&self.own);
         }
         digests
     }
 
-    pub fn counted(&self) -> Counted {
-        self.counted
+    pub fn fleet_size(&self) -> FleetSize {
+        self.fleet_size
     }
 
-    pub fn spent(&self) -> Spent {
-        self.spent
+    pub fn counters(&self) -> Counters {
+        self.counters
     }
 
     /// How far this copy doubts itself, from 0 to 4.
-    pub fn doubt(&self) -> u32 {
-        self.doubt
+    pub fn health_penalty(&self) -> u32 {
+        self.health_penalty
     }
 
     /// Whether anybody was heard lately.
-    pub fn hears_anybody(&self) -> bool {
-        self.books.live_members().any(|member| self.reaches(member))
+    pub fn has_recent_contact(&self) -> bool {
+        self.members.live_members().any(|member| self.is_reachable(member))
     }
 
     pub fn host(&mut self) -> &mut H {
@@ -210,20 +215,20 @@
     // What happens
 
     /// Commands a second that come to this copy.
-    pub fn traffic(&mut self, per_s: f64) {
-        self.own.traffic = (per_s * 10.0).clamp(0.0, 65535.0) as u16;
+    pub fn set_traffic(&mut self, per_s: f64) {
+        self.own.traffic_tenths = (per_s * 10.0).clamp(0.0, 65535.0) as u16;
     }
 
     /// What else this copy says, at most 200 bytes: it goes with all that it sends, and others pass it on; at once where it
     /// presses. Each replaces the one before; no bytes say nothing.
-    pub fn say(&mut self, bytes: &[u8], presses: bool) {
-        let bytes = &bytes[..bytes.len().min(wire::SAID_MOST)];
-        if *self.said.bytes == *bytes && !presses {
+    pub fn set_payload(&mut self, bytes: &[u8], urgent: bool) {
+        let bytes = &bytes[..bytes.len().min(wire::MAX_PAYLOAD_BYTES)];
+        if *self.payload.bytes == *bytes && !urgent {
             return;
         }
-        self.said = Said { number: self.said.number.wrapping_add(1), presses, bytes: bytes.into() };
-        if presses {
-            self.said_tells = self.books.times_told();
+        self.payload = Payload { version: self.payload.version.wrapping_add(1), urgent, bytes: bytes.into() };
+        if urgent {
+            self.payload_transmissions_left = self.members.transmission_limit();
         }
     }
 
@@ -231,221 +236,232 @@
     pub fn leave(&mut self, now: Duration) {
         self.now = now;
         self.own.left = true;
-        let to: Vec<Address> = self.some_live(LEAVE_TO, None);
-        to.into_iter().for_each(|to| self.send(to, Kind::News, 0, None, false));
+        let to: Vec<Address> = self.random_live(LEAVE_FANOUT, None);
+        to.into_iter().for_each(|to| self.send(to, MessageKind::Gossip, 0, None, false));
     }
 
-    pub fn heard(&mut self, now: Duration, bytes: &[u8]) {
+    pub fn receive(&mut self, now: Duration, bytes: &[u8]) {
         self.now = now;
-        let (head, entries) = match wire::head(bytes, &self.fleet) {
+        let (header, entries) = match wire::decode_header(bytes, &self.fleet) {
             Ok(read) => read,
-            Err(Unread::Strange) => return self.spent.strange += 1,
-            Err(Unread::Later) => return self.spent.later += 1,
+            Err(MessageError::Unrecognized) => return self.counters.unrecognized += 1,
+            Err(MessageError::NewerVersion) => return self.counters.newer_version += 1,
         };
-        let Some((word, rest)) = wire::sender(entries) else {
-            return self.spent.strange += 1;
+        let Some((announcement, rest)) = wire::decode_sender(entries) else {
+            return self.counters.unrecognized += 1;
         };
-        let from = word.address;
+        let from = announcement.address;
         if from == self.own.address {
             // Its own, come back; or another process's under its address.
-            return self.own_word(&word);
+            return self.receive_own_announcement(&announcement);
         }
-        if !self.believes(head.epoch) || !self.believes(word.affirmed) {
-            return self.spent.strange += 1;
+        if !self.accepts_epoch(header.epoch) || !self.accepts_epoch(announcement.affirmed_epoch) {
+            return self.counters.unrecognized += 1;
         }
-        self.epoch = self.epoch.max(head.epoch);
-        if head.digest != self.digest() {
-            self.differ_until = now + DIFFER_FOR;
+        self.epoch = self.epoch.max(header.epoch);
+        if header.digest != self.digest() {
+            self.views_differ_until = now + ANTI_ENTROPY_DURATION;
         }
-        let known = self.books.slot(from).is_some_and(|slot| self.books.get(slot).standing.counts());
-        self.take(word, true);
-        let mut heard = Heard { of: self, subject: None, parts: Vec::new() };
-        if wire::entries(rest, &mut heard).is_none() {
-            heard.of.spent.strange += 1;
+        let known = self.members.slot(from).is_some_and(|slot| self.members.get(slot).state.is_live());
+        self.receive_announcement(announcement, true);
+        let mut handler = EntryHandler { membership: self, subject: None, partitions: Vec::new() };
+        if wire::decode_entries(rest, &mut handler).is_none() {
+            handler.membership.counters.unrecognized += 1;
         }
-        let (subject, parts) = (heard.subject, std::mem::take(&mut heard.parts));
-        if !parts.is_empty() && self.purse.spares(now) {
-            self.tell_parts(from, &parts);
+        let (subject, partitions) = (handler.subject, std::mem::take(&mut handler.partitions));
+        if !partitions.is_empty() && self.send_budget.can_spare_datagram(now) {
+            self.send_partitions(from, &partitions);
         }
-        match (head.kind, subject) {
-            (Kind::Ping, _) => self.send(from, Kind::Ack, head.number, None, !known),
-            (Kind::Ack, subject) => self.answered(head.number, subject.unwrap_or(from)),
-            (Kind::Ask, Some(subject)) => self.look_for(from, head.number, subject),
+        match (header.kind, subject) {
+            (MessageKind::Ping, _) => self.send(from, MessageKind::Ack, header.probe_number, None, !known),
+            (MessageKind::Ack, subject) => self.handle_ack(header.probe_number, subject.unwrap_or(from)),
+            (MessageKind::PingReq, Some(subject)) => self.handle_ping_req(from, header.probe_number, subject),
             // Its helper does not reach the subject, but answers: the fault is not this copy's own.
-            (Kind::Nack, _) => self.doubt = self.doubt.saturating_sub(1),
-            (Kind::Ask, None) | (Kind::News, _) => {}
+            (MessageKind::Nack, _) => self.health_penalty = self.health_penalty.saturating_sub(1),
+            (MessageKind::PingReq, None) | (MessageKind::Gossip, _) => {}
         }
     }
 
     pub fn tick(&mut self, now: Duration) {
-        let (before, late) = (self.ticked, now.saturating_sub(self.ticked + Self::TICK));
-        (self.now, self.ticked) = (now, now);
-        if late > LATE {
+        let (before, late) = (self.last_tick, now.saturating_sub(self.last_tick + Self::TICK_INTERVAL));
+        (self.now, self.last_tick) = (now, now);
+        if late > PAUSE_THRESHOLD {
             // Whoever was silent meanwhile may have spoken.
-            self.probes.shift(before, late);
-            self.books.shift(before, late);
-            let held = self.accusing.iter_mut().filter(|(_, since)| *since <= before);
-            held.for_each(|(_, since)| *since += late);
-            self.doubt = (self.doubt + 1).min(DOUBT_MOST);
+            self.probes.exclude_pause(before, late);
+            self.members.exclude_pause(before, late);
+            let suspicions = self.own_suspicions.iter_mut().filter(|(_, since)| *since <= before);
+            suspicions.for_each(|(_, since)| *since += late);
+            self.health_penalty = (self.health_penalty + 1).min(MAX_HEALTH_PENALTY);
         }
         if self.own.left {
             return;
         }
-        let patience = 1 + self.doubt + self.probes.slowness();
-        for probe in self.probes.given_up(now, patience) {
-            self.not_answered(&probe);
+        let patience = 1 + self.health_penalty + self.probes.latency_factor();
+        for probe in self.probes.take_expired(now, patience) {
+            self.probe_failed(&probe);
         }
         let mut probes = std::mem::take(&mut self.probes);
-        probes.go_on(now, patience, self);
+        probes.send_due(now, patience, self);
         self.probes = probes;
-        self.judge();
-        if self.probe_at <= now {
-            self.probe_at = now + PERIOD;
-            self.probe_some();
+        self.advance_suspicions();
+        if self.next_probe_at <= now {
+            self.next_probe_at = now + PROTOCOL_PERIOD;
+            self.probe_members();
         }
-        self.tell_news();
-        if self.far_at <= now {
-            self.far_at = now + FAR_EVERY;
-            self.look_far();
-            self.books.forget_old(now);
+        self.send_gossip();
+        if self.next_reconnect_at <= now {
+            self.next_reconnect_at = now + RECONNECT_INTERVAL;
+            self.reconnect();
+            self.members.forget_absent(now);
         }
-        if self.count_at <= now {
-            self.count_at = now + COUNT_EVERY;
-            self.recount();
+        if self.next_size_update_at <= now {
+            self.next_size_update_at = now + FLEET_SIZE_INTERVAL;
+            self.update_fleet_size();
         }
-        self.counted.copies = self.count.bring(now, self.count_live());
+        self.fleet_size.members = self.size_estimator.advance(now, self.live_estimate());
     }
 
     // What is known
 
     /// Until anybody was heard, what is configured holds.
-    fn count_live(&self) -> f64 {
-        if self.heard_by_any { self.live() as f64 } else { self.counted.copies }
+    fn live_estimate(&self) -> f64 {
+        if self.any_member_heard { self.live_count() as f64 } else { self.fleet_size.members }
     }
 
-    fn recount(&mut self) {
+    fn update_fleet_size(&mut self) {
         let now = self.now;
         // Before the view has filled its rank would be another's.
-        if self.began + SETTLED <= now {
-            let (own, chance) =
-                ((self.own.life, self.own.address), self.chance.random_range(0..places::CHOICES));
-            self.own.place = places::choose(own, self.own.place, self.books.live_members(), chance);
-            self.counted.place = self.own.place;
+        if self.started_at + ORDINAL_DELAY <= now {
+            let (own, rng) = (
+                (self.own.incarnation, self.own.address),
+                self.rng.random_range(0..ordinals::ORDINAL_CANDIDATES),
+            );
+            self.own.ordinal = ordinals::choose(own, self.own.ordinal, self.members.live_members(), rng);
+            self.fleet_size.ordinal = self.own.ordinal;
         }
-        if !self.heard_by_any {
+        if !self.any_member_heard {
             return;
         }
-        let gone = self.books.away().iter().map(|slot| self.books.get(*slot));
-        let may_live =
-            gone.filter(|member| member.standing == Standing::Dead && member.since + MAY_LIVE > now);
+        let considered_dead = self.members.absent().iter().map(|slot| self.members.get(*slot));
+        let possibly_live = considered_dead.filter(|member| {
+            member.state == MemberState::Dead && member.state_since + POSSIBLY_LIVE_FOR > now
+        });
         // One that hears nobody for long is no fleet of its own: others may be cut off as it is.
-        self.counted.may_live = ((self.live() + may_live.count()) as f64).max(self.configured);
-        let said = self.books.live_members().filter(|member| member.heard + TRAFFIC_FOR > now);
+        self.fleet_size.possibly_live =
+            ((self.live_count() + possibly_live.count()) as f64).max(self.configured_members);
+        let reporting =
+            self.members.live_members().filter(|member| member.last_heard + TRAFFIC_REPORT_TTL > now);
         let (sum, count) =
-            said.fold((0.0, 0.0), |(sum, count), member| (sum + member.traffic(), count + 1.0));
-        let own = f64::from(self.own.traffic) / 10.0;
-        self.counted.traffic = (count > 0.0).then(|| (sum + own) / (count + 1.0));
+            reporting.fold((0.0, 0.0), |(sum, count), member| (sum + member.commands_per_s(), count + 1.0));
+        let own = f64::from(self.own.traffic_tenths) / 10.0;
+        self.fleet_size.mean_traffic = (count > 0.0).then(|| (sum + own) / (count + 1.0));
     }
 
     /// No fleet comes so far within one message; a word that says so would be believed for ever.
-    fn believes(&self, epoch: u64) -> bool {
-        epoch <= self.epoch + EPOCHS_AT_ONCE
+    fn accepts_epoch(&self, epoch: u64) -> bool {
+        epoch <= self.epoch + MAX_EPOCH_ADVANCE
     }
 
-    fn own_word(&mut self, word: &Word) {
-        if (word.life, word.beat) <= (self.own.life, self.own.beat) {
+    fn receive_own_announcement(&mut self, announcement: &Announcement) {
+        if (announcement.incarnation, announcement.sequence) <= (self.own.incarnation, self.own.sequence) {
             return;
         }
         // Another process had the address, with a clock ahead of this one's.
-        (self.own.life, self.own.beat) = ((word.life + 1).min(LIFE_MOST), 0);
-        self.host.taken_for_dead();
+        (self.own.incarnation, self.own.sequence) = ((announcement.incarnation + 1).min(MAX_INCARNATION), 0);
+        self.host.presumed_dead();
     }
 
-    fn take(&mut self, word: Word, direct: bool) {
-        let (address, now) = (word.address, self.now);
+    fn receive_announcement(&mut self, announcement: Announcement, direct: bool) {
+        let (address, now) = (announcement.address, self.now);
         if address == self.own.address {
-            return self.own_word(&word);
+            return self.receive_own_announcement(&announcement);
         }
-        if !self.believes(word.affirmed) {
+        if !self.accepts_epoch(announcement.affirmed_epoch) {
             return;
         }
-        self.epoch = self.epoch.max(word.affirmed);
-        self.heard_by_any = true;
-        let Some(slot) = self.books.slot(address) else {
-            return self.take_new(word, direct);
+        self.epoch = self.epoch.max(announcement.affirmed_epoch);
+        self.any_member_heard = true;
+        let Some(slot) = self.members.slot(address) else {
+            return self.add_member(announcement, direct);
         };
-        let life = self.books.get(slot).life();
+        let incarnation = self.members.get(slot).incarnation();
         if direct {
-            self.books.get_mut(slot).direct = Some(now);
+            self.members.get_mut(slot).last_direct = Some(now);
         }
-        let changed = self.books.change(slot, now, GRACE, |member| member.takes(word, now));
+        let changed = self
+            .members
+            .update(slot, now, REFUTATION_GRACE, |member| member.merge_announcement(announcement, now));
         let Some((before, after)) = changed else { return };
-        self.told_of(slot, before, after);
-        if self.books.get(slot).life() != life && after.counts() {
-            self.books.tell_on(slot);
+        self.state_changed(slot, before, after);
+        if self.members.get(slot).incarnation() != incarnation && after.is_live() {
+            self.members.enqueue_gossip(slot);
             if before == after {
-                self.host.returned(self.books.get(slot));
+                self.host.returned(self.members.get(slot));
             }
         }
     }
 
-    fn take_new(&mut self, word: Word, direct: bool) {
-        let (now, counts) = (self.now, !word.left && !word.gone);
-        let Some(slot) = self.books.add(word, now) else {
-            self.refused += 1;
-            if self.refused.is_power_of_two() {
-                self.host.full(self.refused as usize);
+    fn add_member(&mut self, announcement: Announcement, direct: bool) {
+        let (now, is_live) = (self.now, !announcement.left && !announcement.considered_dead);
+        let Some(slot) = self.members.add(announcement, now) else {
+            self.rejected_members += 1;
+            if self.rejected_members.is_power_of_two() {
+                self.host.table_full(self.rejected_members as usize);
             }
             return;
         };
         if direct {
-            self.books.get_mut(slot).direct = Some(now);
+            self.members.get_mut(slot).last_direct = Some(now);
         }
-        if counts {
-            self.books.tell_on(slot);
-            let member = self.books.get(slot);
+        if is_live {
+            self.members.enqueue_gossip(slot);
+            let member = self.members.get(slot);
             self.host.joined(member);
-            let twin = self.books.live_members().find(|other| {
+            let twin = self.members.live_members().find(|other| {
                 other.name() == member.name()
                     && !other.name().is_empty()
                     && other.address() != member.address()
             });
-            twin.into_iter().for_each(|twin| self.host.twins(twin, member));
+            twin.into_iter().for_each(|twin| self.host.duplicate_name(twin, member));
         }
     }
 
     /// What is told on and to whom it matters, after a member's standing may have changed.
-    fn told_of(&mut self, slot: usize, before: Standing, after: Standing) {
+    fn state_changed(&mut self, slot: usize, before: MemberState, after: MemberState) {
         if before == after {
             return;
         }
-        self.books.tell_on(slot);
-        let member = self.books.get(slot);
+        self.members.enqueue_gossip(slot);
+        let member = self.members.get(slot);
         match (before, after) {
-            (_, Standing::Suspect) => self.host.suspected(member),
-            (Standing::Suspect, Standing::Alive) => self.host.refuted(member),
-            (_, Standing::Alive) => self.host.returned(member),
-            (_, Standing::Dead) => self.host.died(member, !member.alone),
-            (_, Standing::Left) => {
+            (_, MemberState::Suspect) => self.host.suspected(member),
+            (MemberState::Suspect, MemberState::Alive) => self.host.refuted(member),
+            (_, MemberState::Alive) => self.host.returned(member),
+            (_, MemberState::Dead) => self.host.died(member, !member.local_only),
+            (_, MemberState::Left) => {
                 self.host.left(member);
-                self.count.one_left();
+                self.size_estimator.member_left();
             }
         }
     }
 
     /// Whether a member can be counted on to answer.
-    fn reaches(&self, member: &Member) -> bool {
-        let heard = member.direct.is_some_and(|at| at + HEARD_WITHIN > self.now);
-        heard && member.standing == Standing::Alive
+    fn is_reachable(&self, member: &Member) -> bool {
+        let recently_heard = member.last_direct.is_some_and(|at| at + CONTACT_TIMEOUT > self.now);
+        recently_heard && member.state == MemberState::Alive
     }
 
     /// How many can be counted on, up to the number that has to agree.
-    fn reached(&self) -> usize {
-        self.books.live_members().filter(|member| self.reaches(member)).take(AGREE).count()
+    fn reachable_count(&self) -> usize {
+        self.members.live_members().filter(|member| self.is_reachable(member)).take(DEATH_QUORUM).count()
     }
 
     /// The chance with which one who hears an accusation looks for itself: where few are left, all have to.
-    fn look_too(&self) -> f64 {
-        if self.reached() < AGREE { 1.0 } else { LOOK_TOO / self.books.live().len() as f64 }
+    fn verification_chance(&self) -> f64 {
+        if self.reachable_count() < DEATH_QUORUM {
+            1.0
+        } else {
+            EXPECTED_VERIFIERS / self.members.live().len() as f64
+        }
     }
 }
--- a/crates/membership/src/membership/probing.rs
+++ b/crates/membership/src/membership/probing.rs
@@ -2,173 +2,180 @@
 
 use super::*;
 
-const TURNS_MORE: usize = 3;
-const TURNS_EACH: usize = 8;
+const MAX_EXTRA_PROBES: usize = 3;
+const SUSPICIONS_PER_EXTRA_PROBE: usize = 8;
 /// An accuser goes on asking this often, and declares nobody dead before the second time is over.
-const PRESS: Duration = Duration::from_millis(100);
+const SUSPECT_PING_INTERVAL: Duration = Duration::from_millis(100);
 /// So many of those that it accuses at a time.
-const PRESS_MOST: usize = 3;
-const SUSPECT_LEAST: Duration = Duration::from_millis(500);
+const MAX_SUSPECT_PINGS: usize = 3;
+const SUSPICION_TIMEOUT: Duration = Duration::from_millis(500);
 /// Those whose accusers have declared nothing for so long may be cut off from them: others look for themselves.
-const ORPHANED: Duration = Duration::from_secs(1);
+const SUSPICION_ORPHANED_AFTER: Duration = Duration::from_secs(1);
 /// A copy that hears nobody takes those it doesn't reach for dead after this time, for itself alone.
-const SUSPECT_ALONE: Duration = Duration::from_secs(4);
+const ISOLATED_SUSPICION_TIMEOUT: Duration = Duration::from_secs(4);
 
 impl<H: Host> Membership<H> {
-    pub(super) fn probe_some(&mut self) {
-        let next = self.books.after(self.own.address).map(|slot| self.books.get(slot).address());
-        if self.round.is_empty() {
-            self.round = self.books.live_members().map(Member::address).collect();
+    pub(super) fn probe_members(&mut self) {
+        let next =
+            self.members.next_alive_after(self.own.address).map(|slot| self.members.get(slot).address());
+        if self.probe_round.is_empty() {
+            self.probe_round = self.members.live_members().map(Member::address).collect();
         }
         // Where several are gone at once, more of the others are looked at.
-        let more = self.accusing.len().min(TURNS_MORE) + self.accusing.len() / TURNS_EACH;
-        let turns = (1 + more).min(self.round.len());
-        let in_turn: Vec<Address> = (0..turns)
+        let more = self.own_suspicions.len().min(MAX_EXTRA_PROBES)
+            + self.own_suspicions.len() / SUSPICIONS_PER_EXTRA_PROBE;
+        let probe_count = (1 + more).min(self.probe_round.len());
+        let random_targets: Vec<Address> = (0..probe_count)
             .map(|_| {
-                let at = self.chance.random_range(0..self.round.len());
-                self.round.swap_remove(at)
+                let at = self.rng.random_range(0..self.probe_round.len());
+                self.probe_round.swap_remove(at)
             })
             .collect();
-        for target in next.into_iter().chain(in_turn.into_iter().filter(|target| Some(*target) != next)) {
-            let slot = self.books.slot(target);
-            let counts = slot.is_some_and(|slot| self.books.get(slot).standing.counts());
-            if counts && !self.accuses(target) {
+        for target in
+            next.into_iter().chain(random_targets.into_iter().filter(|target| Some(*target) != next))
+        {
+            let slot = self.members.slot(target);
+            let is_live = slot.is_some_and(|slot| self.members.get(slot).state.is_live());
+            if is_live && !self.is_suspecting(target) {
                 self.probe(target, None);
             }
         }
     }
 
-    pub(super) fn accuses(&self, target: Address) -> bool {
-        self.accusing.iter().any(|(accused, _)| *accused == target)
+    pub(super) fn is_suspecting(&self, target: Address) -> bool {
+        self.own_suspicions.iter().any(|(suspected, _)| *suspected == target)
     }
 
-    pub(super) fn probe(&mut self, target: Address, behalf: Option<(Address, u32)>) {
-        if let Some(number) = self.probes.begin(target, self.now, behalf) {
-            self.send(target, Kind::Ping, number, None, false);
+    pub(super) fn probe(&mut self, target: Address, requester: Option<(Address, u32)>) {
+        if let Some(number) = self.probes.start(target, self.now, requester) {
+            self.send(target, MessageKind::Ping, number, None, false);
         }
     }
 
-    pub(super) fn look_for(&mut self, asker: Address, number: u32, subject: Address) {
+    pub(super) fn handle_ping_req(&mut self, asker: Address, number: u32, subject: Address) {
         if subject == self.own.address {
-            return self.send(asker, Kind::Ack, number, None, false);
+            return self.send(asker, MessageKind::Ack, number, None, false);
         }
-        if self.books.slot(subject).is_some() {
+        if self.members.slot(subject).is_some() {
             self.probe(subject, Some((asker, number)));
         }
     }
 
-    pub(super) fn answered(&mut self, number: u32, target: Address) {
-        let Some(probe) = self.probes.answered(number, target, self.now) else { return };
-        self.doubt = self.doubt.saturating_sub(1);
-        if let Some((asker, number)) = probe.behalf {
-            self.send(asker, Kind::Ack, number, Some(target), false);
+    pub(super) fn handle_ack(&mut self, number: u32, target: Address) {
+        let Some(probe) = self.probes.acknowledge(number, target, self.now) else { return };
+        self.health_penalty = self.health_penalty.saturating_sub(1);
+        if let Some((asker, number)) = probe.requester {
+            self.send(asker, MessageKind::Ack, number, Some(target), false);
         }
     }
 
-    pub(super) fn not_answered(&mut self, probe: &Probe) {
-        if let Some((asker, number)) = probe.behalf {
-            self.send(asker, Kind::Nack, number, Some(probe.target), false);
+    pub(super) fn probe_failed(&mut self, probe: &Probe) {
+        if let Some((asker, number)) = probe.requester {
+            self.send(asker, MessageKind::Nack, number, Some(probe.target), false);
         }
-        let Some(slot) = self.books.slot(probe.target) else { return };
-        let member = self.books.get(slot);
-        let enough = member.accusing() >= AGREE && member.since + ORPHANED > self.now;
-        if !member.standing.counts() || enough || self.accuses(probe.target) {
+        let Some(slot) = self.members.slot(probe.target) else { return };
+        let member = self.members.get(slot);
+        let enough = member.suspector_count() >= DEATH_QUORUM
+            && member.state_since + SUSPICION_ORPHANED_AFTER > self.now;
+        if !member.state.is_live() || enough || self.is_suspecting(probe.target) {
             return;
         }
         // The accusation is later than all that its word was said in, as far as is known here.
         self.epoch += 1;
         let (epoch, own, now) = (self.epoch, self.own.address, self.now);
-        self.accusing.push((probe.target, now));
-        self.accuse(slot, epoch, own);
+        self.own_suspicions.push((probe.target, now));
+        self.record_suspicion(slot, epoch, own);
     }
 
-    pub(super) fn accuse(&mut self, slot: usize, epoch: u64, accuser: Address) {
-        let life = self.books.get(slot).life();
-        let change = |member: &mut Member| member.accused(life, epoch, accuser);
-        let Some((before, after)) = self.books.change(slot, self.now, GRACE, change) else { return };
-        self.told_of(slot, before, after);
-        self.books.tell_on(slot);
+    pub(super) fn record_suspicion(&mut self, slot: usize, epoch: u64, suspector: Address) {
+        let incarnation = self.members.get(slot).incarnation();
+        let update = |member: &mut Member| member.merge_suspicion(incarnation, epoch, suspector);
+        let Some((before, after)) = self.members.update(slot, self.now, REFUTATION_GRACE, update) else {
+            return;
+        };
+        self.state_changed(slot, before, after);
+        self.members.enqueue_gossip(slot);
     }
 
     /// What becomes of those that are suspected.
-    pub(super) fn judge(&mut self) {
+    pub(super) fn advance_suspicions(&mut self) {
         let now = self.now;
-        let press = self.press_at <= now;
-        if press {
-            self.press_at = now + PRESS;
+        let ping_due = self.next_suspect_ping_at <= now;
+        if ping_due {
+            self.next_suspect_ping_at = now + SUSPECT_PING_INTERVAL;
         }
-        let still = |(target, _): &(Address, Duration)| {
-            let member = self.books.slot(*target).map(|slot| self.books.get(slot));
-            member.is_some_and(|member| member.accusers.contains_key(&self.own.address))
+        let still_suspected = |(target, _): &(Address, Duration)| {
+            let member = self.members.slot(*target).map(|slot| self.members.get(slot));
+            member.is_some_and(|member| member.suspectors.contains_key(&self.own.address))
         };
-        let mut accusing = std::mem::take(&mut self.accusing);
-        let before = accusing.len();
-        accusing.retain(still);
-        if accusing.len() < before {
+        let mut own_suspicions = std::mem::take(&mut self.own_suspicions);
+        let before = own_suspicions.len();
+        own_suspicions.retain(still_suspected);
+        if own_suspicions.len() < before {
             // Whom it did not reach was there.
-            self.doubt = (self.doubt + 1).min(DOUBT_MOST);
+            self.health_penalty = (self.health_penalty + 1).min(MAX_HEALTH_PENALTY);
         }
-        accusing.retain(|(target, _)| {
-            let slot = self.books.slot(*target);
-            slot.is_some_and(|slot| self.books.get(slot).standing == Standing::Suspect)
+        own_suspicions.retain(|(target, _)| {
+            let slot = self.members.slot(*target);
+            slot.is_some_and(|slot| self.members.get(slot).state == MemberState::Suspect)
         });
-        let reached = self.reached();
-        let needed = AGREE.min(1 + reached);
-        let mut pressed = 0;
-        if press && accusing.len() > PRESS_MOST {
+        let reachable = self.reachable_count();
+        let needed = DEATH_QUORUM.min(1 + reachable);
+        let mut pings_sent = 0;
+        if ping_due && own_suspicions.len() > MAX_SUSPECT_PINGS {
             // Each has its turn.
-            accusing.rotate_left(PRESS_MOST);
+            own_suspicions.rotate_left(MAX_SUSPECT_PINGS);
         }
-        for (target, since) in &accusing {
-            let Some(slot) = self.books.slot(*target) else { continue };
-            let agreed = self.books.get(slot).accusing() >= needed;
-            let least = SUSPECT_LEAST * (1 + self.doubt.min(1) + self.probes.slowness());
-            if reached > 0 && agreed && *since + least <= now {
-                self.declare(slot, false);
-            } else if reached == 0 && *since + SUSPECT_ALONE <= now {
-                self.declare(slot, true);
-            } else if press && pressed < PRESS_MOST {
-                pressed += 1;
-                self.send(*target, Kind::Ping, 0, None, false);
+        for (target, since) in &own_suspicions {
+            let Some(slot) = self.members.slot(*target) else { continue };
+            let agreed = self.members.get(slot).suspector_count() >= needed;
+            let minimum = SUSPICION_TIMEOUT * (1 + self.health_penalty.min(1) + self.probes.latency_factor());
+            if reachable > 0 && agreed && *since + minimum <= now {
+                self.declare_dead(slot, false);
+            } else if reachable == 0 && *since + ISOLATED_SUSPICION_TIMEOUT <= now {
+                self.declare_dead(slot, true);
+            } else if ping_due && pings_sent < MAX_SUSPECT_PINGS {
+                pings_sent += 1;
+                self.send(*target, MessageKind::Ping, 0, None, false);
             }
         }
-        self.accusing = accusing;
-        let chance = self.look_too();
-        for slot in self.books.suspects().to_vec() {
-            let member = self.books.get(slot);
-            let (target, orphaned) = (member.address(), member.since + ORPHANED <= now);
-            if orphaned && press && !self.accuses(target) && self.chance.random::<f64>() < chance {
+        self.own_suspicions = own_suspicions;
+        let chance = self.verification_chance();
+        for slot in self.members.suspects().to_vec() {
+            let member = self.members.get(slot);
+            let (target, orphaned) = (member.address(), member.state_since + SUSPICION_ORPHANED_AFTER <= now);
+            if orphaned && ping_due && !self.is_suspecting(target) && self.rng.random::<f64>() < chance {
                 self.probe(target, None);
             }
-            let changed = self.books.change(slot, now, GRACE, |_| true);
-            changed.into_iter().for_each(|(before, after)| self.told_of(slot, before, after));
+            let changed = self.members.update(slot, now, REFUTATION_GRACE, |_| true);
+            changed.into_iter().for_each(|(before, after)| self.state_changed(slot, before, after));
         }
     }
 
-    pub(super) fn declare(&mut self, slot: usize, alone: bool) {
-        let member = self.books.get(slot);
-        let (life, own) = (member.life(), self.own.address);
-        let Some(epoch) = member.accusers.get(&own).copied() else { return };
-        let change = |member: &mut Member| member.declared(life as u16, epoch, alone);
-        self.disputed = self.disputed.max(epoch);
-        let changed = self.books.change(slot, self.now, GRACE, change);
-        changed.into_iter().for_each(|(before, after)| self.told_of(slot, before, after));
+    pub(super) fn declare_dead(&mut self, slot: usize, local_only: bool) {
+        let member = self.members.get(slot);
+        let (incarnation, own) = (member.incarnation(), self.own.address);
+        let Some(epoch) = member.suspectors.get(&own).copied() else { return };
+        let update = |member: &mut Member| member.merge_death(incarnation as u16, epoch, local_only);
+        self.last_death_epoch = self.last_death_epoch.max(epoch);
+        let changed = self.members.update(slot, self.now, REFUTATION_GRACE, update);
+        changed.into_iter().for_each(|(before, after)| self.state_changed(slot, before, after));
     }
 }
 
-impl<H: Host> Prober for Membership<H> {
-    fn ping(&mut self, target: Address, number: u32) {
-        self.send(target, Kind::Ping, number, None, false);
+impl<H: Host> ProbeSender for Membership<H> {
+    fn send_ping(&mut self, target: Address, number: u32) {
+        self.send(target, MessageKind::Ping, number, None, false);
     }
 
-    fn ask_others(&mut self, target: Address, number: u32) {
+    fn send_indirect(&mut self, target: Address, number: u32) {
         // Whom others accuse already they do not reach either.
-        let member = self.books.slot(target).map(|slot| self.books.get(slot));
-        if member.is_some_and(|member| member.accusing() >= AGREE) {
+        let member = self.members.slot(target).map(|slot| self.members.get(slot));
+        if member.is_some_and(|member| member.suspector_count() >= DEATH_QUORUM) {
             return;
         }
-        for helper in self.some_live(HELPERS, Some(target)) {
-            self.send(helper, Kind::Ask, number, Some(target), false);
+        for helper in self.random_live(INDIRECT_PROBES, Some(target)) {
+            self.send(helper, MessageKind::PingReq, number, Some(target), false);
         }
     }
 }
--- a/crates/membership/tests/few.rs
+++ b/crates/membership/tests/small_fleets.rs
@@ -1,13 +1,13 @@
 //! What a few copies do, message by message, without any world around them.
 
-use landingspread_membership::{About, Address, Budget, Host, Member, Membership, Standing};
+use landingspread_membership::{Address, Budget, Host, Member, MemberConfig, MemberState, Membership};
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
 #[derive(Default)]
 struct Post {
     out: Vec<(Address, Vec<u8>)>,
-    said: Vec<String>,
+    events: Vec<String>,
 }
 
 impl Host for Post {
@@ -15,22 +15,22 @@
         self.out.push((to, bytes.to_vec()));
     }
     fn joined(&mut self, member: &Member) {
-        self.said.push(format!("joined {}", member.name()));
+        self.events.push(format!("joined {}", member.name()));
     }
     fn died(&mut self, member: &Member, agreed: bool) {
-        self.said.push(format!("died {} {agreed}", member.name()));
+        self.events.push(format!("died {} {agreed}", member.name()));
     }
     fn returned(&mut self, member: &Member) {
-        self.said.push(format!("back {}", member.name()));
+        self.events.push(format!("back {}", member.name()));
     }
-    fn twins(&mut self, one: &Member, _: &Member) {
-        self.said.push(format!("twins {}", one.name()));
+    fn duplicate_name(&mut self, one: &Member, _: &Member) {
+        self.events.push(format!("twins {}", one.name()));
     }
-    fn taken_for_dead(&mut self) {
-        self.said.push("taken for dead".into());
+    fn presumed_dead(&mut self) {
+        self.events.push("taken for dead".into());
     }
-    fn full(&mut self, refused: usize) {
-        self.said.push(format!("full {refused}"));
+    fn table_full(&mut self, refused: usize) {
+        self.events.push(format!("full {refused}"));
     }
 }
 
@@ -42,18 +42,18 @@
     Address::new(Ipv4Addr::from(0x0a00_0000 + number), 7000)
 }
 
-fn copy(number: u32, name: &str, life: u64, fleet: &str) -> Membership<Post> {
-    let about = About {
+fn copy(number: u32, name: &str, incarnation: u64, fleet: &str) -> Membership<Post> {
+    let about = MemberConfig {
         address: address(number),
         name: name.into(),
         zone: "a".into(),
         fleet: fleet.into(),
-        life,
+        incarnation,
         seeds: vec![address(1)],
         budget: Budget::default(),
-        configured: 3.0,
+        configured_members: 3.0,
     };
-    Membership::start(Post::default(), about, life ^ u64::from(number), ms(0))
+    Membership::start(Post::default(), about, incarnation ^ u64::from(number), ms(0))
 }
 
 /// Lets time pass for all, and carries what they send; `lost` says what does not arrive.
@@ -65,7 +65,7 @@
                 let sender = copies[number].address();
                 for (to, bytes) in std::mem::take(&mut copies[number].host().out) {
                     let heard = |copy: &&mut Membership<Post>| copy.address() == to && !lost(sender, to);
-                    copies.iter_mut().filter(heard).for_each(|copy| copy.heard(ms(at), &bytes));
+                    copies.iter_mut().filter(heard).for_each(|copy| copy.receive(ms(at), &bytes));
                 }
             }
         }
@@ -76,30 +76,30 @@
     false
 }
 
-fn standing(copy: &Membership<Post>, number: u32) -> Option<Standing> {
-    copy.members().find(|member| member.address() == address(number)).map(Member::standing)
+fn state(copy: &Membership<Post>, number: u32) -> Option<MemberState> {
+    copy.members().find(|member| member.address() == address(number)).map(Member::state)
 }
 
 #[test]
 fn a_fleet_of_one_goes_by_what_is_configured() {
     let mut alone = [copy(1, "c1", 10, "f")];
     pass(&mut alone, 0, 5000, never);
-    assert_eq!((alone[0].live(), alone[0].counted().copies), (1, 3.0));
-    assert!(!alone[0].hears_anybody());
+    assert_eq!((alone[0].live_count(), alone[0].fleet_size().members), (1, 3.0));
+    assert!(!alone[0].has_recent_contact());
 }
 
 #[test]
 fn strangers_and_copies_of_another_fleet_are_nobody() {
     let mut copies = [copy(1, "c1", 10, "f"), copy(2, "c2", 11, "another")];
     pass(&mut copies, 0, 3000, never);
-    assert_eq!((copies[0].live(), copies[1].live()), (1, 1));
-    let before = (copies[0].spent(), copies[0].host().out.len());
+    assert_eq!((copies[0].live_count(), copies[1].live_count()), (1, 1));
+    let before = (copies[0].counters(), copies[0].host().out.len());
     for number in 0..10_000u32 {
         let bytes: Vec<u8> = (0..number % 300).map(|at| (at * 7 + number) as u8).collect();
-        copies[0].heard(ms(3000), &bytes);
+        copies[0].receive(ms(3000), &bytes);
     }
-    let after = (copies[0].spent(), copies[0].host().out.len());
-    assert_eq!(after.0.strange, before.0.strange + 10_000);
+    let after = (copies[0].counters(), copies[0].host().out.len());
+    assert_eq!(after.0.unrecognized, before.0.unrecognized + 10_000);
     assert_eq!((after.0.datagrams, after.1), (before.0.datagrams, before.1), "nobody is answered");
 }
 
@@ -107,13 +107,13 @@
 fn of_two_copies_the_one_that_is_left_takes_the_other_for_dead_for_itself() {
     let mut copies = [copy(1, "c1", 10, "f"), copy(2, "c2", 11, "f")];
     pass(&mut copies, 0, 3000, never);
-    assert_eq!((copies[0].live(), copies[1].live()), (2, 2));
+    assert_eq!((copies[0].live_count(), copies[1].live_count()), (2, 2));
     pass(&mut copies, 3000, 9000, |_, _| true);
-    assert_eq!(standing(&copies[0], 2), Some(Standing::Dead));
-    assert!(copies[0].host().said.contains(&"died c2 false".to_string()));
+    assert_eq!(state(&copies[0], 2), Some(MemberState::Dead));
+    assert!(copies[0].host().events.contains(&"died c2 false".to_string()));
     pass(&mut copies, 9000, 12_000, never);
-    assert_eq!((copies[0].live(), copies[1].live()), (2, 2));
-    assert!(copies[0].host().said.contains(&"back c2".to_string()));
+    assert_eq!((copies[0].live_count(), copies[1].live_count()), (2, 2));
+    assert!(copies[0].host().events.contains(&"back c2".to_string()));
 }
 
 #[test]
@@ -126,18 +126,18 @@
     for other in &copies[..2] {
         let names: Vec<&str> = other.members().map(Member::name).collect();
         assert!(names.contains(&"new") && !names.contains(&"old"), "{names:?}");
-        assert_eq!(other.live(), 3);
+        assert_eq!(other.live_count(), 3);
     }
-    assert_eq!(copies[2].live(), 3);
-    assert!(copies[2].host().said.contains(&"taken for dead".to_string()));
+    assert_eq!(copies[2].live_count(), 3);
+    assert!(copies[2].host().events.contains(&"taken for dead".to_string()));
 }
 
 #[test]
 fn two_copies_with_one_name_are_two_and_it_is_told() {
     let mut copies = [copy(1, "c1", 10, "f"), copy(2, "same", 11, "f"), copy(3, "same", 12, "f")];
     pass(&mut copies, 0, 4000, never);
-    assert!(copies.iter().all(|copy| copy.live() == 3));
-    assert!(copies[0].host().said.contains(&"twins same".to_string()));
+    assert!(copies.iter().all(|copy| copy.live_count() == 3));
+    assert!(copies[0].host().events.contains(&"twins same".to_string()));
 }
 
 #[test]
@@ -147,16 +147,16 @@
         let mut other = copy(number, "c", u64::from(number), "f");
         other.tick(ms(0));
         for (_, bytes) in std::mem::take(&mut other.host().out) {
-            first.heard(ms(0), &bytes);
+            first.receive(ms(0), &bytes);
         }
     }
     assert_eq!(first.members().count(), 10_000);
-    assert!(first.host().said.contains(&"full 64".to_string()));
+    assert!(first.host().events.contains(&"full 64".to_string()));
 }
 
 fn said(copy: &Membership<Post>, number: u32) -> Option<Vec<u8>> {
     let member = copy.members().find(|member| member.address() == address(number))?;
-    member.said().map(|(said, _)| said.to_vec())
+    member.payload().map(|(said, _)| said.to_vec())
 }
 
 #[test]
@@ -165,22 +165,22 @@
         (1..=3).map(|at| copy(at, &format!("c{at}"), 100 + u64::from(at), "f")).collect();
     pass(&mut copies, 0, 2000, never);
     assert_eq!(said(&copies[1], 1), None, "nothing is said where nobody says anything");
-    copies[0].say(b"one", false);
+    copies[0].set_payload(b"one", false);
     pass(&mut copies, 2000, 3000, never);
     assert_eq!(said(&copies[2], 1).as_deref(), Some(&b"one"[..]));
     // The third hears the first by the second alone, and at once where it presses.
     let apart = |from: Address, to: Address| [from, to] == [address(1), address(3)];
-    let before = copies[0].spent().datagrams;
-    copies[0].say(b"two", true);
+    let before = copies[0].counters().datagrams;
+    copies[0].set_payload(b"two", true);
     pass(&mut copies, 3000, 3200, apart);
-    assert!(copies[0].spent().datagrams > before);
+    assert!(copies[0].counters().datagrams > before);
     assert_eq!(said(&copies[2], 1).as_deref(), Some(&b"two"[..]));
     // An age goes with it: by way of others it is no newer.
-    copies[0].say(b"three", true);
+    copies[0].set_payload(b"three", true);
     pass(&mut copies, 3200, 3300, apart);
     pass(&mut copies, 3300, 3800, |from, _| from == address(1));
     let member = copies[2].members().find(|member| member.address() == address(1)).expect("a member");
-    let (words, at) = member.said().expect("words");
+    let (words, at) = member.payload().expect("words");
     assert!(words == b"three" && (ms(3190)..=ms(3310)).contains(&at), "{at:?}");
     // Another process at the address has said nothing yet.
     copies[0] = copy(1, "c1", 900, "f");
--- a/crates/membership/tests/trace.rs
+++ b/crates/membership/tests/trace.rs
@@ -2,7 +2,7 @@
 //! bytes and all views, digested into `fixtures/trace.txt`, so that a draw or an order that moves shows.
 //! LANDINGSPREAD_WRITE_FIXTURES=1 writes that file anew.
 
-use landingspread_membership::{About, Address, Budget, Host, Member, Membership};
+use landingspread_membership::{Address, Budget, Host, Member, MemberConfig, Membership};
 use std::fmt::Write;
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -41,14 +41,14 @@
     fn left(&mut self, member: &Member) {
         self.event("left", member);
     }
-    fn twins(&mut self, one: &Member, other: &Member) {
+    fn duplicate_name(&mut self, one: &Member, other: &Member) {
         self.event("twin", one);
         self.event("twin", other);
     }
-    fn taken_for_dead(&mut self) {
+    fn presumed_dead(&mut self) {
         self.events.push("taken for dead".into());
     }
-    fn full(&mut self, refused: usize) {
+    fn table_full(&mut self, refused: usize) {
         self.events.push(format!("full {refused}"));
     }
 }
@@ -61,19 +61,19 @@
     Address::new(Ipv4Addr::from(0x0a00_0000 + number), 7000)
 }
 
-fn start(number: u32, life: u64, now: Duration) -> Membership<Post> {
-    let about = About {
+fn start(number: u32, incarnation: u64, now: Duration) -> Membership<Post> {
+    let about = MemberConfig {
         address: address(number),
         // Two of them have one name.
         name: format!("c{}", number.min(COUNT - 2)),
         zone: format!("z{}", number % 3),
         fleet: "f".into(),
-        life,
+        incarnation,
         seeds: vec![address(0), address(1)],
         budget: Budget::default(),
-        configured: 3.0,
+        configured_members: 3.0,
     };
-    Membership::start(Post::default(), about, life * 31 + u64::from(number), now)
+    Membership::start(Post::default(), about, incarnation * 31 + u64::from(number), now)
 }
 
 /// FNV-1a.
@@ -98,24 +98,32 @@
         "{} epoch {} live {} digest {:016x} doubt {} hears {}",
         copy.address().ip(),
         copy.epoch(),
-        copy.live(),
+        copy.live_count(),
         copy.digest(),
-        copy.doubt(),
-        copy.hears_anybody()
+        copy.health_penalty(),
+        copy.has_recent_contact()
+    );
+    let (fleet_size, counters) = (copy.fleet_size(), copy.counters());
+    let figures =
+        (fleet_size.members, fleet_size.possibly_live, fleet_size.ordinal(), fleet_size.mean_traffic);
+    let sent = (
+        counters.datagrams,
+        counters.bytes,
+        counters.suppressed,
+        counters.unrecognized,
+        counters.newer_version,
     );
-    let (counted, spent) = (copy.counted(), copy.spent());
-    let figures = (counted.copies, counted.may_live, counted.place(), counted.traffic);
-    let sent = (spent.datagrams, spent.bytes, spent.held, spent.strange, spent.later);
     let _ = write!(text, " {figures:?} {sent:?}");
     for member in copy.members() {
-        let (standing, since, heard) = (member.standing().name(), member.since(), member.heard());
-        let (life, affirmed, place) = (member.life(), member.affirmed(), member.place());
-        let said = member.said().map(|(said, at)| (said.len(), at));
-        let names = (member.name(), member.zone(), member.traffic());
+        let (state, since, heard) = (member.state().name(), member.state_since(), member.last_heard());
+        let (incarnation, affirmed_epoch, ordinal) =
+            (member.incarnation(), member.affirmed_epoch(), member.ordinal());
+        let said = member.payload().map(|(said, at)| (said.len(), at));
+        let names = (member.name(), member.zone(), member.commands_per_s());
         let ip = member.address().ip().octets()[3];
         let _ = write!(
             text,
-            "; {ip} {standing} {since:?} {heard:?} {life} {affirmed} {place} {names:?} {said:?}"
+            "; {ip} {state} {since:?} {heard:?} {incarnation} {affirmed_epoch} {ordinal} {names:?} {said:?}"
         );
     }
     text
@@ -130,8 +138,8 @@
     for at in (0..END_MS).step_by(TICK_MS as usize) {
         let now = ms(at);
         match at {
-            1000 => copies[4].as_mut().expect("it runs").say(b"quiet", false),
-            2500 => copies[2].as_mut().expect("it runs").say(b"pressing", true),
+            1000 => copies[4].as_mut().expect("it runs").set_payload(b"quiet", false),
+            2500 => copies[2].as_mut().expect("it runs").set_payload(b"pressing", true),
             13_000 => copies[5] = None,
             14_500 => copies[5] = Some(start(5, 9000, now)),
             22_000 => copies[6].as_mut().expect("it runs").leave(now),
@@ -140,7 +148,7 @@
             _ => {}
         }
         for copy in copies.iter_mut().flatten() {
-            copy.traffic(f64::from(copy.address().ip().octets()[3]) * 1.5);
+            copy.set_traffic(f64::from(copy.address().ip().octets()[3]) * 1.5);
         }
         // One stands still for a while.
         let still = |number: usize| number == 1 && (24_000..25_500).contains(&at);
@@ -156,7 +164,7 @@
                     let to = u32::from(*to.ip()) - 0x0a00_0000;
                     let reaches = !lost(at, from, to, sent) && !still(to as usize);
                     let hears = copies[to as usize].as_mut().filter(|_| reaches);
-                    hears.into_iter().for_each(|copy| copy.heard(now, &bytes));
+                    hears.into_iter().for_each(|copy| copy.receive(now, &bytes));
                 }
             }
         }
--- a/crates/sidecar/src/fleet/mod.rs
+++ b/crates/sidecar/src/fleet/mod.rs
@@ -15,8 +15,10 @@
 use futures_lite::future::or;
 use landingspread_decisions::host::ReplicaView;
 use landingspread_decisions::zones::{ZoneObservation, ZoneTraffic};
-use landingspread_localities::Paces;
-use landingspread_membership::{About, Address, Counted, Host, MESSAGE_MOST, Member, Membership};
+use landingspread_localities::RecoveryTimings;
+use landingspread_membership::{
+    Address, FleetSize, Host, MAX_MESSAGE_BYTES, Member, MemberConfig, Membership,
+};
 use std::io;
 use std::net::UdpSocket;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -59,7 +61,7 @@
 impl Parts {
     fn hear(&mut self, now: Duration, bytes: &[u8]) {
         self.heard.add(bytes.len());
-        self.membership.heard(now, bytes);
+        self.membership.receive(now, bytes);
     }
 }
 
@@ -104,7 +106,7 @@
     }
 
     fn joined(&mut self, member: &Member) {
-        let (address, zone, life) = (member.address(), member.zone(), member.life());
+        let (address, zone, life) = (member.address(), member.zone(), member.incarnation());
         tracing::info!(member = member.name(), %address, zone, life, "fleet: joined");
     }
 
@@ -115,7 +117,7 @@
 
     fn refuted(&mut self, member: &Member) {
         let address = member.address();
-        tracing::info!(member = member.name(), %address, epoch = member.affirmed(), "fleet: alive after all");
+        tracing::info!(member = member.name(), %address, epoch = member.affirmed_epoch(), "fleet: alive after all");
     }
 
     fn died(&mut self, member: &Member, agreed: bool) {
@@ -124,7 +126,7 @@
     }
 
     fn returned(&mut self, member: &Member) {
-        let (address, life) = (member.address(), member.life());
+        let (address, life) = (member.address(), member.incarnation());
         tracing::info!(member = member.name(), %address, life, "fleet: back");
     }
 
@@ -133,16 +135,16 @@
         tracing::info!(member = member.name(), %address, "fleet: left");
     }
 
-    fn twins(&mut self, one: &Member, other: &Member) {
+    fn duplicate_name(&mut self, one: &Member, other: &Member) {
         let (first, second) = (one.address(), other.address());
         tracing::warn!(name = one.name(), %first, %second, "fleet: two members have one name");
     }
 
-    fn taken_for_dead(&mut self) {
+    fn presumed_dead(&mut self) {
         tracing::warn!("fleet: others held this copy for dead");
     }
 
-    fn full(&mut self, refused: usize) {
+    fn table_full(&mut self, refused: usize) {
         tracing::warn!(refused, "fleet: no more members can be known");
     }
 }
@@ -176,7 +178,7 @@
     pub async fn zone_said(&self, zone: String, leave: bool, within: Duration) -> Option<Option<bool>> {
         let (reply, told) = async_channel::bounded(1);
         let say: Call = Box::new(move |parts, now| {
-            let known = parts.zones.as_mut().map(|zones| zones.operators_say(now, &zone, leave));
+            let known = parts.zones.as_mut().map(|zones| zones.operator_command(now, &zone, leave));
             let _ = reply.try_send(known);
         });
         self.0.try_send(say).ok()?;
@@ -214,28 +216,28 @@
     seed: u64,
     clock: Clock,
     passed: Option<Passed>,
-    localities: Option<(Paces, Vec<String>)>,
+    localities: Option<(RecoveryTimings, Vec<String>)>,
     on: Option<&LocalExecutor<'static>>,
 ) -> io::Result<(Door, Link)> {
     let (calls, called) = async_channel::bounded(CALLS_MOST);
     let (tell, copies) = async_channel::bounded(1);
     let traffic = Arc::new(AtomicU64::new(0));
     let since_1970 = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-    let about = About {
+    let config = MemberConfig {
         address: told.advertise,
         name: name.to_string(),
         zone: told.zone,
         fleet: told.name,
-        life: since_1970.as_millis() as u64,
+        incarnation: since_1970.as_millis() as u64,
         seeds: told.seeds,
         budget: told.budget,
-        configured: told.configured_replicas,
+        configured_members: told.configured_replicas,
     };
     let seen = zones::Seen::default();
     let (zones, shares) = match localities {
         Some((paces, zones)) => {
             let (tell, shares) = async_channel::bounded(1);
-            (Some(Zones::start(paces, zones, &about, seen.clone(), tell)), Some(shares))
+            (Some(Zones::start(paces, zones, &config, seen.clone(), tell)), Some(shares))
         }
         None => (None, None),
     };
@@ -255,7 +257,7 @@
             (None, Some((socket, _))) => socket.try_clone().ok(),
             (None, None) => None,
         };
-        let membership = Membership::start(Wire { socket: sending }, about, seed, clock.now());
+        let membership = Membership::start(Wire { socket: sending }, config, seed, clock.now());
         let passed = by_others.map(|(_, datagrams)| datagrams);
         let parts = Parts { membership, zones, heard: Heard::default() };
         let thread = Thread { parts, clock, called, tell, traffic: own_traffic };
@@ -288,7 +290,7 @@
 
 impl Thread {
     async fn run(mut self, socket: Option<Async<UdpSocket>>, passed: Option<Receiver<Vec<u8>>>) {
-        let mut bytes = [0; MESSAGE_MOST + 1];
+        let mut bytes = [0; MAX_MESSAGE_BYTES + 1];
         let mut tick_at = self.clock.now();
         let (mut said, mut said_at) = (None, Duration::ZERO);
         loop {
@@ -302,12 +304,12 @@
             }
             // A flood is always ready to be read: time goes on through it.
             if tick_at <= now {
-                tick_at = now + Membership::<Wire>::TICK;
+                tick_at = now + Membership::<Wire>::TICK_INTERVAL;
                 let Parts { membership, zones, .. } = &mut self.parts;
-                membership.traffic(f64::from_bits(self.traffic.load(Ordering::Relaxed)));
+                membership.set_traffic(f64::from_bits(self.traffic.load(Ordering::Relaxed)));
                 zones.iter_mut().for_each(|zones| zones.tick(now, membership));
                 membership.tick(now);
-                let copies = copies_of(&membership.counted());
+                let copies = copies_of(&membership.fleet_size());
                 if said != Some(copies) || said_at + TELL_EVERY <= now {
                     // One that still waits is older: the next tick tells it anew.
                     if self.tell.try_send(copies).is_ok() {
@@ -360,12 +362,12 @@
     }
 }
 
-fn copies_of(counted: &Counted) -> ReplicaView {
+fn copies_of(size: &FleetSize) -> ReplicaView {
     ReplicaView {
-        count: counted.copies,
-        max_alive: counted.may_live,
-        ordinal: counted.place().map(u32::from),
-        mean_request_rate: counted.traffic,
+        count: size.members,
+        max_alive: size.possibly_live,
+        ordinal: size.ordinal().map(u32::from),
+        mean_request_rate: size.mean_traffic,
     }
 }
 
--- a/crates/sidecar/src/fleet/said_tests.rs
+++ b/crates/sidecar/src/fleet/said_tests.rs
@@ -2,7 +2,7 @@
 //! anew.
 
 use super::*;
-use landingspread_membership::{About, Address, Budget};
+use landingspread_membership::{Address, Budget, MemberConfig};
 use std::net::Ipv4Addr;
 
 #[derive(Default)]
@@ -19,17 +19,17 @@
 }
 
 fn copy(number: u8, name: &str, zone: &str) -> Membership<Post> {
-    let about = About {
+    let config = MemberConfig {
         address: address(number),
         name: name.into(),
         zone: zone.into(),
         fleet: "f".into(),
-        life: 1_796_160_066_200 + u64::from(number),
+        incarnation: 1_796_160_066_200 + u64::from(number),
         seeds: vec![address(1)],
         budget: Budget::default(),
-        configured: 3.5,
+        configured_members: 3.5,
     };
-    Membership::start(Post::default(), about, u64::from(number), Duration::ZERO)
+    Membership::start(Post::default(), config, u64::from(number), Duration::ZERO)
 }
 
 fn pass(copies: &mut [Membership<Post>], from_ms: u64, to_ms: u64) {
@@ -38,7 +38,7 @@
         for from in 0..copies.len() {
             for (to, bytes) in std::mem::take(&mut copies[from].host().0) {
                 let heard = copies.iter_mut().filter(|copy| copy.address() == to);
-                heard.for_each(|copy| copy.heard(now, &bytes));
+                heard.for_each(|copy| copy.receive(now, &bytes));
             }
         }
     }
@@ -54,14 +54,14 @@
     };
     let mut copies = vec![copy(1, "c1", "a"), copy(2, "c2", "b"), copy(3, "", ""), copy(4, "c4", "a")];
     page(&copies[0], 0);
-    copies[1].traffic(31.26);
+    copies[1].set_traffic(31.26);
     pass(&mut copies, 0, 4000);
     page(&copies[0], 4012);
     copies[3].leave(Duration::from_millis(4000));
     pass(&mut copies, 4000, 4200);
     copies.truncate(2);
     pass(&mut copies, 4200, 4700);
-    copies[0].heard(Duration::from_millis(4700), b"strange");
+    copies[0].receive(Duration::from_millis(4700), b"strange");
     page(&copies[0], 4700);
     pass(&mut copies, 4700, 7000);
     page(&copies[0], 7001);
--- a/crates/sidecar/src/fleet/zones.rs
+++ b/crates/sidecar/src/fleet/zones.rs
@@ -5,9 +5,10 @@
 use async_channel::Sender;
 use landingspread_decisions::zones::{ZoneObservation, ZoneTraffic};
 use landingspread_localities::{
-    About, Evidence, Host, Localities, Looks, Own, Paces, Peer, Standing, Verdict,
+    Evidence, FailoverConfig, Host, OwnObservation, PeerReport, RecoveryTimings, Verdict, ZoneFailover,
+    ZoneHealth, ZoneStatus,
 };
-use landingspread_membership::{About as OfCopy, Address, Membership};
+use landingspread_membership::{Address, MemberConfig, Membership};
 use serde::Serialize;
 use std::fmt::Write;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -21,13 +22,13 @@
 struct Log;
 
 impl Host for Log {
-    fn passed(&mut self, zone: &str, verdict: &Verdict, evidence: &Evidence) {
-        let Verdict { stage, number, operators, departures, .. } = verdict;
-        let (near, all) = (evidence.near, evidence.all);
+    fn verdict_issued(&mut self, zone: &str, verdict: &Verdict, evidence: &Evidence) {
+        let Verdict { stage, number, by_operator: operators, evacuations: departures, .. } = verdict;
+        let (near, all) = (evidence.same_zone, evidence.all);
         tracing::warn!(
             zone,
             stage = stage.name(),
-            share = stage.share(),
+            share = stage.traffic_fraction(),
             number,
             operators,
             departures,
@@ -39,12 +40,12 @@
         );
     }
 
-    fn heard(&mut self, zone: &str, verdict: &Verdict, by: &str) {
-        let Verdict { stage, number, operators, .. } = verdict;
+    fn verdict_adopted(&mut self, zone: &str, verdict: &Verdict, by: &str) {
+        let Verdict { stage, number, by_operator: operators, .. } = verdict;
         tracing::warn!(
             zone,
             stage = stage.name(),
-            share = stage.share(),
+            share = stage.traffic_fraction(),
             number,
             operators,
             by,
@@ -57,14 +58,14 @@
 pub type Seen = Arc<Mutex<(Duration, Vec<ZoneObservation>)>>;
 
 pub struct Zones {
-    localities: Localities<Log>,
+    localities: ZoneFailover<Log>,
     seen: Seen,
     tell: Sender<Vec<ZoneTraffic>>,
     told: Vec<ZoneTraffic>,
     told_at: Option<Duration>,
     /// How zones looked when that was last logged: what was heard from each, and how many neighbours find it silent and
     /// answering.
-    logged: Vec<(std::mem::Discriminant<Looks>, u32, u32)>,
+    logged: Vec<(std::mem::Discriminant<ZoneHealth>, u32, u32)>,
 }
 
 fn id_of(address: Address) -> u64 {
@@ -72,25 +73,25 @@
 }
 
 /// `more` is what has gone by since, past the time within which it is told anew while commands come.
-fn looks(seen: &ZoneObservation, more: Duration) -> Looks {
+fn looks(seen: &ZoneObservation, more: Duration) -> ZoneHealth {
     match (seen.silent, seen.answered) {
-        (Some(since), _) => Looks::Silent { since: since + more },
-        (None, Some(sent)) => Looks::Answers { sent: sent + more, slow: seen.slow },
-        (None, None) => Looks::Unknown,
+        (Some(since), _) => ZoneHealth::Silent { since: since + more },
+        (None, Some(sent)) => ZoneHealth::Answering { sent_ago: sent + more, slow: seen.slow },
+        (None, None) => ZoneHealth::Unknown,
     }
 }
 
 impl Zones {
     pub fn start(
-        paces: Paces,
+        timings: RecoveryTimings,
         zones: Vec<String>,
-        of: &OfCopy,
+        of: &MemberConfig,
         seen: Seen,
         tell: Sender<Vec<ZoneTraffic>>,
     ) -> Zones {
-        let about = About { id: id_of(of.address), zone: of.zone.clone(), zones, paces };
+        let config = FailoverConfig { id: id_of(of.address), zone: of.zone.clone(), zones, timings };
         Zones {
-            localities: Localities::start(Log, about),
+            localities: ZoneFailover::start(Log, config),
             seen,
             tell,
             told: Vec::new(),
@@ -100,60 +101,60 @@
     }
 
     pub fn tick(&mut self, now: Duration, membership: &mut Membership<Wire>) {
-        let own: Vec<Own> = {
+        let own: Vec<OwnObservation> = {
             let (at, seen) = &*self.seen.lock().unwrap_or_else(PoisonError::into_inner);
             let more = now.saturating_sub(*at + SEEN_EVERY);
-            let own = |seen: &ZoneObservation| Own {
+            let own = |seen: &ZoneObservation| OwnObservation {
                 zone: seen.zone as usize,
                 ready: seen.ready,
-                looks: looks(seen, more),
+                health: looks(seen, more),
             };
             seen.iter().map(own).collect()
         };
-        let peers = membership.members().filter(|member| member.standing().counts()).map(|member| Peer {
+        let peers = membership.members().filter(|member| member.state().is_live()).map(|member| PeerReport {
             id: id_of(member.address()),
             name: member.name(),
             zone: member.zone(),
-            said: member.said().map(|(said, _)| said),
-            age: member.said().map_or(Duration::ZERO, |(_, at)| now.saturating_sub(at)),
+            report: member.payload().map(|(report, _)| report),
+            age: member.payload().map_or(Duration::ZERO, |(_, at)| now.saturating_sub(at)),
         });
-        let news = self.localities.tick(now, &own, peers);
+        let urgent = self.localities.tick(now, &own, peers);
         self.log_looks();
-        membership.say(self.localities.word(), news);
+        membership.set_payload(self.localities.report_bytes(), urgent);
         self.tell(now);
     }
 
     /// How each zone looks, here and to its neighbours, whenever that has changed.
     fn log_looks(&mut self) {
-        let of = |standing: Standing<'_>| {
-            let (near, looks) = (standing.evidence.near, std::mem::discriminant(&standing.looks));
+        let of = |standing: ZoneStatus<'_>| {
+            let (near, looks) = (standing.evidence.same_zone, std::mem::discriminant(&standing.health));
             (looks, near.silent, near.answered)
         };
-        let looks: Vec<_> = self.localities.standings().map(of).collect();
+        let looks: Vec<_> = self.localities.statuses().map(of).collect();
         if looks == self.logged {
             return;
         }
         self.logged = looks;
-        for standing in self.localities.standings() {
-            let near = standing.evidence.near;
+        for standing in self.localities.statuses() {
+            let near = standing.evidence.same_zone;
             tracing::debug!(
                 zone = standing.zone,
-                looks = ?standing.looks,
+                looks = ?standing.health,
                 near_silent = near.silent,
                 near_answered = near.answered,
-                cut_off = self.localities.cut_off(),
+                cut_off = self.localities.isolated(),
                 "zones: looks"
             );
         }
     }
 
     fn tell(&mut self, now: Duration) {
-        let share = |share: landingspread_localities::Share| ZoneTraffic {
+        let share = |share: landingspread_localities::ZoneTraffic| ZoneTraffic {
             zone: share.zone as u32,
-            fraction: share.share,
+            fraction: share.traffic_fraction,
             trial: share.trial,
         };
-        let shares: Vec<ZoneTraffic> = self.localities.shares().into_iter().map(share).collect();
+        let shares: Vec<ZoneTraffic> = self.localities.traffic().into_iter().map(share).collect();
         let due = self.told_at.is_none_or(|at| at + TELL_EVERY <= now);
         // One that still waits is older: the next tick tells it anew.
         if (due || shares != self.told) && self.tell.try_send(shares.clone()).is_ok() {
@@ -162,13 +163,13 @@
     }
 
     /// Whether there is such a zone.
-    pub fn operators_say(&mut self, now: Duration, zone: &str, leave: bool) -> bool {
-        self.localities.operators_say(now, zone, leave)
+    pub fn operator_command(&mut self, now: Duration, zone: &str, leave: bool) -> bool {
+        self.localities.operator_command(now, zone, leave)
     }
 
     pub fn told(&self, json: bool, now: Duration) -> String {
-        let rows: Vec<Row> = self.localities.standings().map(|standing| Row::of(&standing, now)).collect();
-        let cut_off = self.localities.cut_off();
+        let rows: Vec<Row> = self.localities.statuses().map(|standing| Row::of(&standing, now)).collect();
+        let cut_off = self.localities.isolated();
         if json {
             return serde_json::to_string(&Page { cut_off, zones: rows }).unwrap_or_default() + "\n";
         }
@@ -210,23 +211,23 @@
 }
 
 impl<'a> Row<'a> {
-    fn of(standing: &Standing<'a>, now: Duration) -> Row<'a> {
-        let Evidence { near, all, .. } = standing.evidence;
+    fn of(standing: &ZoneStatus<'a>, now: Duration) -> Row<'a> {
+        let Evidence { same_zone: near, all, .. } = standing.evidence;
         Row {
             zone: standing.zone,
             verdict: standing.stage.name(),
-            share: standing.share,
+            share: standing.traffic_fraction,
             number: standing.number,
-            operators: standing.operators,
-            departures: standing.departures,
+            operators: standing.by_operator,
+            departures: standing.evacuations,
             since_s: standing.since.map(|at| (now.saturating_sub(at).as_secs_f64() * 100.0).round() / 100.0),
             trial: standing.trial,
             ready: standing.ready,
-            looks: match standing.looks {
-                Looks::Unknown => "unknown",
-                Looks::Answers { slow: false, .. } => "answers",
-                Looks::Answers { slow: true, .. } => "slow",
-                Looks::Silent { .. } => "silent",
+            looks: match standing.health {
+                ZoneHealth::Unknown => "unknown",
+                ZoneHealth::Answering { slow: false, .. } => "answers",
+                ZoneHealth::Answering { slow: true, .. } => "slow",
+                ZoneHealth::Silent { .. } => "silent",
             },
             near_silent: near.silent,
             near_answered: near.answered,
--- a/crates/sidecar/src/fleet/zones_tests.rs
+++ b/crates/sidecar/src/fleet/zones_tests.rs
@@ -7,21 +7,21 @@
 #[test]
 fn the_page_of_the_zones_is_the_text_of_the_fixture() {
     let ms = Duration::from_millis;
-    let about = OfCopy {
+    let about = MemberConfig {
         address: "10.0.3.17:7946".parse().expect("an address"),
         name: "c1".into(),
         zone: "a".into(),
         fleet: "f".into(),
-        life: 7,
+        incarnation: 7,
         seeds: Vec::new(),
         budget: Budget::default(),
-        configured: 1.0,
+        configured_members: 1.0,
     };
     let mut membership = Membership::start(Wire { socket: None }, about.clone(), 1, ms(0));
     let (tell, shares) = async_channel::bounded(1);
     let seen = Seen::default();
     let names = ["a", "b", "c"].map(String::from).to_vec();
-    let mut zones = Zones::start(Paces::default(), names, &about, seen.clone(), tell);
+    let mut zones = Zones::start(RecoveryTimings::default(), names, &about, seen.clone(), tell);
     let looks = |zone, silent: Option<u64>, answered: Option<u64>, slow| ZoneObservation {
         zone,
         ready: zone as usize + 2,
@@ -43,13 +43,13 @@
     *seen.lock().expect("it is free") = (ms(3000), answering);
     zones.tick(ms(3100), &mut membership);
     page(&zones, ms(3105));
-    assert!(!zones.operators_say(ms(3200), "nowhere", true));
-    assert!(zones.operators_say(ms(3200), "b", true));
+    assert!(!zones.operator_command(ms(3200), "nowhere", true));
+    assert!(zones.operator_command(ms(3200), "b", true));
     zones.tick(ms(3250), &mut membership);
     page(&zones, ms(4321));
     let silent = vec![looks(0, Some(300), None, false), looks(1, Some(2500), Some(1), false)];
     *seen.lock().expect("it is free") = (ms(5000), silent);
-    assert!(zones.operators_say(ms(5000), "b", false));
+    assert!(zones.operator_command(ms(5000), "b", false));
     zones.tick(ms(5050), &mut membership);
     page(&zones, ms(5060));
     crate::fleet::fixture_tests::compare("zones.txt", &text);
--- a/crates/sidecar/src/launch/checked.rs
+++ b/crates/sidecar/src/launch/checked.rs
@@ -4,7 +4,7 @@
 use crate::catalog::Catalog;
 use crate::clock::Clock;
 use landingspread_decisions::settings::Settings;
-use landingspread_localities::Paces;
+use landingspread_localities::RecoveryTimings;
 use landingspread_membership::{Address, Budget};
 use std::fmt;
 use std::net::SocketAddr;
@@ -120,7 +120,7 @@
     /// None where configuration comes from the file alone.
     pub control: Option<Control>,
     /// None where zones are not left by the fleet.
-    pub localities: Option<Paces>,
+    pub localities: Option<RecoveryTimings>,
     /// The header in which callers say a command's work, in milliseconds on a standard core.
     pub work_header: Option<String>,
     /// The file through which what was learnt of endpoints outlives the process.
--- a/crates/sidecar/src/launch/file.rs
+++ b/crates/sidecar/src/launch/file.rs
@@ -510,7 +510,7 @@
         // There is nothing to leave where there is one zone.
         let opened = opened.join("\n").replacen("zones = [\"a\"]", "zones = [\"a\", \"b\"]", 1);
         let shown = taken(&opened).expect("its comments can be read");
-        assert_eq!(shown.localities, Some(landingspread_localities::Paces::default()));
+        assert_eq!(shown.localities, Some(landingspread_localities::RecoveryTimings::default()));
         assert!(launch.control.is_none() && shown.control.is_some_and(|control| control.machines.len() == 2));
         assert_eq!(shown.policy.capabilities.max_attempts, launch.policy.capabilities.max_attempts);
         assert_eq!(format!("{:?}", shown.policy.slow_start), format!("{:?}", launch.policy.slow_start));
--- a/crates/sidecar/src/launch/fleet.rs
+++ b/crates/sidecar/src/launch/fleet.rs
@@ -1,7 +1,7 @@
 //! The `[fleet]` part of the operators' form: its names, defaults and checks.
 
 use super::checked::Fleet;
-use landingspread_membership::{Address, Budget, NAME_MOST};
+use landingspread_membership::{Address, Budget, MAX_NAME_BYTES};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -48,7 +48,7 @@
     /// The first key whose value can't be gone by; `own` is this copy's address among the peers, where it has any.
     pub fn first_fault(&self, peers: &[SocketAddr], own: Option<&SocketAddr>) -> Option<(String, String)> {
         let found = |key: &str, what: &str| Some((format!("fleet.{key}"), what.to_string()));
-        if self.name.is_empty() || self.name.len() > NAME_MOST {
+        if self.name.is_empty() || self.name.len() > MAX_NAME_BYTES {
             return found("name", "it is empty or longer than 64 bytes");
         }
         let Some(listen) = self.listen.or(own.and_then(of_v4)) else {
--- a/crates/sidecar/src/launch/localities.rs
+++ b/crates/sidecar/src/launch/localities.rs
@@ -1,6 +1,6 @@
 //! The `[localities]` part of the operators' form: its names, defaults and checks.
 
-use landingspread_localities::Paces;
+use landingspread_localities::RecoveryTimings;
 use serde::Deserialize;
 use std::time::Duration;
 
@@ -17,11 +17,11 @@
 const MOST: Duration = Duration::from_secs(600);
 
 fn wait() -> Duration {
-    Paces::default().wait
+    RecoveryTimings::default().min_evacuation
 }
 
 fn step() -> Duration {
-    Paces::default().step
+    RecoveryTimings::default().min_ramp_step
 }
 
 impl Part {
@@ -43,7 +43,7 @@
         None
     }
 
-    pub fn checked(self) -> Paces {
-        Paces { wait: self.wait, step: self.step }
+    pub fn checked(self) -> RecoveryTimings {
+        RecoveryTimings { min_evacuation: self.wait, min_ramp_step: self.step }
     }
 }
--- a/crates/sidecar/src/net/peers.rs
+++ b/crates/sidecar/src/net/peers.rs
@@ -3,8 +3,8 @@
 use super::owner::{Queue, Word};
 use async_channel::Sender;
 use async_io::Async;
-use landingspread_decisions::peer_messages::MAX_MESSAGE_BYTES;
-use landingspread_membership::{MAGIC, MESSAGE_MOST};
+use landingspread_decisions::peer_messages::MAX_MESSAGE_BYTES as MAX_PEER_MESSAGE_BYTES;
+use landingspread_membership::{MAGIC, MAX_MESSAGE_BYTES};
 use std::cell::Cell;
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -54,7 +54,7 @@
 
     /// Hears peers for ever; what comes from anyone else, or is too long, is dropped.
     pub async fn hear(self: Rc<Self>, queue: Queue) {
-        let mut bytes = [0; MESSAGE_MOST + 1];
+        let mut bytes = [0; MAX_MESSAGE_BYTES + 1];
         loop {
             // A flood is always ready to be read: the owner and the callers must have their turns.
             futures_lite::future::yield_now().await;
@@ -65,7 +65,8 @@
                 continue;
             }
             let peer = self.addresses.iter().position(|address| *address == from);
-            if let Some(peer) = peer.filter(|_| length <= MAX_MESSAGE_BYTES && queue.waiting() < WAITING_MOST)
+            if let Some(peer) =
+                peer.filter(|_| length <= MAX_PEER_MESSAGE_BYTES && queue.waiting() < WAITING_MOST)
             {
                 queue.tell(Word::Peer(peer as u32, bytes[..length].into()));
                 continue;
--- a/crates/sidecar/tests/fleet.rs
+++ b/crates/sidecar/tests/fleet.rs
@@ -4,7 +4,7 @@
 use landingspread_lab::fleet::plan::read;
 use landingspread_lab::fleet::rig::{LOOK_EVERY, Played, Ways, play, run_dir};
 use landingspread_lab::sockets::{Peer, Sidecar, free_datagrams, unused};
-use landingspread_membership::{About, Address, Budget, Host, Membership, as_later};
+use landingspread_membership::{Address, Budget, Host, MemberConfig, Membership, as_newer_version};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -93,7 +93,7 @@
 
 impl Host for Later {
     fn send(&mut self, to: Address, bytes: &[u8]) {
-        if let Some(later) = as_later(bytes, "mixed") {
+        if let Some(later) = as_newer_version(bytes, "mixed") {
             let _ = self.socket.send_to(&later, to);
         }
     }
@@ -103,31 +103,31 @@
     let (socket, address) = free_datagrams().expect("a socket");
     socket.set_read_timeout(Some(Duration::from_millis(10))).expect("a time-out");
     let began = Instant::now();
-    let life = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-    let about = About {
+    let since_1970 = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    let config = MemberConfig {
         address,
         name: "later".into(),
         zone: "a".into(),
         fleet: "mixed".into(),
-        life: life.as_millis() as u64,
+        incarnation: since_1970.as_millis() as u64,
         seeds,
         budget: Budget::default(),
-        configured: 1.0,
+        configured_members: 1.0,
     };
     let run = move || {
         let sending = socket.try_clone().expect("a socket");
-        let mut own = Membership::start(Later { socket: sending }, about, 7, began.elapsed());
+        let mut own = Membership::start(Later { socket: sending }, config, 7, began.elapsed());
         let (mut bytes, mut tick_at) = ([0; 2048], began.elapsed());
         while !stop.load(Ordering::Relaxed) {
             if let Ok((length, _)) = socket.recv_from(&mut bytes) {
-                own.heard(began.elapsed(), &bytes[..length]);
+                own.receive(began.elapsed(), &bytes[..length]);
             }
             if tick_at <= began.elapsed() {
-                tick_at = began.elapsed() + Membership::<Later>::TICK;
+                tick_at = began.elapsed() + Membership::<Later>::TICK_INTERVAL;
                 own.tick(began.elapsed());
             }
         }
-        own.live()
+        own.live_count()
     };
     (thread::spawn(run), address)
 }
