--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,11 +1,14 @@
-//! Who the copies of a tier are, now. It owns the view of the members, how they find out about each other's joins,
-//! ends and returns, and the bytes that copies exchange; it must never read a clock, a socket or a seed of its own,
-//! nor decide anything about a command.
+//! Group membership: which copies of a tier are alive, how they detect each other's joins, failures and returns, and the
+//! messages that they exchange. Nothing here reads a clock, a socket or a source of randomness of its own: a host passes in
+//! time, datagrams and a seed, so that the same code runs in the program and in virtual time.
 //!
-//! After SWIM (Das, Gupta, Motivala, DSN 2002) and Lifeguard (Dadgar, Phillips, Currey, 2018); where it departs from
-//! them, and why, stands in `docs/fleet-design.md`.
+//! The protocol follows SWIM (Das, Gupta, Motivala, DSN 2002) and Lifeguard (Dadgar, Phillips, Currey, 2018);
+//! `docs/fleet-design.md` says where it departs from them, and why.
+
+#![warn(missing_docs)]
 
 mod budget;
+mod digests;
 mod fleet_size;
 mod member;
 mod member_table;
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -1,131 +1,95 @@
-//! All members that are known, with what is asked of all of them kept as it changes: who counts, who is away, a digest
-//! of those that count, and whose news are still to be told. It owns the bounds on what is remembered.
+//! The member table: all known members, with the indexes over them kept up to date (who is live, absent or suspect, the
+//! digests of the view) and the queue of members whose state is to be gossiped. It owns the bounds on what is remembered.
 
+use crate::digests::{Digests, ring_position};
 use crate::member::{Address, Announcement, Member, MemberState};
 use slab::Slab;
 use std::collections::{BTreeMap, VecDeque};
+use std::ops::Bound;
 use std::time::Duration;
 
-/// So many members are known at most.
+/// The most members that are known.
 pub const MAX_MEMBERS: usize = 10_000;
-/// One that is away is remembered for so long, and looked for now and then.
+/// An absent member is remembered, and pinged now and then, for this time.
 const FORGET_ABSENT_AFTER: Duration = Duration::from_secs(600);
-/// News are told so many times for each doubling of the fleet.
+/// A change is transmitted so many times for each doubling of the fleet (SWIM's lambda log n).
 const TRANSMISSIONS_PER_DOUBLING: f64 = 2.0;
-/// Where so much is new at once, each of it is told no more often than this.
+/// With more members than this to gossip about, each is transmitted no more often than `MAX_TRANSMISSIONS_IN_BACKLOG`.
 const LARGE_BACKLOG: usize = 64;
 const MAX_TRANSMISSIONS_IN_BACKLOG: u32 = 4;
 
-/// Spreads addresses evenly, and alike in every build: copies compare what comes of it.
-pub fn mix_bits(mut bits: u64) -> u64 {
-    // The finalizer of SplitMix64 (Steele, Lea, Flood, OOPSLA 2014).
-    bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    bits ^ (bits >> 31)
-}
-
-pub fn ring_position(address: Address) -> u64 {
-    mix_bits(u64::from(address.ip().to_bits()) << 16 | u64::from(address.port()) | 1 << 62)
-}
-
-pub fn digest_contribution(announcement: &Announcement) -> u64 {
-    mix_bits(
-        ring_position(announcement.address) ^ announcement.incarnation.wrapping_mul(0x9e37_79b9_7f4a_7c15),
-    )
-}
-
+/// All known members. A slot identifies one for as long as it is known.
 #[derive(Debug, Default)]
 pub struct MemberTable {
     members: Slab<Member>,
-    /// By their places on a ring.
+    /// Slots by ring position.
     ring: BTreeMap<u64, usize>,
     live: Vec<usize>,
     absent: Vec<usize>,
     suspects: Vec<usize>,
-    /// Those whose news are still to be told, the least told first.
+    /// Members whose state is to be gossiped, the least transmitted first.
     pending_gossip: VecDeque<usize>,
+    /// Where the rotation over all members goes on.
     cursor: usize,
-    /// Over those that count; the copy's own part is not in it.
+    /// Over the live members; the local member's own part is not included.
     digests: Digests,
 }
 
-/// A digest for each part of the ring: where two copies differ is told by which of them do.
-#[derive(Clone, Debug)]
-pub struct Digests([u64; Digests::PARTITIONS]);
-
-impl Default for Digests {
-    fn default() -> Digests {
-        Digests([0; Digests::PARTITIONS])
-    }
-}
-
-impl Digests {
-    pub const PARTITIONS: usize = 64;
-    const PARTITION_SHIFT: u32 = 58;
-
-    pub fn toggle(&mut self, announcement: &Announcement) {
-        self.0[(ring_position(announcement.address) >> Digests::PARTITION_SHIFT) as usize] ^=
-            digest_contribution(announcement);
-    }
-
-    /// Over all parts.
-    pub fn combined(&self) -> u64 {
-        self.0.iter().fold(0, |combined, part| combined ^ part)
-    }
-
-    /// What is told of each part.
-    pub fn truncated(&self) -> [u16; Digests::PARTITIONS] {
-        self.0.map(|part| part as u16)
-    }
-}
-
 impl MemberTable {
+    /// The member in this slot.
     pub fn get(&self, slot: usize) -> &Member {
         &self.members[slot]
     }
 
+    /// The member in this slot, for changes that its state and incarnation do not depend on; others go through `update`.
     pub fn get_mut(&mut self, slot: usize) -> &mut Member {
         &mut self.members[slot]
     }
 
+    /// The slot of the member with this address.
     pub fn slot(&self, address: Address) -> Option<usize> {
         self.ring.get(&ring_position(address)).copied()
     }
 
+    /// Slots of live members: alive or suspect.
     pub fn live(&self) -> &[usize] {
         &self.live
     }
 
+    /// Slots of members that are dead or have left.
     pub fn absent(&self) -> &[usize] {
         &self.absent
     }
 
+    /// Slots of suspect members.
     pub fn suspects(&self) -> &[usize] {
         &self.suspects
     }
 
+    /// The digests over the live members in the table.
     pub fn digests(&self) -> &Digests {
         &self.digests
     }
 
-    /// All that are known, by their addresses' places.
+    /// All known members in the order of the ring.
     pub fn all(&self) -> impl Iterator<Item = &Member> {
         self.ring.values().map(|slot| &self.members[*slot])
     }
 
+    /// The live members.
     pub fn live_members(&self) -> impl Iterator<Item = &Member> + Clone {
         self.live.iter().map(|slot| &self.members[*slot])
     }
 
-    /// The next on the ring that nobody doubts.
+    /// The next member on the ring whose state is alive.
     pub fn next_alive_after(&self, address: Address) -> Option<usize> {
-        let from = ring_position(address);
-        let on = self.ring.range((std::ops::Bound::Excluded(from), std::ops::Bound::Unbounded));
-        let around = on.chain(self.ring.range(..from)).map(|(_, slot)| *slot);
-        around.into_iter().find(|slot| self.members[*slot].state == MemberState::Alive)
+        let position = ring_position(address);
+        let following = self.ring.range((Bound::Excluded(position), Bound::Unbounded));
+        let mut around = following.chain(self.ring.range(..position)).map(|(_, slot)| *slot);
+        around.find(|slot| self.members[*slot].state == MemberState::Alive)
     }
 
-    /// Takes in somebody new; none where no more can be known.
+    /// Adds an unknown member, in place of the longest absent one where the table is full; `None` where there is no such.
     pub fn add(&mut self, announcement: Announcement, now: Duration) -> Option<usize> {
         if self.members.len() >= MAX_MEMBERS {
             let longest = self.absent.iter().copied().min_by_key(|slot| self.members[*slot].state_since)?;
@@ -148,23 +112,25 @@
         }
     }
 
-    /// `life` is the one under which it was listed.
+    /// `incarnation` is the one under which the member was listed, which its digest was made with.
     fn remove_from_list(&mut self, slot: usize, was_live: bool, incarnation: u64) {
         let list = if was_live { &mut self.live } else { &mut self.absent };
-        if let Some(at) = self.members[slot].list_index.take() {
-            list.swap_remove(at);
-            if let Some(moved) = list.get(at) {
-                self.members[*moved].list_index = Some(at);
+        if let Some(index) = self.members[slot].list_index.take() {
+            list.swap_remove(index);
+            if let Some(moved) = list.get(index) {
+                self.members[*moved].list_index = Some(index);
             }
         }
         if was_live {
-            let now = std::mem::replace(&mut self.members[slot].announcement.incarnation, incarnation);
-            self.digests.toggle(&self.members[slot].announcement);
-            self.members[slot].announcement.incarnation = now;
+            let announcement = &mut self.members[slot].announcement;
+            let current = std::mem::replace(&mut announcement.incarnation, incarnation);
+            self.digests.toggle(announcement);
+            announcement.incarnation = current;
         }
     }
 
-    /// Changes a member, and brings all that goes by its standing into line. The standings before and after.
+    /// Applies a change to a member, evaluates its state, and updates all indexes. The state before and after; `None` where
+    /// `apply` says that nothing changed.
     pub fn update(
         &mut self,
         slot: usize,
@@ -180,7 +146,7 @@
         let mut after = member.evaluate_state(now, grace);
         if after == MemberState::Suspect && before != MemberState::Suspect {
             (member.state, member.state_since) = (after, now);
-            // With no grace a declaration counts at once.
+            // Without a grace period a declared death takes effect at once.
             after = member.evaluate_state(now, grace);
         }
         if after != before {
@@ -206,19 +172,19 @@
         let was_live = member.state.is_live();
         self.remove_from_list(slot, was_live, incarnation);
         self.suspects.retain(|suspect| *suspect != slot);
-        self.pending_gossip.retain(|pending_gossip| *pending_gossip != slot);
+        self.pending_gossip.retain(|pending| *pending != slot);
         self.ring.remove(&position);
         self.members.remove(slot);
     }
 
-    /// Those that have been away for long are forgotten.
+    /// Forgets members that have been absent for `FORGET_ABSENT_AFTER`.
     pub fn forget_absent(&mut self, now: Duration) {
-        let old = |slot: &usize| self.members[*slot].state_since + FORGET_ABSENT_AFTER <= now;
-        let old: Vec<usize> = self.absent.iter().copied().filter(old).collect();
+        let is_old = |slot: &usize| self.members[*slot].state_since + FORGET_ABSENT_AFTER <= now;
+        let old: Vec<usize> = self.absent.iter().copied().filter(is_old).collect();
         old.into_iter().for_each(|slot| self.forget(slot));
     }
 
-    /// A copy that was held up for so long has no part of that time in what it held against others before.
+    /// Extends suspicions that were held by `before` by the time for which this process was paused.
     pub fn exclude_pause(&mut self, before: Duration, pause: Duration) {
         for slot in &self.suspects {
             let since = &mut self.members[*slot].state_since;
@@ -226,41 +192,38 @@
         }
     }
 
-    // What is told on
-
-    /// How many times each copy tells what is news.
+    /// How many times a change is transmitted.
     pub fn transmission_limit(&self) -> u32 {
         (TRANSMISSIONS_PER_DOUBLING * ((self.live.len() + 2) as f64).log2()).ceil() as u32
     }
 
-    /// What is known of it by now is news. A suspicion is told fewer times: its epoch goes with every message.
+    /// Gossips the member's current state. A suspicion is transmitted fewer times: its epoch is in every message.
     pub fn enqueue_gossip(&mut self, slot: usize) {
         let suspect = self.members[slot].state == MemberState::Suspect;
-        let times = if suspect { self.transmission_limit().div_ceil(2) } else { self.transmission_limit() };
-        // Of very much the digests tell the rest: told so often, it would take many times the budget.
-        let times = if self.pending_gossip.len() > LARGE_BACKLOG {
-            times.min(MAX_TRANSMISSIONS_IN_BACKLOG)
-        } else {
-            times
-        };
+        let limit = self.transmission_limit();
+        let times = if suspect { limit.div_ceil(2) } else { limit };
+        // A large backlog would exceed the send budget; anti-entropy repairs what is then missed.
+        let large_backlog = self.pending_gossip.len() > LARGE_BACKLOG;
+        let times = if large_backlog { times.min(MAX_TRANSMISSIONS_IN_BACKLOG) } else { times };
         self.members[slot].payload_only = false;
         if std::mem::replace(&mut self.members[slot].transmissions_left, times) == 0 {
             self.pending_gossip.push_front(slot);
         }
     }
 
-    /// Its word beside is news, if nothing else is.
+    /// Gossips the member's payload, and its state only where that is pending already.
     pub fn enqueue_payload(&mut self, slot: usize) {
-        let only = self.members[slot].transmissions_left == 0 || self.members[slot].payload_only;
+        let payload_only = self.members[slot].transmissions_left == 0 || self.members[slot].payload_only;
         self.enqueue_gossip(slot);
-        self.members[slot].payload_only = only;
+        self.members[slot].payload_only = payload_only;
     }
 
+    /// Whether anything is to be gossiped.
     pub fn has_pending_gossip(&self) -> bool {
         !self.pending_gossip.is_empty()
     }
 
-    /// News, as long as `tell` has room for them.
+    /// Takes one transmission of each pending member for as long as `visit` says that it was written.
     pub fn drain_gossip(&mut self, mut visit: impl FnMut(&Member) -> bool) {
         for _ in 0..self.pending_gossip.len() {
             let Some(slot) = self.pending_gossip.pop_front() else { return };
@@ -276,7 +239,7 @@
         }
     }
 
-    /// Members in turn, each once at most, as long as `tell` has room for them.
+    /// Visits members in rotation, each once at most, for as long as `visit` says so.
     pub fn for_each_in_rotation(&mut self, mut visit: impl FnMut(&Member) -> bool) {
         for _ in 0..self.members.capacity() {
             if self.cursor >= self.members.capacity() {
@@ -289,19 +252,16 @@
         }
     }
 
-    /// Members of the ring's parts that `wanted` says so, as long as `tell` has room for them.
+    /// Visits the members of the selected partitions, beginning with partition `from`, for as long as `visit` says so.
     pub fn for_each_in_partitions(
         &self,
-        wanted: impl Fn(usize) -> bool,
+        selected: impl Fn(usize) -> bool,
         from: usize,
         mut visit: impl FnMut(&Member) -> bool,
     ) {
-        for part in (0..Digests::PARTITIONS)
-            .map(|part| (part + from) % Digests::PARTITIONS)
-            .filter(|part| wanted(*part))
-        {
-            let first = (part as u64) << Digests::PARTITION_SHIFT;
-            let last = first | ((1 << Digests::PARTITION_SHIFT) - 1);
+        let rotated = (0..Digests::PARTITIONS).map(|partition| (partition + from) % Digests::PARTITIONS);
+        for partition in rotated.filter(|partition| selected(*partition)) {
+            let (first, last) = Digests::partition_bounds(partition);
             for slot in self.ring.range(first..=last).map(|(_, slot)| *slot) {
                 if !visit(&self.members[slot]) {
                     return;
@@ -310,12 +270,13 @@
         }
     }
 
-    /// How many turns there are: some of them may be nobody's.
+    /// Positions of the rotation, some of which may be vacant.
     pub fn rotation_len(&self) -> usize {
         self.members.capacity()
     }
 
-    pub fn set_rotation(&mut self, at: usize) {
-        self.cursor = at;
+    /// Continues the rotation at this position.
+    pub fn set_rotation(&mut self, position: usize) {
+        self.cursor = position;
     }
 }
--- a/crates/membership/src/membership/host.rs
+++ b/crates/membership/src/membership/host.rs
@@ -1,56 +1,64 @@
-//! What a membership does to the outside, and what it is told at its start.
+//! The boundary of the protocol: its configuration, the host that it acts through, and its counters.
 
 use crate::budget::Budget;
 use crate::member::{Address, Member};
 
-/// What a membership does to the outside, and tells it.
+/// What the protocol acts through: it sends datagrams and reports events.
 pub trait Host {
-    /// A datagram; it may be lost.
+    /// Sends a datagram, which may be lost.
     fn send(&mut self, to: Address, bytes: &[u8]);
-    fn joined(&mut self, _: &Member) {}
-    /// Somebody did not reach it.
-    fn suspected(&mut self, _: &Member) {}
-    /// It was suspected, and has said that it is alive.
-    fn refuted(&mut self, _: &Member) {}
-    /// By agreement, or for this copy alone.
-    fn died(&mut self, _: &Member, _agreed: bool) {}
-    /// It was dead or had left, and is back.
-    fn returned(&mut self, _: &Member) {}
-    fn left(&mut self, _: &Member) {}
-    /// Two members that are alive have one name.
-    fn duplicate_name(&mut self, _: &Member, _: &Member) {}
-    /// Others took this copy for dead, or its address for another's.
+    /// A member joined.
+    fn joined(&mut self, _member: &Member) {}
+    /// Somebody got no ack from a member.
+    fn suspected(&mut self, _member: &Member) {}
+    /// A suspect member refuted the suspicion.
+    fn refuted(&mut self, _member: &Member) {}
+    /// A member died: by agreement of several members, or in the view of this one alone.
+    fn died(&mut self, _member: &Member, _agreed: bool) {}
+    /// A member that was dead or had left is alive, or another process took over its address.
+    fn returned(&mut self, _member: &Member) {}
+    /// A member left on its own.
+    fn left(&mut self, _member: &Member) {}
+    /// Two live members have the same name.
+    fn duplicate_name(&mut self, _one: &Member, _other: &Member) {}
+    /// Others declared this member dead, or know a later incarnation at its address.
     fn presumed_dead(&mut self) {}
-    /// Somebody can't be taken in: so many are known already.
-    fn table_full(&mut self, _: usize) {}
+    /// The member table is full: so many members have been rejected. Reported at each power of two.
+    fn table_full(&mut self, _rejected: usize) {}
 }
 
-/// What a copy says of itself at its start.
+/// The local member and its fleet, as configured.
 #[derive(Clone, Debug)]
 pub struct MemberConfig {
+    /// Where others reach this member.
     pub address: Address,
+    /// The name that operators see.
     pub name: String,
+    /// The zone that it runs in.
     pub zone: String,
-    /// Copies hear only those of their own fleet.
+    /// Members exchange messages only within a fleet of the same name.
     pub fleet: String,
-    /// The time of the process's start, as milliseconds since 1970.
+    /// The start of the process, in milliseconds since 1970.
     pub incarnation: u64,
-    /// Where somebody of the fleet may be.
+    /// Addresses at which some member may be.
     pub seeds: Vec<Address>,
+    /// What this member may send.
     pub budget: Budget,
-    /// How many copies there are by configuration; it holds until membership has something to say.
+    /// The configured size of the fleet, which holds until another member is heard.
     pub configured_members: f64,
 }
 
-/// What went out and what went for nothing, since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
+    /// Datagrams sent.
     pub datagrams: u64,
+    /// Bytes of the datagrams sent.
     pub bytes: u64,
-    /// Not sent, as the budget was spent.
+    /// Messages not sent because the budget was spent.
     pub suppressed: u64,
-    /// No messages, or of another fleet, or garbled.
+    /// Datagrams received that were damaged, of another fleet, or no messages.
     pub unrecognized: u64,
-    /// Of a version that this one can't read.
+    /// Messages received that require a newer protocol version.
     pub newer_version: u64,
 }
--- /dev/null
+++ b/crates/membership/src/membership/tick.rs
@@ -0,0 +1,85 @@
+//! What a member does as time passes.
+
+use super::*;
+use crate::member::MemberState;
+
+impl<H: Host> Membership<H> {
+    /// Does what is due: to be called every `TICK_INTERVAL`.
+    pub fn tick(&mut self, now: Duration) {
+        self.note_pause(now);
+        if self.own.left {
+            return;
+        }
+        self.follow_probes();
+        self.advance_suspicions();
+        if self.next_probe_at <= now {
+            self.next_probe_at = now + PROTOCOL_PERIOD;
+            self.probe_members();
+        }
+        self.send_gossip();
+        if self.next_reconnect_at <= now {
+            self.next_reconnect_at = now + RECONNECT_INTERVAL;
+            self.reconnect();
+            self.members.forget_absent(now);
+        }
+        if self.next_size_update_at <= now {
+            self.next_size_update_at = now + FLEET_SIZE_INTERVAL;
+            self.update_ordinal();
+            self.update_fleet_size();
+        }
+        self.fleet_size.members = self.size_estimator.advance(now, self.live_estimate());
+    }
+
+    /// A late tick means that the process was paused: others may have answered meanwhile without being heard.
+    fn note_pause(&mut self, now: Duration) {
+        let before = self.last_tick;
+        let late = now.saturating_sub(before + Self::TICK_INTERVAL);
+        self.now = now;
+        self.last_tick = now;
+        if late <= PAUSE_THRESHOLD {
+            return;
+        }
+        self.probes.exclude_pause(before, late);
+        self.members.exclude_pause(before, late);
+        for suspicion in self.own_suspicions.iter_mut().filter(|suspicion| suspicion.since <= before) {
+            suspicion.since += late;
+        }
+        self.health_penalty = (self.health_penalty + 1).min(MAX_HEALTH_PENALTY);
+    }
+
+    /// The configured size holds until another member is heard.
+    fn live_estimate(&self) -> f64 {
+        if self.any_member_heard { self.live_count() as f64 } else { self.fleet_size.members }
+    }
+
+    fn update_ordinal(&mut self) {
+        // Before the view has filled, the own rank would be another member's.
+        if self.started_at + ORDINAL_DELAY > self.now {
+            return;
+        }
+        let own = (self.own.incarnation, self.own.address);
+        let random = self.rng.random_range(0..ordinals::ORDINAL_CANDIDATES);
+        self.own.ordinal = ordinals::choose(own, self.own.ordinal, self.members.live_members(), random);
+        self.fleet_size.ordinal = self.own.ordinal;
+    }
+
+    fn update_fleet_size(&mut self) {
+        let now = self.now;
+        if !self.any_member_heard {
+            return;
+        }
+        let absent = self.members.absent().iter().map(|slot| self.members.get(*slot));
+        let recently_dead = absent.filter(|member| {
+            member.state == MemberState::Dead && member.state_since + POSSIBLY_LIVE_FOR > now
+        });
+        // A member that hears nobody is no fleet of its own: others may be cut off as it is.
+        let possibly_live = (self.live_count() + recently_dead.count()) as f64;
+        self.fleet_size.possibly_live = possibly_live.max(self.configured_members);
+        let reporting =
+            self.members.live_members().filter(|member| member.last_heard + TRAFFIC_REPORT_TTL > now);
+        let (sum, count) =
+            reporting.fold((0.0, 0.0), |(sum, count), member| (sum + member.commands_per_s(), count + 1.0));
+        let own = f64::from(self.own.traffic_tenths) / 10.0;
+        self.fleet_size.mean_traffic = (count > 0.0).then(|| (sum + own) / (count + 1.0));
+    }
+}
--- a/crates/membership/src/ordinals.rs
+++ b/crates/membership/src/ordinals.rs
@@ -1,33 +1,34 @@
-//! Numbers that the copies have among themselves, each its own, kept as long as it lives: one that joins takes a free one,
-//! and nobody else moves. Where two have one, as after a cut, the one that began later looks for another.
+//! Ordinals: small numbers, unique among the live members, each kept for as long as its member lives. A joining member
+//! takes a free one and nobody else's changes. Of two members with the same ordinal, as after a partition heals, the younger
+//! one chooses again.
 
 use crate::member::{Address, Member};
 use std::collections::BTreeSet;
 
-/// Not chosen yet.
+/// The ordinal of a member that has not chosen one yet.
 pub const UNASSIGNED: u16 = u16::MAX;
 
-/// Of several who look at one moment each takes one of so many free ones, by chance.
+/// Members that choose at the same time each take one of this many free ordinals at random.
 pub const ORDINAL_CANDIDATES: usize = 8;
 
-/// The place to go by, given the own one and the others that count: its rank by age, where that is free, or one of the
-/// lowest that are, by `chance`.
+/// The ordinal to use: the current one where no older member has it; else the own rank by age where that is free; else one
+/// of the lowest that are free, selected by `random`. `own` is the own incarnation and address.
 pub fn choose<'a>(
     own: (u64, Address),
-    ordinal: u16,
+    current: u16,
     others: impl Iterator<Item = &'a Member> + Clone,
-    rng: usize,
+    random: usize,
 ) -> u16 {
     let older = |member: &&Member| (member.incarnation(), member.address()) < own;
     let is_taken = |ordinal: u16| others.clone().filter(older).any(|member| member.ordinal() == ordinal);
-    if ordinal != UNASSIGNED && !is_taken(ordinal) {
-        return ordinal;
+    if current != UNASSIGNED && !is_taken(current) {
+        return current;
     }
     let rank = u16::try_from(others.clone().filter(older).count()).unwrap_or(UNASSIGNED);
-    if ordinal == UNASSIGNED && rank != UNASSIGNED && !is_taken(rank) {
+    if current == UNASSIGNED && rank != UNASSIGNED && !is_taken(rank) {
         return rank;
     }
     let used: BTreeSet<u16> = others.map(Member::ordinal).collect();
     let mut free = (0..UNASSIGNED).filter(|ordinal| !used.contains(ordinal));
-    free.nth(rng % ORDINAL_CANDIDATES).unwrap_or(UNASSIGNED - 1)
+    free.nth(random % ORDINAL_CANDIDATES).unwrap_or(UNASSIGNED - 1)
 }
--- a/crates/membership/src/probes.rs
+++ b/crates/membership/src/probes.rs
@@ -1,56 +1,61 @@
-//! Who has been asked whether they are there, and by when they should have answered. It owns the times of a probe; it
-//! must never send anything.
+//! Probes in flight: whom this member has asked for an ack, when it asks again, asks others to probe too (SWIM's indirect
+//! probe), and gives up. It sends through a `ProbeSender` and decides nothing about the members.
 
 use crate::member::Address;
 use std::time::Duration;
 
-/// Probes under way at most; past that the oldest is given up unheard.
+/// Past this number the oldest probe is dropped without a result.
 const MAX_PENDING_PROBES: usize = 64;
-/// A probe is said again this often.
+/// A ping without an ack is sent again this often.
 const PROBE_RESEND_INTERVAL: Duration = Duration::from_millis(100);
-/// Others are asked after this time, and all is given up after that.
+/// Others are asked to probe after this time without an ack.
 const INDIRECT_PROBE_DELAY: Duration = Duration::from_millis(100);
+/// A probe has failed after this time without an ack.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Answers that take less than this are no reason for patience.
+/// Round trips up to this need no longer timeouts.
 const FAST_ROUND_TRIP: Duration = Duration::from_millis(80);
+/// By how much slow round trips extend the timeouts at most.
 const MAX_LATENCY_FACTOR: u32 = 4;
 
+/// Who asked this member to probe, and the number of its own probe there.
+pub type Requester = (Address, u32);
+
+/// One probe in flight.
 #[derive(Clone, Debug)]
 pub struct Probe {
+    /// The member that should ack.
     pub target: Address,
+    /// This member's number of the probe.
     pub number: u32,
     started_at: Duration,
     resend_at: Duration,
-    /// Whether others have been asked to look too.
     indirect_sent: bool,
-    /// On whose behalf, and under which of its numbers.
-    pub requester: Option<(Address, u32)>,
+    /// On whose behalf, for an indirect probe.
+    pub requester: Option<Requester>,
 }
 
+/// All probes in flight.
 #[derive(Debug, Default)]
 pub struct ProbeTracker {
     pending: Vec<Probe>,
     last_number: u32,
-    /// From a first asking to its answer, of late.
+    /// A moving average of the time from the first ping to the ack.
     round_trip: Duration,
 }
 
-/// What is to be done for probes now, one method for each.
+/// Sends the messages of probes.
 pub trait ProbeSender {
+    /// Sends a ping to the target.
     fn send_ping(&mut self, target: Address, number: u32);
+    /// Asks others to probe the target.
     fn send_indirect(&mut self, target: Address, number: u32);
 }
 
 impl ProbeTracker {
-    /// The number of a new probe; none where one of that target is under way already.
-    pub fn start(
-        &mut self,
-        target: Address,
-        now: Duration,
-        requester: Option<(Address, u32)>,
-    ) -> Option<u32> {
-        let twice = |probe: &Probe| probe.target == target && probe.requester == requester;
-        if self.pending.iter().any(twice) {
+    /// The number of a new probe; `None` where one of the same target and requester is in flight.
+    pub fn start(&mut self, target: Address, now: Duration, requester: Option<Requester>) -> Option<u32> {
+        let duplicate = |probe: &Probe| probe.target == target && probe.requester == requester;
+        if self.pending.iter().any(duplicate) {
             return None;
         }
         if self.pending.len() >= MAX_PENDING_PROBES {
@@ -58,60 +63,61 @@
         }
         self.last_number = self.last_number.wrapping_add(1);
         let number = self.last_number;
+        let resend_at = now + PROBE_RESEND_INTERVAL;
         self.pending.push(Probe {
             target,
             number,
             started_at: now,
-            resend_at: now + PROBE_RESEND_INTERVAL,
+            resend_at,
             indirect_sent: false,
             requester,
         });
         Some(number)
     }
 
-    /// The probe that this answers, which is over by it.
+    /// Ends the probe that this ack belongs to, if there is one.
     pub fn acknowledge(&mut self, number: u32, target: Address, now: Duration) -> Option<Probe> {
-        let mine = |probe: &Probe| probe.number == number && probe.target == target;
-        let at = self.pending.iter().position(mine)?;
-        let probe = self.pending.remove(at);
+        let matches = |probe: &Probe| probe.number == number && probe.target == target;
+        let index = self.pending.iter().position(matches)?;
+        let probe = self.pending.remove(index);
         self.round_trip = (self.round_trip * 7 + now.saturating_sub(probe.started_at)) / 8;
         Some(probe)
     }
 
-    /// How many times as patient to be as on paths that take no time: others' answers come by two of them.
+    /// By how much timeouts are to be extended on slow paths: acks of indirect probes take two round trips.
     pub fn latency_factor(&self) -> u32 {
         ((self.round_trip.as_millis() / FAST_ROUND_TRIP.as_millis()) as u32).min(MAX_LATENCY_FACTOR)
     }
 
-    /// Says again what was not answered yet. A copy in doubt of itself is more patient.
-    pub fn send_due(&mut self, now: Duration, patience: u32, prober: &mut impl ProbeSender) {
+    /// Sends pings again and asks others to probe, where that is due. `patience` multiplies the delay of indirect probes.
+    pub fn send_due(&mut self, now: Duration, patience: u32, sender: &mut impl ProbeSender) {
         for probe in &mut self.pending {
             if probe.resend_at <= now {
                 probe.resend_at = now + PROBE_RESEND_INTERVAL;
-                prober.send_ping(probe.target, probe.number);
+                sender.send_ping(probe.target, probe.number);
             }
-            let ask_at = probe.started_at + INDIRECT_PROBE_DELAY * patience;
-            if probe.requester.is_none()
-                && ask_at <= now
-                && !std::mem::replace(&mut probe.indirect_sent, true)
-            {
-                prober.send_indirect(probe.target, probe.number);
+            let indirect_at = probe.started_at + INDIRECT_PROBE_DELAY * patience;
+            let due = probe.requester.is_none() && indirect_at <= now;
+            if due && !std::mem::replace(&mut probe.indirect_sent, true) {
+                sender.send_indirect(probe.target, probe.number);
             }
         }
     }
 
-    /// Those that nobody has answered in time.
+    /// Removes the probes that have failed. `patience` multiplies the timeout.
     pub fn take_expired(&mut self, now: Duration, patience: u32) -> Vec<Probe> {
-        let late = |probe: &Probe| probe.started_at + PROBE_TIMEOUT * patience <= now;
-        let (over, on) = std::mem::take(&mut self.pending).into_iter().partition(late);
-        self.pending = on;
-        over
+        let expired = |probe: &Probe| probe.started_at + PROBE_TIMEOUT * patience <= now;
+        let (failed, pending) = std::mem::take(&mut self.pending).into_iter().partition(expired);
+        self.pending = pending;
+        failed
     }
 
-    /// Time in which this copy was held up counts against nobody who was asked before.
+    /// Extends probes that were started by `before` by the time for which this process was paused: acks may have come
+    /// meanwhile without being read.
     pub fn exclude_pause(&mut self, before: Duration, pause: Duration) {
         for probe in self.pending.iter_mut().filter(|probe| probe.started_at <= before) {
-            (probe.started_at, probe.resend_at) = (probe.started_at + pause, probe.resend_at + pause);
+            probe.started_at += pause;
+            probe.resend_at += pause;
         }
     }
 }
--- /dev/null
+++ b/crates/membership/src/wire/decode.rs
@@ -0,0 +1,140 @@
+//! Decoding of a message's entries. Any bytes may come: whatever is cut short or out of bounds ends the decoding.
+
+use super::*;
+use crate::member::{Address, Announcement, MAX_NAME_BYTES, Payload};
+use std::net::Ipv4Addr;
+use std::time::Duration;
+
+/// Receives the entries of a message in their order.
+pub trait EntryVisitor {
+    /// A member's announcement.
+    fn announcement(&mut self, announcement: Announcement);
+    /// `suspector` suspects the target, since `epoch`.
+    fn suspicion(&mut self, target: Address, incarnation: u64, epoch: u64, suspector: Address);
+    /// The target was declared dead in `epoch`; of its incarnation only the low 16 bits are sent.
+    fn death(&mut self, target: Address, incarnation_low: u16, epoch: u64);
+    /// The member that a probe message is about.
+    fn subject(&mut self, subject: Address);
+    /// The sender's digests by partition; a newer version may send more of them.
+    fn partition_digests(&mut self, digests: Vec<u16>);
+    /// The target affirmed that it is alive, in `epoch` or later.
+    fn affirmation(&mut self, target: Address, incarnation_low: u16, epoch: u64);
+    /// The target's application payload, published `age` ago.
+    fn payload(&mut self, target: Address, incarnation_low: u16, payload: Payload, age: Duration);
+}
+
+/// The bytes of an entry not read yet; reads are `None` where too few are left.
+pub(super) struct ByteReader<'a>(pub(super) &'a [u8]);
+
+impl<'a> ByteReader<'a> {
+    fn take(&mut self, count: usize) -> Option<&'a [u8]> {
+        let (taken, rest) = self.0.split_at_checked(count)?;
+        self.0 = rest;
+        Some(taken)
+    }
+
+    /// A big-endian unsigned integer of `count` bytes.
+    pub(super) fn uint(&mut self, count: usize) -> Option<u64> {
+        Some(self.take(count)?.iter().fold(0, |value, byte| value << 8 | u64::from(*byte)))
+    }
+
+    fn address(&mut self) -> Option<Address> {
+        let ip = Ipv4Addr::from(self.uint(4)? as u32);
+        Some(Address::new(ip, self.uint(2)? as u16))
+    }
+
+    /// A name: control characters would corrupt logs and pages.
+    fn name(&mut self) -> Option<Box<str>> {
+        let length = self.uint(1)? as usize;
+        let text = std::str::from_utf8(self.take(length)?).ok()?;
+        let acceptable = length <= MAX_NAME_BYTES && !text.chars().any(char::is_control);
+        acceptable.then(|| text.into())
+    }
+
+    fn announcement(&mut self) -> Option<Announcement> {
+        let mut announcement = Announcement {
+            address: self.address()?,
+            incarnation: self.uint(6)?,
+            sequence: self.uint(4)? as u32,
+            affirmed_epoch: self.uint(6)?,
+            traffic_tenths: self.uint(2)? as u16,
+            ordinal: self.uint(2)? as u16,
+            left: false,
+            considered_dead: false,
+            name: "".into(),
+            zone: "".into(),
+        };
+        let flags = self.uint(1)? as u8;
+        announcement.left = flags & FLAG_LEFT != 0;
+        announcement.considered_dead = flags & FLAG_CONSIDERED_DEAD != 0;
+        if !self.0.is_empty() {
+            announcement.name = self.name()?;
+            announcement.zone = self.name()?;
+        }
+        Some(announcement)
+    }
+
+    fn payload(&mut self, visitor: &mut impl EntryVisitor) -> Option<()> {
+        let target = self.address()?;
+        let incarnation_low = self.uint(2)? as u16;
+        let version = self.uint(4)? as u32;
+        let age = Duration::from_millis(self.uint(2)? * AGE_UNIT_MS);
+        let flags = self.uint(1)? as u8;
+        let payload = Payload { version, urgent: flags & FLAG_URGENT != 0, bytes: self.0.into() };
+        visitor.payload(target, incarnation_low, payload, age);
+        Some(())
+    }
+
+    /// One epoch, then addresses and incarnations to the end of the entry.
+    fn compact_entries(&mut self, mut visit: impl FnMut(Address, u16, u64)) -> Option<()> {
+        let epoch = self.uint(6)?;
+        while !self.0.is_empty() {
+            visit(self.address()?, self.uint(2)? as u16, epoch);
+        }
+        Some(())
+    }
+
+    fn partition_digests(&mut self) -> Option<Vec<u16>> {
+        let mut digests = Vec::with_capacity(self.0.len() / 2);
+        while !self.0.is_empty() {
+            digests.push(self.uint(2)? as u16);
+        }
+        Some(digests)
+    }
+}
+
+/// The first entry, which is the sender's own announcement, and the bytes after it.
+pub fn decode_sender(entries: &[u8]) -> Option<(Announcement, &[u8])> {
+    let mut rest = ByteReader(entries);
+    let (tag, length) = (rest.uint(1)?, rest.uint(1)? as usize);
+    let mut entry = ByteReader(rest.take(length).filter(|_| tag == u64::from(TAG_ANNOUNCEMENT))?);
+    Some((entry.announcement()?, rest.0))
+}
+
+/// Passes entries to the visitor up to the end, or to the first one that is malformed: then it is `None`, and the rest of
+/// the message is lost.
+pub fn decode_entries(bytes: &[u8], visitor: &mut impl EntryVisitor) -> Option<()> {
+    let mut rest = ByteReader(bytes);
+    while !rest.0.is_empty() {
+        let (tag, length) = (rest.uint(1)? as u8, rest.uint(1)? as usize);
+        let mut entry = ByteReader(rest.take(length)?);
+        match tag {
+            TAG_ANNOUNCEMENT => visitor.announcement(entry.announcement()?),
+            TAG_SUSPICION => {
+                visitor.suspicion(entry.address()?, entry.uint(6)?, entry.uint(6)?, entry.address()?);
+            }
+            TAG_DEATHS => entry.compact_entries(|target, incarnation_low, epoch| {
+                visitor.death(target, incarnation_low, epoch);
+            })?,
+            TAG_SUBJECT => visitor.subject(entry.address()?),
+            TAG_AFFIRMATIONS => entry.compact_entries(|target, incarnation_low, epoch| {
+                visitor.affirmation(target, incarnation_low, epoch);
+            })?,
+            TAG_PAYLOAD => entry.payload(visitor)?,
+            TAG_PARTITION_DIGESTS => visitor.partition_digests(entry.partition_digests()?),
+            // Entry types of newer versions are skipped.
+            _ => {}
+        }
+    }
+    Some(())
+}
--- a/crates/membership/src/wire_pins_tests.rs
+++ b/crates/membership/src/wire/fixture_tests.rs
@@ -1,6 +1,9 @@
 //! Messages as bytes, compared with `tests/fixtures/messages.txt`; LANDINGSPREAD_WRITE_FIXTURES=1 writes that file anew.
 
 use super::*;
+use crate::member::{Address, Announcement, Payload};
+use std::net::Ipv4Addr;
+use std::time::Duration;
 
 #[derive(Default)]
 struct Entries(Vec<String>);
@@ -39,7 +42,7 @@
     fn affirmation(&mut self, target: Address, incarnation_low: u16, epoch: u64) {
         self.0.push(format!("5 {target} {incarnation_low} {epoch}"));
     }
-    fn partitions(&mut self, partitions: Vec<u16>) {
+    fn partition_digests(&mut self, partitions: Vec<u16>) {
         self.0.push(format!("6 {partitions:?}"));
     }
     fn payload(&mut self, target: Address, incarnation_low: u16, payload: Payload, age: Duration) {
@@ -85,7 +88,7 @@
         ("dead", Box::new(|writer| assert!(writer.deaths(8, &[(address(9), 0x1_0002), (address(10), 4)])))),
         ("affirmed", Box::new(|writer| assert!(writer.affirmations(11, &[(address(12), 0xf_fff0)])))),
         ("nobody", Box::new(|writer| assert!(writer.deaths(8, &[]) && writer.affirmations(8, &[])))),
-        ("parts", Box::new(|writer| writer.partitions(&[1, 2, 0xffff]))),
+        ("parts", Box::new(|writer| writer.partition_digests(&[1, 2, 0xffff]))),
         ("subject", Box::new(|writer| writer.subject(address(5), None))),
         ("subject-known", Box::new(|writer| writer.subject(address(5), Some(&announcement(5, "c5", "a"))))),
         (
--- /dev/null
+++ b/crates/membership/src/wire/wire_tests.rs
@@ -0,0 +1,169 @@
+//! Messages that are written and read back, damaged ones, and arbitrary bytes.
+
+use super::*;
+use crate::member::{Address, Announcement, Payload};
+use proptest::prelude::*;
+use proptest::test_runner::{Config as Cases, RngSeed, TestRunner};
+use std::net::Ipv4Addr;
+use std::time::Duration;
+
+#[derive(Default, Debug, PartialEq)]
+struct EntryHandler(Vec<String>);
+
+impl EntryVisitor for EntryHandler {
+    fn announcement(&mut self, announcement: Announcement) {
+        self.0.push(format!("{announcement:?}"));
+    }
+    fn suspicion(&mut self, target: Address, incarnation: u64, epoch: u64, suspector: Address) {
+        self.0.push(format!("{suspector} accuses {target} {incarnation} {epoch}"));
+    }
+    fn death(&mut self, target: Address, incarnation_low: u16, epoch: u64) {
+        self.0.push(format!("{target} {incarnation_low} dead {epoch}"));
+    }
+    fn subject(&mut self, subject: Address) {
+        self.0.push(format!("about {subject}"));
+    }
+    fn partition_digests(&mut self, partitions: Vec<u16>) {
+        self.0.push(format!("{partitions:?}"));
+    }
+    fn affirmation(&mut self, target: Address, incarnation_low: u16, epoch: u64) {
+        self.0.push(format!("{target} {incarnation_low} alive {epoch}"));
+    }
+    fn payload(&mut self, target: Address, incarnation_low: u16, payload: Payload, age: Duration) {
+        self.0.push(format!("{target} {incarnation_low} said {payload:?} {age:?} ago"));
+    }
+}
+
+fn address(number: u16) -> Address {
+    Address::new(Ipv4Addr::LOCALHOST, number)
+}
+
+fn announcement(number: u16, name: &str) -> Announcement {
+    Announcement {
+        address: address(number),
+        incarnation: 1_800_000_000_000,
+        sequence: 7,
+        affirmed_epoch: 0x0102_0304_0506,
+        traffic_tenths: 125,
+        ordinal: 3,
+        left: number % 2 == 1,
+        considered_dead: number % 3 == 1,
+        name: name.into(),
+        zone: "zone-a".into(),
+    }
+}
+
+const HEAD_OF_ALL: Header = Header { kind: MessageKind::PingReq, probe_number: 9, epoch: 77, digest: 0xfeed };
+
+fn message() -> Vec<u8> {
+    let mut writer = MessageWriter::new(HEAD_OF_ALL, &announcement(1, "c1"), 600);
+    writer.subject(address(2), Some(&announcement(2, "c2")));
+    writer.announcement(&announcement(3, "c3"), true);
+    writer.suspicion(address(4), 5, 6, address(7));
+    writer.deaths(8, &[(address(9), 0x1_0002), (address(10), 4)]);
+    writer.affirmations(11, &[(address(12), 5)]);
+    writer.partition_digests(&[1, 2]);
+    writer.finish("fleet")
+}
+
+/// As `message`, with these bytes after the header and a checksum that is right.
+fn sealed(kind: u8, least: u8, entries: &[u8]) -> Vec<u8> {
+    let mut bytes = vec![MAGIC, PROTOCOL_VERSION, least, kind, 0, 0, 0, 0];
+    bytes.extend([0; HEADER_BYTES - 8]);
+    bytes.extend(&entries[..entries.len().min(MAX_MESSAGE_BYTES - HEADER_BYTES)]);
+    let sum = checksum("fleet", &bytes);
+    bytes[4..8].copy_from_slice(&sum);
+    bytes
+}
+
+#[test]
+fn a_message_is_read_as_it_was_written() {
+    let bytes = message();
+    let (read, rest) = decode_header(&bytes, "fleet").expect("a message");
+    assert_eq!(read, HEAD_OF_ALL);
+    let (own, rest) = decode_sender(rest).expect("a word");
+    assert_eq!(own, announcement(1, "c1"));
+    let mut heard = EntryHandler::default();
+    assert!(decode_entries(rest, &mut heard).is_some());
+    let short = Announcement { name: "".into(), zone: "".into(), ..announcement(2, "") };
+    let wanted = [
+        "about 127.0.0.1:2".to_string(),
+        format!("{short:?}"),
+        format!("{:?}", announcement(3, "c3")),
+        "127.0.0.1:7 accuses 127.0.0.1:4 5 6".into(),
+        "127.0.0.1:9 2 dead 8".into(),
+        "127.0.0.1:10 4 dead 8".into(),
+        "127.0.0.1:12 5 alive 11".into(),
+        "[1, 2]".into(),
+    ];
+    assert_eq!(heard.0, wanted);
+}
+
+#[test]
+fn what_is_garbled_cut_strange_or_of_a_later_version_is_not_taken() {
+    let bytes = message();
+    for bit in 0..bytes.len() * 8 {
+        let mut garbled = bytes.clone();
+        garbled[bit / 8] ^= 1 << (bit % 8);
+        assert_eq!(is_well_formed(&garbled, "fleet"), Err(MessageError::Unrecognized), "bit {bit}");
+    }
+    assert!(
+        (0..bytes.len()).all(|end| is_well_formed(&bytes[..end], "fleet") == Err(MessageError::Unrecognized))
+    );
+    assert_eq!(is_well_formed(&bytes, "another"), Err(MessageError::Unrecognized));
+    assert_eq!(
+        is_well_formed(&sealed(4, PROTOCOL_VERSION + 1, &[]), "fleet"),
+        Err(MessageError::NewerVersion)
+    );
+    assert_eq!(is_well_formed(&sealed(77, PROTOCOL_VERSION, &[]), "fleet"), Err(MessageError::NewerVersion));
+    // Entries that only a later version knows are passed over.
+    let mut writer = MessageWriter::new(HEAD_OF_ALL, &announcement(1, "c1"), 600);
+    writer.entry(99, 5, |bytes| bytes.extend([1, 2, 3, 4, 5]));
+    writer.deaths(8, &[(address(9), 2)]);
+    assert_eq!(is_well_formed(&writer.finish("fleet"), "fleet"), Ok(true));
+}
+
+#[test]
+fn no_message_is_longer_than_the_bound_and_long_names_are_cut_between_characters() {
+    let mut writer = MessageWriter::new(
+        HEAD_OF_ALL,
+        &announcement(1, &"\u{e9}".repeat(60)),
+        usize::MAX - MAX_MESSAGE_BYTES,
+    );
+    while writer.announcement(&announcement(2, &"n".repeat(70)), true) {}
+    while writer.remaining_compact_entries() > 0 {
+        let many = vec![(address(1), 1); writer.remaining_compact_entries()];
+        assert!(writer.deaths(1, &many));
+    }
+    let bytes = writer.finish("fleet");
+    assert!(bytes.len() <= MAX_MESSAGE_BYTES && is_well_formed(&bytes, "fleet") == Ok(true));
+}
+
+/// LANDINGSPREAD_INPUTS says how many; 100,000 where it does not.
+#[test]
+fn any_bytes_are_read_or_refused() {
+    let told = std::env::var("LANDINGSPREAD_INPUTS").ok().and_then(|text| text.parse().ok());
+    let cases = Cases {
+        cases: told.unwrap_or(100_000),
+        rng_seed: RngSeed::Fixed(30),
+        failure_persistence: None,
+        ..Cases::default()
+    };
+    let entry = (0u8..8, prop::collection::vec(any::<u8>(), 0..60), any::<bool>());
+    let entries = prop::collection::vec(entry, 0..8);
+    TestRunner::new(cases)
+        .run(&(any::<u8>(), 0u8..3, entries, any::<u16>()), |(kind, least, partitions, cut)| {
+            let mut body = Vec::new();
+            for (tag, bytes, honest) in partitions {
+                let length = bytes.len() as u8;
+                body.extend([tag, if honest { length } else { length.wrapping_mul(3) }]);
+                body.extend(bytes);
+            }
+            body.truncate(usize::from(cut));
+            let bytes = sealed(kind % 8, least, &body);
+            let _ = is_well_formed(&bytes, "fleet");
+            let _ = is_well_formed(&body, "fleet");
+            Ok(())
+        })
+        .expect("nothing panics");
+}
