--- a/crates/lab/src/fleet/check.rs
+++ b/crates/lab/src/fleet/check.rs
@@ -3,8 +3,8 @@
 //! speak, up to a depth. It owns the little world and its invariants; it must never draw by chance.
 
 use landingspread_localities::{
-    FailoverConfig, Host, OwnObservation, PeerReport, RecoveryTimings, Verdict, ZoneFailover, ZoneHealth,
-    ZoneStage, decode, encode,
+    FailoverConfig, Host, OperatorCommand, OwnObservation, PeerReport, RecoveryTimings, Verdict,
+    ZoneFailover, ZoneHealth, ZoneStage, decode, encode,
 };
 use rayon::iter::{IntoParallelRefIterator, ParallelIterator};
 use std::collections::HashSet;
@@ -174,7 +174,8 @@
             (self.turns + u8::from(next.turn), self.said + u8::from(next.operators.is_some()));
         self.carry(next);
         if let Some(leave) = next.operators {
-            self.copies[0].own.operator_command(self.now, ZONES[AWAY], leave);
+            let command = if leave { OperatorCommand::Evacuate } else { OperatorCommand::Return };
+            self.copies[0].own.operator_command(self.now, ZONES[AWAY], command);
         }
         let mut wrong = Vec::new();
         for number in 0..self.copies.len() {
--- a/crates/localities/src/verdict.rs
+++ b/crates/localities/src/verdict.rs
@@ -1,32 +1,37 @@
-//! A verdict on a zone, and which of two goes before the other. Verdicts on one zone are numbered: all copies pass through
-//! them in the order of their numbers, some perhaps leaving out one, none going back.
+//! Verdicts on zones and their order. The verdicts on one zone are numbered: all copies pass through them in the order of
+//! the numbers, some perhaps skipping one, none going back.
 
-/// How far a zone is in use.
+/// How far a zone is in service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneStage {
-    /// As ever.
+    /// It gets all of its traffic.
     InService,
-    /// Nothing goes there but trials in turn.
+    /// It gets nothing but trial requests.
     Evacuated,
-    /// On the way back, from 1 on.
+    /// It is on a step of the recovery ramp, the first being 1.
     Recovering(u8),
 }
 
 impl ZoneStage {
-    /// What a zone gets at each step, of what it would get.
+    /// The fraction of its traffic that a zone gets on each step of the recovery ramp.
     const RAMP_FRACTIONS: [f64; 2] = [0.2, 0.5];
 
+    const IN_SERVICE_CODE: u8 = 0;
+    const EVACUATED_CODE: u8 = 15;
+
+    /// The fraction of its traffic that a zone gets at this stage.
     pub fn traffic_fraction(self) -> f64 {
         match self {
             ZoneStage::InService => 1.0,
             ZoneStage::Evacuated => 0.0,
             ZoneStage::Recovering(step) => {
-                ZoneStage::RAMP_FRACTIONS
-                    [usize::from(step.max(1) - 1).min(ZoneStage::RAMP_FRACTIONS.len() - 1)]
+                let index = usize::from(step.max(1) - 1);
+                ZoneStage::RAMP_FRACTIONS[index.min(ZoneStage::RAMP_FRACTIONS.len() - 1)]
             }
         }
     }
 
+    /// The stage that follows on the way back into service.
     pub fn next(self) -> ZoneStage {
         match self {
             ZoneStage::InService => ZoneStage::InService,
@@ -38,23 +43,25 @@
         }
     }
 
+    /// The stage on the wire.
     pub(crate) fn code(self) -> u8 {
         match self {
-            ZoneStage::InService => 0,
-            ZoneStage::Evacuated => 15,
+            ZoneStage::InService => ZoneStage::IN_SERVICE_CODE,
+            ZoneStage::Evacuated => ZoneStage::EVACUATED_CODE,
             ZoneStage::Recovering(step) => step,
         }
     }
 
     pub(crate) fn from_code(code: u8) -> Option<ZoneStage> {
         match code {
-            0 => Some(ZoneStage::InService),
-            15 => Some(ZoneStage::Evacuated),
+            ZoneStage::IN_SERVICE_CODE => Some(ZoneStage::InService),
+            ZoneStage::EVACUATED_CODE => Some(ZoneStage::Evacuated),
             step if usize::from(step) <= ZoneStage::RAMP_FRACTIONS.len() => Some(ZoneStage::Recovering(step)),
             _ => None,
         }
     }
 
+    /// The stage as operators read it.
     pub fn name(self) -> &'static str {
         match self {
             ZoneStage::InService => "whole",
@@ -64,65 +71,39 @@
     }
 }
 
-/// What copies of one zone hold of another, or what operators said of it to all.
+/// What the copies of one zone hold of a zone, or what operators commanded for all copies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Verdict {
+    /// The id of the zone that it is about.
     pub zone: u32,
-    /// The first has 1.
+    /// Its number; the first verdict on a zone has 1.
     pub number: u32,
+    /// The stage that the zone is in by this verdict.
     pub stage: ZoneStage,
+    /// An operator commanded it.
     pub by_operator: bool,
-    /// How many times it has been left within the span in which that counts.
+    /// How many times the zone was evacuated of late.
     pub evacuations: u8,
 }
 
 impl Verdict {
-    fn order(&self) -> (u32, u8, u8) {
-        (self.number, self.stage.code(), self.evacuations)
+    /// The greater one prevails: the later one, and of one number the one that sends less traffic to the zone.
+    fn precedence(&self) -> (u32, u8, u8) {
+        let caution = match self.stage {
+            ZoneStage::InService => 0,
+            ZoneStage::Recovering(step) => ZoneStage::EVACUATED_CODE - step,
+            ZoneStage::Evacuated => ZoneStage::EVACUATED_CODE,
+        };
+        (self.number, caution, self.evacuations)
     }
 }
 
-/// Whether the one goes before the other. Of two with one number, passed by copies that did not hear of each other, the one
-/// that sends less there does: everybody decides so, whichever came first.
+/// Whether a verdict prevails over the known one. Copies that had not heard of each other may issue different verdicts under
+/// one number: all come to the same one, in whichever order they hear them.
 pub fn supersedes(one: &Verdict, known: &Verdict) -> bool {
-    let cautious = |verdict: &Verdict| match verdict.stage {
-        ZoneStage::InService => (verdict.number, 0, verdict.evacuations),
-        // A lesser step is the more cautious one.
-        ZoneStage::Recovering(step) => (verdict.number, 15 - step, verdict.evacuations),
-        ZoneStage::Evacuated => verdict.order(),
-    };
-    cautious(one) > cautious(known)
+    one.precedence() > known.precedence()
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn of_one_number_the_more_cautious_goes_first_and_any_order_comes_to_the_same() {
-        let of =
-            |number, stage, evacuations| Verdict { zone: 1, number, stage, by_operator: false, evacuations };
-        let all = [
-            of(1, ZoneStage::Evacuated, 1),
-            of(2, ZoneStage::InService, 1),
-            of(2, ZoneStage::Recovering(2), 1),
-            of(2, ZoneStage::Recovering(1), 1),
-            of(2, ZoneStage::Evacuated, 1),
-            of(2, ZoneStage::Evacuated, 2),
-            of(3, ZoneStage::InService, 2),
-        ];
-        for (low, one) in all.iter().enumerate() {
-            assert!(!supersedes(one, one));
-            all[low + 1..]
-                .iter()
-                .for_each(|other| assert!(supersedes(other, one) && !supersedes(one, other)));
-        }
-        let mut stage = ZoneStage::Evacuated;
-        let mut traffic = vec![stage.traffic_fraction()];
-        while stage != ZoneStage::InService {
-            stage = stage.next();
-            traffic.push(stage.traffic_fraction());
-        }
-        assert_eq!(traffic, [0.0, 0.2, 0.5, 1.0]);
-    }
-}
+#[path = "verdict_tests.rs"]
+mod tests;
--- a/crates/localities/tests/partitions.rs
+++ b/crates/localities/tests/partitions.rs
@@ -2,7 +2,8 @@
 //! from copy to copy by the test's hand.
 
 use landingspread_localities::{
-    FailoverConfig, Host, OwnObservation, PeerReport, RecoveryTimings, ZoneFailover, ZoneHealth, ZoneStage,
+    FailoverConfig, Host, OperatorCommand, OwnObservation, PeerReport, RecoveryTimings, ZoneFailover,
+    ZoneHealth, ZoneStage,
 };
 use std::time::Duration;
 
@@ -189,8 +190,8 @@
 fn what_operators_say_holds_over_what_is_found_and_comes_back_by_their_word() {
     let mut scene = Scene::new(5);
     scene.run(SECOND * 3, &all, &nobody);
-    assert!(!scene.copies[0].operator_command(scene.now, "nowhere", true));
-    assert!(scene.copies[2].operator_command(scene.now, "away", true));
+    assert!(!scene.copies[0].operator_command(scene.now, "nowhere", OperatorCommand::Evacuate));
+    assert!(scene.copies[2].operator_command(scene.now, "away", OperatorCommand::Evacuate));
     scene.run(TICK * 4, &all, &nobody);
     assert!(scene.stages().iter().all(|stage| *stage == ZoneStage::Evacuated), "{:?}", scene.stages());
     // Whoever said it may go: the others go on.
@@ -199,7 +200,7 @@
     let left = |scene: &Scene| (0..5).filter(|copy| scene.stages()[*copy] == ZoneStage::Evacuated).count();
     assert_eq!(left(&scene), 5);
     assert_eq!(scene.turns(), 0, "what they left is not tried");
-    assert!(scene.copies[4].operator_command(scene.now, "away", false));
+    assert!(scene.copies[4].operator_command(scene.now, "away", OperatorCommand::Return));
     scene.run(SECOND * 3, &all, &nobody);
     assert_eq!(left(&scene), 1, "{:?}", scene.stages());
 }
--- a/crates/localities/tests/pins.rs
+++ b/crates/localities/tests/pins.rs
@@ -2,8 +2,9 @@
 //! LANDINGSPREAD_WRITE_FIXTURES=1 writes those anew.
 
 use landingspread_localities::{
-    Evidence, FailoverConfig, Host, MAX_REPORT_BYTES, OwnObservation, PeerReport, RecoveryTimings, Verdict,
-    ZoneFailover, ZoneHealth, ZoneObservation, ZoneReport, ZoneStage, decode, encode, zone_id,
+    Evidence, FailoverConfig, Host, MAX_REPORT_BYTES, OperatorCommand, OwnObservation, PeerReport,
+    RecoveryTimings, Verdict, ZoneFailover, ZoneHealth, ZoneObservation, ZoneReport, ZoneStage, decode,
+    encode, zone_id,
 };
 use std::fmt::Write;
 use std::time::Duration;
@@ -133,8 +134,8 @@
         let before = words.clone();
         for (number, copy) in copies.iter_mut().enumerate() {
             match (at, number) {
-                (36_000, 4) => assert!(copy.operator_command(now, "a", true)),
-                (40_000, 5) => assert!(copy.operator_command(now, "a", false)),
+                (36_000, 4) => assert!(copy.operator_command(now, "a", OperatorCommand::Evacuate)),
+                (40_000, 5) => assert!(copy.operator_command(now, "a", OperatorCommand::Return)),
                 _ => {}
             }
             let traffic = copy.traffic();
--- a/crates/sidecar/src/fleet/zones.rs
+++ b/crates/sidecar/src/fleet/zones.rs
@@ -5,8 +5,8 @@
 use async_channel::Sender;
 use landingspread_decisions::zones::{ZoneObservation, ZoneTraffic};
 use landingspread_localities::{
-    Evidence, FailoverConfig, Host, OwnObservation, PeerReport, RecoveryTimings, Verdict, ZoneFailover,
-    ZoneHealth, ZoneStatus,
+    Evidence, FailoverConfig, Host, OperatorCommand, OwnObservation, PeerReport, RecoveryTimings, Verdict,
+    ZoneFailover, ZoneHealth, ZoneStatus,
 };
 use landingspread_membership::{Address, MemberConfig, Membership};
 use serde::Serialize;
@@ -164,7 +164,8 @@
 
     /// Whether there is such a zone.
     pub fn operator_command(&mut self, now: Duration, zone: &str, leave: bool) -> bool {
-        self.localities.operator_command(now, zone, leave)
+        let command = if leave { OperatorCommand::Evacuate } else { OperatorCommand::Return };
+        self.localities.operator_command(now, zone, command)
     }
 
     pub fn told(&self, json: bool, now: Duration) -> String {
