--- a/crates/sidecar/src/console/mod.rs
+++ b/crates/sidecar/src/console/mod.rs
@@ -5,7 +5,7 @@
 
 use crate::control::said::Shared;
 use crate::counters;
-use crate::fleet;
+use crate::fleet::{self, ZoneCommandReply};
 use crate::handover::LOOK_EVERY;
 use crate::handover::record::{Record, WORDS_MOST, Word, Words, unix_ms};
 use crate::net::buffers::{Buffer, Stock};
@@ -17,6 +17,7 @@
 use calls::Call;
 use futures_lite::AsyncReadExt;
 use futures_lite::future::or;
+use landingspread_localities::OperatorCommand;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
@@ -54,7 +55,7 @@
     /// None where nothing outlives the process.
     pub record: Option<Record>,
     /// None where this copy is one of no fleet.
-    pub fleet: Option<fleet::Door>,
+    pub fleet: Option<fleet::FleetHandle>,
     /// None where configuration comes from the file alone.
     pub control: Option<Shared>,
 }
@@ -63,7 +64,7 @@
     serving: Arc<AtomicBool>,
     orders: Sender<Order>,
     record: RefCell<Option<Record>>,
-    fleet: Option<fleet::Door>,
+    fleet: Option<fleet::FleetHandle>,
     control: Option<Shared>,
     /// What this process goes by.
     words: RefCell<Words>,
@@ -204,11 +205,12 @@
     /// The word is the fleet's from here on: whether this copy lives or not.
     async fn zone_said(&self, zone: String, leave: bool) -> calls::Said {
         let Some(fleet) = &self.fleet else { return calls::turned(404, "this copy is one of no fleet") };
-        match fleet.zone_said(zone.clone(), leave, OWNER_WITHIN).await {
-            None => calls::turned(503, "the fleet's thread does not answer"),
-            Some(None) => calls::turned(404, "the fleet leaves no zones"),
-            Some(Some(false)) => calls::turned(404, "there is no such zone"),
-            Some(Some(true)) => {
+        let command = if leave { OperatorCommand::Evacuate } else { OperatorCommand::Return };
+        match fleet.zone_command(zone.clone(), command, OWNER_WITHIN).await {
+            ZoneCommandReply::Unavailable => calls::turned(503, "the fleet's thread does not answer"),
+            ZoneCommandReply::FailoverOff => calls::turned(404, "the fleet leaves no zones"),
+            ZoneCommandReply::UnknownZone => calls::turned(404, "there is no such zone"),
+            ZoneCommandReply::Accepted => {
                 tracing::info!("operators {} zone {zone}", if leave { "leave" } else { "take back" });
                 calls::said(200, "yes\n")
             }
--- /dev/null
+++ b/crates/sidecar/src/fleet/decision_link.rs
@@ -0,0 +1,62 @@
+//! What passes between the fleet's thread and the decision engine's.
+
+use async_channel::Receiver;
+use landingspread_decisions::host::ReplicaView;
+use landingspread_decisions::zones::{ZoneObservation, ZoneTraffic};
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::Duration;
+
+/// The decision engine's traffic in commands a second, shared between threads.
+#[derive(Clone, Default)]
+pub struct SharedTraffic(Arc<AtomicU64>);
+
+impl SharedTraffic {
+    /// The traffic that was set last.
+    pub fn get(&self) -> f64 {
+        f64::from_bits(self.0.load(Ordering::Relaxed))
+    }
+
+    fn set(&self, per_s: f64) {
+        self.0.store(per_s.to_bits(), Ordering::Relaxed);
+    }
+}
+
+/// How the zones looked to the decision engine, and when, shared between threads.
+#[derive(Clone, Default)]
+pub struct SharedObservations(Arc<Mutex<(Duration, Vec<ZoneObservation>)>>);
+
+impl SharedObservations {
+    /// Calls `read` with the observations that were set last, and when they were made.
+    pub fn read<T>(&self, read: impl FnOnce(Duration, &[ZoneObservation]) -> T) -> T {
+        let observations = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        read(observations.0, &observations.1)
+    }
+
+    /// Replaces the observations.
+    pub fn set(&self, at: Duration, observations: Vec<ZoneObservation>) {
+        *self.0.lock().unwrap_or_else(PoisonError::into_inner) = (at, observations);
+    }
+}
+
+/// The decision engine's side of the fleet.
+pub struct DecisionLink {
+    /// Updates of the fleet's size.
+    pub fleet_sizes: Receiver<ReplicaView>,
+    /// Updates of the zones' traffic fractions; `None` where zone failover is off.
+    pub zone_traffic: Option<Receiver<Vec<ZoneTraffic>>>,
+    pub(super) traffic: SharedTraffic,
+    pub(super) observations: SharedObservations,
+}
+
+impl DecisionLink {
+    /// Sets the commands a second that come to this process.
+    pub fn set_traffic(&self, per_s: f64) {
+        self.traffic.set(per_s);
+    }
+
+    /// Sets how the zones look at that time.
+    pub fn set_observations(&self, at: Duration, observations: Vec<ZoneObservation>) {
+        self.observations.set(at, observations);
+    }
+}
--- a/crates/sidecar/src/fleet/said_tests.rs
+++ b/crates/sidecar/src/fleet/members_page_tests.rs
@@ -46,11 +46,11 @@
 
 #[test]
 fn the_page_of_the_fleet_is_the_text_of_the_fixture() {
-    let heard = Heard { datagrams: 12, bytes: 3456 };
+    let received = ReceivedCounters { datagrams: 12, bytes: 3456 };
     let mut pages = Vec::new();
     let mut page = |copy: &Membership<Post>, now_ms: u64| {
         let now = Duration::from_millis(now_ms);
-        pages.push(json(copy, heard, now) + &text(copy, now));
+        pages.push(json(copy, received, now) + &text(copy, now));
     };
     let mut copies = vec![copy(1, "c1", "a"), copy(2, "c2", "b"), copy(3, "", ""), copy(4, "c4", "a")];
     page(&copies[0], 0);
--- a/crates/sidecar/src/fleet/zones_tests.rs
+++ b/crates/sidecar/src/fleet/zone_failover_tests.rs
@@ -2,12 +2,13 @@
 //! anew.
 
 use super::*;
+use landingspread_localities::RecoveryTimings;
 use landingspread_membership::Budget;
 
 #[test]
 fn the_page_of_the_zones_is_the_text_of_the_fixture() {
     let ms = Duration::from_millis;
-    let about = MemberConfig {
+    let member = MemberConfig {
         address: "10.0.3.17:7946".parse().expect("an address"),
         name: "c1".into(),
         zone: "a".into(),
@@ -17,12 +18,13 @@
         budget: Budget::default(),
         configured_members: 1.0,
     };
-    let mut membership = Membership::start(Wire { socket: None }, about.clone(), 1, ms(0));
-    let (tell, shares) = async_channel::bounded(1);
-    let seen = Seen::default();
-    let names = ["a", "b", "c"].map(String::from).to_vec();
-    let mut zones = Zones::start(RecoveryTimings::default(), names, &about, seen.clone(), tell);
-    let looks = |zone, silent: Option<u64>, answered: Option<u64>, slow| ZoneObservation {
+    let mut membership = Membership::start(SocketHost::new(None), member.clone(), 1, ms(0));
+    let (updates, shares) = async_channel::bounded(1);
+    let observations = SharedObservations::default();
+    let zones = ["a", "b", "c"].map(String::from).to_vec();
+    let settings = FailoverSettings { timings: RecoveryTimings::default(), zones };
+    let mut zones = FleetZones::start(settings, &member, observations.clone(), updates);
+    let looks = |zone, silent: Option<u64>, answered: Option<u64>, slow| EngineObservation {
         zone,
         ready: zone as usize + 2,
         silent: silent.map(ms),
@@ -30,26 +32,27 @@
         slow,
     };
     let mut text = String::new();
-    let mut page = |zones: &Zones, now| {
-        text += &zones.told(true, now);
-        text += &zones.told(false, now);
+    let mut page = |zones: &FleetZones, now| {
+        text += &zones.page(true, now);
+        text += &zones.page(false, now);
         if let Ok(shares) = shares.try_recv() {
-            let share = |share: &ZoneTraffic| format!("{} {} {:?}", share.zone, share.fraction, share.trial);
+            let share =
+                |share: &EngineTraffic| format!("{} {} {:?}", share.zone, share.fraction, share.trial);
             text += &format!("{}\n", shares.iter().map(share).collect::<Vec<_>>().join("; "));
         }
     };
     page(&zones, ms(0));
     let answering = vec![looks(0, None, Some(20), false), looks(1, None, Some(1500), true)];
-    *seen.lock().expect("it is free") = (ms(3000), answering);
+    observations.set(ms(3000), answering);
     zones.tick(ms(3100), &mut membership);
     page(&zones, ms(3105));
-    assert!(!zones.operator_command(ms(3200), "nowhere", true));
-    assert!(zones.operator_command(ms(3200), "b", true));
+    assert!(!zones.operator_command(ms(3200), "nowhere", OperatorCommand::Evacuate));
+    assert!(zones.operator_command(ms(3200), "b", OperatorCommand::Evacuate));
     zones.tick(ms(3250), &mut membership);
     page(&zones, ms(4321));
     let silent = vec![looks(0, Some(300), None, false), looks(1, Some(2500), Some(1), false)];
-    *seen.lock().expect("it is free") = (ms(5000), silent);
-    assert!(zones.operator_command(ms(5000), "b", false));
+    observations.set(ms(5000), silent);
+    assert!(zones.operator_command(ms(5000), "b", OperatorCommand::Return));
     zones.tick(ms(5050), &mut membership);
     page(&zones, ms(5060));
     crate::fleet::fixture_tests::compare("zones.txt", &text);
--- a/crates/sidecar/src/net/mod.rs
+++ b/crates/sidecar/src/net/mod.rs
@@ -100,14 +100,15 @@
     peers: Option<&Peers>,
     datagrams: Receiver<Vec<u8>>,
     on: Option<&LocalExecutor<'static>>,
-) -> io::Result<Option<(fleet::Door, fleet::Link)>> {
+) -> io::Result<Option<(fleet::FleetHandle, fleet::DecisionLink)>> {
     let Some(told) = launch.fleet.take() else { return Ok(None) };
     let passed = match peers.filter(|_| told.uses_peer_socket) {
-        Some(peers) => Some(fleet::Passed { socket: peers.sending()?, datagrams }),
+        Some(peers) => Some(fleet::SharedSocket { socket: peers.sending()?, datagrams }),
         None => None,
     };
-    let localities = launch.localities.map(|paces| (paces, launch.zones.clone()));
-    fleet::open(told, &launch.name, launch.seed, launch.clock.clone(), passed, localities, on).map(Some)
+    let localities =
+        launch.localities.map(|timings| fleet::FailoverSettings { timings, zones: launch.zones.clone() });
+    fleet::start(told, &launch.name, launch.seed, launch.clock.clone(), passed, localities, on).map(Some)
 }
 
 /// Takes this process's part of what the sidecar has, as long as it runs.
@@ -172,7 +173,7 @@
     ask: Sender<()>,
     asked: Receiver<()>,
     presence: Option<Rc<RefCell<Presence>>>,
-    door: Option<fleet::Door>,
+    door: Option<fleet::FleetHandle>,
     serving: Arc<AtomicBool>,
     /// Told once a list has come.
     list: Receiver<()>,
@@ -231,7 +232,7 @@
     }
     let following = follow(discovery.as_ref(), executor, &asked);
     executor.spawn(pool.clone().reap()).detach();
-    let (pass, passed) = fleet::passing();
+    let (pass, passed) = fleet::datagram_channel();
     let pass = launch.fleet.as_ref().filter(|fleet| fleet.uses_peer_socket).map(|_| pass);
     let peers = match Peers::bind(&launch.peers, launch.policy.ordinal, pass) {
         // The process that this one takes over from has the address still; nothing that peers say is needed.
--- a/crates/sidecar/src/net/owner.rs
+++ b/crates/sidecar/src/net/owner.rs
@@ -157,7 +157,7 @@
     pub pool: Rc<Pool>,
     pub peers: Option<Rc<Peers>>,
     /// None where this copy is one of no fleet.
-    pub fleet: Option<fleet::Link>,
+    pub fleet: Option<fleet::DecisionLink>,
     pub ask: Sender<()>,
     pub start: Rc<Start>,
 }
@@ -385,7 +385,7 @@
     /// What an earlier process learnt, until a whole list has come.
     before: Before,
     operators: Operators,
-    fleet: Option<fleet::Link>,
+    fleet: Option<fleet::DecisionLink>,
     seen_at: Duration,
     /// The module's next sweep that may decide anything; those before it are left out unless something is heard.
     rests_until: Option<Duration>,
@@ -496,7 +496,7 @@
                 }
             };
             let said = async { words.recv().await.ok().map(Heard::Word) };
-            let copies = self.fleet.as_ref().map(|fleet| fleet.copies.clone());
+            let copies = self.fleet.as_ref().map(|fleet| fleet.fleet_sizes.clone());
             let counted = async {
                 match copies {
                     Some(copies) => match copies.recv().await {
@@ -506,7 +506,7 @@
                     None => futures_lite::future::pending().await,
                 }
             };
-            let zones = self.fleet.as_ref().and_then(|fleet| fleet.zones.clone());
+            let zones = self.fleet.as_ref().and_then(|fleet| fleet.zone_traffic.clone());
             let shared = async {
                 match zones {
                     Some(zones) => match zones.recv().await {
@@ -540,14 +540,14 @@
     fn copies_told(&mut self, copies: &ReplicaView) {
         self.policy.replicas_changed(self.clock.now(), copies);
         let asked = self.policy.request_rate();
-        self.fleet.iter().for_each(|fleet| fleet.say_traffic(asked));
+        self.fleet.iter().for_each(|fleet| fleet.set_traffic(asked));
     }
 
     fn say_seen(&mut self, now: Duration) {
-        let Some(fleet) = self.fleet.as_ref().filter(|fleet| fleet.zones.is_some()) else { return };
+        let Some(fleet) = self.fleet.as_ref().filter(|fleet| fleet.zone_traffic.is_some()) else { return };
         if self.seen_at <= now {
-            self.seen_at = now + fleet::SEEN_EVERY;
-            fleet.say_seen(now, self.policy.zone_observations(now));
+            self.seen_at = now + fleet::OBSERVATION_INTERVAL;
+            fleet.set_observations(now, self.policy.zone_observations(now));
         }
     }
 
