--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -30,7 +30,13 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
-use suspicion::OwnSuspicion;
+
+/// A suspicion that this member raised.
+#[derive(Clone, Copy, Debug)]
+struct OwnSuspicion {
+    target: Address,
+    since: Duration,
+}
 
 /// One member's side of the protocol, and its view of the fleet.
 pub struct Membership<H: Host> {
--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -3,13 +3,6 @@
 use super::*;
 use crate::member::MemberState;
 
-/// A suspicion that this member raised.
-#[derive(Clone, Copy, Debug)]
-pub(super) struct OwnSuspicion {
-    pub target: Address,
-    pub since: Duration,
-}
-
 impl<H: Host> Membership<H> {
     pub(super) fn is_suspecting(&self, target: Address) -> bool {
         self.own_suspicions.iter().any(|suspicion| suspicion.target == target)
--- a/crates/membership/src/wire/compatibility.rs
+++ b/crates/membership/src/wire/compatibility.rs
@@ -1,6 +1,9 @@
 //! Helpers for tests of the decoder and of fleets that mix versions.
 
-use super::*;
+use super::decode::{EntryVisitor, decode_entries, decode_sender};
+use super::error::MessageError;
+use super::format::{MAX_MESSAGE_BYTES, PROTOCOL_VERSION, checksum};
+use super::header::decode_header;
 use crate::member::{Address, Announcement, Payload};
 use std::time::Duration;
 
--- a/crates/membership/src/wire/decode.rs
+++ b/crates/membership/src/wire/decode.rs
@@ -1,6 +1,6 @@
 //! Decoding of a message's entries. Any bytes may come: whatever is cut short or out of bounds ends the decoding.
 
-use super::*;
+use super::format::*;
 use crate::member::{Address, Announcement, MAX_NAME_BYTES, Payload};
 use std::net::Ipv4Addr;
 use std::time::Duration;
--- a/crates/membership/src/wire/encode.rs
+++ b/crates/membership/src/wire/encode.rs
@@ -1,6 +1,7 @@
 //! Encoding of messages.
 
-use super::*;
+use super::format::*;
+use super::header::Header;
 use crate::member::{Address, Announcement, MAX_NAME_BYTES, Payload};
 use std::time::Duration;
 
--- a/crates/membership/src/wire/fixture_tests.rs
+++ b/crates/membership/src/wire/fixture_tests.rs
@@ -1,5 +1,6 @@
 //! Messages as bytes, compared with `tests/fixtures/messages.txt`; LANDINGSPREAD_WRITE_FIXTURES=1 writes that file anew.
 
+use super::format::*;
 use super::*;
 use crate::member::{Address, Announcement, Payload};
 use std::net::Ipv4Addr;
--- a/crates/membership/src/wire/header.rs
+++ b/crates/membership/src/wire/header.rs
@@ -1,7 +1,8 @@
 //! The message header.
 
 use super::decode::ByteReader;
-use super::{HEADER_BYTES, MAGIC, MAX_MESSAGE_BYTES, MessageError, PROTOCOL_VERSION, checksum};
+use super::error::MessageError;
+use super::format::{HEADER_BYTES, MAGIC, MAX_MESSAGE_BYTES, PROTOCOL_VERSION, checksum};
 
 /// What a message is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/membership/src/wire/wire_tests.rs
+++ b/crates/membership/src/wire/wire_tests.rs
@@ -1,5 +1,6 @@
 //! Messages that are written and read back, damaged ones, and arbitrary bytes.
 
+use super::format::*;
 use super::*;
 use crate::member::{Address, Announcement, Payload};
 use proptest::prelude::*;
--- a/crates/sidecar/src/fleet/handle.rs
+++ b/crates/sidecar/src/fleet/handle.rs
@@ -1,6 +1,7 @@
 //! How other threads reach the fleet's thread.
 
-use super::{FleetState, members_page};
+use super::members_page;
+use super::state::FleetState;
 use crate::net::timeout::timeout;
 use async_channel::{Receiver, Sender};
 use landingspread_localities::OperatorCommand;
--- a/crates/sidecar/src/fleet/members_page.rs
+++ b/crates/sidecar/src/fleet/members_page.rs
@@ -1,6 +1,6 @@
 //! The page `/fleet`: the members as operators read them, one a line, or as JSON. The JSON keys are an interface.
 
-use super::ReceivedCounters;
+use super::state::ReceivedCounters;
 use landingspread_membership::{Host, Member, Membership};
 use serde::Serialize;
 use std::fmt::Write;
--- a/crates/sidecar/src/fleet/mod.rs
+++ b/crates/sidecar/src/fleet/mod.rs
@@ -9,54 +9,32 @@
 mod handle;
 mod members_page;
 mod socket_host;
+mod state;
 mod worker;
 mod zone_failover;
 mod zones_page;
 
 pub use decision_link::DecisionLink;
 pub use handle::{FleetHandle, ZoneCommandReply};
-pub use zone_failover::OBSERVATION_INTERVAL;
+pub use zone_failover::{FailoverSettings, OBSERVATION_INTERVAL};
 
 use crate::clock::Clock;
 use crate::launch::Fleet as FleetSettings;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use decision_link::{SharedObservations, SharedTraffic};
-use landingspread_localities::RecoveryTimings;
 use landingspread_membership::{MemberConfig, Membership};
 use socket_host::SocketHost;
+use state::{FleetState, ReceivedCounters};
 use std::io;
 use std::net::UdpSocket;
-use std::time::{Duration, SystemTime};
+use std::time::SystemTime;
 use worker::Worker;
 use zone_failover::FleetZones;
 
 /// Datagrams received on the peers' socket that wait for the fleet's thread; others are dropped.
 const MAX_FORWARDED_DATAGRAMS: usize = 256;
 
-/// All state of the fleet's thread.
-struct FleetState {
-    membership: Membership<SocketHost>,
-    /// `None` where zone failover is off.
-    zones: Option<FleetZones>,
-    received: ReceivedCounters,
-}
-
-/// Datagrams received, whether they could be decoded or not.
-#[derive(Clone, Copy, Default)]
-struct ReceivedCounters {
-    datagrams: u64,
-    bytes: u64,
-}
-
-impl FleetState {
-    fn receive(&mut self, now: Duration, datagram: &[u8]) {
-        self.received.datagrams += 1;
-        self.received.bytes += datagram.len() as u64;
-        self.membership.receive(now, datagram);
-    }
-}
-
 /// The peers' socket, where the fleet has none of its own: the fleet sends by it, and gets the fleet's datagrams from
 /// whoever reads it.
 pub struct SharedSocket {
@@ -71,14 +49,6 @@
     async_channel::bounded(MAX_FORWARDED_DATAGRAMS)
 }
 
-/// The zones that the fleet may evacuate, and how fast it takes them back.
-pub struct FailoverSettings {
-    /// How fast evacuated zones are taken back.
-    pub timings: RecoveryTimings,
-    /// All zones by name.
-    pub zones: Vec<String>,
-}
-
 /// Starts to take part in the fleet, on a thread of its own, or as a task where an executor is given. It fails only where a
 /// thread cannot be started: binding an address in use is retried.
 pub fn start(
--- a/crates/sidecar/src/fleet/worker.rs
+++ b/crates/sidecar/src/fleet/worker.rs
@@ -1,9 +1,9 @@
 //! The loop of the fleet's thread: datagrams, tasks of other threads, and the protocol's ticks.
 
-use super::FleetState;
 use super::decision_link::SharedTraffic;
 use super::handle::Task;
 use super::socket_host::SocketHost;
+use super::state::FleetState;
 use crate::clock::Clock;
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
--- a/crates/sidecar/src/fleet/zone_failover.rs
+++ b/crates/sidecar/src/fleet/zone_failover.rs
@@ -2,15 +2,14 @@
 //! with its membership messages, and the traffic fractions that come of all reports go back. It logs verdicts and decides
 //! nothing itself.
 
-use super::FailoverSettings;
 use super::decision_link::SharedObservations;
 use super::socket_host::SocketHost;
 use super::zones_page;
 use async_channel::Sender;
 use landingspread_decisions::zones::{ZoneObservation as EngineObservation, ZoneTraffic as EngineTraffic};
 use landingspread_localities::{
-    Evidence, FailoverConfig, Host, OperatorCommand, OwnObservation, PeerReport, Verdict, ZoneFailover,
-    ZoneHealth, ZoneStatus, ZoneTraffic,
+    Evidence, FailoverConfig, Host, OperatorCommand, OwnObservation, PeerReport, RecoveryTimings, Verdict,
+    ZoneFailover, ZoneHealth, ZoneStatus, ZoneTraffic,
 };
 use landingspread_membership::{Address, Member, MemberConfig, Membership};
 use std::mem::{Discriminant, discriminant};
@@ -21,6 +20,14 @@
 /// How often the decision engine sets its observations while commands come.
 pub const OBSERVATION_INTERVAL: Duration = Duration::from_millis(50);
 
+/// The zones that the fleet may evacuate, and how fast it takes them back.
+pub struct FailoverSettings {
+    /// How fast evacuated zones are taken back.
+    pub timings: RecoveryTimings,
+    /// All zones by name.
+    pub zones: Vec<String>,
+}
+
 struct VerdictLog;
 
 impl Host for VerdictLog {
--- a/crates/sidecar/src/fleet/zone_failover_tests.rs
+++ b/crates/sidecar/src/fleet/zone_failover_tests.rs
@@ -2,7 +2,6 @@
 //! anew.
 
 use super::*;
-use landingspread_localities::RecoveryTimings;
 use landingspread_membership::Budget;
 
 #[test]
--- a/crates/sidecar/src/net/mod.rs
+++ b/crates/sidecar/src/net/mod.rs
@@ -103,7 +103,7 @@
 ) -> io::Result<Option<(fleet::FleetHandle, fleet::DecisionLink)>> {
     let Some(told) = launch.fleet.take() else { return Ok(None) };
     let passed = match peers.filter(|_| told.uses_peer_socket) {
-        Some(peers) => Some(fleet::SharedSocket { socket: peers.sending()?, datagrams }),
+        Some(peers) => Some(fleet::SharedSocket { socket: peers.try_clone_socket()?, datagrams }),
         None => None,
     };
     let localities =
@@ -243,7 +243,7 @@
         bound => bound?,
     };
     if let Some(peers) = &peers {
-        executor.spawn(peers.clone().hear(queue.clone())).detach();
+        executor.spawn(peers.clone().receive(queue.clone())).detach();
     }
     let (door, link) = join_fleet(&mut launch, peers.as_deref(), passed, fleet_on)?.unzip();
     let serving = Arc::new(AtomicBool::new(false));
--- a/crates/sidecar/src/net/owner.rs
+++ b/crates/sidecar/src/net/owner.rs
@@ -356,7 +356,7 @@
 
     fn send_to_peers(&mut self, peer: Option<u32>, words: &[u8]) {
         if let Some(peers) = &self.0.borrow().outside.peers {
-            peers.tell(peer, words);
+            peers.send(peer, words);
         }
     }
 
--- /dev/null
+++ b/crates/sidecar/src/net/peers_tests.rs
@@ -0,0 +1,51 @@
+//! Peers exchange messages by number, and nobody else is heard.
+
+use super::*;
+use crate::net::owner;
+use async_executor::LocalExecutor;
+use futures_lite::future::or;
+
+#[test]
+fn peers_hear_each_other_by_number_and_nobody_else() {
+    // Held until all three are known: two binds at once would give one port twice.
+    let held: Vec<UdpSocket> = (0..3).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a free port")).collect();
+    let all: Vec<SocketAddr> = held.iter().map(|socket| socket.local_addr().expect("an address")).collect();
+    drop(held);
+    let bind = |at: u32| Peers::bind(&all, at, None).expect("it binds").expect("there are peers");
+    let (first, second, third) = (bind(0), bind(1), bind(2));
+    assert!(Peers::bind(&[], 0, None).expect("nothing to bind").is_none());
+    let stranger = UdpSocket::bind("127.0.0.1:0").expect("a free port");
+    stranger.send_to(b"strange", all[1]).expect("it goes out");
+    first.send(None, b"one");
+    third.send(Some(0), b"not for the second");
+    third.send(Some(1), &[7; 300]);
+    third.send(Some(1), b"two");
+    let (queue, words) = owner::queue();
+    let executor = LocalExecutor::new();
+    executor.spawn(second.clone().receive(queue)).detach();
+    let heard = async {
+        let mut heard = Vec::new();
+        while heard.len() < 2 {
+            if let Ok(Word::Peer(peer, said)) = words.recv().await {
+                heard.push((peer, said));
+            }
+        }
+        heard
+    };
+    let late = async {
+        async_io::Timer::after(std::time::Duration::from_secs(5)).await;
+        panic!("not both were heard");
+    };
+    let heard = async_io::block_on(executor.run(or(heard, late)));
+    assert_eq!(heard, [(0, b"one".to_vec()), (2, b"two".to_vec())]);
+    assert!(words.is_empty());
+    assert_eq!(second.dropped.get(), 2, "the stranger's and the long one are counted");
+    // Nobody takes them off the queue: no more than its bound wait there.
+    for _ in 0..2 * MAX_QUEUED_EVENTS {
+        first.send(Some(1), b"again");
+        async_io::block_on(executor.run(futures_lite::future::yield_now()));
+    }
+    let soon = async_io::Timer::after(std::time::Duration::from_millis(200));
+    async_io::block_on(executor.run(soon));
+    assert_eq!(words.len(), MAX_QUEUED_EVENTS);
+}
