--- a/crates/localities/src/evidence_tests.rs
+++ b/crates/localities/src/evidence_tests.rs
@@ -35,23 +35,23 @@
 }
 
 #[test]
-fn a_zone_is_lost_by_the_near_ones_or_by_many_from_two_zones() {
-    assert!(mixed(4, 4, 0, 0).is_lost(8, 24), "half of the near ones, no fewer than it answers");
+fn a_zone_is_lost_by_copies_of_the_own_zone_or_by_many_from_two_zones() {
+    assert!(mixed(4, 4, 0, 0).is_lost(8, 24), "half of the own zone's copies, no fewer than are answered");
     assert!(!mixed(3, 2, 0, 0).is_lost(8, 24) && mixed(3, 1, 0, 0).is_lost(4, 12));
     assert!(mixed(2, 0, 0, 0).is_lost(2, 6) && !mixed(1, 0, 0, 0).is_lost(2, 6));
-    assert!(!mixed(1, 0, 0, 9).is_lost(1, 10), "one alone says nothing of a zone that others reach");
-    assert!(mixed(1, 2, 4, 3).is_lost(8, 24), "five of ten who know, from two zones");
-    assert!(!mixed(1, 2, 3, 2).is_lost(8, 24), "four of 24: so many may lie");
-    assert!(!mixed(1, 3, 4, 3).is_lost(8, 24), "its own are answered");
-    assert!(!mixed(0, 0, 8, 0).is_lost(8, 24), "others' paths are none of its own");
+    assert!(!mixed(1, 0, 0, 9).is_lost(1, 10), "one copy alone does not decide");
+    assert!(mixed(1, 2, 4, 3).is_lost(8, 24), "five of ten observers, from two zones");
+    assert!(!mixed(1, 2, 3, 2).is_lost(8, 24), "four of 24 may report falsely");
+    assert!(!mixed(1, 3, 4, 3).is_lost(8, 24), "the own zone's copies are answered");
+    assert!(!mixed(0, 0, 8, 0).is_lost(8, 24), "other zones' paths do not decide alone");
 }
 
-/// A seventh of the copies say at random that a zone is silent: with any number of them it is not lost.
+/// A seventh of the copies falsely report a zone as silent: whatever the fleet's size, it is not lost.
 #[test]
-fn a_seventh_that_lies_loses_no_zone() {
+fn false_reports_of_a_seventh_of_the_copies_lose_no_zone() {
     for copies in 5usize..400 {
         let (liars, same_zone) = (copies / 7, copies / 3);
-        // Whether the others know much or nothing yet.
+        // The others may have many observations or none yet.
         for known in [0, 1, 2, same_zone] {
             let spread = liars.div_ceil(3).min(same_zone);
             let evidence = mixed(spread, known.min(same_zone - spread), liars - spread, known);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn two_trials_that_were_answered_after_the_last_failure_let_a_zone_come_back() {
+fn two_trials_answered_after_the_last_failure_let_a_zone_return() {
     let ms = Duration::from_millis;
     let trials = |ages: &[(bool, u64)], copies: u32| {
         let look = |(answered, ago): &(bool, u64)| match answered {
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn old_signs_and_those_of_a_copy_that_is_cut_off_count_for_nothing() {
+fn old_observations_and_those_of_isolated_copies_count_for_nothing() {
     let old = ZoneHealth::Silent { since: Duration::from_millis(1950) };
     assert_eq!(evidence(&[(OWN, old); 5]), Evidence::default());
     let cut = ZoneReport { isolated: true, ..report(silent()) };
--- a/crates/localities/src/report_tests.rs
+++ b/crates/localities/src/report_tests.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn a_word_is_read_as_it_was_written_and_cut_ones_are_none() {
+fn a_report_decodes_to_what_was_encoded_and_cut_ones_are_rejected() {
     let ms = Duration::from_millis;
     let report = ZoneReport {
         isolated: true,
@@ -36,7 +36,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 20_000, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn anything_can_be_read_or_is_none(bytes in prop::collection::vec(any::<u8>(), 0..200), head in 0u8..3) {
+    fn arbitrary_bytes_are_decoded_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..200), head in 0u8..3) {
         let mut bytes = bytes;
         if let Some(first) = bytes.first_mut() {
             *first = head;
--- a/crates/localities/src/verdict_tests.rs
+++ b/crates/localities/src/verdict_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn of_one_number_the_more_cautious_goes_first_and_any_order_comes_to_the_same() {
+fn of_one_number_the_more_cautious_verdict_prevails_in_any_order() {
     let of = |number, stage, evacuations| Verdict { zone: 1, number, stage, by_operator: false, evacuations };
     let all = [
         of(1, ZoneStage::Evacuated, 1),
--- a/crates/localities/tests/partitions.rs
+++ b/crates/localities/tests/partitions.rs
@@ -1,5 +1,5 @@
-//! Two parts of a zone's copies that hold opposite verdicts, and meet; and turns, when a copy that has one dies. Words pass
-//! from copy to copy by the test's hand.
+//! Two sides of a partition that hold opposite verdicts and meet; trials in turn, when a copy whose turn it is dies. The test
+//! carries the reports from copy to copy.
 
 use landingspread_localities::{
     FailoverConfig, Host, OperatorCommand, OwnObservation, PeerReport, RecoveryTimings, ZoneFailover,
@@ -18,12 +18,12 @@
 struct Scene {
     now: Duration,
     copies: Vec<ZoneFailover<Quiet>>,
-    /// What each said, a tick ago.
+    /// Each copy's report, a tick ago.
     words: Vec<Vec<u8>>,
-    /// How what each sent last ended, and when.
+    /// How each copy's last request to the far zone ended, and when.
     last: Vec<(ZoneHealth, Duration)>,
     down: Vec<bool>,
-    /// Who sends nothing to the zone away unless it is asked to look.
+    /// Copies that send nothing to the far zone unless they are asked to.
     idle: Vec<bool>,
 }
 
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Time passes; `reach` says who hears whom, `silent` to whom the zone away is silent if it sends anything there.
+    /// Lets time pass; `reach` says who receives whose reports, `silent` which copies get no answer from the far zone.
     fn run(&mut self, span: Duration, reach: &dyn Fn(usize, usize) -> bool, silent: &dyn Fn(usize) -> bool) {
         let until = self.now + span;
         while self.now < until {
@@ -107,7 +107,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
-fn halves_with_opposite_verdicts_meet_and_take_the_zone_back() {
+fn halves_with_opposite_verdicts_meet_and_return_the_zone() {
     for copies in [4, 8, 16, 40] {
         let mut scene = Scene::new(copies);
         scene.run(SECOND * 3, &all, &nobody);
@@ -117,7 +117,7 @@
         let stages = scene.stages();
         assert!(stages[..half].iter().all(|stage| *stage == ZoneStage::Evacuated), "{copies}: {stages:?}");
         assert!(stages[half..].iter().all(|stage| *stage == ZoneStage::InService), "{copies}: {stages:?}");
-        // They meet, and the zone is there for all.
+        // The partition heals, and the zone answers all.
         scene.run(SECOND, &all, &nobody);
         let stages = scene.stages();
         assert!(stages.iter().all(|stage| *stage == stages[0]), "{copies}: {stages:?}");
@@ -137,15 +137,15 @@
 }
 
 #[test]
-fn a_copy_that_sends_nothing_there_is_asked_to_look_and_holds_up_no_verdict() {
+fn an_idle_copy_is_asked_to_verify_and_holds_up_no_verdict() {
     let mut scene = Scene::new(3);
     scene.idle[2] = true;
     scene.run(SECOND * 3, &all, &nobody);
-    assert_eq!(scene.turns(), 0, "nobody finds it silent");
+    assert_eq!(scene.turns(), 0, "no copy finds it silent");
     scene.run(TICK * 6, &all, &|_| true);
     let stages = scene.stages();
     assert!(stages.iter().all(|stage| *stage == ZoneStage::Evacuated), "{stages:?}");
-    // One neighbour alone is contradicted, not followed.
+    // One copy's observation alone is verified, not followed.
     let mut scene = Scene::new(3);
     scene.idle[2] = true;
     scene.run(SECOND * 3, &all, &nobody);
@@ -155,14 +155,14 @@
 }
 
 #[test]
-fn one_copy_at_a_time_has_the_turn_and_one_that_dies_costs_a_turn() {
+fn trials_take_turns_and_a_copy_that_dies_costs_one_turn() {
     let mut scene = Scene::new(6);
     scene.run(SECOND * 3, &all, &nobody);
     scene.run(SECOND * 2, &all, &|_| true);
     let mut had = Vec::new();
     for _ in 0..60 {
         scene.run(TICK * 2, &all, &|_| true);
-        assert!(scene.turns() <= 2, "two at the border of two turns");
+        assert!(scene.turns() <= 2, "two at the boundary of two turns");
         let one = scene.copies.iter().position(|copy| copy.traffic()[AWAY].trial.is_some());
         one.into_iter().for_each(|one| had.push(one));
     }
@@ -177,7 +177,7 @@
             .map(|copy| scene.copies[copy].traffic()[AWAY])
             .all(|traffic_fraction| traffic_fraction.traffic_fraction == 0.0)
     );
-    // Its turn passes, and the zone comes back by the others' trials.
+    // Its turn passes, and the zone returns by the others' trials.
     scene.run(SECOND * 6, &all, &nobody);
     let stages = scene.stages();
     assert!(
@@ -187,19 +187,19 @@
 }
 
 #[test]
-fn what_operators_say_holds_over_what_is_found_and_comes_back_by_their_word() {
+fn operator_commands_prevail_over_evidence_until_they_are_withdrawn() {
     let mut scene = Scene::new(5);
     scene.run(SECOND * 3, &all, &nobody);
     assert!(!scene.copies[0].operator_command(scene.now, "nowhere", OperatorCommand::Evacuate));
     assert!(scene.copies[2].operator_command(scene.now, "away", OperatorCommand::Evacuate));
     scene.run(TICK * 4, &all, &nobody);
     assert!(scene.stages().iter().all(|stage| *stage == ZoneStage::Evacuated), "{:?}", scene.stages());
-    // Whoever said it may go: the others go on.
+    // The copy that received the command dies: the others carry on.
     scene.down[2] = true;
     scene.run(SECOND * 70, &all, &nobody);
     let left = |scene: &Scene| (0..5).filter(|copy| scene.stages()[*copy] == ZoneStage::Evacuated).count();
     assert_eq!(left(&scene), 5);
-    assert_eq!(scene.turns(), 0, "what they left is not tried");
+    assert_eq!(scene.turns(), 0, "a zone that operators evacuated is not tried");
     assert!(scene.copies[4].operator_command(scene.now, "away", OperatorCommand::Return));
     scene.run(SECOND * 3, &all, &nobody);
     assert_eq!(left(&scene), 1, "{:?}", scene.stages());
--- a/crates/localities/tests/pins.rs
+++ b/crates/localities/tests/pins.rs
@@ -1,4 +1,4 @@
-//! Zone words as bytes, and a scripted run of nine copies in three zones, compared with fixtures;
+//! Zone reports as bytes, and a scripted run of nine copies in three zones, compared with fixtures;
 //! LANDINGSPREAD_WRITE_FIXTURES=1 writes those anew.
 
 use landingspread_localities::{
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn zone_words_are_the_bytes_of_the_fixture_and_are_read_to_the_same_values() {
+fn zone_reports_are_the_bytes_of_the_fixture_and_decode_to_the_same_values() {
     let ms = Duration::from_millis;
     let health = [
         ZoneHealth::Unknown,
@@ -52,7 +52,7 @@
         assert_eq!(decode(&bytes), Some(report));
         writeln!(text, "{}", hex(&bytes)).expect("text");
     }
-    // What is past the bounds is left out or clipped.
+    // What exceeds the bounds is left out or clamped.
     let many = ZoneReport {
         isolated: true,
         observations: (0..20)
@@ -107,10 +107,10 @@
 fn answers(at_ms: u64, copy: usize, zone: usize) -> bool {
     match at_ms {
         4000..8000 => zone != 1,
-        // Lost for the copies of one zone alone, and then again so soon that it counts as a further departure.
+        // Lost for the copies of one zone alone, and again so soon that it counts as a further evacuation.
         16_000..18_000 => zone != 2 || !copy.is_multiple_of(3),
         23_000..24_500 => zone != 2 || !copy.is_multiple_of(3),
-        // One copy is cut off.
+        // One copy is isolated.
         30_000..33_000 => copy != 8,
         _ => true,
     }
@@ -194,6 +194,6 @@
 }
 
 #[test]
-fn a_scripted_run_comes_to_the_same_words_verdicts_and_shares() {
+fn a_scripted_run_makes_the_same_reports_verdicts_and_fractions() {
     compare("trace.txt", &run());
 }
--- a/crates/membership/src/budget_tests.rs
+++ b/crates/membership/src/budget_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn news_leave_their_part_to_probes_and_all_stays_within_the_budget() {
+fn gossip_leaves_the_reserve_to_probes_and_sending_stays_within_the_budget() {
     let limits = Budget { datagrams_per_s: 20, bytes_per_s: 4000 };
     let mut send_budget = SendBudget::new(limits, Duration::ZERO);
     while send_budget.can_spare_datagram(Duration::ZERO)
@@ -11,7 +11,7 @@
     {
         assert!(send_budget.try_spend(Duration::ZERO, 200));
     }
-    assert!(send_budget.try_spend(Duration::ZERO, 100), "a probe still goes");
+    assert!(send_budget.try_spend(Duration::ZERO, 100), "a probe is still sent");
     let (mut sent, mut bytes) = (0, 0);
     for at in 0..10_000 {
         if send_budget.try_spend(Duration::from_millis(at), 100) {
--- a/crates/membership/src/wire/fixture_tests.rs
+++ b/crates/membership/src/wire/fixture_tests.rs
@@ -9,7 +9,7 @@
 #[derive(Default)]
 struct Entries(Vec<String>);
 
-fn word_text(announcement: &Announcement) -> String {
+fn announcement_text(announcement: &Announcement) -> String {
     let Announcement {
         address,
         incarnation,
@@ -29,7 +29,7 @@
 
 impl EntryVisitor for Entries {
     fn announcement(&mut self, announcement: Announcement) {
-        self.0.push(format!("1 {}", word_text(&announcement)));
+        self.0.push(format!("1 {}", announcement_text(&announcement)));
     }
     fn suspicion(&mut self, target: Address, incarnation: u64, epoch: u64, suspector: Address) {
         self.0.push(format!("2 {target} {incarnation} {epoch} {suspector}"));
@@ -136,16 +136,16 @@
 
 fn read_text(bytes: &[u8]) -> String {
     let (read, rest) = decode_header(bytes, "fleet").expect("a message");
-    let (own, rest) = decode_sender(rest).expect("a word");
+    let (own, rest) = decode_sender(rest).expect("an announcement");
     let mut heard = Entries::default();
     let all = decode_entries(rest, &mut heard).is_some();
     let Header { kind, probe_number, epoch, digest } = read;
-    let head = format!("{} {probe_number} {epoch} {digest} of {}", kind as u8, word_text(&own));
+    let head = format!("{} {probe_number} {epoch} {digest} of {}", kind as u8, announcement_text(&own));
     format!("{head}; {}; whole {all}", heard.0.join("; "))
 }
 
 #[test]
-fn messages_are_the_bytes_of_the_fixture_and_are_read_to_the_same_values() {
+fn messages_are_the_bytes_of_the_fixture_and_decode_to_the_same_values() {
     let mut text = String::new();
     for (what, bytes) in messages() {
         text += &format!("{what}\n  {}\n  {}\n", hex(&bytes), read_text(&bytes));
--- a/crates/membership/src/wire/wire_tests.rs
+++ b/crates/membership/src/wire/wire_tests.rs
@@ -1,4 +1,4 @@
-//! Messages that are written and read back, damaged ones, and arbitrary bytes.
+//! Messages that are encoded and decoded, damaged ones, and arbitrary bytes.
 
 use super::format::*;
 use super::*;
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 #[derive(Default, Debug, PartialEq)]
-struct EntryHandler(Vec<String>);
+struct Decoded(Vec<String>);
 
-impl EntryVisitor for EntryHandler {
+impl EntryVisitor for Decoded {
     fn announcement(&mut self, announcement: Announcement) {
         self.0.push(format!("{announcement:?}"));
     }
@@ -54,10 +54,10 @@
     }
 }
 
-const HEAD_OF_ALL: Header = Header { kind: MessageKind::PingReq, probe_number: 9, epoch: 77, digest: 0xfeed };
+const HEADER: Header = Header { kind: MessageKind::PingReq, probe_number: 9, epoch: 77, digest: 0xfeed };
 
 fn message() -> Vec<u8> {
-    let mut writer = MessageWriter::new(HEAD_OF_ALL, &announcement(1, "c1"), 600);
+    let mut writer = MessageWriter::new(HEADER, &announcement(1, "c1"), 600);
     writer.subject(address(2), Some(&announcement(2, "c2")));
     writer.announcement(&announcement(3, "c3"), true);
     writer.suspicion(address(4), 5, 6, address(7));
@@ -67,7 +67,7 @@
     writer.finish("fleet")
 }
 
-/// As `message`, with these bytes after the header and a checksum that is right.
+/// A message with these bytes after the header and a valid checksum.
 fn sealed(kind: u8, least: u8, entries: &[u8]) -> Vec<u8> {
     let mut bytes = vec![MAGIC, PROTOCOL_VERSION, least, kind, 0, 0, 0, 0];
     bytes.extend([0; HEADER_BYTES - 8]);
@@ -78,14 +78,14 @@
 }
 
 #[test]
-fn a_message_is_read_as_it_was_written() {
+fn a_message_decodes_to_what_was_encoded() {
     let bytes = message();
     let (read, rest) = decode_header(&bytes, "fleet").expect("a message");
-    assert_eq!(read, HEAD_OF_ALL);
-    let (own, rest) = decode_sender(rest).expect("a word");
+    assert_eq!(read, HEADER);
+    let (own, rest) = decode_sender(rest).expect("an announcement");
     assert_eq!(own, announcement(1, "c1"));
-    let mut heard = EntryHandler::default();
-    assert!(decode_entries(rest, &mut heard).is_some());
+    let mut decoded = Decoded::default();
+    assert!(decode_entries(rest, &mut decoded).is_some());
     let short = Announcement { name: "".into(), zone: "".into(), ..announcement(2, "") };
     let wanted = [
         "about 127.0.0.1:2".to_string(),
@@ -97,11 +97,11 @@
         "127.0.0.1:12 5 alive 11".into(),
         "[1, 2]".into(),
     ];
-    assert_eq!(heard.0, wanted);
+    assert_eq!(decoded.0, wanted);
 }
 
 #[test]
-fn what_is_garbled_cut_strange_or_of_a_later_version_is_not_taken() {
+fn damaged_cut_foreign_and_newer_messages_are_rejected() {
     let bytes = message();
     for bit in 0..bytes.len() * 8 {
         let mut garbled = bytes.clone();
@@ -117,20 +117,17 @@
         Err(MessageError::NewerVersion)
     );
     assert_eq!(is_well_formed(&sealed(77, PROTOCOL_VERSION, &[]), "fleet"), Err(MessageError::NewerVersion));
-    // Entries that only a later version knows are passed over.
-    let mut writer = MessageWriter::new(HEAD_OF_ALL, &announcement(1, "c1"), 600);
+    // Entries of unknown types are skipped.
+    let mut writer = MessageWriter::new(HEADER, &announcement(1, "c1"), 600);
     writer.entry(99, 5, |bytes| bytes.extend([1, 2, 3, 4, 5]));
     writer.deaths(8, &[(address(9), 2)]);
     assert_eq!(is_well_formed(&writer.finish("fleet"), "fleet"), Ok(true));
 }
 
 #[test]
-fn no_message_is_longer_than_the_bound_and_long_names_are_cut_between_characters() {
-    let mut writer = MessageWriter::new(
-        HEAD_OF_ALL,
-        &announcement(1, &"\u{e9}".repeat(60)),
-        usize::MAX - MAX_MESSAGE_BYTES,
-    );
+fn messages_stay_within_the_bound_and_names_are_truncated_between_characters() {
+    let mut writer =
+        MessageWriter::new(HEADER, &announcement(1, &"\u{e9}".repeat(60)), usize::MAX - MAX_MESSAGE_BYTES);
     while writer.announcement(&announcement(2, &"n".repeat(70)), true) {}
     while writer.remaining_compact_entries() > 0 {
         let many = vec![(address(1), 1); writer.remaining_compact_entries()];
@@ -140,9 +137,9 @@
     assert!(bytes.len() <= MAX_MESSAGE_BYTES && is_well_formed(&bytes, "fleet") == Ok(true));
 }
 
-/// LANDINGSPREAD_INPUTS says how many; 100,000 where it does not.
+/// 100,000 cases, or as many as LANDINGSPREAD_INPUTS says.
 #[test]
-fn any_bytes_are_read_or_refused() {
+fn arbitrary_bytes_are_decoded_or_rejected() {
     let told = std::env::var("LANDINGSPREAD_INPUTS").ok().and_then(|text| text.parse().ok());
     let cases = Cases {
         cases: told.unwrap_or(100_000),
--- a/crates/membership/tests/trace.rs
+++ b/crates/membership/tests/trace.rs
@@ -8,18 +8,18 @@
 use std::time::Duration;
 
 #[derive(Default)]
-struct Post {
+struct TestHost {
     out: Vec<(Address, Vec<u8>)>,
     events: Vec<String>,
 }
 
-impl Post {
+impl TestHost {
     fn event(&mut self, what: &str, member: &Member) {
         self.events.push(format!("{what} {}", member.address()));
     }
 }
 
-impl Host for Post {
+impl Host for TestHost {
     fn send(&mut self, to: Address, bytes: &[u8]) {
         self.out.push((to, bytes.to_vec()));
     }
@@ -61,10 +61,10 @@
     Address::new(Ipv4Addr::from(0x0a00_0000 + number), 7000)
 }
 
-fn start(number: u32, incarnation: u64, now: Duration) -> Membership<Post> {
+fn start(number: u32, incarnation: u64, now: Duration) -> Membership<TestHost> {
     let about = MemberConfig {
         address: address(number),
-        // Two of them have one name.
+        // Two members have the same name.
         name: format!("c{}", number.min(COUNT - 2)),
         zone: format!("z{}", number % 3),
         fleet: "f".into(),
@@ -73,7 +73,7 @@
         budget: Budget::default(),
         configured_members: 3.0,
     };
-    Membership::start(Post::default(), about, incarnation * 31 + u64::from(number), now)
+    Membership::start(TestHost::default(), about, incarnation * 31 + u64::from(number), now)
 }
 
 /// FNV-1a.
@@ -93,7 +93,7 @@
     }
 }
 
-fn view(copy: &Membership<Post>) -> String {
+fn view(copy: &Membership<TestHost>) -> String {
     let mut text = format!(
         "{} epoch {} live {} digest {:016x} doubt {} hears {}",
         copy.address().ip(),
@@ -132,7 +132,7 @@
 fn run() -> String {
     let mut text = String::new();
     let ms = Duration::from_millis;
-    let mut copies: Vec<Option<Membership<Post>>> =
+    let mut copies: Vec<Option<Membership<TestHost>>> =
         (0..COUNT).map(|number| Some(start(number, 1000 + u64::from(number), ms(0)))).collect();
     let (mut digest, mut sent) = (0xcbf2_9ce4_8422_2325, 0);
     for at in (0..END_MS).step_by(TICK_MS as usize) {
@@ -150,7 +150,7 @@
         for copy in copies.iter_mut().flatten() {
             copy.set_traffic(f64::from(copy.address().ip().octets()[3]) * 1.5);
         }
-        // One stands still for a while.
+        // One is paused for a while.
         let still = |number: usize| number == 1 && (24_000..25_500).contains(&at);
         for (number, copy) in copies.iter_mut().enumerate() {
             copy.iter_mut().filter(|_| !still(number)).for_each(|copy| copy.tick(now));
--- a/crates/sidecar/src/net/peers_tests.rs
+++ b/crates/sidecar/src/net/peers_tests.rs
@@ -1,4 +1,4 @@
-//! Peers exchange messages by number, and nobody else is heard.
+//! Peers receive from each other by number, and from nobody else.
 
 use super::*;
 use crate::net::owner;
@@ -6,8 +6,8 @@
 use futures_lite::future::or;
 
 #[test]
-fn peers_hear_each_other_by_number_and_nobody_else() {
-    // Held until all three are known: two binds at once would give one port twice.
+fn peers_receive_from_each_other_by_number_and_from_nobody_else() {
+    // All three are bound until their ports are known: the system could hand out one port twice.
     let held: Vec<UdpSocket> = (0..3).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a free port")).collect();
     let all: Vec<SocketAddr> = held.iter().map(|socket| socket.local_addr().expect("an address")).collect();
     drop(held);
@@ -40,7 +40,7 @@
     assert_eq!(heard, [(0, b"one".to_vec()), (2, b"two".to_vec())]);
     assert!(words.is_empty());
     assert_eq!(second.dropped.get(), 2, "the stranger's and the long one are counted");
-    // Nobody takes them off the queue: no more than its bound wait there.
+    // Nothing takes them off the queue: it stays within its bound.
     for _ in 0..2 * MAX_QUEUED_EVENTS {
         first.send(Some(1), b"again");
         async_io::block_on(executor.run(futures_lite::future::yield_now()));
--- a/crates/sidecar/tests/fleet.rs
+++ b/crates/sidecar/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Several processes of the program with faults between them. Each plan is played round real processes by the lab's rig,
-//! whose judge says whether every view followed and every rule was kept; they take turns, as each needs the cores.
+//! Several processes of the program with faults between them. The lab's rig runs each plan on real processes and judges
+//! whether every view followed and every rule was kept. The tests take turns, as each needs all cores.
 
 use landingspread_lab::fleet::plan::read;
 use landingspread_lab::fleet::rig::{LOOK_EVERY, Played, Ways, play, run_dir};
@@ -19,7 +19,7 @@
 }
 
 fn played(name: &str, processes: usize, seconds: f64, faults: &str) -> Played {
-    // A test that failed before has left nothing half done.
+    // A test that failed holds nothing that another one needs.
     let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
     let text = format!("name = \"{name}\"\nseconds = {seconds}\nservers = 3\nrate_each = 6.0\n{faults}");
     let plan = read(name, &text, Some(processes)).expect("a plan");
@@ -38,7 +38,7 @@
     assert!(figures.broken.is_empty(), "{name}: {:#?}", figures.broken);
     assert_eq!(played.broken_rules, [0; 4], "{name}: {:#?}", played.breaches);
     assert!(played.seconds.iter().map(|second| second.answered).sum::<u32>() > 50, "{name} served");
-    // What the judge waited for was there to be seen.
+    // The judge had something to observe.
     assert!(figures.agreed_after.len() > 1, "{name}: {:?}", figures.agreed_after);
     played
 }
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_killed_process_is_gone_from_every_view_and_comes_back() {
+fn a_killed_process_is_gone_from_every_view_and_returns() {
     let killed = played("kill", 6, 11.0, &fault("kill", 3.5, 3.0, "copies = [4]"));
     assert!(killed.figures.death_most > 0.0, "{:?}", killed.figures.agreed_after);
 }
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_short_stop_and_a_path_that_is_cut_one_way_are_no_death() {
+fn a_short_pause_and_a_path_cut_one_way_are_no_death() {
     let faults = fault("stop", 3.5, 0.4, "copies = [5]")
         + &fault("cut", 5.0, 4.0, "copies = [1]\nto = [3]\nway = \"out\"")
         + &fault("loss", 5.5, 3.0, "share = 0.2\npaths = \"copies\"");
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn halves_of_a_cut_see_that_they_are_alone_and_meet_again() {
+fn halves_of_a_partition_detect_it_and_merge_again() {
     let faults = fault("cut", 3.5, 5.5, "copies = [0, 1, 2]\npaths = \"copies\"");
     let met = played("halves", 6, 13.0, &faults);
     assert!(met.figures.agreed_after.iter().filter(|(what, _)| what.contains("parts")).count() >= 2);
@@ -86,12 +86,12 @@
     played("release", 5, 13.0, &faults);
 }
 
-/// A copy of a later build, as far as others see it.
-struct Later {
+/// A member whose messages are those of a newer version.
+struct NewerVersion {
     socket: UdpSocket,
 }
 
-impl Host for Later {
+impl Host for NewerVersion {
     fn send(&mut self, to: Address, bytes: &[u8]) {
         if let Some(later) = as_newer_version(bytes, "mixed") {
             let _ = self.socket.send_to(&later, to);
@@ -99,7 +99,7 @@
     }
 }
 
-fn run_later(seeds: Vec<Address>, stop: Arc<AtomicBool>) -> (thread::JoinHandle<usize>, Address) {
+fn run_newer(seeds: Vec<Address>, stop: Arc<AtomicBool>) -> (thread::JoinHandle<usize>, Address) {
     let (socket, address) = free_datagrams().expect("a socket");
     socket.set_read_timeout(Some(Duration::from_millis(10))).expect("a time-out");
     let began = Instant::now();
@@ -116,14 +116,14 @@
     };
     let run = move || {
         let sending = socket.try_clone().expect("a socket");
-        let mut own = Membership::start(Later { socket: sending }, config, 7, began.elapsed());
+        let mut own = Membership::start(NewerVersion { socket: sending }, config, 7, began.elapsed());
         let (mut bytes, mut tick_at) = ([0; 2048], began.elapsed());
         while !stop.load(Ordering::Relaxed) {
             if let Ok((length, _)) = socket.recv_from(&mut bytes) {
                 own.receive(began.elapsed(), &bytes[..length]);
             }
             if tick_at <= began.elapsed() {
-                tick_at = began.elapsed() + Membership::<Later>::TICK_INTERVAL;
+                tick_at = began.elapsed() + Membership::<NewerVersion>::TICK_INTERVAL;
                 own.tick(began.elapsed());
             }
         }
@@ -160,7 +160,7 @@
     unused().into()
 }
 
-/// A process with a server that nobody asks, with `before` among the first keys and `after` at the end.
+/// A process with a server that gets no requests, with `before` among the first keys and `after` at the end.
 fn process(dir: &Path, name: &str, console: SocketAddr, before: &str, after: &str) -> Sidecar {
     let listen = address();
     let text = format!(
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn copies_with_a_list_of_peers_are_a_fleet_by_the_peers_socket() {
+fn replicas_with_a_list_of_peers_are_a_fleet_by_the_peers_socket() {
     let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
     let dir = run_dir("peers").expect("a folder");
     let peers: Vec<String> = addresses(5).iter().map(|address| format!("\"{address}\"")).collect();
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn a_copy_of_a_later_build_is_one_of_five_and_its_silence_is_noticed() {
+fn a_member_of_a_newer_version_is_one_of_five_and_its_death_is_detected() {
     let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
     let dir = run_dir("mixed").expect("a folder");
     let addresses = addresses(4);
@@ -200,7 +200,7 @@
     };
     let processes: Vec<Sidecar> = (0..4).map(start).collect();
     let stop = Arc::new(AtomicBool::new(false));
-    let (later, _) = run_later(addresses[..2].to_vec(), stop.clone());
+    let (later, _) = run_newer(addresses[..2].to_vec(), stop.clone());
     let joined = all_count(&consoles, 5, Duration::from_secs(8));
     assert_eq!(joined, [Some(5); 4]);
     stop.store(true, Ordering::Relaxed);
--- a/crates/sidecar/tests/zones.rs
+++ b/crates/sidecar/tests/zones.rs
@@ -1,6 +1,5 @@
-//! Several processes of the program and zones that fail: each plan is played round real processes by the lab's rig, whose
-//! judge says whether all left what was lost, nobody left what was not, and all came back. They take turns, as each needs
-//! the cores.
+//! Several processes of the program and zones that fail. The lab's rig runs each plan on real processes and judges whether all
+//! evacuated a lost zone, none evacuated another one, and all returned. The tests take turns, as each needs all cores.
 
 use landingspread_lab::fleet::plan::read;
 use landingspread_lab::fleet::rig::{LOOK_EVERY, Played, Ways, play, run_dir};
@@ -10,7 +9,7 @@
 static TURN: Mutex<()> = Mutex::new(());
 
 fn played(name: &str, seconds: f64, more: &str) -> Played {
-    // A test that failed before has left nothing half done.
+    // A test that failed holds nothing that another one needs.
     let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
     let text = format!(
         "name = \"{name}\"\nseconds = {seconds}\nservers = 6\nrate_each = 14.0\nlocalities = true\nleft_within = 1.5\n\
@@ -32,7 +31,7 @@
     assert!(zones.broken.is_empty() && zones.false_verdicts == 0, "{name}: {zones:#?}");
     assert!(played.figures.broken.is_empty(), "{name}: {:#?}", played.figures.broken);
     assert_eq!(played.broken_rules, [0; 4], "{name}: {:#?}", played.breaches);
-    // What the judge waited for was there to be seen.
+    // The judge had something to observe.
     assert!(zones.departures_most >= 1, "{name}: {zones:#?}");
     played
 }
@@ -42,7 +41,7 @@
 }
 
 #[test]
-fn a_zone_that_falls_silent_is_left_by_all_and_tried_in_turn() {
+fn a_zone_that_falls_silent_is_evacuated_by_all_and_tried_in_turn() {
     let silent = fault("silent", 4.0, 6.0, "zone = \"b\"");
     let played = played("silent", 17.0, &("departures_most = 1\nback_within = 6.0\n".to_string() + &silent));
     let zones = &played.zones;
@@ -56,20 +55,20 @@
 }
 
 #[test]
-fn a_zone_that_comes_and_goes_is_left_twice_at_most() {
+fn a_zone_that_comes_and_goes_is_evacuated_twice_at_most() {
     let away = |at: f64| fault("silent", at, 2.0, "zone = \"c\"");
     let faults: String = [4.0, 9.0, 14.0, 19.0].map(away).concat();
     played("flap", 26.0, &("departures_most = 2\nback_within = 60.0\n".to_string() + &faults));
 }
 
 #[test]
-fn a_zone_returns_cold_while_half_as_much_again_comes() {
+fn a_zone_returns_to_slow_start_under_half_as_much_traffic_again() {
     let faults = fault("crash", 4.0, 4.0, "zone = \"b\"") + &fault("surge", 7.0, 8.0, "factor = 1.5");
     played("surge", 20.0, &("work = 0.03\nback_within = 9.0\n".to_string() + &faults));
 }
 
 #[test]
-fn what_operators_say_in_a_partition_is_carried_out_though_the_copy_that_heard_it_dies() {
+fn operator_commands_in_a_partition_outlive_the_replica_that_received_them() {
     let faults = fault("cut", 4.0, 6.0, "copies = [0, 1, 2, 3]\npaths = \"copies\"")
         + &fault("leave", 5.0, 12.0, "copies = [1, 2]\nzone = \"c\"")
         + &fault("kill", 7.0, 4.0, "copies = [1]");
