--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -18,6 +18,15 @@
 const LARGE_BACKLOG: usize = 64;
 const MAX_TRANSMISSIONS_IN_BACKLOG: u32 = 4;
 
+/// A member's state before and after an update; both may be the same.
+#[derive(Clone, Copy, Debug)]
+pub struct StateChange {
+    /// Before the update.
+    pub before: MemberState,
+    /// After the update.
+    pub after: MemberState,
+}
+
 /// All known members. A slot identifies one for as long as it is known.
 #[derive(Debug, Default)]
 pub struct MemberTable {
@@ -129,7 +138,7 @@
         }
     }
 
-    /// Applies a change to a member, evaluates its state, and updates all indexes. The state before and after; `None` where
+    /// Applies a change to a member, evaluates its state, and updates all indexes. `None` where
     /// `apply` says that nothing changed.
     pub fn update(
         &mut self,
@@ -137,7 +146,7 @@
         now: Duration,
         grace: Duration,
         apply: impl FnOnce(&mut Member) -> bool,
-    ) -> Option<(MemberState, MemberState)> {
+    ) -> Option<StateChange> {
         let member = &mut self.members[slot];
         let (before, incarnation) = (member.state, member.announcement.incarnation);
         if !apply(member) {
@@ -163,7 +172,7 @@
                 _ => self.suspects.retain(|suspect| *suspect != slot),
             }
         }
-        Some((before, after))
+        Some(StateChange { before, after })
     }
 
     fn forget(&mut self, slot: usize) {
--- a/crates/membership/src/membership/probing.rs
+++ b/crates/membership/src/membership/probing.rs
@@ -39,8 +39,7 @@
 
     pub(super) fn handle_ping_req(&mut self, requester: Requester, subject: Address) {
         if subject == self.own.address {
-            let (prober, number) = requester;
-            return self.send_plain(prober, MessageKind::Ack, number);
+            return self.send_plain(requester.address, MessageKind::Ack, requester.probe_number);
         }
         if self.members.slot(subject).is_some() {
             self.probe(subject, Some(requester));
@@ -50,8 +49,8 @@
     pub(super) fn handle_ack(&mut self, number: u32, target: Address) {
         let Some(probe) = self.probes.acknowledge(number, target, self.now) else { return };
         self.health_penalty = self.health_penalty.saturating_sub(1);
-        if let Some((prober, number)) = probe.requester {
-            self.send_about(prober, MessageKind::Ack, number, target);
+        if let Some(Requester { address, probe_number }) = probe.requester {
+            self.send_about(address, MessageKind::Ack, probe_number, target);
         }
     }
 
@@ -67,8 +66,8 @@
     }
 
     fn probe_failed(&mut self, probe: &Probe) {
-        if let Some((prober, number)) = probe.requester {
-            self.send_about(prober, MessageKind::Nack, number, probe.target);
+        if let Some(Requester { address, probe_number }) = probe.requester {
+            self.send_about(address, MessageKind::Nack, probe_number, probe.target);
         }
         let Some(slot) = self.members.slot(probe.target) else { return };
         let member = self.members.get(slot);
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -2,6 +2,8 @@
 
 use super::*;
 use crate::member::MemberState;
+use crate::member_table::StateChange;
+use crate::probes::Requester;
 use crate::wire::{EntryVisitor, Header, MessageError};
 
 impl<H: Host> Membership<H> {
@@ -47,7 +49,9 @@
             (MessageKind::Ping, _) if known => self.send_plain(from, MessageKind::Ack, number),
             (MessageKind::Ping, _) => self.send_with_names(from, MessageKind::Ack, number),
             (MessageKind::Ack, subject) => self.handle_ack(number, subject.unwrap_or(from)),
-            (MessageKind::PingReq, Some(subject)) => self.handle_ping_req((from, number), subject),
+            (MessageKind::PingReq, Some(subject)) => {
+                self.handle_ping_req(Requester { address: from, probe_number: number }, subject)
+            }
             // The helper acks to this member but does not reach the subject: the fault is not this member's own.
             (MessageKind::Nack, _) => self.health_penalty = self.health_penalty.saturating_sub(1),
             (MessageKind::PingReq, None) | (MessageKind::Gossip, _) => {}
@@ -87,11 +91,11 @@
             self.members.get_mut(slot).last_direct = Some(now);
         }
         let merge = |member: &mut Member| member.merge_announcement(announcement, now);
-        let Some((before, after)) = self.members.update(slot, now, REFUTATION_GRACE, merge) else { return };
-        self.state_changed(slot, before, after);
-        if self.members.get(slot).incarnation() != incarnation && after.is_live() {
+        let Some(change) = self.members.update(slot, now, REFUTATION_GRACE, merge) else { return };
+        self.state_changed(slot, change);
+        if self.members.get(slot).incarnation() != incarnation && change.after.is_live() {
             self.members.enqueue_gossip(slot);
-            if before == after {
+            if change.before == change.after {
                 self.host.returned(self.members.get(slot));
             }
         }
@@ -125,20 +129,20 @@
 
     /// Applies a change to a member, and gossips and reports the new state if that changed too. `false`: nothing changed.
     pub(super) fn update_member(&mut self, slot: usize, apply: impl FnOnce(&mut Member) -> bool) -> bool {
-        let Some((before, after)) = self.members.update(slot, self.now, REFUTATION_GRACE, apply) else {
+        let Some(change) = self.members.update(slot, self.now, REFUTATION_GRACE, apply) else {
             return false;
         };
-        self.state_changed(slot, before, after);
+        self.state_changed(slot, change);
         true
     }
 
-    fn state_changed(&mut self, slot: usize, before: MemberState, after: MemberState) {
-        if before == after {
+    fn state_changed(&mut self, slot: usize, change: StateChange) {
+        if change.before == change.after {
             return;
         }
         self.members.enqueue_gossip(slot);
         let member = self.members.get(slot);
-        match (before, after) {
+        match (change.before, change.after) {
             (_, MemberState::Suspect) => self.host.suspected(member),
             (MemberState::Suspect, MemberState::Alive) => self.host.refuted(member),
             (_, MemberState::Alive) => self.host.returned(member),
--- a/crates/membership/src/probes.rs
+++ b/crates/membership/src/probes.rs
@@ -17,8 +17,14 @@
 /// By how much slow round trips extend the timeouts at most.
 const MAX_LATENCY_FACTOR: u32 = 4;
 
-/// Who asked this member to probe, and the number of its own probe there.
-pub type Requester = (Address, u32);
+/// Who asked this member for an indirect probe.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Requester {
+    /// The member that gets the ack or nack.
+    pub address: Address,
+    /// The number of its own probe.
+    pub probe_number: u32,
+}
 
 /// One probe in flight.
 #[derive(Clone, Debug)]
