--- /dev/null
+++ b/crates/localities/src/report.rs
@@ -0,0 +1,170 @@
+//! Zone reports: how the zones look to one copy, and the verdicts that it follows. Only a copy's newest report counts, so
+//! that order, loss and duplication do no harm. A report that is received may be any bytes; what is decoded is bounded.
+//!
+//! | bytes | what |
+//! | --- | --- |
+//! | 0 | the version |
+//! | 1 | flags: 1 for a copy that is isolated, whose observations mean nothing |
+//! | 2, 3 | how many observations, how many verdicts follow |
+//! | 6 each | a zone's id; its health; the age of the latest sign, in units of 20 ms |
+//! | 12 each | a zone's id; the verdict's number; its stage and the operator flag; evacuations; its age in units of 10 ms |
+
+use crate::verdict::{Verdict, ZoneStage};
+use std::time::Duration;
+
+const VERSION: u8 = 1;
+const FLAG_ISOLATED: u8 = 1;
+const HEADER_BYTES: usize = 4;
+const OBSERVATION_BYTES: usize = 6;
+const VERDICT_BYTES: usize = 12;
+const MAX_OBSERVATIONS: usize = 8;
+const MAX_VERDICTS: usize = 8;
+/// The longest report, in bytes.
+pub const MAX_REPORT_BYTES: usize =
+    HEADER_BYTES + OBSERVATION_BYTES * MAX_OBSERVATIONS + VERDICT_BYTES * MAX_VERDICTS;
+const OBSERVATION_AGE_UNIT_MS: u64 = 20;
+const VERDICT_AGE_UNIT_MS: u64 = 10;
+
+const HEALTH_UNKNOWN: u8 = 0;
+const HEALTH_ANSWERING: u8 = 1;
+const HEALTH_SILENT: u8 = 2;
+const HEALTH_MASK: u8 = 0x0f;
+/// Set beside `HEALTH_ANSWERING`.
+const FLAG_SLOW: u8 = 0x10;
+/// Set beside a verdict's stage.
+const FLAG_OPERATOR: u8 = 0x80;
+
+/// A zone's id in reports: the FNV-1a hash of its name.
+pub fn zone_id(name: &str) -> u32 {
+    name.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
+}
+
+/// How a zone looks to one copy.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ZoneHealth {
+    /// The copy has sent nothing there of late.
+    Unknown,
+    /// Something sent there was answered, whatever the answer was.
+    Answering {
+        /// How long ago that was sent.
+        sent_ago: Duration,
+        /// The answer took long.
+        slow: bool,
+    },
+    /// Nothing sent there was answered in time.
+    Silent {
+        /// The age of the latest sign of that.
+        since: Duration,
+    },
+}
+
+/// One copy's observation of one zone.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ZoneObservation {
+    /// The zone's id.
+    pub zone: u32,
+    /// How the zone looks.
+    pub health: ZoneHealth,
+}
+
+/// One copy's report, as of the time it was made.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct ZoneReport {
+    /// The copy reaches no zone at all: the fault is its own, and its observations count for nothing.
+    pub isolated: bool,
+    /// How the zones look to it.
+    pub observations: Vec<ZoneObservation>,
+    /// Verdicts that hold for the copy's own zone, and those of operators, with their ages.
+    pub verdicts: Vec<(Verdict, Duration)>,
+}
+
+fn age_units(age: Duration, unit_ms: u64, max: u64) -> u64 {
+    (age.as_millis() as u64 / unit_ms).min(max)
+}
+
+/// The report as bytes; observations and verdicts beyond the bounds are left out.
+pub fn encode(report: &ZoneReport) -> Vec<u8> {
+    let observations = &report.observations[..report.observations.len().min(MAX_OBSERVATIONS)];
+    let verdicts = &report.verdicts[..report.verdicts.len().min(MAX_VERDICTS)];
+    let length = HEADER_BYTES + OBSERVATION_BYTES * observations.len() + VERDICT_BYTES * verdicts.len();
+    let mut bytes = Vec::with_capacity(length);
+    let flags = u8::from(report.isolated) * FLAG_ISOLATED;
+    bytes.extend([VERSION, flags, observations.len() as u8, verdicts.len() as u8]);
+    for observation in observations {
+        let (code, age) = match observation.health {
+            ZoneHealth::Unknown => (HEALTH_UNKNOWN, Duration::ZERO),
+            ZoneHealth::Answering { sent_ago, slow } => {
+                (HEALTH_ANSWERING | if slow { FLAG_SLOW } else { 0 }, sent_ago)
+            }
+            ZoneHealth::Silent { since } => (HEALTH_SILENT, since),
+        };
+        let age = age_units(age, OBSERVATION_AGE_UNIT_MS, u64::from(u8::MAX)) as u8;
+        bytes.extend(observation.zone.to_be_bytes());
+        bytes.extend([code, age]);
+    }
+    for (verdict, age) in verdicts {
+        let operator = if verdict.by_operator { FLAG_OPERATOR } else { 0 };
+        let age = age_units(*age, VERDICT_AGE_UNIT_MS, u64::from(u16::MAX)) as u16;
+        bytes.extend(verdict.zone.to_be_bytes());
+        bytes.extend(verdict.number.to_be_bytes());
+        bytes.extend([verdict.stage.code() | operator, verdict.evacuations]);
+        bytes.extend(age.to_be_bytes());
+    }
+    bytes
+}
+
+/// The bytes not read yet; reads are `None` where too few are left.
+struct ByteReader<'a>(&'a [u8]);
+
+impl ByteReader<'_> {
+    fn take<const N: usize>(&mut self) -> Option<[u8; N]> {
+        let (taken, rest) = self.0.split_at_checked(N)?;
+        self.0 = rest;
+        taken.try_into().ok()
+    }
+
+    fn observation(&mut self) -> Option<ZoneObservation> {
+        let zone = u32::from_be_bytes(self.take()?);
+        let [code, age] = self.take()?;
+        let age = Duration::from_millis(u64::from(age) * OBSERVATION_AGE_UNIT_MS);
+        let health = match code & HEALTH_MASK {
+            HEALTH_ANSWERING => ZoneHealth::Answering { sent_ago: age, slow: code & FLAG_SLOW != 0 },
+            HEALTH_SILENT => ZoneHealth::Silent { since: age },
+            _ => ZoneHealth::Unknown,
+        };
+        Some(ZoneObservation { zone, health })
+    }
+
+    fn verdict(&mut self) -> Option<(Verdict, Duration)> {
+        let zone = u32::from_be_bytes(self.take()?);
+        let number = u32::from_be_bytes(self.take()?);
+        let [code, evacuations] = self.take()?;
+        let age = u64::from(u16::from_be_bytes(self.take()?));
+        let stage = ZoneStage::from_code(code & !FLAG_OPERATOR)?;
+        let by_operator = code & FLAG_OPERATOR != 0;
+        let verdict = Verdict { zone, number, stage, by_operator, evacuations };
+        Some((verdict, Duration::from_millis(age * VERDICT_AGE_UNIT_MS)))
+    }
+}
+
+/// The report that these bytes encode; `None` where they are cut short, out of bounds or of another version.
+pub fn decode(bytes: &[u8]) -> Option<ZoneReport> {
+    let mut rest = ByteReader(bytes);
+    let [version, flags, observations, verdicts] = rest.take()?;
+    let in_bounds = observations as usize <= MAX_OBSERVATIONS && verdicts as usize <= MAX_VERDICTS;
+    if version != VERSION || !in_bounds {
+        return None;
+    }
+    let mut report = ZoneReport { isolated: flags & FLAG_ISOLATED != 0, ..ZoneReport::default() };
+    for _ in 0..observations {
+        report.observations.push(rest.observation()?);
+    }
+    for _ in 0..verdicts {
+        report.verdicts.push(rest.verdict()?);
+    }
+    Some(report)
+}
+
+#[cfg(test)]
+#[path = "report_tests.rs"]
+mod tests;
--- a/crates/localities/src/verdict.rs
+++ b/crates/localities/src/verdict.rs
@@ -1,120 +1,109 @@
-//! A verdict on a zone, and which of two goes before the other. Verdicts on one zone are numbered: all copies pass through
-//! them in the order of their numbers, some perhaps leaving out one, none going back.
+//! Verdicts on zones and their order. The verdicts on one zone are numbered: all copies pass through them in the order of
+//! the numbers, some perhaps skipping one, none going back.
 
-/// How far a zone is in use.
+/// How far a zone is in service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
-    /// As ever.
-    Whole,
-    /// Nothing goes there but trials in turn.
-    Left,
-    /// On the way back, from 1 on.
-    Step(u8),
+pub enum ZoneStage {
+    /// It gets all of its traffic.
+    InService,
+    /// It gets nothing but trial requests.
+    Evacuated,
+    /// It is on a step of the recovery ramp, the first being 1.
+    Recovering(u8),
 }
 
-impl Stage {
-    /// What a zone gets at each step, of what it would get.
-    const STEPS: [f64; 2] = [0.2, 0.5];
+impl ZoneStage {
+    /// The fraction of its traffic that a zone gets on each step of the recovery ramp.
+    const RAMP_FRACTIONS: [f64; 2] = [0.2, 0.5];
 
-    pub fn share(self) -> f64 {
+    const IN_SERVICE_CODE: u8 = 0;
+    const EVACUATED_CODE: u8 = 15;
+
+    /// The fraction of its traffic that a zone gets at this stage.
+    pub fn traffic_fraction(self) -> f64 {
         match self {
-            Stage::Whole => 1.0,
-            Stage::Left => 0.0,
-            Stage::Step(step) => Stage::STEPS[usize::from(step.max(1) - 1).min(Stage::STEPS.len() - 1)],
+            ZoneStage::InService => 1.0,
+            ZoneStage::Evacuated => 0.0,
+            ZoneStage::Recovering(step) => {
+                let index = usize::from(step.max(1) - 1);
+                ZoneStage::RAMP_FRACTIONS[index.min(ZoneStage::RAMP_FRACTIONS.len() - 1)]
+            }
         }
     }
 
-    pub fn next(self) -> Stage {
+    /// The stage that follows on the way back into service.
+    pub fn next(self) -> ZoneStage {
         match self {
-            Stage::Whole => Stage::Whole,
-            Stage::Left => Stage::Step(1),
-            Stage::Step(step) if usize::from(step) < Stage::STEPS.len() => Stage::Step(step + 1),
-            Stage::Step(_) => Stage::Whole,
+            ZoneStage::InService => ZoneStage::InService,
+            ZoneStage::Evacuated => ZoneStage::Recovering(1),
+            ZoneStage::Recovering(step) if usize::from(step) < ZoneStage::RAMP_FRACTIONS.len() => {
+                ZoneStage::Recovering(step + 1)
+            }
+            ZoneStage::Recovering(_) => ZoneStage::InService,
         }
     }
 
+    /// The stage on the wire.
     pub(crate) fn code(self) -> u8 {
         match self {
-            Stage::Whole => 0,
-            Stage::Left => 15,
-            Stage::Step(step) => step,
+            ZoneStage::InService => ZoneStage::IN_SERVICE_CODE,
+            ZoneStage::Evacuated => ZoneStage::EVACUATED_CODE,
+            ZoneStage::Recovering(step) => step,
         }
     }
 
-    pub(crate) fn of_code(code: u8) -> Option<Stage> {
+    pub(crate) fn from_code(code: u8) -> Option<ZoneStage> {
         match code {
-            0 => Some(Stage::Whole),
-            15 => Some(Stage::Left),
-            step if usize::from(step) <= Stage::STEPS.len() => Some(Stage::Step(step)),
+            ZoneStage::IN_SERVICE_CODE => Some(ZoneStage::InService),
+            ZoneStage::EVACUATED_CODE => Some(ZoneStage::Evacuated),
+            step if usize::from(step) <= ZoneStage::RAMP_FRACTIONS.len() => Some(ZoneStage::Recovering(step)),
             _ => None,
         }
     }
 
+    /// The stage as operators read it.
     pub fn name(self) -> &'static str {
         match self {
-            Stage::Whole => "whole",
-            Stage::Left => "left",
-            Stage::Step(_) => "returning",
+            ZoneStage::InService => "whole",
+            ZoneStage::Evacuated => "left",
+            ZoneStage::Recovering(_) => "returning",
         }
     }
 }
 
-/// What copies of one zone hold of another, or what operators said of it to all.
+/// What the copies of one zone hold of a zone, or what operators commanded for all copies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Verdict {
+    /// The id of the zone that it is about.
     pub zone: u32,
-    /// The first has 1.
+    /// Its number; the first verdict on a zone has 1.
     pub number: u32,
-    pub stage: Stage,
-    pub operators: bool,
-    /// How many times it has been left within the span in which that counts.
-    pub departures: u8,
+    /// The stage that the zone is in by this verdict.
+    pub stage: ZoneStage,
+    /// An operator commanded it.
+    pub by_operator: bool,
+    /// How many times the zone was evacuated of late.
+    pub evacuations: u8,
 }
 
 impl Verdict {
-    fn order(&self) -> (u32, u8, u8) {
-        (self.number, self.stage.code(), self.departures)
+    /// The greater one prevails: the later one, and of one number the one that sends less traffic to the zone.
+    fn precedence(&self) -> (u32, u8, u8) {
+        let caution = match self.stage {
+            ZoneStage::InService => 0,
+            ZoneStage::Recovering(step) => ZoneStage::EVACUATED_CODE - step,
+            ZoneStage::Evacuated => ZoneStage::EVACUATED_CODE,
+        };
+        (self.number, caution, self.evacuations)
     }
 }
 
-/// Whether the one goes before the other. Of two with one number, passed by copies that did not hear of each other, the one
-/// that sends less there does: everybody decides so, whichever came first.
-pub fn newer(one: &Verdict, known: &Verdict) -> bool {
-    let cautious = |verdict: &Verdict| match verdict.stage {
-        Stage::Whole => (verdict.number, 0, verdict.departures),
-        // A lesser step is the more cautious one.
-        Stage::Step(step) => (verdict.number, 15 - step, verdict.departures),
-        Stage::Left => verdict.order(),
-    };
-    cautious(one) > cautious(known)
+/// Whether a verdict prevails over the known one. Copies that had not heard of each other may issue different verdicts under
+/// one number: all come to the same one, in whichever order they hear them.
+pub fn supersedes(one: &Verdict, known: &Verdict) -> bool {
+    one.precedence() > known.precedence()
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn of_one_number_the_more_cautious_goes_first_and_any_order_comes_to_the_same() {
-        let of = |number, stage, departures| Verdict { zone: 1, number, stage, operators: false, departures };
-        let all = [
-            of(1, Stage::Left, 1),
-            of(2, Stage::Whole, 1),
-            of(2, Stage::Step(2), 1),
-            of(2, Stage::Step(1), 1),
-            of(2, Stage::Left, 1),
-            of(2, Stage::Left, 2),
-            of(3, Stage::Whole, 2),
-        ];
-        for (low, one) in all.iter().enumerate() {
-            assert!(!newer(one, one));
-            all[low + 1..].iter().for_each(|other| assert!(newer(other, one) && !newer(one, other)));
-        }
-        let mut stage = Stage::Left;
-        let mut shares = vec![stage.share()];
-        while stage != Stage::Whole {
-            stage = stage.next();
-            shares.push(stage.share());
-        }
-        assert_eq!(shares, [0.0, 0.2, 0.5, 1.0]);
-    }
-}
+#[path = "verdict_tests.rs"]
+mod tests;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,21 +1,24 @@
-//! Who the copies of a tier are, now. It owns the view of the members, how they find out about each other's joins,
-//! ends and returns, and the bytes that copies exchange; it must never read a clock, a socket or a seed of its own,
-//! nor decide anything about a command.
+//! Group membership: which copies of a tier are alive, how they detect each other's joins, failures and returns, and the
+//! messages that they exchange. Nothing here reads a clock, a socket or a source of randomness of its own: a host passes in
+//! time, datagrams and a seed, so that the same code runs in the program and in virtual time.
 //!
-//! After SWIM (Das, Gupta, Motivala, DSN 2002) and Lifeguard (Dadgar, Phillips, Currey, 2018); where it departs from
-//! them, and why, stands in `docs/fleet-design.md`.
+//! The protocol follows SWIM (Das, Gupta, Motivala, DSN 2002) and Lifeguard (Dadgar, Phillips, Currey, 2018);
+//! `docs/fleet-design.md` says where it departs from them, and why.
+
+#![warn(missing_docs)]
 
-mod books;
 mod budget;
-mod counted;
+mod digests;
+mod fleet_size;
+mod member;
+mod member_table;
 mod membership;
-mod places;
+mod ordinals;
 mod probes;
 mod wire;
-mod word;
 
 pub use budget::Budget;
-pub use counted::Counted;
-pub use membership::{About, Host, Membership, Spent};
-pub use wire::{MAGIC, MOST as MESSAGE_MOST, SAID_MOST, Unread, as_later, reads};
-pub use word::{Address, Member, NAME_MOST, Standing};
+pub use fleet_size::FleetSize;
+pub use member::{Address, MAX_NAME_BYTES, Member, MemberState};
+pub use membership::{Counters, Host, MemberConfig, Membership};
+pub use wire::{MAGIC, MAX_MESSAGE_BYTES, MAX_PAYLOAD_BYTES, MessageError, as_newer_version, is_well_formed};
--- a/crates/membership/src/probes.rs
+++ b/crates/membership/src/probes.rs
@@ -1,102 +1,129 @@
-//! Who has been asked whether they are there, and by when they should have answered. It owns the times of a probe; it
-//! must never send anything.
+//! Probes in flight: whom this member has asked for an ack, when it asks again, asks others to probe too (SWIM's indirect
+//! probe), and gives up. It sends through a `ProbeSender` and decides nothing about the members.
 
-use crate::word::Address;
+use crate::member::Address;
 use std::time::Duration;
 
-/// Probes under way at most; past that the oldest is given up unheard.
-const MOST: usize = 64;
-/// A probe is said again this often.
-const AGAIN: Duration = Duration::from_millis(100);
-/// Others are asked after this time, and all is given up after that.
-const ASK_AFTER: Duration = Duration::from_millis(100);
-const GIVE_UP: Duration = Duration::from_millis(250);
-/// Answers that take less than this are no reason for patience.
-const QUICK: Duration = Duration::from_millis(80);
-const SLOWNESS_MOST: u32 = 4;
+/// Past this number the oldest probe is dropped without a result.
+const MAX_PENDING_PROBES: usize = 64;
+/// A ping without an ack is sent again this often.
+const PROBE_RESEND_INTERVAL: Duration = Duration::from_millis(100);
+/// Others are asked to probe after this time without an ack.
+const INDIRECT_PROBE_DELAY: Duration = Duration::from_millis(100);
+/// A probe has failed after this time without an ack.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+/// Round trips up to this need no longer timeouts.
+const FAST_ROUND_TRIP: Duration = Duration::from_millis(80);
+/// By how much slow round trips extend the timeouts at most.
+const MAX_LATENCY_FACTOR: u32 = 4;
 
+/// Who asked this member for an indirect probe.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Requester {
+    /// The member that gets the ack or nack.
+    pub address: Address,
+    /// The number of its own probe.
+    pub probe_number: u32,
+}
+
+/// One probe in flight.
 #[derive(Clone, Debug)]
 pub struct Probe {
+    /// The member that should ack.
     pub target: Address,
+    /// This member's number of the probe.
     pub number: u32,
-    began: Duration,
-    again: Duration,
-    /// Whether others have been asked to look too.
-    asked: bool,
-    /// On whose behalf, and under which of its numbers.
-    pub behalf: Option<(Address, u32)>,
+    started_at: Duration,
+    resend_at: Duration,
+    indirect_sent: bool,
+    /// On whose behalf, for an indirect probe.
+    pub requester: Option<Requester>,
 }
 
+/// All probes in flight.
 #[derive(Debug, Default)]
-pub struct Probes {
-    under_way: Vec<Probe>,
-    numbers: u32,
-    /// From a first asking to its answer, of late.
-    takes: Duration,
+pub struct ProbeTracker {
+    pending: Vec<Probe>,
+    last_number: u32,
+    /// A moving average of the time from the first ping to the ack.
+    round_trip: Duration,
 }
 
-/// What is to be done for probes now, one method for each.
-pub trait Prober {
-    fn ping(&mut self, target: Address, number: u32);
-    fn ask_others(&mut self, target: Address, number: u32);
+/// Sends the messages of probes.
+pub trait ProbeSender {
+    /// Sends a ping to the target.
+    fn send_ping(&mut self, target: Address, number: u32);
+    /// Asks others to probe the target.
+    fn send_indirect(&mut self, target: Address, number: u32);
 }
 
-impl Probes {
-    /// The number of a new probe; none where one of that target is under way already.
-    pub fn begin(&mut self, target: Address, now: Duration, behalf: Option<(Address, u32)>) -> Option<u32> {
-        let twice = |probe: &Probe| probe.target == target && probe.behalf == behalf;
-        if self.under_way.iter().any(twice) {
+impl ProbeTracker {
+    /// The number of a new probe; `None` where one of the same target and requester is in flight.
+    pub fn start(&mut self, target: Address, now: Duration, requester: Option<Requester>) -> Option<u32> {
+        let duplicate = |probe: &Probe| probe.target == target && probe.requester == requester;
+        if self.pending.iter().any(duplicate) {
             return None;
         }
-        if self.under_way.len() >= MOST {
-            self.under_way.remove(0);
+        if self.pending.len() >= MAX_PENDING_PROBES {
+            self.pending.remove(0);
         }
-        self.numbers = self.numbers.wrapping_add(1);
-        let number = self.numbers;
-        self.under_way.push(Probe { target, number, began: now, again: now + AGAIN, asked: false, behalf });
+        self.last_number = self.last_number.wrapping_add(1);
+        let number = self.last_number;
+        let resend_at = now + PROBE_RESEND_INTERVAL;
+        self.pending.push(Probe {
+            target,
+            number,
+            started_at: now,
+            resend_at,
+            indirect_sent: false,
+            requester,
+        });
         Some(number)
     }
 
-    /// The probe that this answers, which is over by it.
-    pub fn answered(&mut self, number: u32, target: Address, now: Duration) -> Option<Probe> {
-        let mine = |probe: &Probe| probe.number == number && probe.target == target;
-        let at = self.under_way.iter().position(mine)?;
-        let probe = self.under_way.remove(at);
-        self.takes = (self.takes * 7 + now.saturating_sub(probe.began)) / 8;
+    /// Ends the probe that this ack belongs to, if there is one.
+    pub fn acknowledge(&mut self, number: u32, target: Address, now: Duration) -> Option<Probe> {
+        let matches = |probe: &Probe| probe.number == number && probe.target == target;
+        let index = self.pending.iter().position(matches)?;
+        let probe = self.pending.remove(index);
+        self.round_trip = (self.round_trip * 7 + now.saturating_sub(probe.started_at)) / 8;
         Some(probe)
     }
 
-    /// How many times as patient to be as on paths that take no time: others' answers come by two of them.
-    pub fn slowness(&self) -> u32 {
-        ((self.takes.as_millis() / QUICK.as_millis()) as u32).min(SLOWNESS_MOST)
+    /// By how much timeouts are to be extended on slow paths: acks of indirect probes take two round trips.
+    pub fn latency_factor(&self) -> u32 {
+        ((self.round_trip.as_millis() / FAST_ROUND_TRIP.as_millis()) as u32).min(MAX_LATENCY_FACTOR)
     }
 
-    /// Says again what was not answered yet. A copy in doubt of itself is more patient.
-    pub fn go_on(&mut self, now: Duration, patience: u32, prober: &mut impl Prober) {
-        for probe in &mut self.under_way {
-            if probe.again <= now {
-                probe.again = now + AGAIN;
-                prober.ping(probe.target, probe.number);
+    /// Sends pings again and asks others to probe, where that is due. `patience` multiplies the delay of indirect probes.
+    pub fn send_due(&mut self, now: Duration, patience: u32, sender: &mut impl ProbeSender) {
+        for probe in &mut self.pending {
+            if probe.resend_at <= now {
+                probe.resend_at = now + PROBE_RESEND_INTERVAL;
+                sender.send_ping(probe.target, probe.number);
             }
-            let ask_at = probe.began + ASK_AFTER * patience;
-            if probe.behalf.is_none() && ask_at <= now && !std::mem::replace(&mut probe.asked, true) {
-                prober.ask_others(probe.target, probe.number);
+            let indirect_at = probe.started_at + INDIRECT_PROBE_DELAY * patience;
+            let due = probe.requester.is_none() && indirect_at <= now;
+            if due && !std::mem::replace(&mut probe.indirect_sent, true) {
+                sender.send_indirect(probe.target, probe.number);
             }
         }
     }
 
-    /// Those that nobody has answered in time.
-    pub fn given_up(&mut self, now: Duration, patience: u32) -> Vec<Probe> {
-        let late = |probe: &Probe| probe.began + GIVE_UP * patience <= now;
-        let (over, on) = std::mem::take(&mut self.under_way).into_iter().partition(late);
-        self.under_way = on;
-        over
+    /// Removes the probes that have failed. `patience` multiplies the timeout.
+    pub fn take_expired(&mut self, now: Duration, patience: u32) -> Vec<Probe> {
+        let expired = |probe: &Probe| probe.started_at + PROBE_TIMEOUT * patience <= now;
+        let (failed, pending) = std::mem::take(&mut self.pending).into_iter().partition(expired);
+        self.pending = pending;
+        failed
     }
 
-    /// Time in which this copy was held up counts against nobody who was asked before.
-    pub fn shift(&mut self, before: Duration, by: Duration) {
-        for probe in self.under_way.iter_mut().filter(|probe| probe.began <= before) {
-            (probe.began, probe.again) = (probe.began + by, probe.again + by);
+    /// Extends probes that were started by `before` by the time for which this process was paused: acks may have come
+    /// meanwhile without being read.
+    pub fn exclude_pause(&mut self, before: Duration, pause: Duration) {
+        for probe in self.pending.iter_mut().filter(|probe| probe.started_at <= before) {
+            probe.started_at += pause;
+            probe.resend_at += pause;
         }
     }
 }
--- /dev/null
+++ b/crates/membership/src/wire/mod.rs
@@ -0,0 +1,35 @@
+//! The wire format: one header, then entries that each carry their length, so that a decoder skips entry types that it
+//! does not know. This module makes no protocol decision.
+//!
+//! | bytes | what |
+//! | --- | --- |
+//! | 0 | 0xC5; no message between decision engines begins with this byte |
+//! | 1, 2 | the sender's protocol version, and the oldest version that can decode the message |
+//! | 3 | the message kind |
+//! | 4 to 7 | CRC-32 of the fleet's name and of all other bytes |
+//! | 8 to 11 | the number of the probe that the message belongs to |
+//! | 12 to 17 | the sender's epoch |
+//! | 18 to 25 | the digest of the sender's view |
+//! | then | entries: a tag, a length, so many bytes; the first is the sender's own announcement |
+
+mod compatibility;
+mod decode;
+mod encode;
+mod error;
+mod format;
+mod header;
+
+pub use compatibility::{as_newer_version, is_well_formed};
+pub use decode::{EntryVisitor, decode_entries, decode_sender};
+pub use encode::{MessageWriter, truncated_name};
+pub use error::MessageError;
+pub use format::{MAGIC, MAX_MESSAGE_BYTES, MAX_PAYLOAD_BYTES};
+pub use header::{Header, MessageKind, decode_header};
+
+#[cfg(test)]
+#[path = "fixture_tests.rs"]
+mod fixture_tests;
+
+#[cfg(test)]
+#[path = "wire_tests.rs"]
+mod tests;
--- a/crates/sidecar/src/console/handlers.rs
+++ b/crates/sidecar/src/console/handlers.rs
@@ -4,10 +4,12 @@
 use super::request::Request;
 use super::{MaintenanceOrder, OWNER_TIMEOUT, Server};
 use crate::counters;
+use crate::fleet::ZoneCommandReply;
 use crate::handover::LOOK_EVERY;
 use crate::handover::record::{WORDS_MOST, Word, unix_ms};
 use crate::net::timeout::timeout;
 use async_io::Timer;
+use landingspread_localities::OperatorCommand;
 use std::rc::Rc;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -30,7 +32,7 @@
                 None => Reply::error(404, "configuration comes from the file alone"),
                 Some(status) => Reply::report(&status.report(json), json),
             },
-            Request::SetZone { zone, leave } => self.set_zone(zone, leave).await,
+            Request::SetZone { zone, command } => self.set_zone(zone, command).await,
             Request::SetMaintenance { server, out } => self.set_maintenance(server, out).await,
         }
     }
@@ -59,14 +61,18 @@
     }
 
     /// The order is the fleet's from here on, whether this process lives or not.
-    async fn set_zone(&self, zone: String, leave: bool) -> Reply {
+    async fn set_zone(&self, zone: String, command: OperatorCommand) -> Reply {
         let Some(fleet) = &self.fleet else { return Reply::error(404, NO_FLEET) };
-        match fleet.zone_said(zone.clone(), leave, OWNER_TIMEOUT).await {
-            None => Reply::error(503, FLEET_SILENT),
-            Some(None) => Reply::error(404, NO_ZONES),
-            Some(Some(false)) => Reply::error(404, "there is no such zone"),
-            Some(Some(true)) => {
-                tracing::info!("operators {} zone {zone}", if leave { "leave" } else { "take back" });
+        match fleet.zone_command(zone.clone(), command, OWNER_TIMEOUT).await {
+            ZoneCommandReply::Unavailable => Reply::error(503, FLEET_SILENT),
+            ZoneCommandReply::FailoverOff => Reply::error(404, NO_ZONES),
+            ZoneCommandReply::UnknownZone => Reply::error(404, "there is no such zone"),
+            ZoneCommandReply::Accepted => {
+                let verb = match command {
+                    OperatorCommand::Evacuate => "evacuate",
+                    OperatorCommand::Return => "return",
+                };
+                tracing::info!("operators {verb} zone {zone}");
                 Reply::text(200, "yes\n")
             }
         }
--- a/crates/sidecar/src/console/mod.rs
+++ b/crates/sidecar/src/console/mod.rs
@@ -62,7 +62,7 @@
     /// None where nothing outlives the process.
     pub record: Option<Record>,
     /// None where this copy is one of no fleet.
-    pub fleet: Option<fleet::Door>,
+    pub fleet: Option<fleet::FleetHandle>,
     /// None where configuration comes from the file alone.
     pub control: Option<ControlStatus>,
 }
@@ -71,7 +71,7 @@
     serving: Arc<AtomicBool>,
     orders: Sender<MaintenanceOrder>,
     record: RefCell<Option<Record>>,
-    fleet: Option<fleet::Door>,
+    fleet: Option<fleet::FleetHandle>,
     control: Option<ControlStatus>,
     /// The orders that this process goes by.
     orders_in_force: RefCell<Words>,
--- a/crates/sidecar/src/console/request.rs
+++ b/crates/sidecar/src/console/request.rs
@@ -2,6 +2,7 @@
 
 use super::reply::Reply;
 use crate::net::http;
+use landingspread_localities::OperatorCommand;
 
 /// Bytes of an endpoint's id and of a zone's name.
 const MAX_ID_BYTES: usize = 256;
@@ -22,7 +23,7 @@
     /// Which configuration is in force, as JSON or as text.
     Control { json: bool },
     /// The whole fleet takes a zone out of use, or puts it back.
-    SetZone { zone: String, leave: bool },
+    SetZone { zone: String, command: OperatorCommand },
     /// This sidecar takes an endpoint out of use, or puts it back.
     SetMaintenance { server: String, out: bool },
 }
@@ -54,7 +55,11 @@
             "/control" => Ok(Request::Control { json: accepts_json(parsed.headers) }),
             "/zones/leave" | "/zones/return" => {
                 let zone = plain_text(body).ok_or_else(|| Reply::error(400, "the body is no zone's name"))?;
-                Ok(Request::SetZone { zone, leave: path == "/zones/leave" })
+                let command = match path {
+                    "/zones/leave" => OperatorCommand::Evacuate,
+                    _ => OperatorCommand::Return,
+                };
+                Ok(Request::SetZone { zone, command })
             }
             path => {
                 let server =
--- a/crates/sidecar/src/console/request_tests.rs
+++ b/crates/sidecar/src/console/request_tests.rs
@@ -22,9 +22,9 @@
     assert_eq!(parsed("GET /zones", ""), Ok(Request::Zones { json: false }));
     assert_eq!(parsed("GET /control", ""), Ok(Request::Control { json: false }));
     assert_eq!(parsed("PUT /control", ""), Err(405));
-    let zone = |leave| Ok(Request::SetZone { zone: "b".into(), leave });
-    assert_eq!(parsed("PUT /zones/leave", "b\n"), zone(true));
-    assert_eq!(parsed("PUT /zones/return", "b"), zone(false));
+    let zone = |command| Ok(Request::SetZone { zone: "b".into(), command });
+    assert_eq!(parsed("PUT /zones/leave", "b\n"), zone(OperatorCommand::Evacuate));
+    assert_eq!(parsed("PUT /zones/return", "b"), zone(OperatorCommand::Return));
     assert_eq!(parsed("PUT /zones/return", " "), Err(400));
     assert_eq!(parsed("GET /zones/leave", "b"), Err(405));
     assert_eq!(parsed("PUT /maintenance/enter", "s1\r\n"), maintenance("s1", true));
--- a/crates/sidecar/src/net/owner/decision_host.rs
+++ b/crates/sidecar/src/net/owner/decision_host.rs
@@ -65,7 +65,7 @@
 
     fn send_to_peers(&mut self, peer: Option<u32>, message: &[u8]) {
         if let Some(peers) = &self.0.borrow().services.peers {
-            peers.tell(peer, message);
+            peers.send(peer, message);
         }
     }
 
--- a/crates/sidecar/src/net/owner/event_loop.rs
+++ b/crates/sidecar/src/net/owner/event_loop.rs
@@ -54,7 +54,7 @@
     /// What an earlier process learned, until a whole endpoint list has arrived.
     before: Before,
     operators: OperatorChannels,
-    fleet: Option<fleet::Link>,
+    fleet: Option<fleet::DecisionLink>,
     /// When this copy's view of the zones is next reported to the fleet.
     zones_reported_at: Duration,
     /// The decisions' next sweep that may do anything; those before it are skipped unless something happens.
@@ -157,8 +157,8 @@
         let order = received(Some(&self.operators.orders), Input::Order);
         let event = received(Some(events), Input::Event);
         let fleet = self.fleet.as_ref();
-        let fleet_size = received(fleet.map(|fleet| &fleet.copies), Input::FleetSize);
-        let zone_traffic = received(fleet.and_then(|fleet| fleet.zones.as_ref()), Input::ZoneTraffic);
+        let fleet_size = received(fleet.map(|fleet| &fleet.fleet_sizes), Input::FleetSize);
+        let zone_traffic = received(fleet.and_then(|fleet| fleet.zone_traffic.as_ref()), Input::ZoneTraffic);
         or(order, or(or(fleet_size, zone_traffic), or(event, wake_time))).await
     }
 
@@ -192,14 +192,14 @@
     fn fleet_size_changed(&mut self, replicas: &ReplicaView) {
         self.policy.replicas_changed(self.clock.now(), replicas);
         let request_rate = self.policy.request_rate();
-        self.fleet.iter().for_each(|fleet| fleet.say_traffic(request_rate));
+        self.fleet.iter().for_each(|fleet| fleet.set_traffic(request_rate));
     }
 
     fn report_zones(&mut self, now: Duration) {
-        let Some(fleet) = self.fleet.as_ref().filter(|fleet| fleet.zones.is_some()) else { return };
+        let Some(fleet) = self.fleet.as_ref().filter(|fleet| fleet.zone_traffic.is_some()) else { return };
         if self.zones_reported_at <= now {
-            self.zones_reported_at = now + fleet::SEEN_EVERY;
-            fleet.say_seen(now, self.policy.zone_observations(now));
+            self.zones_reported_at = now + fleet::OBSERVATION_INTERVAL;
+            fleet.set_observations(now, self.policy.zone_observations(now));
         }
     }
 
--- a/crates/sidecar/src/net/owner/request_table.rs
+++ b/crates/sidecar/src/net/owner/request_table.rs
@@ -29,7 +29,7 @@
     pub pool: Rc<ConnectionPool>,
     pub peers: Option<Rc<Peers>>,
     /// None where this copy belongs to no fleet.
-    pub fleet: Option<fleet::Link>,
+    pub fleet: Option<fleet::DecisionLink>,
     /// Asks for a poll of discovery.
     pub poll_discovery: Sender<()>,
     pub start: Rc<Start>,
--- a/crates/sidecar/src/net/service.rs
+++ b/crates/sidecar/src/net/service.rs
@@ -35,7 +35,7 @@
     pub(super) watch: DiscoveryWatch,
     /// This process among those of the sidecar, where they share a listener.
     pub(super) presence: Option<Rc<RefCell<Presence>>>,
-    pub(super) fleet: Option<fleet::Door>,
+    pub(super) fleet: Option<fleet::FleetHandle>,
     /// Whether clients are served, as the console reports it.
     pub(super) serving: Arc<AtomicBool>,
     /// Notified once an endpoint list has arrived.
@@ -56,8 +56,8 @@
 /// This copy's links to others.
 struct Neighbors {
     peers: Option<Rc<Peers>>,
-    fleet: Option<fleet::Door>,
-    fleet_link: Option<fleet::Link>,
+    fleet: Option<fleet::FleetHandle>,
+    fleet_link: Option<fleet::DecisionLink>,
 }
 
 /// The files of the state folder, where there is one that can be used: without it nothing is handed over.
@@ -101,15 +101,16 @@
     peers: Option<&Peers>,
     datagrams: Receiver<Vec<u8>>,
     executor: Option<&LocalExecutor<'static>>,
-) -> io::Result<Option<(fleet::Door, fleet::Link)>> {
+) -> io::Result<Option<(fleet::FleetHandle, fleet::DecisionLink)>> {
     let Some(settings) = configuration.fleet.take() else { return Ok(None) };
     let passed = match peers.filter(|_| settings.uses_peer_socket) {
-        Some(peers) => Some(fleet::Passed { socket: peers.sending()?, datagrams }),
+        Some(peers) => Some(fleet::SharedSocket { socket: peers.try_clone_socket()?, datagrams }),
         None => None,
     };
-    let localities = configuration.localities.map(|paces| (paces, configuration.zones.clone()));
+    let zones = configuration.zones.clone();
+    let failover = configuration.localities.map(|timings| fleet::FailoverSettings { timings, zones });
     let (name, clock) = (&configuration.name, configuration.clock.clone());
-    fleet::open(settings, name, configuration.seed, clock, passed, localities, executor).map(Some)
+    fleet::start(settings, name, configuration.seed, clock, passed, failover, executor).map(Some)
 }
 
 /// Opens the peers' socket and the fleet's part.
@@ -119,7 +120,7 @@
     executor: &LocalExecutor<'static>,
     fleet_executor: Option<&LocalExecutor<'static>>,
 ) -> io::Result<Neighbors> {
-    let (pass, passed) = fleet::passing();
+    let (pass, passed) = fleet::datagram_channel();
     let pass = configuration.fleet.as_ref().filter(|fleet| fleet.uses_peer_socket).map(|_| pass);
     let peers = match Peers::bind(&configuration.peers, configuration.policy.ordinal, pass) {
         // The process that this one takes over from still has the address; nothing that peers send is needed.
@@ -130,7 +131,7 @@
         bound => bound?,
     };
     if let Some(peers) = &peers {
-        executor.spawn(peers.clone().hear(queue.clone())).detach();
+        executor.spawn(peers.clone().receive(queue.clone())).detach();
     }
     let (fleet, fleet_link) = join_fleet(configuration, peers.as_deref(), passed, fleet_executor)?.unzip();
     Ok(Neighbors { peers, fleet, fleet_link })
@@ -162,7 +163,7 @@
 /// Opens the console, where the configuration names its address.
 fn open_console(
     configuration: &Configuration,
-    fleet: Option<fleet::Door>,
+    fleet: Option<fleet::FleetHandle>,
     control: Option<control::status::ControlStatus>,
 ) -> io::Result<ConsoleLink> {
     let serving = Arc::new(AtomicBool::new(false));
