--- a/crates/decisions/src/state/server_set.rs
+++ b/crates/decisions/src/state/server_set.rs
@@ -119,10 +119,13 @@
     pub fn mean_utilization(&self, now: Duration, max_age: Duration, decay_seconds: f64) -> Option<f64> {
         let mut sum = 0.0;
         let mut weights = 0.0;
-        for server in self.available_in_window() {
-            let Some(report) = server.utilization.filter(|report| report.at + max_age > now) else {
+        for slot in &self.window {
+            let server = &self[*slot];
+            // Each draw comes here for each server: where none reports, this is all that it costs.
+            let Some(report) = server.utilization else { continue };
+            if server.ejection.is_some() || report.at + max_age <= now {
                 continue;
-            };
+            }
             let age_seconds = now.saturating_sub(report.at).as_secs_f64();
             let weight = (-age_seconds / decay_seconds).exp();
             sum += report.fraction * weight;
--- a/crates/decisions/tests/decisions/logged_host.rs
+++ b/crates/decisions/tests/decisions/logged_host.rs
@@ -1,6 +1,6 @@
 //! A host that writes each call of the module as a line, and plays a network and callers by a seed.
 
-use crate::scripted::ms;
+use crate::scripted_host::ms;
 use landingspread_decisions::host::{Event, Host, Id, LoadReport, Outcome};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/decisions/tests/decisions/logged_run.rs
+++ b/crates/decisions/tests/decisions/logged_run.rs
@@ -1,7 +1,7 @@
 //! Seeded runs round a logging host: arrivals, answers of all outcomes, changes of the list, operators' and peers' words.
 
 use crate::logged_host::{Draws, Due, Played, World, number_of};
-use crate::scripted::{ms, terms};
+use crate::scripted_host::{ms, terms};
 use landingspread_decisions::host::{
     AttemptEnd, Id, Lifecycle, ListedServer, LoadReport, Outcome, ReplicaView, RequestArrival,
 };
--- a/crates/decisions/tests/decisions/main.rs
+++ b/crates/decisions/tests/decisions/main.rs
@@ -1,13 +1,15 @@
-mod changed;
-mod copies;
+//! The decisions, played by scripted and seeded hosts.
+
 mod logged_host;
 mod logged_run;
-mod maintenance;
-mod moved;
+mod operator_overrides;
 mod peer_messages;
-mod pinned;
-mod plain;
-mod rest;
-mod rules;
-mod scripted;
+mod pinned_calls;
+mod preselection_and_peers;
+mod random_runs;
+mod replicas;
+mod requests;
+mod scripted_host;
+mod settings_changes;
+mod skipped_sweeps;
 mod zones;
--- a/crates/decisions/tests/decisions/maintenance.rs
+++ b/crates/decisions/tests/decisions/operator_overrides.rs
@@ -1,6 +1,6 @@
 //! What operators say of single servers, against every order in which the list may speak meanwhile.
 
-use crate::scripted::{Scene, entry, ms, terms};
+use crate::scripted_host::{Scene, entry, ms, terms};
 use landingspread_decisions::host::{Lifecycle, ListedServer, Outcome};
 
 fn scene() -> Scene {
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_server_left_out_gets_nothing_whatever_the_list_says_and_is_used_again_by_one_call() {
+fn an_excluded_server_gets_nothing_whatever_the_list_says_and_is_included_by_one_call() {
     let mut scene = scene();
     play(&mut scene, 30);
     assert!(scene.operators("s1", true) && scene.operators("s1", true));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn it_comes_back_cold_though_the_list_never_says_that_it_restarted() {
+fn an_included_server_is_in_slow_start_though_the_list_shows_no_restart() {
     let mut scene = scene();
     play(&mut scene, 200);
     scene.operators("s1", true);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn only_an_id_that_no_list_ever_named_is_a_no() {
+fn only_an_id_that_no_list_ever_named_is_unknown() {
     let mut scene = scene();
     assert!(!scene.operators("s7", true) && !scene.operators("s7", false));
     assert!(scene.operators("s2", false), "a call back with none out");
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn with_all_servers_left_out_commands_are_declined_at_once() {
+fn with_all_servers_excluded_requests_are_rejected_at_once() {
     let mut scene = scene();
     play(&mut scene, 20);
     for server in ["s0", "s1", "s2"] {
@@ -86,15 +86,15 @@
     }
     let id = scene.give(2, ms(3000));
     scene.pass(ms(500));
-    assert_eq!(scene.ended(&id), Some(crate::scripted::Final::Declined));
+    assert_eq!(scene.ended(&id), Some(crate::scripted_host::Final::Declined));
     scene.operators("s0", false);
     scene.pass(ms(1000));
     let id = scene.play(2, |_| Outcome::Ok);
-    assert_eq!(scene.ended(&id), Some(crate::scripted::Final::Answered));
+    assert_eq!(scene.ended(&id), Some(crate::scripted_host::Final::Answered));
 }
 
 #[test]
-fn a_copy_with_few_commands_uses_a_server_again_within_five_seconds() {
+fn a_replica_with_few_requests_uses_an_included_server_within_five_seconds() {
     for seed in 0..40 {
         // Five copies share eight servers; this one has four commands a second.
         let mut scene = Scene::new(terms("all", "Balancers=5"), "all", seed, 8);
--- a/crates/decisions/tests/decisions/pinned.rs
+++ b/crates/decisions/tests/decisions/pinned_calls.rs
@@ -2,7 +2,7 @@
 //! To write the fixture anew after a change that is meant: `PINNED=write cargo test -p landingspread-decisions pinned`.
 
 use crate::logged_run::{SETTINGS, play};
-use crate::scripted::ms;
+use crate::scripted_host::ms;
 use landingspread_decisions::peer_messages::{self, Outbox, PeerMessageHandler};
 use std::collections::BTreeSet;
 use std::fmt::Write;
--- a/crates/decisions/tests/decisions/moved.rs
+++ b/crates/decisions/tests/decisions/preselection_and_peers.rs
@@ -1,6 +1,6 @@
 //! Copies beside their callers: looks before a draw, words between copies, and what is taken over from an earlier one.
 
-use crate::scripted::{Final, Scene, entry, ms, terms};
+use crate::scripted_host::{Final, Scene, entry, ms, terms};
 use landingspread_decisions::host::{Lifecycle, LoadReport, Outcome};
 use landingspread_decisions::statistics::ServerStatistics;
 
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_command_waits_for_its_looks_and_goes_where_least_is_held() {
+fn a_request_waits_for_its_health_checks_and_goes_to_the_least_loaded_server() {
     let mut scene = looking(6);
     for _ in 0..20 {
         let id = scene.give(2, ms(1000));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn looks_cost_no_more_than_their_share_and_few_where_servers_are_idle() {
+fn preselection_checks_keep_to_their_budget_and_are_few_where_servers_are_idle() {
     let mut scene = looking(6);
     let mut checks = 0;
     for _ in 0..50 {
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn where_nobody_is_there_a_command_is_declined_soon_and_told_when_to_come_back() {
+fn where_no_server_is_reachable_a_request_is_rejected_soon_with_retry_after() {
     let mut scene = looking(2);
     let id = scene.give(2, ms(1000));
     looks(&mut scene, |_| None);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_server_once_seen_full_is_looked_at_again() {
+fn a_server_once_found_overloaded_is_checked_again() {
     let mut scene = looking(1);
     let first = scene.give(0, ms(1000));
     looks(&mut scene, |_| Some(50.0));
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_command_that_may_go_nowhere_any_more_has_its_final_answer_at_once() {
+fn a_request_that_no_server_may_take_any_more_has_its_final_answer_at_once() {
     let mut scene = looking(6);
     let id = scene.give(0, ms(300));
     for number in 0..4 {
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_command_due_before_the_next_sweep_does_not_wait_for_looks() {
+fn a_request_due_before_the_next_sweep_does_not_wait_for_health_checks() {
     let mut scene = looking(6);
     let id = scene.give(2, ms(15));
     assert_eq!(scene.ended(&id), Some(Final::Declined));
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn after_idle_connections_broke_effectful_commands_get_new_ones_and_peers_hear_of_it() {
+fn after_idle_connections_broke_non_idempotent_requests_get_new_ones_and_peers_are_told() {
     let mut scene = looking(1);
     one(&mut scene, 2, Outcome::Ok);
     for _ in 0..2 {
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_server_that_loses_one_verb_is_marked_for_that_verb_alone() {
+fn a_server_that_fails_one_class_is_ejected_for_that_class_alone() {
     let mut scene = looking(2);
     for _ in 0..40 {
         let id = scene.give(2, ms(3000));
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn words_to_peers_are_bounded_however_much_fails() {
+fn messages_to_peers_are_bounded_however_much_fails() {
     let mut scene = looking(6);
     let count = 400;
     for _ in 0..count {
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn a_copy_with_much_of_the_traffic_takes_much_of_the_room() {
+fn a_replica_with_much_of_the_traffic_takes_much_of_the_capacity() {
     let told = |usual: [u8; 2]| {
         let many = "Balancers=100 PolicyLimits.Peers=true";
         let mut scene = Scene::new(terms("all", many), "all", 7, 4);
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn what_was_learnt_goes_over_for_processes_that_still_run_and_no_others() {
+fn statistics_are_restored_for_processes_that_still_run_and_no_others() {
     let learnt = |server: &str, marked, up_since| ServerStatistics {
         server: server.into(),
         started_at: up_since,
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn where_most_were_marked_none_is_taken_over() {
+fn where_most_were_ejected_no_ejection_is_restored() {
     let mut scene = Scene::new(terms("all", ""), "all", 7, 4);
     let marked = |at| ServerStatistics {
         server: format!("s{at}").into(),
--- a/crates/decisions/tests/decisions/rules.rs
+++ b/crates/decisions/tests/decisions/random_runs.rs
@@ -1,6 +1,6 @@
 //! Seeded random runs: the script checks the rules at every call, whatever happens in whatever order.
 
-use crate::scripted::{Scene, entry, ms, terms};
+use crate::scripted_host::{Scene, entry, ms, terms};
 use landingspread_decisions::host::{Lifecycle, LoadReport, Outcome};
 use proptest::prelude::*;
 use proptest::test_runner::{Config as Runs, RngAlgorithm, RngSeed};
--- a/crates/decisions/tests/decisions/copies.rs
+++ b/crates/decisions/tests/decisions/replicas.rs
@@ -1,6 +1,6 @@
 //! What only shows with many copies over one fleet: each copy has a world of its own, the list is one.
 
-use crate::scripted::{Scene, entry, ms, terms};
+use crate::scripted_host::{Scene, entry, ms, terms};
 use landingspread_decisions::host::{Lifecycle, ListedServer, LoadReport, Outcome, ReplicaView};
 
 fn copies(count: u32, servers: u32) -> Vec<Scene> {
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn copies_with_little_traffic_keep_to_few_servers_and_share_them_evenly() {
+fn replicas_with_little_traffic_keep_to_few_servers_and_share_them_evenly() {
     let mut copies = copies(60, 24);
     play_all(&mut copies, 30, 480);
     let used = |copy: &Scene, server: u32| copy.script.0.borrow().sent_to(&format!("s{server}")) > 0;
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_marked_server_leaves_its_place_in_the_window_to_another() {
+fn an_ejected_server_leaves_its_place_in_the_window_to_another() {
     let mut copies = copies(60, 24);
     let copy = &mut copies[0];
     let used = |copy: &Scene| -> Vec<String> {
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn copies_told_of_a_start_at_one_moment_use_and_spare_the_cold_server_together() {
+fn replicas_that_learn_of_a_start_at_one_moment_keep_to_slow_start_together() {
     let mut copies = copies(120, 24);
     play_all(&mut copies, 10, 480);
     let usual = (0..24).map(|at| sent(&copies, &format!("s{at}"))).sum::<usize>() as f64 / 24.0 / 5.0;
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn many_copies_load_servers_by_size_and_do_not_crowd_the_large() {
+fn many_replicas_load_servers_by_size_and_do_not_crowd_the_large() {
     let mut copies = copies(100, 8);
     let entries: Vec<_> = (0..8)
         .map(|at| ListedServer {
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_small_room_takes_a_chance_cluster_but_no_lasting_excess() {
+fn a_small_capacity_takes_a_chance_cluster_but_no_lasting_excess() {
     let mut scene = copies(100, 24).swap_remove(0);
     scene.pass(ms(1000));
     (0..3).for_each(|_| drop(scene.give(0, ms(3000))));
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn strain_lowers_bounds_below_the_start() {
+fn slow_answers_lower_limits_below_the_initial_one() {
     let mut scene = copies(2, 4).swap_remove(0);
     let mut full = |span: u64| {
         (0..20).for_each(|_| drop(scene.give(0, ms(3000))));
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_copy_takes_over_the_part_of_those_that_are_gone_and_gives_it_back() {
+fn a_replica_takes_over_the_part_of_those_that_are_gone_and_gives_it_back() {
     let mut scene = copies(8, 4).swap_remove(0);
     scene.pass(ms(1000));
     let one_of_eight = let_out(&mut scene);
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn cold_servers_are_brought_a_part_by_those_that_may_be_alive() {
+fn slow_start_counts_the_replicas_that_may_be_alive() {
     let (of_two, of_forty) = (sent_cold(2.0), sent_cold(40.0));
     assert!(of_forty < of_two, "{of_forty} where forty may live, {of_two} where two do");
 }
--- a/crates/decisions/tests/decisions/plain.rs
+++ b/crates/decisions/tests/decisions/requests.rs
@@ -1,6 +1,6 @@
 //! A few plain cases of the mechanism and of each exception to it.
 
-use crate::scripted::{Final, Scene, entry, ms, terms};
+use crate::scripted_host::{Final, Scene, entry, ms, terms};
 use landingspread_decisions::host::{Lifecycle, ListedServer, LoadReport, Outcome};
 use landingspread_decisions::settings::Settings;
 use std::collections::{BTreeSet, VecDeque};
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn straight_failures_mark_and_checks_return_on_a_ramp() {
+fn consecutive_failures_eject_and_health_checks_return_to_slow_start() {
     let mut scene = scene("", 4);
     for _ in 0..200 {
         scene.play(0, failing("s1"));
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn another_verbs_answers_do_not_hide_a_failing_verb() {
+fn answers_of_other_classes_do_not_hide_a_failing_class() {
     let mut scene = scene("", 4);
     for _ in 0..150 {
         scene.play(0, failing("s2"));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn marks_never_empty_the_fleet() {
+fn ejections_never_empty_the_fleet() {
     let mut scene = scene("", 4);
     for _ in 0..300 {
         scene.play(0, |_| Outcome::Error);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_silent_server_is_marked_before_any_time_out() {
+fn a_silent_server_is_ejected_before_any_time_out() {
     let mut scene = scene("", 4);
     for _ in 0..200 {
         scene.play(0, |_| Outcome::Ok);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn answers_lost_among_calm_ones_leave_most_of_the_room() {
+fn answers_lost_among_calm_ones_leave_most_of_the_capacity() {
     let mut scene = scene("", 2);
     for number in 0..440 {
         let id = scene.give(2, ms(3000));
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_server_that_is_gone_is_forgotten_and_its_mark_with_it() {
+fn a_removed_server_is_forgotten_and_its_ejection_with_it() {
     let mut scene = scene("", 2);
     for _ in 0..40 {
         scene.play(0, failing("s1"));
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn a_restarted_server_is_not_pushed_over() {
+fn a_restarted_server_is_not_overloaded() {
     let mut scene = scene("", 4);
     for _ in 0..200 {
         scene.play(0, |_| Outcome::Ok);
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn each_kind_of_verb_gets_its_own_final_answer() {
+fn each_kind_of_class_gets_its_own_final_answer() {
     let mut scene = scene("PolicyLimits.MostRelays=1", 3);
     let ends = [Final::Declined, Final::Terminated, Final::Terminated, Final::Declined];
     for (verb, end) in ends.into_iter().enumerate() {
@@ -190,14 +190,14 @@
 }
 
 #[test]
-fn many_copies_together_keep_to_a_servers_bound() {
+fn many_replicas_together_keep_to_a_servers_concurrency_limit() {
     let mut scene = scene("Balancers=30", 40);
     (0..200).for_each(|_| drop(scene.give(0, ms(3000))));
     assert!(scene.out().len() <= 10, "40 servers' bounds among 30 copies, not {}", scene.out().len());
 }
 
 #[test]
-fn errors_lower_what_is_let_in() {
+fn errors_lower_what_is_admitted() {
     let mut scene = scene("Balancers=3", 4);
     let full = |scene: &mut Scene| {
         (0..60).for_each(|_| drop(scene.give(0, ms(3000))));
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn a_failed_list_call_comes_again_after_a_wait() {
+fn a_failed_discovery_poll_is_repeated_after_a_pause() {
     let mut scene = scene("Discovery=subscribe", 2);
     scene.pass(ms(1100));
     assert_eq!(scene.script.0.borrow().list_calls, 1);
@@ -305,7 +305,7 @@
 }
 
 #[test]
-fn copies_that_a_crowded_discovery_refuses_leave_it_room_to_answer_them() {
+fn replicas_that_an_overloaded_discovery_rejects_leave_it_capacity() {
     for a_second in [50.0, 60.0, 75.0, 100.0] {
         let now = without_a_list(a_second, |copy| copy.policy.discovery_poll_rejected(copy.now()));
         let as_failed = without_a_list(a_second, |copy| copy.policy.discovery_poll_failed(copy.now()));
@@ -315,7 +315,7 @@
 }
 
 #[test]
-fn list_calls_that_fail_begin_at_most_four_seconds_apart_however_long_each_takes_to_fail() {
+fn failed_discovery_polls_begin_at_most_four_seconds_apart_however_long_each_takes_to_fail() {
     for fails_after in [0, 200, 1000, 2000, 3000, 3400] {
         for seed in 0..20 {
             let apart = calls_apart(seed, fails_after, 8);
@@ -327,7 +327,7 @@
 }
 
 #[test]
-fn three_hundred_copies_whose_calls_failed_come_again_spread_out() {
+fn three_hundred_replicas_whose_polls_failed_poll_again_spread_out() {
     for (fails_after, most) in [(0, 40), (1000, 45), (3000, 110)] {
         let mut last: Vec<_> = (0..300).map(|seed| calls_apart(seed, fails_after, 5)[4]).collect();
         last.sort();
@@ -348,7 +348,7 @@
 }
 
 #[test]
-fn a_server_known_by_its_quick_answers_only_still_loses_its_share() {
+fn a_server_with_quick_answers_and_time_outs_still_loses_traffic() {
     let mut scene = scene("", 4);
     let mut met = 0;
     for _ in 0..160 {
@@ -366,7 +366,7 @@
 }
 
 #[test]
-fn a_copy_that_was_itself_held_up_marks_nobody() {
+fn a_replica_that_was_itself_delayed_ejects_nobody() {
     let held_up = |stall: u64| {
         let mut scene = Scene::new(terms("all", ""), "all", 3, 8);
         for _ in 0..400 {
@@ -389,7 +389,7 @@
 }
 
 #[test]
-fn a_body_that_is_still_coming_takes_no_room_and_its_time_begins_with_its_last_byte() {
+fn an_incomplete_body_takes_no_capacity_and_its_time_begins_with_its_last_byte() {
     let mut scene = Scene::new(terms("all", ""), "all", 3, 2);
     let long: Vec<_> = (0..20).map(|_| scene.give_coming(2)).collect();
     assert_eq!(scene.out().len(), 20, "none waits for another");
@@ -405,7 +405,7 @@
 }
 
 #[test]
-fn what_was_sent_of_a_long_body_is_declined_if_it_never_ran_and_goes_nowhere_else() {
+fn a_request_whose_body_is_consumed_is_rejected_if_it_never_ran_and_not_retried() {
     for (outcome, spent, wanted) in [
         (Outcome::ConnectFailed, true, Some(Final::Declined)),
         (Outcome::Reset, true, Some(Final::Terminated)),
@@ -420,7 +420,7 @@
 }
 
 #[test]
-fn an_overdue_command_is_not_called_off_where_there_is_no_other_server() {
+fn an_overdue_attempt_is_not_cancelled_where_there_is_no_other_server() {
     for (servers, called_off) in [(1, false), (2, true)] {
         let mut scene = Scene::new(terms("all", ""), "all", 3, servers);
         for _ in 0..40 {
--- a/crates/decisions/tests/decisions/changed.rs
+++ b/crates/decisions/tests/decisions/settings_changes.rs
@@ -1,6 +1,6 @@
 //! Terms that change while commands are in hand.
 
-use crate::scripted::{Final, Scene, Taken, ms, terms};
+use crate::scripted_host::{Final, Scene, Taken, ms, terms};
 use landingspread_decisions::host::{Id, LoadReport, Outcome, RequestArrival};
 use landingspread_decisions::settings::{RequestClass, RetrySafety};
 use std::time::Duration;
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_new_goal_holds_for_commands_that_come_after_it_and_not_for_those_in_hand() {
+fn a_new_objective_holds_for_requests_that_arrive_after_it_and_not_for_open_ones() {
     let mut scene = scene("");
     assert_eq!(good_for(&mut scene), ms(1000));
     changed(&mut scene, &[], &verbs(ms(200), 2.0));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_body_that_is_whole_after_the_change_has_the_new_goal_from_then_on() {
+fn a_body_that_completes_after_the_change_has_the_new_objective() {
     assert!(goes_again(None) && goes_again(Some(ms(400))));
     assert!(!goes_again(Some(ms(200))));
 }
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_quota_that_is_lowered_and_raised_again_changes_who_goes_first() {
+fn a_quota_that_is_lowered_and_raised_again_changes_the_ranks() {
     let quotas = "Tenants.count=2 Tenants.0.QuotaRps=100000 Tenants.1.QuotaRps=100000 BeyondShareUtility=0.1";
     let mut scene = scene(quotas);
     let verbs = terms("all", "").classes;
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_utility_that_is_raised_changes_which_verb_goes_first() {
+fn a_value_that_is_raised_changes_which_class_goes_first() {
     let mut scene = scene("");
     let kinds = [(0, 0), (0, 3)];
     // Of two that are worth the same the one that takes less time goes first, which feeds itself.
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn what_may_be_repeated_and_which_verbs_there_are_stays_as_it_was() {
+fn retry_safety_and_the_set_of_classes_do_not_change() {
     let mut scene = scene("");
     let mut new = verbs(ms(500), 3.0);
     new[2].retry_safety = RetrySafety::Idempotent;
--- a/crates/decisions/tests/decisions/rest.rs
+++ b/crates/decisions/tests/decisions/skipped_sweeps.rs
@@ -1,6 +1,6 @@
 //! Sweeps that are left out at rest: whoever leaves them out hears the same calls, at the same times.
 
-use crate::scripted::{entry, ms, terms};
+use crate::scripted_host::{entry, ms, terms};
 use landingspread_decisions::host::{
     AttemptEnd, Event, Host, Id, Lifecycle, LoadReport, Outcome, RequestArrival,
 };
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn sweeps_left_out_at_rest_change_no_call_and_no_time_of_any() {
+fn skipped_sweeps_change_no_call_and_no_time_of_any() {
     for seed in 1..=60 {
         let extra = if seed % 2 == 0 { "Balancers=3 PolicyLimits.Peers=true" } else { "" };
         let mut copies = [Copy::new(false, extra, seed), Copy::new(true, extra, seed)];
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn a_copy_without_commands_is_swept_twice_a_second() {
+fn a_replica_without_requests_is_swept_twice_a_second() {
     let mut copy = Copy::new(true, "", 1);
     let entries: Vec<_> = (0..6).map(|at| entry(&format!("s{at}"), Lifecycle::Ready)).collect();
     copy.policy.endpoint_list_cached(ms(1000), &entries);
--- a/crates/decisions/tests/decisions/zones.rs
+++ b/crates/decisions/tests/decisions/zones.rs
@@ -1,6 +1,6 @@
 //! Zones that the fleet leaves and takes back, as the decisions hear of it. Servers of even numbers stand in zone 0.
 
-use crate::scripted::{Scene, entry, ms, terms};
+use crate::scripted_host::{Scene, entry, ms, terms};
 use landingspread_decisions::host::{Lifecycle, Outcome};
 use landingspread_decisions::zones::ZoneTraffic;
 
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_zone_that_is_left_gets_nothing_but_checks_in_turn_until_it_has_a_share_again() {
+fn a_drained_zone_gets_nothing_but_health_checks_in_turn_until_it_is_used_again() {
     let mut scene = scene("");
     play(&mut scene, 60);
     assert!(sent_to_zone_1(&scene) > 10);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn where_checks_are_not_allowed_a_trial_is_one_pure_command() {
+fn where_health_checks_are_not_allowed_a_trial_is_one_idempotent_request() {
     let mut scene = scene("PolicyLimits.Probes=false");
     play(&mut scene, 60);
     told(&mut scene, 0.0, None);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn how_a_zone_looks_is_told_by_what_was_sent_there() {
+fn a_zones_observation_follows_from_the_attempts_sent_there() {
     let mut scene = scene("");
     play(&mut scene, 60);
     let now = scene.now();
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_zone_that_others_find_silent_is_checked_once_a_look_and_a_failure_is_told() {
+fn a_zone_that_is_silent_to_others_is_checked_once_a_trial_and_a_failure_is_told() {
     let mut scene = scene("");
     let silent = |scene: &mut Scene| {
         let now = scene.now();
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn servers_that_are_left_are_no_part_of_those_that_may_be_marked() {
+fn servers_of_a_drained_zone_are_no_part_of_those_that_may_be_ejected() {
     let mut scene = scene("");
     play(&mut scene, 30);
     told(&mut scene, 0.0, None);
