--- a/crates/decisions/src/policy/selection.rs
+++ b/crates/decisions/src/policy/selection.rs
@@ -17,14 +17,15 @@
 const CHECKED_WEIGHT_EXPONENT: i32 = 12;
 /// The least time to an answer that weights go by, in seconds.
 const MIN_ESTIMATE_SECONDS: f64 = 1e-6;
-/// A weight falls by e to this many times the price of crossing into another zone.
+/// A weight is multiplied by e to the power of minus this, times the price of crossing into another zone.
 const ZONE_CROSSING_AVERSION: f64 = 60.0;
 /// A server is eligible if the request would be answered there within this fraction of the time left; an idle one
 /// within all of it.
 const DEADLINE_FRACTION: f64 = 0.75;
 /// Every server may have one attempt of each replica.
 const MIN_LIMIT_PART: f64 = 1.0;
-/// By how much the exponent of sizes approaches 1 as more replicas share a server.
+/// The exponent of sizes is `WEIGHT_EXPONENT` for one replica per server and approaches 1 as more share a server; the
+/// larger this is, the later.
 const CROWDING_OFFSET: f64 = 3.0;
 
 impl<H: Host> Policy<H> {
--- a/crates/decisions/src/state/check_budget.rs
+++ b/crates/decisions/src/state/check_budget.rs
@@ -16,6 +16,7 @@
 pub struct CheckBudget {
     /// What each request adds; 0: no checks are made before selection.
     per_request: usize,
+    /// Checks that may be made now.
     saved: f64,
 }
 
--- a/crates/decisions/src/state/estimators.rs
+++ b/crates/decisions/src/state/estimators.rs
@@ -80,6 +80,7 @@
 pub struct Rate {
     /// The time constant, in seconds.
     span_seconds: f64,
+    /// Events that were not forgotten at `updated_at`.
     count: f64,
     updated_at: Duration,
 }
--- a/crates/decisions/src/state/retry_budget.rs
+++ b/crates/decisions/src/state/retry_budget.rs
@@ -8,6 +8,7 @@
 /// Saved credit; one further attempt takes 1.
 #[derive(Debug)]
 pub struct RetryBudget {
+    /// Attempts that may be made now.
     credit: f64,
 }
 
--- a/crates/decisions/src/state/server_set.rs
+++ b/crates/decisions/src/state/server_set.rs
@@ -48,8 +48,9 @@
     available_in_flight: u64,
     /// The sum of the ready servers' sizes.
     size_sum: f64,
-    /// The sum of the last load reports, and how many there are.
+    /// The sum of the last load reports, in requests.
     report_sum: f64,
+    /// How many servers have a load report.
     reporting: usize,
 }
 
--- a/crates/decisions/src/state/server_set/server.rs
+++ b/crates/decisions/src/state/server_set/server.rs
@@ -72,13 +72,17 @@
     pub(super) ring_position: u64,
     /// The number of the complete list that named it last.
     pub(super) last_listing: u64,
+    /// When this replica first heard of it.
     pub(super) added_at: Duration,
     /// Its zone.
     pub zone: u32,
     /// Its cell within the zone.
     pub cell: u32,
+    /// The list says that it takes requests.
     pub(super) ready: bool,
+    /// This replica works with it.
     pub(super) in_window: bool,
+    /// Its size by the list, relative to nothing but the others' sizes.
     pub(super) nominal_size: f64,
     /// When its process started, where the list says so.
     pub started_at: Option<Duration>,
--- a/crates/decisions/src/state/sweep_clock.rs
+++ b/crates/decisions/src/state/sweep_clock.rs
@@ -13,6 +13,7 @@
 #[derive(Debug)]
 pub struct SweepClock {
     interval: Duration,
+    /// When the last sweep was, or would have been.
     last: Duration,
     /// By how much sweeps were late recently. Servers are not blamed for that time.
     own_delay: Duration,
--- a/crates/decisions/src/state/throughput.rs
+++ b/crates/decisions/src/state/throughput.rs
@@ -15,6 +15,7 @@
 /// Rates of attempts over all servers.
 #[derive(Debug)]
 pub struct Throughput {
+    /// Attempts that were sent.
     sent: Rate,
     ended: Rate,
     recently_ended: Rate,
