--- a/crates/control/tests/convergence.rs
+++ b/crates/control/tests/convergence.rs
@@ -15,12 +15,12 @@
 
 /// What a sidecar goes by; the key `bad` can't be gone by.
 #[derive(Default)]
-struct Force {
+struct RecordingHost {
     now: Option<(Version, Contents)>,
     all: Vec<Version>,
 }
 
-impl ConfigHost for Force {
+impl ConfigHost for RecordingHost {
     fn check(&mut self, contents: &Contents) -> Result<(), ConfigError> {
         match contents.get_key_value("bad") {
             Some((key, _)) => Err(ConfigError::new(key, "needs a restart")),
@@ -35,23 +35,23 @@
 }
 
 #[derive(Clone, Debug)]
-enum Does {
+enum Step {
     Publish {
         at: usize,
         contents: Contents,
     },
-    GoBack {
+    RollBack {
         at: usize,
         to: usize,
     },
-    Pass {
+    Exchange {
         from: usize,
         to: usize,
     },
     Poll {
         follower: usize,
         at: usize,
-        fate: Fate,
+        delivery: Delivery,
     },
     /// The process ends; what it kept may be cut.
     Restart {
@@ -59,21 +59,21 @@
         cut: bool,
     },
     /// A machine loses all that it had.
-    Forget {
+    LoseState {
         at: usize,
     },
 }
 
 #[derive(Clone, Debug)]
-enum Fate {
-    Comes,
+enum Delivery {
+    Delivered,
     Lost,
     Twice,
     /// It comes only after the next one.
     Late,
-    Cut(usize),
-    Garbled(usize, u8),
-    OfAnother,
+    Truncated(usize),
+    Corrupted(usize, u8),
+    OtherScope,
 }
 
 fn contents() -> impl Strategy<Value = Contents> {
@@ -81,34 +81,34 @@
     proptest::collection::btree_map(key, "[0-9]{1,3}", 0..4)
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn delivery() -> impl Strategy<Value = Delivery> {
     prop_oneof![
-        6 => Just(Fate::Comes),
-        1 => Just(Fate::Lost),
-        1 => Just(Fate::Twice),
-        2 => Just(Fate::Late),
-        1 => (0usize..400).prop_map(Fate::Cut),
-        2 => (0usize..400, 1u8..).prop_map(|(at, by)| Fate::Garbled(at, by)),
-        1 => Just(Fate::OfAnother),
+        6 => Just(Delivery::Delivered),
+        1 => Just(Delivery::Lost),
+        1 => Just(Delivery::Twice),
+        2 => Just(Delivery::Late),
+        1 => (0usize..400).prop_map(Delivery::Truncated),
+        2 => (0usize..400, 1u8..).prop_map(|(at, by)| Delivery::Corrupted(at, by)),
+        1 => Just(Delivery::OtherScope),
     ]
 }
 
-fn does() -> impl Strategy<Value = Does> {
+fn step() -> impl Strategy<Value = Step> {
     let (machine, follower) = (0..MACHINES, 0..FOLLOWERS);
     prop_oneof![
-        3 => (machine.clone(), contents()).prop_map(|(at, contents)| Does::Publish { at, contents }),
-        1 => (machine.clone(), 0usize..9).prop_map(|(at, to)| Does::GoBack { at, to }),
-        4 => (machine.clone(), machine.clone()).prop_map(|(from, to)| Does::Pass { from, to }),
-        10 => (follower.clone(), machine.clone(), fate())
-            .prop_map(|(follower, at, fate)| Does::Poll { follower, at, fate }),
-        1 => (follower, any::<bool>()).prop_map(|(follower, cut)| Does::Restart { follower, cut }),
-        1 => machine.prop_map(|at| Does::Forget { at }),
+        3 => (machine.clone(), contents()).prop_map(|(at, contents)| Step::Publish { at, contents }),
+        1 => (machine.clone(), 0usize..9).prop_map(|(at, to)| Step::RollBack { at, to }),
+        4 => (machine.clone(), machine.clone()).prop_map(|(from, to)| Step::Exchange { from, to }),
+        10 => (follower.clone(), machine.clone(), delivery())
+            .prop_map(|(follower, at, delivery)| Step::Poll { follower, at, delivery }),
+        1 => (follower, any::<bool>()).prop_map(|(follower, cut)| Step::Restart { follower, cut }),
+        1 => machine.prop_map(|at| Step::LoseState { at }),
     ]
 }
 
 struct Sidecar {
     follower: Follower,
-    force: Force,
+    host: RecordingHost,
     held_back: Option<Vec<u8>>,
 }
 
@@ -131,7 +131,7 @@
 impl World {
     fn new() -> World {
         let sidecar =
-            |number| Sidecar { follower: started(number), force: Force::default(), held_back: None };
+            |number| Sidecar { follower: started(number), host: RecordingHost::default(), held_back: None };
         World {
             stores: (0..MACHINES).map(|_| VersionStore::default()).collect(),
             sidecars: (0..FOLLOWERS).map(sidecar).collect(),
@@ -140,7 +140,7 @@
         }
     }
 
-    fn pass(&mut self, from: usize, to: usize) {
+    fn exchange(&mut self, from: usize, to: usize) {
         let theirs = self.stores[from].summary();
         for scope in self.stores[to].outdated_scopes(&theirs) {
             let delta = self.stores[from].current(&scope).expect("it is in the summary").full_delta();
@@ -149,7 +149,7 @@
         }
     }
 
-    fn poll(&mut self, number: usize, at: usize, fate: Fate) {
+    fn poll(&mut self, number: usize, at: usize, delivery: Delivery) {
         let sidecar = &mut self.sidecars[number];
         let poll = sidecar.follower.next_poll();
         self.stores[at].record_poll(self.now, &poll);
@@ -158,35 +158,35 @@
             return;
         };
         let mut bytes = delta.to_json().into_bytes();
-        match fate {
-            Fate::Lost => {
+        match delivery {
+            Delivery::Lost => {
                 sidecar.follower.on_failure(self.now);
                 return;
             }
-            Fate::Late => {
+            Delivery::Late => {
                 if let Some(late) = sidecar.held_back.replace(bytes) {
-                    self.hear(number, &late);
+                    self.receive(number, &late);
                 }
                 return;
             }
-            Fate::Twice => self.hear(number, &bytes),
-            Fate::Cut(length) => bytes.truncate(length.min(bytes.len() - 1)),
-            Fate::Garbled(place, by) => {
+            Delivery::Twice => self.receive(number, &bytes),
+            Delivery::Truncated(length) => bytes.truncate(length.min(bytes.len() - 1)),
+            Delivery::Corrupted(place, by) => {
                 let place = place % bytes.len();
                 bytes[place] ^= by;
             }
-            Fate::OfAnother => {
+            Delivery::OtherScope => {
                 bytes = String::from_utf8(bytes).expect("text").replace(SCOPE, "basket").into_bytes();
             }
-            Fate::Comes => {}
+            Delivery::Delivered => {}
         }
-        self.hear(number, &bytes);
+        self.receive(number, &bytes);
     }
 
-    fn hear(&mut self, number: usize, bytes: &[u8]) {
-        let Sidecar { follower, force, .. } = &mut self.sidecars[number];
-        let before = force.now.clone();
-        match follower.on_delta(self.now, bytes, force) {
+    fn receive(&mut self, number: usize, bytes: &[u8]) {
+        let Sidecar { follower, host, .. } = &mut self.sidecars[number];
+        let before = host.now.clone();
+        match follower.on_delta(self.now, bytes, host) {
             Ok(ApplyOutcome::Applied(version)) => {
                 assert!(
                     before.is_none_or(|(before, _)| before < version),
@@ -195,62 +195,62 @@
             }
             Ok(ApplyOutcome::Refused(refusal)) => {
                 assert_eq!(refusal.error.key, "bad");
-                assert_eq!(force.now, before, "the last good one stays in force");
+                assert_eq!(host.now, before, "the last good one stays in force");
             }
-            Ok(ApplyOutcome::Unchanged) => assert_eq!(force.now, before),
+            Ok(ApplyOutcome::Unchanged) => assert_eq!(host.now, before),
             Err(_) => {
-                assert_eq!(force.now, before, "the last good one stays in force");
+                assert_eq!(host.now, before, "the last good one stays in force");
                 follower.on_failure(self.now);
             }
         }
     }
 
-    fn play(&mut self, does: Does) {
+    fn play(&mut self, step: Step) {
         self.now += Duration::from_millis(100);
-        match does {
-            Does::Publish { at, contents } => {
+        match step {
+            Step::Publish { at, contents } => {
                 let base = self.stores[at].version(SCOPE);
                 let version =
                     self.stores[at].publish(SCOPE, base, contents.clone(), 7).expect("it is published");
                 self.published.insert(version, contents);
             }
-            Does::GoBack { at, to } => {
+            Step::RollBack { at, to } => {
                 let Some(status) = self.stores[at].scope_status(self.now, SCOPE) else { return };
                 let Some(back) = status.history.get(to).copied() else { return };
                 let version = self.stores[at].roll_back(SCOPE, status.version, back, 7).expect("it is kept");
                 let contents = self.published[&back].clone();
                 self.published.insert(version, contents);
             }
-            Does::Pass { from, to } => self.pass(from, to),
-            Does::Poll { follower, at, fate } => self.poll(follower, at, fate),
-            Does::Restart { follower: number, cut } => {
+            Step::Exchange { from, to } => self.exchange(from, to),
+            Step::Poll { follower, at, delivery } => self.poll(follower, at, delivery),
+            Step::Restart { follower: number, cut } => {
                 let kept = self.sidecars[number].follower.in_force().map(|kept| kept.full_delta().to_json());
-                let (mut follower, mut force) = (started(number), Force::default());
+                let (mut follower, mut host) = (started(number), RecordingHost::default());
                 if let Some(kept) = kept {
                     let bytes = &kept.as_bytes()[..if cut { kept.len() / 2 } else { kept.len() }];
-                    let restored = follower.restore(bytes, &mut force);
+                    let restored = follower.restore(bytes, &mut host);
                     assert_eq!(restored.is_err(), cut, "{restored:?}");
                 }
-                self.sidecars[number] = Sidecar { follower, force, held_back: None };
+                self.sidecars[number] = Sidecar { follower, host, held_back: None };
             }
-            Does::Forget { at } => self.stores[at] = VersionStore::default(),
+            Step::LoseState { at } => self.stores[at] = VersionStore::default(),
         }
         for sidecar in &self.sidecars {
-            if let Some((version, contents)) = &sidecar.force.now {
+            if let Some((version, contents)) = &sidecar.host.now {
                 assert_eq!(self.published.get(version), Some(contents), "whole, as it was published");
             }
         }
     }
 
-    fn heal(&mut self) {
+    fn settle(&mut self) {
         for _ in 0..2 {
-            (0..MACHINES).for_each(|from| (0..MACHINES).for_each(|to| self.pass(from, to)));
+            (0..MACHINES).for_each(|from| (0..MACHINES).for_each(|to| self.exchange(from, to)));
         }
         for number in 0..FOLLOWERS {
             self.sidecars[number].held_back = None;
             for at in 0..MACHINES {
                 // The second call says what came of the first; a third where a snapshot was wanted.
-                (0..3).for_each(|_| self.poll(number, at, Fate::Comes));
+                (0..3).for_each(|_| self.poll(number, at, Delivery::Delivered));
             }
         }
     }
@@ -261,17 +261,17 @@
 
     #[test]
     fn version_in_force_is_complete_and_monotonic_and_machines_converge_after_faults(
-        all in proptest::collection::vec(does(), 1..120)
+        all in proptest::collection::vec(step(), 1..120)
     ) {
         let mut world = World::new();
-        all.into_iter().for_each(|does| world.play(does));
-        world.heal();
+        all.into_iter().for_each(|step| world.play(step));
+        world.settle();
         let digests: Vec<u128> = world.stores.iter().map(VersionStore::digest).collect();
         prop_assert!(digests.windows(2).all(|pair| pair[0] == pair[1]), "machines agree");
         let Some(current) = world.stores[0].current(SCOPE).cloned() else { return Ok(()) };
         let good = !current.contents().contains_key("bad");
         for sidecar in &world.sidecars {
-            let has = sidecar.force.now.as_ref().map(|(version, _)| *version);
+            let has = sidecar.host.now.as_ref().map(|(version, _)| *version);
             let refused = sidecar.follower.refused().map(|refused| refused.version);
             // Where all machines lost what a sidecar has, it keeps that until a greater one is published.
             let newer = has > Some(current.version()) || refused > Some(current.version());
--- a/crates/control/tests/formats.rs
+++ b/crates/control/tests/formats.rs
@@ -12,11 +12,11 @@
 
 const FIXTURE: &str = include_str!("fixtures/formats.txt");
 
-fn s(seconds: u64) -> Duration {
+fn seconds(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
 }
 
-fn keys(pairs: &[(&str, &str)]) -> Contents {
+fn contents_of(pairs: &[(&str, &str)]) -> Contents {
     pairs.iter().map(|(key, value)| (key.to_string(), value.to_string())).collect()
 }
 
@@ -56,32 +56,34 @@
         acknowledged: Some(have),
         refused: Some((refused, why)),
         wants_snapshot: true,
-        wait: s(6),
+        wait: seconds(6),
     }
 }
 
 /// Every text by its name, in the fixture's order.
 fn written() -> Vec<(&'static str, String)> {
     let (mut store, mut follower, mut host) = (VersionStore::default(), follower(), TakesNumbers);
-    let first = store.publish("basket", None, keys(&[("a", "1"), ("b", "2")]), 100).expect("a version");
+    let first =
+        store.publish("basket", None, contents_of(&[("a", "1"), ("b", "2")]), 100).expect("a version");
     let snapshot = store.current("basket").expect("a snapshot").clone();
-    let polls = |follower: &Follower| follower.next_poll().to_query();
-    let mut lines = vec![("poll.first", polls(&follower)), ("snapshot", snapshot.full_delta().to_json())];
-    let taken = follower.on_delta(s(1), snapshot.full_delta().to_json().as_bytes(), &mut host);
+    let next_poll_query = |follower: &Follower| follower.next_poll().to_query();
+    let mut lines =
+        vec![("poll.first", next_poll_query(&follower)), ("snapshot", snapshot.full_delta().to_json())];
+    let taken = follower.on_delta(seconds(1), snapshot.full_delta().to_json().as_bytes(), &mut host);
     assert!(taken.is_ok(), "{taken:?}");
-    lines.push(("poll.acknowledges", polls(&follower)));
+    lines.push(("poll.acknowledges", next_poll_query(&follower)));
     let second =
-        store.publish("basket", Some(first), keys(&[("a", "x"), ("c", "\u{e9}\"")]), 7).expect("one");
+        store.publish("basket", Some(first), contents_of(&[("a", "x"), ("c", "\u{e9}\"")]), 7).expect("one");
     let delta = store.delta_for(&follower.next_poll()).expect("news").to_json();
-    let taken = follower.on_delta(s(2), delta.as_bytes(), &mut host);
+    let taken = follower.on_delta(seconds(2), delta.as_bytes(), &mut host);
     assert!(taken.is_ok(), "{taken:?}");
-    lines.extend([("delta", delta), ("poll.refuses", polls(&follower))]);
-    store.record_poll(s(2), &follower.next_poll());
-    store.record_poll(s(3), &Poll { name: "s2".into(), refused: None, ..follower.next_poll() });
+    lines.extend([("delta", delta), ("poll.refuses", next_poll_query(&follower))]);
+    store.record_poll(seconds(2), &follower.next_poll());
+    store.record_poll(seconds(3), &Poll { name: "s2".into(), refused: None, ..follower.next_poll() });
     let other = store.publish("other", None, Contents::new(), 5).expect("a version");
-    let status = store.scope_status(s(4), "basket").expect("it is known");
-    let stale = follower.on_delta(s(3), br#"{"scope":"basket"}"#, &mut host).expect_err("no delta");
-    let unfit =
+    let status = store.scope_status(seconds(4), "basket").expect("it is known");
+    let malformed = follower.on_delta(seconds(3), br#"{"scope":"basket"}"#, &mut host).expect_err("no delta");
+    let rejected =
         |delta: Delta| delta.apply("basket", Some(&snapshot)).expect_err("it does not fit").to_string();
     let whole = snapshot.full_delta();
     lines.extend([
@@ -93,12 +95,12 @@
         ("digest.empty", format!("{:032x}", VersionStore::default().digest())),
         ("standing", serde_json::to_string(&status).expect("JSON")),
         ("fault", serde_json::to_string(&ConfigError::new("k", "it is odd")).expect("JSON")),
-        ("no.unreadable", stale.to_string()),
-        ("no.scope", unfit(Delta { scope: "z".into(), ..whole.clone() })),
-        ("no.base", unfit(Delta { base: Some(second), ..whole.clone() })),
-        ("no.digest", unfit(Delta { set: keys(&[("a", "2")]), ..whole.clone() })),
-        ("no.bounds", unfit(Delta { set: keys(&[("", "2")]), ..whole.clone() })),
-        ("no.value", unfit(Delta { set: keys(&[("v", &"x".repeat(257))]), ..whole })),
+        ("no.unreadable", malformed.to_string()),
+        ("no.scope", rejected(Delta { scope: "z".into(), ..whole.clone() })),
+        ("no.base", rejected(Delta { base: Some(second), ..whole.clone() })),
+        ("no.digest", rejected(Delta { set: contents_of(&[("a", "2")]), ..whole.clone() })),
+        ("no.bounds", rejected(Delta { set: contents_of(&[("", "2")]), ..whole.clone() })),
+        ("no.value", rejected(Delta { set: contents_of(&[("v", &"x".repeat(257))]), ..whole })),
         ("no.version", "1.0".parse::<Version>().expect_err("no version").to_string()),
         ("rejected.base", store.publish("basket", None, Contents::new(), 1).expect_err("a no").to_string()),
         (
@@ -123,9 +125,9 @@
 /// How long a sidecar waits after each failure in turn, in nanoseconds, and when it goes home.
 fn pauses() -> String {
     let mut follower = follower();
-    let pauses: Vec<u128> = (0..48).map(|_| follower.on_failure(s(1)).as_nanos()).collect();
+    let pauses: Vec<u128> = (0..48).map(|_| follower.on_failure(seconds(1)).as_nanos()).collect();
     let mut home = Follower::new("basket", "s1", &machines(), "north", 9);
-    home.on_failure(s(1));
+    home.on_failure(seconds(1));
     let after = (0..70_000).find(|ms| home.on_unchanged(Duration::from_millis(*ms)));
     serde_json::to_string(&(pauses, after)).expect("JSON")
 }
@@ -160,10 +162,11 @@
 #[test]
 fn formats_of_the_fixture_are_read() {
     let read = |name: &str| Delta::from_json(fixture(name).as_bytes()).expect(name);
-    let snapshot = Snapshot::new("basket", 100, 1, keys(&[("a", "1"), ("b", "2")])).expect("it is bounded");
+    let snapshot =
+        Snapshot::new("basket", 100, 1, contents_of(&[("a", "1"), ("b", "2")])).expect("it is bounded");
     assert_eq!(read("snapshot").apply("basket", None), Ok(snapshot.clone()));
-    let next =
-        Snapshot::new("basket", 100, 2, keys(&[("a", "x"), ("c", "\u{e9}\"")])).expect("it is bounded");
+    let next = Snapshot::new("basket", 100, 2, contents_of(&[("a", "x"), ("c", "\u{e9}\"")]))
+        .expect("it is bounded");
     assert_eq!(read("delta").apply("basket", Some(&snapshot)), Ok(next.clone()));
     let empty = Snapshot::new("other", 5, 1, Contents::new()).expect("it is bounded");
     assert_eq!(read("empty").apply("other", None), Ok(empty.clone()));
--- a/crates/sidecar/src/console/handlers.rs
+++ b/crates/sidecar/src/console/handlers.rs
@@ -66,7 +66,10 @@
             Some(None) => Reply::error(404, NO_ZONES),
             Some(Some(false)) => Reply::error(404, "there is no such zone"),
             Some(Some(true)) => {
-                tracing::info!("operators {} zone {zone}", if leave { "leave" } else { "take back" });
+                tracing::info!(
+                    "console: zone {zone} {} by an operator",
+                    if leave { "left" } else { "returned" }
+                );
                 Reply::text(200, "yes\n")
             }
         }
@@ -87,7 +90,7 @@
             tracing::error!("console: {error}");
             return Reply::error(500, "it holds for this process alone: it could not be recorded");
         }
-        tracing::info!("operators {} {server}", if out { "leave out" } else { "use again" });
+        tracing::info!("console: {server} {} maintenance", if out { "entered" } else { "exited" });
         let at_unix_ms = unix_ms();
         let mut orders = self.orders_in_force.borrow_mut();
         orders.insert(server, Word { out, at_unix_ms });
--- a/crates/sidecar/src/console/mod.rs
+++ b/crates/sidecar/src/console/mod.rs
@@ -115,7 +115,7 @@
 
     async fn accept(self: Rc<Self>, address: SocketAddr, executor: Rc<LocalExecutor<'static>>) {
         let listener = bind(address).await;
-        tracing::info!("operators are heard at {address}");
+        tracing::info!("console: listening at {address}");
         loop {
             while self.connections.get() >= MAX_CONNECTIONS {
                 self.close_longest_waiting();
--- a/crates/sidecar/src/console/reply.rs
+++ b/crates/sidecar/src/console/reply.rs
@@ -5,7 +5,9 @@
 /// An answer, without its head.
 #[derive(Debug, PartialEq)]
 pub struct Reply {
+    /// The HTTP status.
     pub status: u16,
+    /// The body.
     pub text: String,
     json: bool,
     /// The method that the path takes, where another one was used.
--- a/crates/sidecar/src/control/client.rs
+++ b/crates/sidecar/src/control/client.rs
@@ -77,6 +77,7 @@
 pub struct Response {
     /// 0 where the head has none.
     pub status: u16,
+    /// Without the head.
     pub body: Vec<u8>,
 }
 
--- a/crates/sidecar/src/control/machine/peers.rs
+++ b/crates/sidecar/src/control/machine/peers.rs
@@ -33,6 +33,7 @@
 
 /// Another control machine.
 pub struct Peer {
+    /// Where it listens.
     pub address: SocketAddr,
     pushes: Sender<Push>,
     answered: Cell<Option<Instant>>,
--- a/crates/sidecar/src/control/machine/reply.rs
+++ b/crates/sidecar/src/control/machine/reply.rs
@@ -4,7 +4,9 @@
 
 /// An answer, without its head.
 pub struct Reply {
+    /// The HTTP status.
     pub status: u16,
+    /// Empty where there is nothing to send.
     pub body: String,
     json: bool,
 }
--- a/crates/sidecar/src/control/machine/report.rs
+++ b/crates/sidecar/src/control/machine/report.rs
@@ -29,10 +29,10 @@
     /// What all machines that answer know of a scope, as JSON or as text.
     pub(super) async fn scope_status(&self, scope: &str, json: bool) -> Reply {
         let mut status = self.store.borrow().scope_status(self.clock.now(), scope);
-        let mut heard = 1;
+        let mut answered = 1;
         for peer in self.peers.iter().filter(|peer| peer.is_available()) {
             let Ok(theirs) = self.peer_scope_status(peer, scope).await else { continue };
-            heard += 1;
+            answered += 1;
             status = match (status, theirs) {
                 (Some(mut ours), Some(theirs)) => {
                     ours.merge(theirs);
@@ -43,8 +43,8 @@
         }
         match status {
             None => Reply::error(404, "nobody published or asked for this scope"),
-            Some(status) if json => Reply::json(200, self.status_json(&status, heard)),
-            Some(status) => Reply::text(200, self.status_text(&status, heard)),
+            Some(status) if json => Reply::json(200, self.status_json(&status, answered)),
+            Some(status) => Reply::text(200, self.status_text(&status, answered)),
         }
     }
 
@@ -61,7 +61,7 @@
         Ok(serde_json::from_slice(&response.body).ok().filter(|_| response.status == 200))
     }
 
-    fn status_json(&self, status: &ScopeStatus, heard: usize) -> String {
+    fn status_json(&self, status: &ScopeStatus, answered: usize) -> String {
         let refused: serde_json::Map<_, _> =
             status.refusals().map(|(name, reason)| (name.clone(), reason.as_str().into())).collect();
         let behind: serde_json::Map<_, _> =
@@ -76,17 +76,17 @@
             "behind_and_silent": behind,
             "kept": kept,
             "machines": self.peers.len() + 1,
-            "machines_heard": heard,
+            "machines_heard": answered,
         });
         report.to_string() + "\n"
     }
 
-    fn status_text(&self, status: &ScopeStatus, heard: usize) -> String {
+    fn status_text(&self, status: &ScopeStatus, answered: usize) -> String {
         let version = status.version.map_or("none".into(), |version| version.to_string());
         let (refused, behind): (Vec<_>, Vec<_>) = (status.refusals().collect(), status.lagging().collect());
         let mut text = format!("scope         {}\nversion       {version}\n", status.scope);
         // Writing to a String cannot fail.
-        let _ = writeln!(text, "machines      {heard} of {} heard", self.peers.len() + 1);
+        let _ = writeln!(text, "machines      {answered} of {} heard", self.peers.len() + 1);
         let _ = writeln!(text, "acknowledged  {}", status.acknowledged());
         let _ = writeln!(text, "refused       {}", refused.len());
         for (name, reason) in refused.iter().take(MAX_NAMES) {
--- a/crates/sidecar/src/control/machine/settings.rs
+++ b/crates/sidecar/src/control/machine/settings.rs
@@ -22,11 +22,13 @@
 
 /// A control machine's settings, checked.
 pub struct Settings {
+    /// This machine's own address.
     pub listen: SocketAddr,
     /// All other machines.
     pub peers: Vec<SocketAddr>,
     /// The folder where versions are stored; none where nothing outlives the process.
     pub state: Option<PathBuf>,
+    /// Connections at a time.
     pub max_connections: usize,
 }
 
--- a/crates/sidecar/src/control/status.rs
+++ b/crates/sidecar/src/control/status.rs
@@ -40,9 +40,11 @@
 /// What following the configuration has cost.
 #[derive(Clone, Copy, Default)]
 pub struct Traffic {
+    /// Polls that were answered.
     pub calls: u64,
-    /// Bytes, without the heads' fixed parts.
+    /// Bytes of the polls, with an estimate of their heads.
     pub sent: u64,
+    /// Bytes of the answers, with an estimate of their heads.
     pub received: u64,
 }
 
--- a/crates/sidecar/src/control/task.rs
+++ b/crates/sidecar/src/control/task.rs
@@ -41,9 +41,13 @@
 
 /// A follower with all that it needs to run.
 pub struct FollowTask<H> {
+    /// Which version is in force, and which machine is polled.
     pub follower: Follower,
+    /// What applies a version.
     pub host: H,
+    /// The time of refusals and of going back to the first machine.
     pub clock: Clock,
+    /// Buffers for answers.
     pub stock: Rc<Stock>,
     /// None where no version outlives the process.
     pub cache: Option<SnapshotCache>,
--- a/crates/sidecar/src/hollow.rs
+++ b/crates/sidecar/src/hollow.rs
@@ -19,6 +19,7 @@
 pub struct CopyRange {
     /// The number of the first copy.
     pub first: u32,
+    /// How many copies run.
     pub count: u32,
     /// The number from which fleets are counted.
     pub base: u32,
