--- a/crates/sidecar/src/console/handlers.rs
+++ b/crates/sidecar/src/console/handlers.rs
@@ -68,11 +68,11 @@
             ZoneCommandReply::FailoverOff => Reply::error(404, NO_ZONES),
             ZoneCommandReply::UnknownZone => Reply::error(404, "there is no such zone"),
             ZoneCommandReply::Accepted => {
-                let verb = match command {
-                    OperatorCommand::Evacuate => "evacuate",
-                    OperatorCommand::Return => "return",
+                let done = match command {
+                    OperatorCommand::Evacuate => "evacuated",
+                    OperatorCommand::Return => "returned",
                 };
-                tracing::info!("operators {verb} zone {zone}");
+                tracing::info!("console: zone {zone} {done} by an operator");
                 Reply::text(200, "yes\n")
             }
         }
@@ -93,7 +93,7 @@
             tracing::error!("console: {error}");
             return Reply::error(500, "it holds for this process alone: it could not be recorded");
         }
-        tracing::info!("operators {} {server}", if out { "leave out" } else { "use again" });
+        tracing::info!("console: {server} {} maintenance", if out { "entered" } else { "exited" });
         let at_unix_ms = unix_ms();
         let mut orders = self.orders_in_force.borrow_mut();
         orders.insert(server, Word { out, at_unix_ms });
