--- a/crates/sidecar/src/launch/mod.rs
+++ b/crates/sidecar/src/configuration/mod.rs
@@ -4,20 +4,17 @@
 //!
 //! Two forms give one checked type: the platform's JSON (`platform.rs`) and the operators' TOML (`file.rs`).
 
-mod checked;
-mod control;
-mod file;
-mod fleet;
-mod live;
-mod localities;
-mod platform;
+mod operator_form;
+mod platform_form;
+mod runtime_change;
+mod settings;
 
-pub use checked::{ConfigError, Configuration, Fleet, RequestClass};
-pub use control::Control;
-pub use file::EXAMPLE;
-pub use live::{Changed, Live};
+pub use operator_form::EXAMPLE;
+pub use operator_form::control::Control;
+pub use runtime_change::{Changed, Live};
+pub use settings::{ConfigError, Configuration, Fleet, RequestClass};
 
-use checked::config_error;
+use settings::config_error;
 use std::path::{Path, PathBuf};
 
 /// A variable of the environment; an empty one says nothing.
@@ -50,7 +47,7 @@
 
 /// One configuration in the operators' form, whatever the environment says.
 pub fn of_text(name: &str, text: &str) -> Result<Configuration, ConfigError> {
-    file::take(name, text, &|_| None)
+    operator_form::take(name, text, &|_| None)
 }
 
 /// Reads the file once more. A process keeps the environment that it began with: what the file says of
@@ -68,8 +65,8 @@
         }
     };
     if path.extension().is_some_and(|ending| ending == "toml") {
-        file::read(&path, told)
+        operator_form::read(&path, told)
     } else {
-        platform::read(&path, told)
+        platform_form::read(&path, told)
     }
 }
--- a/crates/sidecar/src/launch/fleet.rs
+++ b/crates/sidecar/src/configuration/operator_form/fleet.rs
@@ -1,6 +1,6 @@
 //! The `[fleet]` part of the operators' form: its names, defaults and checks.
 
-use super::checked::Fleet;
+use super::super::settings::Fleet;
 use landingspread_membership::{Address, Budget, NAME_MOST};
 use serde::Deserialize;
 use std::net::SocketAddr;
--- a/crates/sidecar/src/launch/file.rs
+++ b/crates/sidecar/src/configuration/operator_form/mod.rs
@@ -1,7 +1,11 @@
 //! The operators' form: one TOML file, `landingspread.toml`. It owns this form's names, every default and every
 //! check of them; a fault names the file, the line and the key.
 
-use super::checked::{
+pub mod control;
+mod fleet;
+mod localities;
+
+use super::settings::{
     CONN_IDLE, ConfigError, Configuration, DIAL_TIMEOUT, MAX_OPEN, MEMORY_MB, MEMORY_MB_LEAST, SOCKETS,
     SOCKETS_LEAST, inherited, verb_fault,
 };
@@ -39,9 +43,9 @@
     /// Every copy's address for words between them, by its ordinal.
     #[serde(default)]
     peers: Vec<SocketAddr>,
-    fleet: Option<super::fleet::Part>,
-    localities: Option<super::localities::Part>,
-    control: Option<super::control::Part>,
+    fleet: Option<fleet::Part>,
+    localities: Option<localities::Part>,
+    control: Option<control::Part>,
     cost_header: Option<String>,
     learnt: Option<PathBuf>,
     console: Option<SocketAddr>,
@@ -240,7 +244,7 @@
 
 fn parsed(variable: &str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse().map_err(|_| {
-        super::checked::config_error(variable, format_args!("{text:?} is no address with a port"))
+        super::settings::config_error(variable, format_args!("{text:?} is no address with a port"))
     })
 }
 
@@ -390,8 +394,8 @@
         max_open_requests: file.limits.max_open as usize,
         policy: terms,
         fleet,
-        localities: file.localities.map(super::localities::Part::checked),
-        control: file.control.map(super::control::Part::checked),
+        localities: file.localities.map(localities::Part::checked),
+        control: file.control.map(control::Part::checked),
         peers: file.peers,
         work_header: file.cost_header,
         statistics_file: file.learnt,
@@ -403,8 +407,8 @@
     }
 }
 
-fn front_verb(verb: &Verb) -> super::checked::RequestClass {
-    super::checked::RequestClass {
+fn front_verb(verb: &Verb) -> super::settings::RequestClass {
+    super::settings::RequestClass {
         name: verb.name.clone(),
         method: if verb.repeats == Repeats::Pure { "GET" } else { "POST" },
         idempotency_keyed: verb.repeats == Repeats::Receipted,
--- a/crates/sidecar/src/launch/platform.rs
+++ b/crates/sidecar/src/configuration/platform_form/mod.rs
@@ -1,7 +1,7 @@
 //! The platform's form: one JSON file and the NODE_ variables. It owns this form's names, every default and every
 //! check of them.
 
-use super::checked::{
+use super::settings::{
     CONN_IDLE, ConfigError, Configuration, DIAL_TIMEOUT, MAX_OPEN, MEMORY_MB, MEMORY_MB_LEAST, RequestClass,
     SOCKETS, SOCKETS_LEAST, config_error, inherited,
 };
--- a/crates/sidecar/src/launch/live.rs
+++ b/crates/sidecar/src/configuration/runtime_change.rs
@@ -2,7 +2,7 @@
 //! discovery's address. It owns the names and checks of these keys; all others need a restart. A change is read as a whole,
 //! on top of what the file says: what it does not name is as there.
 
-use super::checked::{Configuration, verb_fault};
+use super::settings::{Configuration, verb_fault};
 use landingspread_control::{Contents, Fault};
 use landingspread_decisions::settings;
 use std::net::SocketAddr;
@@ -127,5 +127,5 @@
 }
 
 #[cfg(test)]
-#[path = "live_tests.rs"]
+#[path = "runtime_change_tests.rs"]
 mod tests;
--- a/crates/sidecar/src/launch/live_tests.rs
+++ b/crates/sidecar/src/configuration/runtime_change_tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::launch::{EXAMPLE, of_text};
+use crate::configuration::{EXAMPLE, of_text};
 
 /// What changes by one key, or which key is at fault and why.
 fn read(discovery: bool, changes: &[(&str, &str)]) -> Result<Changed, String> {
--- a/crates/sidecar/src/launch/checked.rs
+++ b/crates/sidecar/src/configuration/settings.rs
@@ -1,6 +1,6 @@
 //! What both forms of the configuration come to, and the defaults that they share.
 
-use super::control::Control;
+use super::operator_form::control::Control;
 use crate::catalog::Catalog;
 use crate::clock::Clock;
 use landingspread_decisions::settings::Settings;
--- a/crates/sidecar/src/console/mod.rs
+++ b/crates/sidecar/src/console/mod.rs
@@ -7,7 +7,7 @@
 use crate::counters;
 use crate::fleet;
 use crate::handover::LOOK_EVERY;
-use crate::handover::record::{Record, WORDS_MOST, Word, Words, unix_ms};
+use crate::handover::maintenance_record::{Record, WORDS_MOST, Word, Words, unix_ms};
 use crate::net::buffers::{Buffer, Stock};
 use crate::net::http::{self, Coming};
 use crate::net::timeout::timeout;
--- a/crates/sidecar/src/control/mod.rs
+++ b/crates/sidecar/src/control/mod.rs
@@ -9,7 +9,7 @@
 pub mod said;
 
 use crate::clock::Clock;
-use crate::launch::{Changed, Configuration, Control, Live};
+use crate::configuration::{Changed, Configuration, Control, Live};
 use crate::net::buffers::{SIZE, Stock};
 use crate::net::callers::Callers;
 use crate::net::owner::{Queue, Word};
--- a/crates/sidecar/src/handover/record.rs
+++ b/crates/sidecar/src/handover/maintenance_record.rs
@@ -119,5 +119,5 @@
 }
 
 #[cfg(test)]
-#[path = "record_tests.rs"]
+#[path = "maintenance_record_tests.rs"]
 mod tests;
--- a/crates/sidecar/src/handover/mod.rs
+++ b/crates/sidecar/src/handover/mod.rs
@@ -3,7 +3,7 @@
 //! from here, and nothing here touches a command or an endpoint.
 
 pub mod hold;
-pub mod record;
+pub mod maintenance_record;
 
 use std::fs::{File, TryLockError};
 use std::io;
--- a/crates/sidecar/src/hollow.rs
+++ b/crates/sidecar/src/hollow.rs
@@ -1,7 +1,7 @@
 //! Many sidecars in one process, for tests of size: their configurations, made from one template. It owns how a copy's
 //! number becomes its name, address, zone and seeds; it must never run anything of its own making.
 
-use crate::launch::{self, Configuration};
+use crate::configuration::{self, Configuration};
 use std::net::Ipv4Addr;
 use std::path::Path;
 
@@ -58,8 +58,9 @@
         let text = std::fs::read_to_string(template);
         let text = text.map_err(|wrong| format!("{}: {wrong}", template.display()))?;
         let name = template.display().to_string();
-        let one =
-            |number| launch::of_text(&name, &self.text(&text, number)).map_err(|wrong| wrong.to_string());
+        let one = |number| {
+            configuration::of_text(&name, &self.text(&text, number)).map_err(|wrong| wrong.to_string())
+        };
         (self.first..end).map(one).collect()
     }
 }
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -3,6 +3,7 @@
 
 mod catalog;
 mod clock;
+mod configuration;
 mod console;
 mod control;
 mod counters;
@@ -10,7 +11,7 @@
 mod handover;
 mod hollow;
 mod invariants;
-mod launch;
+
 mod net;
 mod start;
 
@@ -110,10 +111,10 @@
 struct Version {}
 
 fn begin_log() -> Result<(), String> {
-    let level = launch::log_level().map_err(|wrong| wrong.to_string())?;
+    let level = configuration::log_level().map_err(|wrong| wrong.to_string())?;
     let log = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).with_target(false);
     let log = log.with_max_level(level);
-    if launch::log_as_json().map_err(|wrong| wrong.to_string())? {
+    if configuration::log_as_json().map_err(|wrong| wrong.to_string())? {
         log.json().flatten_event(true).init();
     } else {
         log.init();
@@ -124,7 +125,7 @@
 fn serve(file: Option<&Path>) -> Result<(), String> {
     let start = start::Start::begin();
     begin_log()?;
-    let launch = launch::read(file).map_err(|wrong| wrong.to_string())?;
+    let launch = configuration::read(file).map_err(|wrong| wrong.to_string())?;
     start.configuration_read();
     tracing::info!(name = launch.name, listen = %launch.listen, "starting");
     net::serve(launch, file, start).map_err(|wrong| wrong.to_string())
@@ -179,7 +180,7 @@
     let CommandLine { wanted } = argh::from_env();
     let done = match wanted {
         Wanted::Serve(Serve { file }) => serve(file.as_deref()),
-        Wanted::Check(Check { file }) => match launch::read(file.as_deref()) {
+        Wanted::Check(Check { file }) => match configuration::read(file.as_deref()) {
             Ok(launch) => {
                 println!("{launch}");
                 Ok(())
@@ -187,7 +188,7 @@
             Err(wrong) => Err(wrong.to_string()),
         },
         Wanted::Init(Init {}) => {
-            print!("{}", launch::EXAMPLE);
+            print!("{}", configuration::EXAMPLE);
             Ok(())
         }
         Wanted::Hold(Hold { listen, command }) => Err(handover::hold::hold(listen, &command).to_string()),
--- a/crates/sidecar/src/net/buffers.rs
+++ b/crates/sidecar/src/net/buffers.rs
@@ -2,7 +2,7 @@
 //! of each there may be; whoever goes without
 //! can say so at once, or wait in turn where a part of a message is under way already.
 
-use crate::launch::Configuration;
+use crate::configuration::Configuration;
 use async_io::Timer;
 use std::cell::{Cell, RefCell};
 use std::ops::Range;
--- a/crates/sidecar/src/net/discovery.rs
+++ b/crates/sidecar/src/net/discovery.rs
@@ -8,7 +8,7 @@
 use super::timeout::timeout;
 use crate::catalog::Catalog;
 use crate::clock::Clock;
-use crate::launch::Configuration;
+use crate::configuration::Configuration;
 use crate::start::Start;
 use async_channel::Receiver;
 use async_io::Async;
--- a/crates/sidecar/src/net/endpoints.rs
+++ b/crates/sidecar/src/net/endpoints.rs
@@ -7,7 +7,7 @@
 use super::leaving::Asker;
 use super::pool::{Conn, Pool, Target};
 use super::timeout::timeout;
-use crate::launch::Configuration;
+use crate::configuration::Configuration;
 use async_channel::Receiver;
 use async_io::Timer;
 use futures_lite::future::or;
--- a/crates/sidecar/src/net/legacy_fingerprint.rs
+++ b/crates/sidecar/src/net/legacy_fingerprint.rs
@@ -4,7 +4,7 @@
 //! spells those texts out as literals, so that files written by earlier releases are still recognized after the types
 //! are renamed. Nothing here may follow a rename: every literal is part of a stored format.
 
-use crate::launch::Configuration;
+use crate::configuration::Configuration;
 use landingspread_decisions::settings::{
     Capabilities, Costs, DedupScope, RequestClass, RetrySafety, SlowStart,
 };
--- a/crates/sidecar/src/net/mod.rs
+++ b/crates/sidecar/src/net/mod.rs
@@ -7,7 +7,7 @@
 pub mod discovery;
 pub mod endpoints;
 pub mod http;
-mod learnt;
+
 mod leaving;
 mod legacy_fingerprint;
 mod local_failure;
@@ -17,15 +17,16 @@
 mod read_ahead;
 mod request;
 mod settings_fingerprint;
+mod statistics_file;
 pub mod timeout;
 
+use crate::configuration::{self, Configuration};
 use crate::console::Console;
 use crate::control;
 use crate::counters;
 use crate::fleet;
-use crate::handover::record::Record;
+use crate::handover::maintenance_record::Record;
 use crate::handover::{self, LOOK_EVERY, Presence};
-use crate::launch::{self, Configuration};
 use crate::start::Start;
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
@@ -334,7 +335,7 @@
             }
         };
         match or(signalled, moved).await {
-            Ok(Some(Ok(Signal::Hup))) => match launch::read_again(file) {
+            Ok(Some(Ok(Signal::Hup))) => match configuration::read_again(file) {
                 Ok(new) => {
                     let (Some(address), true) = (new.discovery, discovery.is_some()) else {
                         tracing::info!("SIGHUP: without a discovery before and now there is nothing to move");
--- a/crates/sidecar/src/net/owner.rs
+++ b/crates/sidecar/src/net/owner.rs
@@ -5,17 +5,17 @@
 
 use super::attempts::Location;
 use super::endpoints::{Answer, End, Endpoints, Outgoing, Stage};
-use super::learnt::{self, Before, SAVE_EVERY, SAVE_FIRST, Saving};
 use super::peers::Peers;
 use super::pool::{Pool, Target};
+use super::statistics_file::{self, Before, SAVE_EVERY, SAVE_FIRST, Saving};
 use crate::catalog::Catalog;
 use crate::clock::Clock;
+use crate::configuration::{Changed, Configuration};
 use crate::console::Order;
 use crate::counters::{self, RefusalReason};
 use crate::fleet;
-use crate::handover::record::Words;
+use crate::handover::maintenance_record::Words;
 use crate::invariants::must_hold;
-use crate::launch::{Changed, Configuration};
 use crate::start::Start;
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
@@ -402,7 +402,7 @@
     queue: Queue,
     words: Receiver<Word>,
 ) {
-    let deployment = learnt::deployment(&launch);
+    let deployment = statistics_file::deployment(&launch);
     let fleet = outside.fleet.take();
     let clock = launch.clock;
     let desk = Rc::new(RefCell::new(Desk {
@@ -417,7 +417,7 @@
         queue,
     }));
     let policy = Policy::start(Hand(desk.clone()), launch.policy, launch.seed, clock.now());
-    let before = launch.statistics_file.as_ref().map(|path| learnt::read(path, &deployment, &clock));
+    let before = launch.statistics_file.as_ref().map(|path| statistics_file::read(path, &deployment, &clock));
     let before = before.unwrap_or_default();
     desk.borrow().outside.start.kept_files_read();
     let (save_at, save_to) = (clock.now() + SAVE_FIRST, launch.statistics_file);
--- a/crates/sidecar/src/net/pool.rs
+++ b/crates/sidecar/src/net/pool.rs
@@ -5,7 +5,7 @@
 use super::buffers::{Place, Stock};
 use super::local_failure::{Cause, Repeated, cause};
 use super::timeout::timeout;
-use crate::launch::Configuration;
+use crate::configuration::Configuration;
 use async_io::{Async, Timer};
 use landingspread_decisions::host::{Id, Outcome};
 use std::cell::{Cell, RefCell};
--- a/crates/sidecar/src/net/request.rs
+++ b/crates/sidecar/src/net/request.rs
@@ -2,7 +2,7 @@
 //! client. No sockets: bytes in, plain values or bytes out.
 
 use super::http::{self, Bad};
-use crate::launch::RequestClass;
+use crate::configuration::RequestClass;
 use landingspread_decisions::host::Id;
 use std::time::Duration;
 
--- a/crates/sidecar/src/net/settings_fingerprint.rs
+++ b/crates/sidecar/src/net/settings_fingerprint.rs
@@ -4,7 +4,7 @@
 //! hashed by FNV-1a, whose result is the same on every platform and compiler. The keys, their order and the encoding
 //! of each value are part of a stored format.
 
-use crate::launch::Configuration;
+use crate::configuration::Configuration;
 use landingspread_decisions::settings::{DedupScope, RequestClass, RetrySafety};
 use std::time::Duration;
 
--- a/crates/sidecar/src/net/learnt.rs
+++ b/crates/sidecar/src/net/statistics_file.rs
@@ -4,7 +4,7 @@
 use super::legacy_fingerprint;
 use super::settings_fingerprint::settings_fingerprint;
 use crate::clock::Clock;
-use crate::launch::Configuration;
+use crate::configuration::Configuration;
 use landingspread_decisions::host::Id;
 use landingspread_decisions::statistics::ServerStatistics;
 use serde::{Deserialize, Serialize};
@@ -171,5 +171,5 @@
 }
 
 #[cfg(test)]
-#[path = "learnt_tests.rs"]
+#[path = "statistics_file_tests.rs"]
 mod tests;
--- a/crates/sidecar/src/net/learnt_tests.rs
+++ b/crates/sidecar/src/net/statistics_file_tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::launch;
+use crate::configuration;
 
 /// One configuration of each form that the fixtures' files were written under.
 const DEPLOYMENTS: [(&str, &str); 3] =
@@ -10,7 +10,7 @@
 }
 
 fn launch_of(configuration: &str) -> Configuration {
-    launch::read(Some(&fixture(configuration))).expect("the fixture can be read")
+    configuration::read(Some(&fixture(configuration))).expect("the fixture can be read")
 }
 
 /// The file of an earlier release, with the time of now.
