--- a/crates/sidecar/src/console/mod.rs
+++ b/crates/sidecar/src/console/mod.rs
@@ -3,11 +3,14 @@
 
 mod calls;
 
+use crate::clock::unix_ms;
 use crate::control::said::Shared;
 use crate::counters;
 use crate::fleet;
-use crate::handover::LOOK_EVERY;
-use crate::handover::maintenance_record::{Record, WORDS_MOST, Word, Words, unix_ms};
+use crate::handover::CHECK_INTERVAL;
+use crate::handover::maintenance_record::{
+    MAXIMUM_ENTRIES, MaintenanceEntries, MaintenanceEntry, MaintenanceRecord,
+};
 use crate::net::buffers::{Buffer, Stock};
 use crate::net::http::{self, Coming};
 use crate::net::timeout::timeout;
@@ -52,7 +55,7 @@
     pub serving: Arc<AtomicBool>,
     pub orders: Sender<Order>,
     /// None where nothing outlives the process.
-    pub record: Option<Record>,
+    pub record: Option<MaintenanceRecord>,
     /// None where this copy is one of no fleet.
     pub fleet: Option<fleet::Door>,
     /// None where configuration comes from the file alone.
@@ -62,11 +65,11 @@
 struct Door {
     serving: Arc<AtomicBool>,
     orders: Sender<Order>,
-    record: RefCell<Option<Record>>,
+    record: RefCell<Option<MaintenanceRecord>>,
     fleet: Option<fleet::Door>,
     control: Option<Shared>,
     /// What this process goes by.
-    words: RefCell<Words>,
+    words: RefCell<MaintenanceEntries>,
     stock: Rc<Stock>,
     /// Those who have not finished a call, each with the word that closes it.
     waiting: RefCell<BTreeMap<u64, Sender<()>>>,
@@ -79,7 +82,7 @@
         let serve = move || {
             let executor = Rc::new(LocalExecutor::new());
             let Console { serving, orders, record, fleet, control } = self;
-            let words = record.as_ref().map(|record| record.words.clone()).unwrap_or_default();
+            let words = record.as_ref().map(|record| record.entries.clone()).unwrap_or_default();
             let door = Rc::new(Door {
                 serving,
                 orders,
@@ -174,7 +177,10 @@
             Call::Counters => calls::said(200, &counters::text()),
             Call::WhoIsOut => {
                 let words = self.words.borrow();
-                let out = words.iter().filter(|(_, word)| word.out).map(|(server, _)| format!("{server}\n"));
+                let out = words
+                    .iter()
+                    .filter(|(_, word)| word.in_maintenance)
+                    .map(|(server, _)| format!("{server}\n"));
                 calls::said(200, &out.collect::<String>())
             }
             Call::Members { json } => match &self.fleet {
@@ -216,7 +222,7 @@
     }
 
     async fn maintenance(&self, server: String, out: bool) -> calls::Said {
-        if out && self.words.borrow().len() >= WORDS_MOST {
+        if out && self.words.borrow().len() >= MAXIMUM_ENTRIES {
             return calls::turned(507, "too many endpoints are out");
         }
         match self.tell(&server, out, None).await {
@@ -225,7 +231,7 @@
             Some(true) => {}
         }
         if let Some(record) = &mut *self.record.borrow_mut()
-            && let Err(wrong) = record.say(&server, out)
+            && let Err(wrong) = record.set(&server, out)
         {
             tracing::error!("console: {wrong}");
             return calls::turned(500, "it holds for this process alone: it could not be recorded");
@@ -233,7 +239,7 @@
         tracing::info!("operators {} {server}", if out { "leave out" } else { "use again" });
         let at_unix_ms = unix_ms();
         let mut words = self.words.borrow_mut();
-        words.insert(server, Word { out, at_unix_ms });
+        words.insert(server, MaintenanceEntry { in_maintenance: out, at_unix_ms });
         words.retain(|_, word| word.counts());
         calls::said(200, "yes\n")
     }
@@ -249,19 +255,19 @@
     /// What was said to the other process of an upgrade counts here too.
     async fn follow_record(self: Rc<Self>) {
         loop {
-            Timer::after(LOOK_EVERY).await;
+            Timer::after(CHECK_INTERVAL).await;
             let new = {
                 let mut record = self.record.borrow_mut();
                 let Some(record) = &mut *record else { return };
-                if !record.look() {
+                if !record.refresh() {
                     continue;
                 }
-                record.words.clone()
+                record.entries.clone()
             };
             let old = std::mem::replace(&mut *self.words.borrow_mut(), new.clone());
             for (server, word) in new {
-                if old.get(&server).is_none_or(|old| old.out != word.out) {
-                    let _ = self.tell(&server, word.out, Some(word.age())).await;
+                if old.get(&server).is_none_or(|old| old.in_maintenance != word.in_maintenance) {
+                    let _ = self.tell(&server, word.in_maintenance, Some(word.age())).await;
                 }
             }
         }
--- a/crates/sidecar/src/control/followers.rs
+++ b/crates/sidecar/src/control/followers.rs
@@ -3,13 +3,13 @@
 
 use super::said::Shared;
 use super::{BUFFERS, Keeps, follow};
-use crate::clock::Clock;
+use crate::clock::{Clock, unix_time};
 use crate::net::buffers::Stock;
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use landingspread_control::{Contents, Fault, Follower, Host, Machine, Version};
 use std::io::Write;
-use std::time::{Duration, SystemTime};
+use std::time::Duration;
 
 /// They begin over this time: a fleet does not start in one moment.
 const BEGIN_OVER: Duration = Duration::from_secs(4);
@@ -27,7 +27,7 @@
     }
 
     fn enforce(&mut self, version: &Version, _contents: &Contents) {
-        let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+        let since = unix_time();
         println!("enforced {} {} {version}", since.as_micros(), self.number);
     }
 }
--- a/crates/sidecar/src/control/kept.rs
+++ b/crates/sidecar/src/control/kept.rs
@@ -3,33 +3,30 @@
 
 use super::Hand;
 use crate::handover;
+use crate::storage::{self, BackgroundWriter, TemporaryName};
 use landingspread_control::{CHANGE_MOST, Follower, Version};
-use std::io::Read;
 use std::path::{Path, PathBuf};
-use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, Ordering};
 
 pub struct Kept {
     path: PathBuf,
     saved: Option<Version>,
-    busy: Arc<AtomicBool>,
+    writer: BackgroundWriter,
 }
 
 impl Kept {
     /// In the folder of the sidecar's state where no file is named; none where there is neither.
     pub fn at(named: Option<&Path>, state: Option<&Path>, name: &str) -> Option<Kept> {
-        let in_state = || state.map(|folder| folder.join(format!("{}.control", handover::plain(name))));
+        let in_state =
+            || state.map(|folder| folder.join(format!("{}.control", handover::file_name_of(name))));
         let path = named.map(Path::to_path_buf).or_else(in_state)?;
-        Some(Kept { path, saved: None, busy: Arc::default() })
+        Some(Kept { path, saved: None, writer: BackgroundWriter::default() })
     }
 
     pub fn recall(&self, follower: &mut Follower, hand: &mut Hand) {
         let path = self.path.display();
-        let mut bytes = Vec::new();
-        let read = std::fs::File::open(&self.path)
-            .and_then(|file| file.take(CHANGE_MOST as u64 + 1).read_to_end(&mut bytes));
-        let recalled = match read {
-            Ok(_) => follower.recall(&bytes, hand),
+        // One byte more than a snapshot may have: the follower refuses what is too long.
+        let recalled = match storage::read_prefix(&self.path, CHANGE_MOST as u64 + 1) {
+            Ok(bytes) => follower.recall(&bytes, hand),
             Err(wrong) => Err(wrong.to_string()),
         };
         match recalled {
@@ -41,22 +38,19 @@
     /// What is in force, if it is not written already or just now; by a thread, as a slow disk must hold up no command.
     pub fn save(&mut self, follower: &Follower) {
         let Some(holds) = follower.in_force() else { return };
-        if self.saved == Some(holds.version()) || self.busy.swap(true, Ordering::AcqRel) {
+        if self.saved == Some(holds.version()) {
             return;
         }
+        let Some(permit) = self.writer.permit() else { return };
         self.saved = Some(holds.version());
-        let (text, path, busy) = (holds.whole().text(), self.path.clone(), self.busy.clone());
-        std::thread::spawn(move || {
-            write(&path, text.as_bytes());
-            busy.store(false, Ordering::Release);
-        });
+        let (text, path) = (holds.whole().text(), self.path.clone());
+        permit.spawn(move || write(&path, text.as_bytes()));
     }
 }
 
 /// Written aside and then named, so that no reader finds a half.
 pub fn write(path: &Path, bytes: &[u8]) {
-    let aside = path.with_extension(format!("new{}", std::process::id()));
-    if let Err(wrong) = std::fs::write(&aside, bytes).and_then(|()| std::fs::rename(&aside, path)) {
+    if let Err(wrong) = storage::replace(path, TemporaryName::ExtensionOfProcess, bytes) {
         tracing::warn!("{}: {wrong}", path.display());
     }
 }
--- a/crates/sidecar/src/control/kept_tests.rs
+++ b/crates/sidecar/src/control/kept_tests.rs
@@ -27,7 +27,7 @@
 
 fn saved(cache: &mut Kept, follower: &Follower) {
     cache.save(follower);
-    while cache.busy.load(Ordering::Acquire) {
+    while cache.writer.is_busy() {
         std::thread::sleep(std::time::Duration::from_millis(1));
     }
 }
--- a/crates/sidecar/src/control/machine/calls.rs
+++ b/crates/sidecar/src/control/machine/calls.rs
@@ -2,13 +2,14 @@
 
 use super::super::call::Line;
 use super::Machine;
+use crate::clock::unix_time;
 use crate::net::http;
 use async_io::Async;
 use landingspread_control::{Change, Contents, Fault, Rejected, Standing, Version};
 use serde_json::{Value, json};
 use std::fmt::Write;
 use std::net::{SocketAddr, TcpStream};
-use std::time::{Duration, SystemTime};
+use std::time::Duration;
 
 /// How long other machines have to tell whom they know.
 const OTHERS_WITHIN: Duration = Duration::from_millis(800);
@@ -131,7 +132,7 @@
             },
             None => return turned(400, "base: a version is wanted, or none for the first"),
         };
-        let epoch = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_secs();
+        let epoch = unix_time().as_secs();
         let done = match back {
             None => match contents(body) {
                 Ok(contents) => self.board.borrow_mut().publish(scope, base, contents, epoch),
--- a/crates/sidecar/src/fleet/mod.rs
+++ b/crates/sidecar/src/fleet/mod.rs
@@ -7,7 +7,7 @@
 mod said;
 mod zones;
 
-use crate::clock::Clock;
+use crate::clock::{Clock, unix_time};
 use crate::configuration::Fleet as Told;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -21,7 +21,7 @@
 use std::net::UdpSocket;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, PoisonError};
-use std::time::{Duration, SystemTime};
+use std::time::Duration;
 pub use zones::SEEN_EVERY;
 use zones::Zones;
 
@@ -220,7 +220,7 @@
     let (calls, called) = async_channel::bounded(CALLS_MOST);
     let (tell, copies) = async_channel::bounded(1);
     let traffic = Arc::new(AtomicU64::new(0));
-    let since_1970 = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    let since_1970 = unix_time();
     let about = About {
         address: told.advertise,
         name: name.to_string(),
--- a/crates/sidecar/src/handover/maintenance_record.rs
+++ b/crates/sidecar/src/handover/maintenance_record.rs
@@ -1,121 +1,131 @@
-//! The record of what operators said of endpoints: one file that both processes of an upgrade read and write, under a
-//! lock. Of each endpoint the newest word counts. It owns the file's form; what follows from a word is the module's.
+//! The record of servers that operators took out for maintenance: one file that both processes of an upgrade read and
+//! write, under a lock. Of each server the newest entry counts. It owns the form of the file; what follows from an entry
+//! is left to the decisions.
 
-use super::plain;
+use super::file_name_of;
+use crate::clock::unix_ms;
+use crate::storage::{self, TemporaryName};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use std::fs::File;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
 
-/// Another form of the file would have another.
+/// The version of the file's form.
 const VERSION: u32 = 1;
-/// A word that an endpoint is used again says when it came back cold; later than this that is past.
-const BACK_FOR: Duration = Duration::from_secs(600);
-/// So many endpoints may be out at once.
-pub const WORDS_MOST: usize = 4096;
+/// An entry of a server that is used again tells when it came back, as it may be warming up; later it says nothing.
+const RETURN_COUNTS_FOR: Duration = Duration::from_secs(600);
+/// The most servers that may be in maintenance at a time.
+pub const MAXIMUM_ENTRIES: usize = 4096;
 
+/// What operators last asked for one server.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Word {
-    pub out: bool,
+pub struct MaintenanceEntry {
+    #[serde(rename = "out")]
+    pub in_maintenance: bool,
     pub at_unix_ms: u64,
 }
 
-impl Word {
+impl MaintenanceEntry {
+    /// How long ago operators asked for it, by the wall clock.
     pub fn age(&self) -> Duration {
         Duration::from_millis(unix_ms().saturating_sub(self.at_unix_ms))
     }
 
-    /// Worth keeping: out, or back not long ago.
+    /// Whether it is worth keeping: in maintenance, or back not long ago.
     pub fn counts(&self) -> bool {
-        self.out || self.age() < BACK_FOR
+        self.in_maintenance || self.age() < RETURN_COUNTS_FOR
     }
 }
 
-pub type Words = BTreeMap<String, Word>;
+/// Entries by the server's id.
+pub type MaintenanceEntries = BTreeMap<String, MaintenanceEntry>;
 
+/// The form of the file.
 #[derive(Serialize, Deserialize)]
-struct Saved {
+struct RecordFile {
     version: u32,
-    words: Words,
+    #[serde(rename = "words")]
+    entries: MaintenanceEntries,
 }
 
-pub struct Record {
-    path: PathBuf,
-    /// What was read or written last, so that only a change is read.
-    seen: Option<(SystemTime, u64)>,
-    pub words: Words,
+/// Tells one state of the file from another without reading it.
+#[derive(Clone, Copy, PartialEq)]
+struct FileStamp {
+    modified: SystemTime,
+    length: u64,
 }
 
-pub fn unix_ms() -> u64 {
-    let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-    u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+/// One process's view of the record.
+pub struct MaintenanceRecord {
+    path: PathBuf,
+    /// The file's state when it was last read or written; None where there was none.
+    seen: Option<FileStamp>,
+    pub entries: MaintenanceEntries,
 }
 
-impl Record {
-    pub fn open(folder: &Path, name: &str) -> Record {
-        let path = folder.join(format!("{}.maintenance", plain(name)));
-        let mut record = Record { path, seen: None, words: Words::new() };
-        record.look();
+impl MaintenanceRecord {
+    /// Reads the record of a sidecar, if there is one.
+    pub fn open(folder: &Path, name: &str) -> MaintenanceRecord {
+        let path = folder.join(format!("{}.maintenance", file_name_of(name)));
+        let mut record = MaintenanceRecord { path, seen: None, entries: MaintenanceEntries::new() };
+        record.refresh();
         record
     }
 
-    fn stamp(&self) -> Option<(SystemTime, u64)> {
-        let about = std::fs::metadata(&self.path).ok()?;
-        Some((about.modified().ok()?, about.len()))
+    fn stamp(&self) -> Option<FileStamp> {
+        let metadata = std::fs::metadata(&self.path).ok()?;
+        Some(FileStamp { modified: metadata.modified().ok()?, length: metadata.len() })
     }
 
     /// Reads the file if it has changed. Whether it had.
-    pub fn look(&mut self) -> bool {
+    pub fn refresh(&mut self) -> bool {
         let stamp = self.stamp();
         if stamp == self.seen {
             return false;
         }
         self.seen = stamp;
         match self.read() {
-            Ok(words) => self.words = words,
-            // The words in hand hold: operators' bans must not end by a torn file.
-            Err(wrong) => tracing::error!("{}: {wrong}; what was said before holds", self.path.display()),
+            Ok(entries) => self.entries = entries,
+            // The entries read before stay in force: maintenance must not end by a torn file.
+            Err(error) => {
+                tracing::error!("{}: {error}; the entries read before stay in force", self.path.display());
+            }
         }
         true
     }
 
-    fn read(&self) -> io::Result<Words> {
-        let text = match std::fs::read(&self.path) {
-            Err(wrong) if wrong.kind() == io::ErrorKind::NotFound => return Ok(Words::new()),
-            read => read?,
+    fn read(&self) -> io::Result<MaintenanceEntries> {
+        let Some(bytes) = storage::read_if_present(&self.path)? else {
+            return Ok(MaintenanceEntries::new());
         };
-        let saved: Saved = serde_json::from_slice(&text)?;
-        if saved.version != VERSION {
-            return Err(io::Error::other(format!("version: {} is not {VERSION}", saved.version)));
+        let file: RecordFile = serde_json::from_slice(&bytes)?;
+        if file.version != VERSION {
+            return Err(io::Error::other(format!("version: {} is not {VERSION}", file.version)));
         }
-        Ok(saved.words)
+        Ok(file.entries)
     }
 
-    /// Adds one word to what the file holds by now. It is written aside and then named, so that no reader finds a half.
-    pub fn say(&mut self, server: &str, out: bool) -> io::Result<()> {
-        let lock = File::options().create(true).truncate(false).write(true).open(self.aside("lock"))?;
+    /// Adds one entry to what the file holds by now.
+    ///
+    /// # Errors
+    /// The file can't be locked, read or written, or has no room for the entry; it stays as it is then.
+    pub fn set(&mut self, server: &str, in_maintenance: bool) -> io::Result<()> {
+        let lock = storage::open_lock(&storage::with_suffix(&self.path, "lock"))?;
         lock.lock()?;
         let now = unix_ms();
-        let mut words = self.read()?;
-        words.retain(|_, word| word.counts());
-        words.insert(server.to_string(), Word { out, at_unix_ms: now });
-        if words.len() > WORDS_MOST {
-            return Err(io::Error::other(format!("over {WORDS_MOST} endpoints are out")));
+        let mut entries = self.read()?;
+        entries.retain(|_, entry| entry.counts());
+        entries.insert(server.to_string(), MaintenanceEntry { in_maintenance, at_unix_ms: now });
+        if entries.len() > MAXIMUM_ENTRIES {
+            return Err(io::Error::other(format!("over {MAXIMUM_ENTRIES} servers are in maintenance")));
         }
-        let saved = Saved { version: VERSION, words };
-        std::fs::write(self.aside("new"), serde_json::to_vec(&saved)?)?;
-        std::fs::rename(self.aside("new"), &self.path)?;
-        (self.words, self.seen) = (saved.words, self.stamp());
+        let file = RecordFile { version: VERSION, entries };
+        storage::replace(&self.path, TemporaryName::Suffix, &serde_json::to_vec(&file)?)?;
+        self.entries = file.entries;
+        self.seen = self.stamp();
         Ok(())
     }
-
-    fn aside(&self, what: &str) -> PathBuf {
-        let mut path = self.path.clone().into_os_string();
-        path.push(format!(".{what}"));
-        path.into()
-    }
 }
 
 #[cfg(test)]
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -14,6 +14,7 @@
 
 mod net;
 mod start;
+mod storage;
 
 use argh::FromArgs;
 use std::net::SocketAddr;
--- a/crates/sidecar/src/net/callers.rs
+++ b/crates/sidecar/src/net/callers.rs
@@ -415,7 +415,7 @@
             }
             Asked::Health => {
                 let said = self.say(stream, 200, b"", b"ready\n", keep.is_ok()).await;
-                self.start.health_answered();
+                self.start.health_check_answered();
                 said.and(keep)
             }
             Asked::Request(request) if crowded || self.open.get() >= self.max_open => {
--- a/crates/sidecar/src/net/discovery.rs
+++ b/crates/sidecar/src/net/discovery.rs
@@ -117,7 +117,7 @@
             tracing::debug!(generation, whole = catalog.complete, entries, "a list");
             self.generation = Some(generation);
             self.wait = self.wait.mul_f64(SHORTER).max(self.least);
-            self.start.list_came();
+            self.start.list_received();
             self.queue.tell(Word::Listed(catalog));
         }
     }
@@ -135,7 +135,7 @@
         let query = self.generation.map(query).unwrap_or_default();
         let head = format!("GET /catalog/members{query} HTTP/1.1\r\nHost: {}\r\n\r\n", self.address);
         in_time(UP_IN, http::write(&conn, head.as_bytes(), b"")).await?;
-        self.start.discovery_called();
+        self.start.discovery_polled();
         // Of its own, and given back with the list: callers half way through a command may hold all others.
         let most = self.stock.buffers_for_a_list();
         let buffers = Stock::small(most + 1);
--- a/crates/sidecar/src/net/mod.rs
+++ b/crates/sidecar/src/net/mod.rs
@@ -25,8 +25,8 @@
 use crate::control;
 use crate::counters;
 use crate::fleet;
-use crate::handover::maintenance_record::Record;
-use crate::handover::{self, LOOK_EVERY, Presence};
+use crate::handover::maintenance_record::MaintenanceRecord;
+use crate::handover::{self, CHECK_INTERVAL, Presence};
 use crate::start::Start;
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
@@ -115,14 +115,14 @@
 async fn share(presence: Rc<RefCell<Presence>>, stock: Rc<Stock>, callers: Rc<Callers>, pool: Rc<Pool>) {
     let mut shared = None;
     loop {
-        let another = presence.borrow_mut().another();
+        let another = presence.borrow_mut().another_process();
         if shared.replace(another) != Some(another) {
             tracing::info!("{}", if another { "sharing with another process" } else { "the only process" });
             stock.take_part(if another { 2 } else { 1 });
         }
         callers.make_room();
         pool.make_room();
-        Timer::after(LOOK_EVERY).await;
+        Timer::after(CHECK_INTERVAL).await;
     }
 }
 
@@ -136,7 +136,7 @@
 
 /// The listener for callers: inherited from whoever holds it for all processes, or this one's own.
 async fn listener(launch: &Configuration) -> io::Result<Async<TcpListener>> {
-    match handover::inherited(launch.inherited_listener, launch.listen) {
+    match handover::inherited_listener(launch.inherited_listener, launch.listen) {
         Some(listener) => Async::new(listener),
         None => bind(launch.listen).await,
     }
@@ -213,7 +213,8 @@
     if let Some(folder) =
         launch.state_folder.as_ref().filter(|_| takes_over && launch.statistics_file.is_none())
     {
-        launch.statistics_file = Some(folder.join(format!("{}.learnt", handover::plain(&launch.name))));
+        launch.statistics_file =
+            Some(folder.join(format!("{}.learnt", handover::file_name_of(&launch.name))));
     }
     if !launch.policy.polls_discovery {
         // Where changes come unprompted, the watch is there from the start.
@@ -250,8 +251,8 @@
     let (orders, ordered) = async_channel::bounded(64);
     let (listed, list) = async_channel::bounded(1);
     let record = launch.state_folder.as_ref().filter(|_| launch.console.is_some());
-    let record = record.map(|folder| Record::open(folder, &launch.name));
-    let recorded = record.as_ref().map(|record| record.words.clone()).unwrap_or_default();
+    let record = record.map(|folder| MaintenanceRecord::open(folder, &launch.name));
+    let recorded = record.as_ref().map(|record| record.entries.clone()).unwrap_or_default();
     if let Some(at) = launch.console {
         let (serving, fleet) = (serving.clone(), door.clone());
         Console { serving, orders, record, fleet, control: controlled }.open(at)?;
@@ -373,7 +374,7 @@
     let until_killed = longest + KILLED_AFTER;
     callers.begin_to_end(until_killed - IN_HAND);
     let taking = until_killed.saturating_sub(FINISHING).max(GO_ON_TAKING);
-    if presence.is_some_and(|presence| presence.borrow_mut().another()) {
+    if presence.is_some_and(|presence| presence.borrow_mut().another_process()) {
         // The other process has the listener too, and takes those who come.
         stop_taking(&callers, accepting).await;
         callers.part();
--- a/crates/sidecar/src/net/owner.rs
+++ b/crates/sidecar/src/net/owner.rs
@@ -7,14 +7,16 @@
 use super::endpoints::{Answer, End, Endpoints, Outgoing, Stage};
 use super::peers::Peers;
 use super::pool::{Pool, Target};
-use super::statistics_file::{self, Before, SAVE_EVERY, SAVE_FIRST, Saving};
+use super::statistics_file::{
+    self, Deployment, FIRST_SAVE_AFTER, RestoredState, SAVE_INTERVAL, StatisticsWriter,
+};
 use crate::catalog::Catalog;
 use crate::clock::Clock;
 use crate::configuration::{Changed, Configuration};
 use crate::console::Order;
 use crate::counters::{self, RefusalReason};
 use crate::fleet;
-use crate::handover::maintenance_record::Words;
+use crate::handover::maintenance_record::MaintenanceEntries;
 use crate::invariants::must_hold;
 use crate::start::Start;
 use async_channel::{Receiver, Sender};
@@ -166,7 +168,7 @@
 pub struct Operators {
     pub orders: Receiver<Order>,
     /// What was recorded before this process began.
-    pub recorded: Words,
+    pub recorded: MaintenanceEntries,
     /// Told once a list has come.
     pub listed: Sender<()>,
 }
@@ -383,7 +385,7 @@
     policy: Policy<Hand>,
     clock: Clock,
     /// What an earlier process learnt, until a whole list has come.
-    before: Before,
+    before: RestoredState,
     operators: Operators,
     fleet: Option<fleet::Link>,
     seen_at: Duration,
@@ -391,7 +393,7 @@
     rests_until: Option<Duration>,
     save_to: Option<PathBuf>,
     save_at: Duration,
-    saving: Saving,
+    saving: StatisticsWriter,
 }
 
 pub async fn own(
@@ -402,7 +404,7 @@
     queue: Queue,
     words: Receiver<Word>,
 ) {
-    let deployment = statistics_file::deployment(&launch);
+    let deployment = Deployment::of(&launch);
     let fleet = outside.fleet.take();
     let clock = launch.clock;
     let desk = Rc::new(RefCell::new(Desk {
@@ -417,11 +419,12 @@
         queue,
     }));
     let policy = Policy::start(Hand(desk.clone()), launch.policy, launch.seed, clock.now());
-    let before = launch.statistics_file.as_ref().map(|path| statistics_file::read(path, &deployment, &clock));
+    let before =
+        launch.statistics_file.as_ref().map(|path| statistics_file::restore(path, &deployment, &clock));
     let before = before.unwrap_or_default();
-    desk.borrow().outside.start.kept_files_read();
-    let (save_at, save_to) = (clock.now() + SAVE_FIRST, launch.statistics_file);
-    let saving = Saving::of(deployment);
+    desk.borrow().outside.start.stored_files_read();
+    let (save_at, save_to) = (clock.now() + FIRST_SAVE_AFTER, launch.statistics_file);
+    let saving = StatisticsWriter::new(deployment);
     let (rests_until, seen_at) = (None, clock.now());
     let mut owner = Owner {
         desk,
@@ -440,7 +443,7 @@
     let known = owner.note_servers(launch.initial_catalog);
     let now = owner.clock.now();
     owner.policy.endpoint_list_cached(now, &known);
-    owner.policy.restore_statistics(now, &owner.before.learnt);
+    owner.policy.restore_statistics(now, &owner.before.statistics);
     owner.listen(words).await;
 }
 
@@ -448,11 +451,11 @@
     /// What operators said to an earlier process holds before the first list is taken.
     fn remember(&mut self) {
         let now = self.clock.now();
-        self.before.named.iter().for_each(|server| self.policy.restore_known_server(server));
+        self.before.known_ids.iter().for_each(|server| self.policy.restore_known_server(server));
         for (server, word) in std::mem::take(&mut self.operators.recorded) {
             let id = Id::from(server);
             self.policy.restore_known_server(&id);
-            if word.out {
+            if word.in_maintenance {
                 self.policy.exclude_server(now, &id);
             }
         }
@@ -553,7 +556,7 @@
 
     fn save(&mut self, now: Duration) {
         if let Some(path) = self.save_to.clone().filter(|_| self.save_at <= now) {
-            self.save_at = now + SAVE_EVERY;
+            self.save_at = now + SAVE_INTERVAL;
             let named = self.policy.known_servers().map(|id| id.to_string()).collect();
             self.saving.save(path, &self.policy.server_statistics(), named, &self.clock);
         }
@@ -599,7 +602,7 @@
                 let entries = self.note_servers(catalog);
                 if whole {
                     self.policy.endpoint_list_received(now, &entries);
-                    self.policy.restore_statistics(now, &std::mem::take(&mut self.before.learnt));
+                    self.policy.restore_statistics(now, &std::mem::take(&mut self.before.statistics));
                 } else {
                     self.policy.endpoint_list_changed(now, &entries);
                 }
--- a/crates/sidecar/src/net/statistics_file.rs
+++ b/crates/sidecar/src/net/statistics_file.rs
@@ -1,172 +1,203 @@
-//! The file through which what was learnt of endpoints outlives the process. It owns the file's form; what carries over
-//! is the module's to say. A file that is old or can't be read is passed over: all then starts afresh.
+//! The file through which the statistics of servers outlive the process.
+//!
+//! It owns the form of the file; which statistics are restored is left to the decisions. A file that is old, of another
+//! deployment, or can't be read is passed over: the servers then start without statistics.
 
 use super::legacy_fingerprint;
 use super::settings_fingerprint::settings_fingerprint;
-use crate::clock::Clock;
+use crate::clock::{Clock, unix_ms};
 use crate::configuration::Configuration;
+use crate::storage::{self, BackgroundWriter, StorageError, TemporaryName};
 use landingspread_decisions::host::Id;
 use landingspread_decisions::statistics::ServerStatistics;
 use serde::{Deserialize, Serialize};
-use std::io::Read;
+use std::fmt;
 use std::path::{Path, PathBuf};
-use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, Ordering};
-use std::time::{Duration, SystemTime};
+use std::time::Duration;
 
-/// Later than this the endpoints' figures say little.
+/// Older statistics say little of the servers as they are.
 const FRESH_FOR: Duration = Duration::from_secs(60);
-pub const SAVE_FIRST: Duration = Duration::from_secs(1);
-/// A sidecar that is killed outright loses no more than this.
-pub const SAVE_EVERY: Duration = Duration::from_secs(5);
+/// The first save is this long after the start.
+pub const FIRST_SAVE_AFTER: Duration = Duration::from_secs(1);
+/// A process that is killed loses no more than this.
+pub const SAVE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Another form of the file would have another.
+/// The version of the file's form.
 const VERSION: u32 = 2;
-/// A longer file is none of ours: some 60,000 servers.
-const LONGEST: u64 = 8 << 20;
+/// Some 60,000 servers; a longer file is none of this program's.
+const MAXIMUM_BYTES: u64 = 8 << 20;
 
+/// The form of the file.
 #[derive(Serialize, Deserialize)]
-struct Saved {
+struct StatisticsFile {
     version: u32,
-    /// Another deployment's servers may have the same ids.
+    /// The fingerprint of earlier releases. Another deployment's servers may have the same ids.
     deployment: String,
     /// The fingerprint of named settings; files of earlier releases have none.
     #[serde(default)]
     settings: Option<String>,
     saved_unix_ms: u64,
-    servers: Vec<Server>,
-    /// Ids that lists have told of: operators may still name those that are gone.
-    #[serde(default)]
-    named: Vec<String>,
-}
-
-/// What an earlier process left.
-#[derive(Default)]
-pub struct Before {
-    pub learnt: Vec<ServerStatistics>,
-    pub named: Vec<Id>,
+    servers: Vec<StoredServer>,
+    /// Ids that endpoint lists named: operators may still name those that are gone.
+    #[serde(rename = "named", default)]
+    known_ids: Vec<String>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Server {
+struct StoredServer {
     id: String,
     started_unix_ms: u64,
     slowness: f64,
-    marked: bool,
+    #[serde(rename = "marked")]
+    ejected: bool,
 }
 
-fn unix_ms() -> u64 {
-    let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-    u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+/// What an earlier process left.
+#[derive(Default)]
+pub struct RestoredState {
+    pub statistics: Vec<ServerStatistics>,
+    pub known_ids: Vec<Id>,
 }
 
-/// What tells one deployment from another: the tier that is sent to, its verbs, and all that is set of them, of tenants and
-/// of limits. How many copies there are changes within one, and so does discovery's address, by SIGHUP.
+/// What tells one deployment from another: the tier that is sent to, its verbs, and all settings of them, of tenants and
+/// of limits. The number of copies changes within one deployment, and so does discovery's address, by SIGHUP.
 #[derive(Clone)]
 pub struct Deployment {
-    /// As earlier releases wrote it, which read this one's file after a downgrade.
+    /// The fingerprint of earlier releases, which can read this release's file after a downgrade.
     legacy: String,
     settings: String,
 }
 
-pub fn deployment(launch: &Configuration) -> Deployment {
-    let (legacy, settings) = (legacy_fingerprint::deployment(launch), settings_fingerprint(launch));
-    Deployment { legacy, settings }
-}
-
 impl Deployment {
+    /// The deployment that a configuration is of.
+    pub fn of(configuration: &Configuration) -> Deployment {
+        Deployment {
+            legacy: legacy_fingerprint::deployment(configuration),
+            settings: settings_fingerprint(configuration),
+        }
+    }
+
     /// A file of an earlier release has no fingerprint of named settings: there the legacy one decides.
-    fn wrote(&self, saved: &Saved) -> bool {
-        match &saved.settings {
+    fn wrote(&self, file: &StatisticsFile) -> bool {
+        match &file.settings {
             Some(settings) => *settings == self.settings,
-            None => saved.deployment == self.legacy,
+            None => file.deployment == self.legacy,
         }
     }
 }
 
-fn usable(path: &Path, deployment: &Deployment) -> Result<Saved, String> {
-    let mut text = Vec::new();
-    let file = std::fs::File::open(path).map_err(|wrong| wrong.to_string())?;
-    file.take(LONGEST + 1).read_to_end(&mut text).map_err(|wrong| wrong.to_string())?;
-    if text.len() as u64 > LONGEST {
-        return Err(format!("it is longer than {LONGEST} bytes"));
+/// Why a file is passed over.
+#[derive(Debug)]
+enum Unusable {
+    Storage(StorageError),
+    NotJson(serde_json::Error),
+    Version(u32),
+    OtherDeployment { found: String, own: String },
+    Stale { saved_unix_ms: u64 },
+}
+
+impl fmt::Display for Unusable {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Unusable::Storage(error) => error.fmt(f),
+            Unusable::NotJson(error) => error.fmt(f),
+            Unusable::Version(version) => write!(f, "version: {version} is not {VERSION}"),
+            Unusable::OtherDeployment { found, own } => write!(f, "deployment: {found:?} is not {own:?}"),
+            Unusable::Stale { saved_unix_ms } => {
+                write!(f, "saved_unix_ms: {saved_unix_ms} lies more than {FRESH_FOR:?} away")
+            }
+        }
     }
-    let saved: Saved = serde_json::from_slice(&text).map_err(|wrong| wrong.to_string())?;
-    if saved.version != VERSION {
-        return Err(format!("version: {} is not {VERSION}", saved.version));
+}
+
+fn read_usable(path: &Path, deployment: &Deployment) -> Result<StatisticsFile, Unusable> {
+    let bytes = storage::read_within(path, MAXIMUM_BYTES).map_err(Unusable::Storage)?;
+    let file: StatisticsFile = serde_json::from_slice(&bytes).map_err(Unusable::NotJson)?;
+    if file.version != VERSION {
+        return Err(Unusable::Version(file.version));
     }
-    if !deployment.wrote(&saved) {
-        return Err(format!("deployment: {:?} is not {:?}", saved.deployment, deployment.legacy));
+    if !deployment.wrote(&file) {
+        return Err(Unusable::OtherDeployment { found: file.deployment, own: deployment.legacy.clone() });
     }
-    // One from the future was written by another clock.
-    if unix_ms().abs_diff(saved.saved_unix_ms) > FRESH_FOR.as_millis() as u64 {
-        return Err(format!("saved_unix_ms: {} lies more than {FRESH_FOR:?} away", saved.saved_unix_ms));
+    // A file from the future was written by another clock.
+    if unix_ms().abs_diff(file.saved_unix_ms) > FRESH_FOR.as_millis() as u64 {
+        return Err(Unusable::Stale { saved_unix_ms: file.saved_unix_ms });
     }
-    Ok(saved)
+    Ok(file)
 }
 
-pub fn read(path: &Path, deployment: &Deployment, clock: &Clock) -> Before {
-    let saved = match usable(path, deployment) {
-        Ok(saved) => saved,
-        Err(why) => {
-            tracing::warn!("{}: {why}; endpoints start afresh", path.display());
-            return Before::default();
+/// Reads what an earlier process of this deployment left; nothing where the file can't be used, which is logged.
+pub fn restore(path: &Path, deployment: &Deployment, clock: &Clock) -> RestoredState {
+    let file = match read_usable(path, deployment) {
+        Ok(file) => file,
+        Err(error) => {
+            tracing::warn!("{}: {error}; servers start without statistics", path.display());
+            return RestoredState::default();
         }
     };
-    let learnt = |server: Server| ServerStatistics {
+    let statistics = |server: StoredServer| ServerStatistics {
         started_at: clock.at_unix_ms(server.started_unix_ms),
         server: server.id.into(),
         slowness: server.slowness,
-        ejected: server.marked,
+        ejected: server.ejected,
     };
-    let named = saved.named.into_iter().map(Id::from).collect();
-    Before { learnt: saved.servers.into_iter().map(learnt).collect(), named }
+    RestoredState {
+        statistics: file.servers.into_iter().map(statistics).collect(),
+        known_ids: file.known_ids.into_iter().map(Id::from).collect(),
+    }
 }
 
-/// Writes one file at a time: where a disk hangs, the next ones are not written.
-pub struct Saving {
-    busy: Arc<AtomicBool>,
+/// Writes the file, one write at a time.
+pub struct StatisticsWriter {
+    writer: BackgroundWriter,
     deployment: Deployment,
 }
 
-impl Saving {
-    pub fn of(deployment: Deployment) -> Saving {
-        Saving { busy: Arc::default(), deployment }
+impl StatisticsWriter {
+    /// A writer for one deployment's file.
+    pub fn new(deployment: Deployment) -> StatisticsWriter {
+        StatisticsWriter { writer: BackgroundWriter::default(), deployment }
     }
 
-    /// Written aside and then named, so that no reader finds a half, by a thread: a slow disk holds up no command.
-    pub fn save(&self, path: PathBuf, learnt: &[ServerStatistics], named: Vec<String>, clock: &Clock) {
-        if self.busy.swap(true, Ordering::AcqRel) {
-            return;
-        }
-        let saved = saved(&self.deployment, learnt, named, clock);
-        let busy = self.busy.clone();
-        std::thread::spawn(move || {
-            let aside = path.with_extension("new");
-            let written = serde_json::to_vec(&saved).map_err(std::io::Error::other);
-            let written = written.and_then(|text| std::fs::write(&aside, text));
-            if let Err(wrong) = written.and_then(|()| std::fs::rename(&aside, &path)) {
-                tracing::warn!("{}: {wrong}", path.display());
+    /// Writes the file on another thread, unless an earlier write is still under way.
+    pub fn save(
+        &self,
+        path: PathBuf,
+        statistics: &[ServerStatistics],
+        known_ids: Vec<String>,
+        clock: &Clock,
+    ) {
+        let Some(permit) = self.writer.permit() else { return };
+        let file = file_of(&self.deployment, statistics, known_ids, clock);
+        permit.spawn(move || {
+            let written = serde_json::to_vec(&file).map_err(std::io::Error::other);
+            let written = written.and_then(|text| storage::replace(&path, TemporaryName::Extension, &text));
+            if let Err(error) = written {
+                tracing::warn!("{}: {error}", path.display());
             }
-            busy.store(false, Ordering::Release);
         });
     }
 }
 
-fn saved(deployment: &Deployment, learnt: &[ServerStatistics], named: Vec<String>, clock: &Clock) -> Saved {
-    let server = |one: &ServerStatistics| Server {
+fn file_of(
+    deployment: &Deployment,
+    statistics: &[ServerStatistics],
+    known_ids: Vec<String>,
+    clock: &Clock,
+) -> StatisticsFile {
+    let server = |one: &ServerStatistics| StoredServer {
         id: one.server.to_string(),
         started_unix_ms: one.started_at.map_or(0, |at| clock.unix_ms(at)),
         slowness: one.slowness,
-        marked: one.ejected,
+        ejected: one.ejected,
     };
-    Saved {
+    StatisticsFile {
         version: VERSION,
         deployment: deployment.legacy.clone(),
         settings: Some(deployment.settings.clone()),
         saved_unix_ms: unix_ms(),
-        servers: learnt.iter().map(server).collect(),
-        named,
+        servers: statistics.iter().map(server).collect(),
+        known_ids,
     }
 }
 
--- a/crates/sidecar/src/net/statistics_file_tests.rs
+++ b/crates/sidecar/src/net/statistics_file_tests.rs
@@ -9,7 +9,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/state").join(name)
 }
 
-fn launch_of(configuration: &str) -> Configuration {
+fn configuration_of(configuration: &str) -> Configuration {
     configuration::read(Some(&fixture(configuration))).expect("the fixture can be read")
 }
 
@@ -25,10 +25,10 @@
     std::env::temp_dir().join(format!("landingspread-learnt-{name}-{}", std::process::id()))
 }
 
-fn read_back(file: &serde_json::Value, name: &str, deployment: &Deployment) -> Before {
+fn read_back(file: &serde_json::Value, name: &str, deployment: &Deployment) -> RestoredState {
     let path = temporary_file(name);
     std::fs::write(&path, file.to_string()).expect("written");
-    let before = read(&path, deployment, &Clock::start());
+    let before = restore(&path, deployment, &Clock::start());
     let _ = std::fs::remove_file(path);
     before
 }
@@ -37,33 +37,35 @@
 fn fingerprints_of_earlier_releases_are_reproduced() {
     for (name, configuration) in DEPLOYMENTS {
         let written = earlier_file(name)["deployment"].clone();
-        assert_eq!(deployment(&launch_of(configuration)).legacy, written, "{name}");
+        assert_eq!(Deployment::of(&configuration_of(configuration)).legacy, written, "{name}");
     }
 }
 
 #[test]
 fn fingerprints_of_named_settings_are_stable() {
-    let fingerprints = DEPLOYMENTS.map(|(_, configuration)| deployment(&launch_of(configuration)).settings);
+    let fingerprints =
+        DEPLOYMENTS.map(|(_, configuration)| Deployment::of(&configuration_of(configuration)).settings);
     assert_eq!(fingerprints, ["a9ce1ea9c1782c22", "16680f64c24d927e", "fbe98b271861532a"]);
 }
 
 #[test]
 fn files_of_earlier_releases_are_read() {
-    let servers =
-        |before: &Before| before.learnt.iter().map(|one| one.server.to_string()).collect::<Vec<_>>();
+    let servers = |before: &RestoredState| {
+        before.statistics.iter().map(|one| one.server.to_string()).collect::<Vec<_>>()
+    };
     for (name, configuration) in DEPLOYMENTS {
-        let deployment = deployment(&launch_of(configuration));
+        let deployment = Deployment::of(&configuration_of(configuration));
         let before = read_back(&earlier_file(name), name, &deployment);
         let wanted: &[&str] = if name == "every_kind" { &["s1", "s\"2\" é"] } else { &["s1"] };
         assert_eq!(servers(&before), wanted, "{name}");
-        let named: Vec<String> = before.named.iter().map(ToString::to_string).collect();
+        let named: Vec<String> = before.known_ids.iter().map(ToString::to_string).collect();
         assert_eq!(named, wanted, "{name}");
-        let first = &before.learnt[0];
+        let first = &before.statistics[0];
         assert_eq!((first.started_at, first.slowness, first.ejected), (None, 1.0, false), "{name}");
         for (_, other) in DEPLOYMENTS.iter().filter(|(other, _)| *other != name) {
-            let other = super::deployment(&launch_of(other));
+            let other = Deployment::of(&configuration_of(other));
             assert!(
-                read_back(&earlier_file(name), name, &other).learnt.is_empty(),
+                read_back(&earlier_file(name), name, &other).statistics.is_empty(),
                 "{name}: another deployment"
             );
         }
@@ -72,25 +74,25 @@
 
 #[test]
 fn the_fingerprint_of_named_settings_decides_where_a_file_bears_one() {
-    let deployment = deployment(&launch_of("plain.toml"));
+    let deployment = Deployment::of(&configuration_of("plain.toml"));
     let mut file = earlier_file("plain");
     file["settings"] = deployment.settings.clone().into();
     file["deployment"] = "set as something else".into();
-    assert_eq!(read_back(&file, "named", &deployment).learnt.len(), 1);
+    assert_eq!(read_back(&file, "named", &deployment).statistics.len(), 1);
     file["settings"] = "0000000000000000".into();
-    assert!(read_back(&file, "other", &deployment).learnt.is_empty());
+    assert!(read_back(&file, "other", &deployment).statistics.is_empty());
 }
 
 #[test]
 fn a_written_file_bears_both_fingerprints_and_keeps_what_earlier_releases_read() {
-    let deployment = deployment(&launch_of("plain.toml"));
+    let deployment = Deployment::of(&configuration_of("plain.toml"));
     let mut wanted = earlier_file("plain");
     wanted["settings"] = deployment.settings.clone().into();
     let (path, clock) = (temporary_file("written"), Clock::start());
     let learnt = [ServerStatistics { server: "s1".into(), started_at: None, slowness: 1.0, ejected: false }];
-    let saving = Saving::of(deployment);
+    let saving = StatisticsWriter::new(deployment);
     saving.save(path.clone(), &learnt, vec!["s1".into()], &clock);
-    while saving.busy.load(Ordering::Acquire) {
+    while saving.writer.is_busy() {
         std::thread::sleep(Duration::from_millis(1));
     }
     let mut written: serde_json::Value =
@@ -102,21 +104,21 @@
 
 #[test]
 fn the_file_aside_ends_in_new_and_longer_files_than_the_bound_are_passed_over() {
-    let deployment = deployment(&launch_of("plain.toml"));
+    let deployment = Deployment::of(&configuration_of("plain.toml"));
     let (path, clock) = (temporary_file("aside").with_extension("json"), Clock::start());
     std::fs::create_dir(path.with_extension("new")).expect("a folder");
-    let saving = Saving::of(deployment.clone());
+    let saving = StatisticsWriter::new(deployment.clone());
     saving.save(path.clone(), &[], Vec::new(), &clock);
-    while saving.busy.load(Ordering::Acquire) {
+    while saving.writer.is_busy() {
         std::thread::sleep(Duration::from_millis(1));
     }
     assert!(!path.exists());
     std::fs::remove_dir(path.with_extension("new")).expect("removed");
     let padded = |length: usize| earlier_file("plain").to_string() + &" ".repeat(length);
-    let fill = LONGEST as usize - padded(0).len();
+    let fill = MAXIMUM_BYTES as usize - padded(0).len();
     for (spaces, servers) in [(fill, 1), (fill + 1, 0)] {
         std::fs::write(&path, padded(spaces)).expect("written");
-        assert_eq!(read(&path, &deployment, &clock).learnt.len(), servers, "{spaces}");
+        assert_eq!(restore(&path, &deployment, &clock).statistics.len(), servers, "{spaces}");
     }
     let _ = std::fs::remove_file(path);
 }
--- a/crates/sidecar/tests/starts.rs
+++ b/crates/sidecar/tests/starts.rs
@@ -187,7 +187,7 @@
         // The line follows the answer.
         within("the ready line", || copy.sidecar.account().contains(" ready "));
         let log = copy.sidecar.account();
-        assert!(!log.contains("start afresh"), "what was kept is read: {log}");
+        assert!(!log.contains("servers start without statistics"), "what was kept is read: {log}");
         assert_eq!(log.matches(" ready ").count(), 1, "{log}");
     }
     assert!(nine_tenths <= READY_WITHIN, "{what}: {took:?}");
@@ -214,7 +214,9 @@
     assert_eq!(sidecar.status("GET /_health HTTP/1.1\r\n\r\n"), Some(200));
     within("the ready line", || sidecar.account().contains(" ready "));
     discovery.write(2, catalog(2, &[("s1", server, "ready")]).to_string());
-    within("the first list", || sidecar.account().contains("the first list has come first_list_ms="));
+    within("the first list", || {
+        sidecar.account().contains("the first endpoint list has come first_list_ms=")
+    });
     assert_eq!(sidecar.status("GET /_health HTTP/1.1\r\n\r\n"), Some(200));
     let log = sidecar.account();
     let lines: Vec<&str> = log.lines().filter(|line| line.contains(" ready ")).collect();
