--- a/crates/sidecar/src/configuration/mod.rs
+++ b/crates/sidecar/src/configuration/mod.rs
@@ -1,72 +1,87 @@
-//! What the sidecar is told at its start, and again by SIGHUP. It owns the only reading of the environment and
-//! of the configuration file; a fault names its key. It must never change what the sidecar goes by, which is for
-//! its caller, nor decide anything about a command.
+//! Reads and checks the configuration, at the start and again on SIGHUP.
 //!
-//! Two forms give one checked type: the platform's JSON (`platform.rs`) and the operators' TOML (`file.rs`).
+//! This is the only reader of the environment and of the configuration file. Two forms come to one checked type,
+//! [`Configuration`]: the operators' TOML (`operator_form`) and the platform's JSON (`platform_form`). An error names
+//! the key or the variable at fault. Applying a change is left to the caller.
 
+mod environment;
+mod error;
 mod operator_form;
 mod platform_form;
 mod runtime_change;
 mod settings;
+mod verb_limits;
 
+pub use error::ConfigError;
 pub use operator_form::EXAMPLE;
-pub use operator_form::control::Control;
-pub use runtime_change::{Changed, Live};
-pub use settings::{ConfigError, Configuration, Fleet, RequestClass};
+pub use runtime_change::{RuntimeChange, RuntimeSettings};
+pub use settings::{Configuration, ControlSettings, FleetSettings, RequestClass};
 
-use settings::config_error;
+use environment::{Environment, NODE_CONFIG, NODE_LOG, NODE_LOG_FORMAT};
+use error::{BrokenRule, Problem, at_key};
 use std::path::{Path, PathBuf};
 
-/// A variable of the environment; an empty one says nothing.
-fn told(name: &str) -> Option<String> {
-    std::env::var(name).ok().filter(|text| !text.is_empty())
-}
-
-/// How much is logged: NODE_LOG is error, warn, info, debug or trace.
+/// The lowest level that is logged, by the variable NODE_LOG.
+///
+/// # Errors
+/// The variable names no level.
 pub fn log_level() -> Result<tracing::Level, ConfigError> {
-    let Some(text) = told("NODE_LOG") else { return Ok(tracing::Level::INFO) };
-    text.parse().map_err(|_| config_error("NODE_LOG", format_args!("{text:?} is no level")))
+    let Some(text) = Environment::Process.get(NODE_LOG) else { return Ok(tracing::Level::INFO) };
+    text.parse().map_err(|_| at_key(NODE_LOG, Problem::UnknownLogLevel(text)))
 }
 
-/// Whether the log is one JSON object a line: NODE_LOG_FORMAT is text or json.
+/// Whether the log is one JSON object a line, by the variable NODE_LOG_FORMAT.
+///
+/// # Errors
+/// The variable names no format.
 pub fn log_as_json() -> Result<bool, ConfigError> {
-    match told("NODE_LOG_FORMAT").as_deref() {
+    match Environment::Process.get(NODE_LOG_FORMAT).as_deref() {
         None | Some("text") => Ok(false),
         Some("json") => Ok(true),
-        Some(other) => {
-            Err(config_error("NODE_LOG_FORMAT", format_args!("{other:?} is neither text nor json")))
-        }
+        Some(other) => Err(at_key(NODE_LOG_FORMAT, Problem::UnknownLogFormat(other.into()))),
     }
 }
 
-/// Reads the file named, or the one that NODE_CONFIG names. Where the environment and the file both tell a
-/// thing, the environment is nearer to what the platform does now.
+/// Reads the named file, or the one that NODE_CONFIG names. Where the environment and the file both set a value, the
+/// environment's counts: it is nearer to what the platform does now.
+///
+/// # Errors
+/// The first key or variable whose value is refused.
 pub fn read(path: Option<&Path>) -> Result<Configuration, ConfigError> {
-    take(path, &told)
+    read_with(path, Environment::Process)
 }
 
-/// One configuration in the operators' form, whatever the environment says.
-pub fn of_text(name: &str, text: &str) -> Result<Configuration, ConfigError> {
-    operator_form::take(name, text, &|_| None)
+/// Reads the file again for SIGHUP. A process keeps the environment that it started with, so that the file's address of
+/// discovery is the newer one.
+///
+/// # Errors
+/// As [`read`].
+pub fn read_again(path: Option<&Path>) -> Result<Configuration, ConfigError> {
+    read_with(path, Environment::Reload)
 }
 
-/// Reads the file once more. A process keeps the environment that it began with: what the file says of
-/// discovery by now is newer.
-pub fn read_again(path: Option<&Path>) -> Result<Configuration, ConfigError> {
-    take(path, &|name| told(name).filter(|_| name != "NODE_DISCOVERY"))
+/// Parses one configuration in the operators' form, whatever the environment says. `name` stands for the file in errors.
+///
+/// # Errors
+/// The first key whose value is refused, with its line.
+pub fn parse(name: &str, text: &str) -> Result<Configuration, ConfigError> {
+    operator_form::parse(name, text, Environment::Empty)
 }
 
-/// A file whose name ends in .toml is the operators' form, any other the platform's.
-fn take(path: Option<&Path>, told: &dyn Fn(&str) -> Option<String>) -> Result<Configuration, ConfigError> {
+/// A file whose name ends in `.toml` is in the operators' form, any other in the platform's.
+fn read_with(path: Option<&Path>, environment: Environment) -> Result<Configuration, ConfigError> {
     let path = match path {
         Some(path) => path.to_path_buf(),
-        None => {
-            told("NODE_CONFIG").map(PathBuf::from).ok_or_else(|| config_error("NODE_CONFIG", "is not set"))?
-        }
+        None => configured_path(environment)?,
     };
-    if path.extension().is_some_and(|ending| ending == "toml") {
-        operator_form::read(&path, told)
+    if path.extension().is_some_and(|extension| extension == "toml") {
+        operator_form::read(&path, environment)
     } else {
-        platform_form::read(&path, told)
+        platform_form::read(&path, environment)
     }
 }
+
+fn configured_path(environment: Environment) -> Result<PathBuf, ConfigError> {
+    let path = environment.get(NODE_CONFIG).map(PathBuf::from);
+    path.ok_or_else(|| at_key(NODE_CONFIG, BrokenRule::Set))
+}
--- /dev/null
+++ b/crates/sidecar/src/configuration/operator_form/checks.rs
@@ -0,0 +1,127 @@
+//! Checks of the operators' form, in a fixed order: of several faults the first is shown.
+
+use super::schema::{File, Repeats, Server, Tenant, Verb};
+use crate::configuration::error::{BrokenRule, Problem, Refusal};
+use crate::configuration::settings::{MINIMUM_MEMORY_MB, MINIMUM_SOCKETS};
+use crate::configuration::verb_limits::VerbLimits;
+
+const HIGHEST_WEIGHT: f64 = 1e6;
+const HIGHEST_QUOTA: f64 = 1e9;
+
+/// The first key whose value is refused.
+pub fn first_refusal(file: &File) -> Option<Refusal> {
+    places(file)
+        .or_else(|| optional_tables(file))
+        .or_else(|| cost_header(file))
+        .or_else(|| bounds(file))
+        .or_else(|| file.verbs.iter().enumerate().find_map(|(index, verb)| self::verb(file, index, verb)))
+        .or_else(|| {
+            file.servers.iter().enumerate().find_map(|(index, server)| self::server(file, index, server))
+        })
+        .or_else(|| {
+            file.tenants.iter().enumerate().find_map(|(index, tenant)| self::tenant(file, index, tenant))
+        })
+}
+
+fn refuse(key: impl Into<String>, problem: impl Into<Problem>) -> Option<Refusal> {
+    Some(Refusal::new(key, problem))
+}
+
+fn at_most(key: &str, value: f64, maximum: f64) -> Option<Refusal> {
+    let within = value.is_finite() && (0.0..=maximum).contains(&value);
+    if within { None } else { refuse(key, Problem::OutsideRange { value, maximum }) }
+}
+
+fn at_least(key: &str, value: u64, minimum: u64) -> Option<Refusal> {
+    if value >= minimum { None } else { refuse(key, Problem::BelowMinimum { value, minimum }) }
+}
+
+/// Zones, verbs, servers and peers as lists.
+fn places(file: &File) -> Option<Refusal> {
+    if let Some(zone) = file.zone.as_ref().filter(|zone| !file.zones.contains(zone)) {
+        return refuse("zone", Problem::UnknownZone(zone.clone()));
+    }
+    if file.zones.is_empty() {
+        return refuse("zones", BrokenRule::AtLeastOne);
+    }
+    if file.verbs.is_empty() {
+        return refuse("verbs", BrokenRule::AtLeastOne);
+    }
+    if file.discovery.is_none() && file.servers.is_empty() {
+        return refuse("servers", BrokenRule::ServersWithoutDiscovery);
+    }
+    let copies = file.copies as usize;
+    if !file.peers.is_empty() && (file.peers.len() != copies || file.ordinal >= file.copies) {
+        return refuse("peers", Problem::PeerCount { addresses: file.peers.len(), copies });
+    }
+    None
+}
+
+fn optional_tables(file: &File) -> Option<Refusal> {
+    let own_peer = file.peers.get(file.ordinal as usize);
+    let fleet = || file.fleet.as_ref()?.first_refusal(&file.peers, own_peer);
+    let localities = || file.localities.as_ref()?.first_refusal(file.fleet.is_some(), &file.zones);
+    let control = || file.control.as_ref()?.first_refusal(&file.name);
+    fleet().or_else(localities).or_else(control)
+}
+
+fn cost_header(file: &File) -> Option<Refusal> {
+    let name = file.cost_header.as_ref()?;
+    let refused = name.is_empty() || name.contains([':', ' ']);
+    if refused { refuse("cost_header", BrokenRule::HeaderName) } else { None }
+}
+
+fn bounds(file: &File) -> Option<Refusal> {
+    at_least("limits.sockets", file.limits.sockets, MINIMUM_SOCKETS)
+        .or_else(|| at_least("limits.memory_mb", file.limits.memory_mb, MINIMUM_MEMORY_MB))
+        .or_else(|| at_least("limits.max_open", file.limits.max_open, 1))
+        .or_else(|| at_least("copies", u64::from(file.copies), 1))
+        .or_else(|| at_least("rules.relays", u64::from(file.rules.relays), 1))
+        .or_else(|| at_most("rules.cold_share", file.rules.cold_share, 1.0))
+        .or_else(|| at_most("rules.crossing", file.rules.crossing, 1.0))
+        .or_else(|| at_most("rules.worst_verb", file.rules.worst_verb, 1.0))
+        .or_else(|| at_most("rules.check", file.rules.check, 1.0))
+        .or_else(|| at_most("rules.connection", file.rules.connection, 1.0))
+        .or_else(|| at_most("rules.peer", file.rules.peer, 1.0))
+        .or_else(|| at_most("rules.beyond_quota", file.rules.beyond_quota, 1.0))
+}
+
+fn verb(file: &File, index: usize, verb: &Verb) -> Option<Refusal> {
+    let key = |leaf: &str| format!("verbs.{index}.{leaf}");
+    let usable_in_path = !verb.name.is_empty() && !verb.name.contains(['/', '?', ' ']);
+    if !usable_in_path || file.verbs[..index].iter().any(|other| other.name == verb.name) {
+        return refuse(key("name"), Problem::VerbName(verb.name.clone()));
+    }
+    let Verb { goal, limit, utility, overdue_utility, .. } = *verb;
+    if let Some(refusal) = (VerbLimits { goal, limit, utility, overdue_utility }).refusal() {
+        return refuse(key(refusal.keys[0]), refusal.problem);
+    }
+    let receipted = verb.repeats == Repeats::IdempotencyKeyed;
+    if receipted && (verb.group.is_none() || verb.memory.is_none()) {
+        let missing = if verb.group.is_none() { "group" } else { "memory" };
+        return refuse(key(missing), BrokenRule::NeededByReceiptedVerb);
+    }
+    if !receipted && (verb.group.is_some() || verb.memory.is_some()) {
+        let superfluous = if verb.group.is_some() { "group" } else { "memory" };
+        return refuse(key(superfluous), BrokenRule::OnlyForReceiptedVerb);
+    }
+    None
+}
+
+fn server(file: &File, index: usize, server: &Server) -> Option<Refusal> {
+    let key = |leaf: &str| format!("servers.{index}.{leaf}");
+    if server.id.is_empty() || file.servers[..index].iter().any(|other| other.id == server.id) {
+        return refuse(key("id"), Problem::ServerId(server.id.clone()));
+    }
+    if let Some(zone) = server.zone.as_ref().filter(|zone| !file.zones.contains(zone)) {
+        return refuse(key("zone"), Problem::UnknownZone(zone.clone()));
+    }
+    at_most(&key("weight"), server.weight, HIGHEST_WEIGHT)
+}
+
+fn tenant(file: &File, index: usize, tenant: &Tenant) -> Option<Refusal> {
+    if file.tenants[..index].iter().any(|other| other.name == tenant.name) {
+        return refuse(format!("tenants.{index}.name"), Problem::Duplicate(tenant.name.clone()));
+    }
+    tenant.quota.and_then(|quota| at_most(&format!("tenants.{index}.quota"), quota, HIGHEST_QUOTA))
+}
--- a/crates/sidecar/src/configuration/operator_form/fleet.rs
+++ b/crates/sidecar/src/configuration/operator_form/fleet.rs
@@ -1,103 +1,103 @@
-//! The `[fleet]` part of the operators' form: its names, defaults and checks.
+//! The `[fleet]` table of the operators' form: its keys, defaults and checks.
 
-use super::super::settings::Fleet;
+use crate::configuration::error::{BrokenRule, Problem, Refusal};
+use crate::configuration::settings::FleetSettings;
 use landingspread_membership::{Address, Budget, NAME_MOST};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Part {
-    #[serde(default = "any_name")]
-    pub name: String,
-    pub listen: Option<Address>,
-    pub advertise: Option<Address>,
+#[serde(deny_unknown_fields, expecting = "struct Part")]
+pub struct FleetTable {
+    #[serde(default = "default_name")]
+    name: String,
+    listen: Option<Address>,
+    advertise: Option<Address>,
     #[serde(default)]
-    pub seeds: Vec<Address>,
-    #[serde(default = "datagrams")]
-    pub datagrams: u32,
-    #[serde(default = "kilobytes")]
-    pub kilobytes: u32,
+    seeds: Vec<Address>,
+    #[serde(rename = "datagrams", default = "default_datagrams")]
+    datagrams_per_s: u32,
+    #[serde(rename = "kilobytes", default = "default_kilobytes")]
+    kilobytes_per_s: u32,
 }
 
-/// Less than this, and probes alone would not fit.
-const DATAGRAMS_LEAST: u32 = 40;
-const KILOBYTES_LEAST: u32 = 16;
-const MOST: u32 = 100_000;
+/// With fewer, probes alone would not fit.
+const MINIMUM_DATAGRAMS_PER_S: u32 = 40;
+const MINIMUM_KILOBYTES_PER_S: u32 = 16;
+const MAXIMUM_PER_S: u32 = 100_000;
 
-fn any_name() -> String {
+fn default_name() -> String {
     "fleet".into()
 }
 
-fn datagrams() -> u32 {
+fn default_datagrams() -> u32 {
     Budget::default().datagrams_per_s
 }
 
-fn kilobytes() -> u32 {
+fn default_kilobytes() -> u32 {
     Budget::default().bytes_per_s >> 10
 }
 
-fn of_v4(address: &SocketAddr) -> Option<Address> {
+fn ipv4(address: &SocketAddr) -> Option<Address> {
     match address {
         SocketAddr::V4(address) => Some(*address),
         SocketAddr::V6(_) => None,
     }
 }
 
-impl Part {
-    /// The first key whose value can't be gone by; `own` is this copy's address among the peers, where it has any.
-    pub fn first_fault(&self, peers: &[SocketAddr], own: Option<&SocketAddr>) -> Option<(String, String)> {
-        let found = |key: &str, what: &str| Some((format!("fleet.{key}"), what.to_string()));
+impl FleetTable {
+    /// The first key whose value is refused; `own_peer` is this copy's address among the peers, where it has any.
+    pub fn first_refusal(&self, peers: &[SocketAddr], own_peer: Option<&SocketAddr>) -> Option<Refusal> {
+        let refuse = |key: &str, rule: BrokenRule| Some(Refusal::new(format!("fleet.{key}"), rule));
         if self.name.is_empty() || self.name.len() > NAME_MOST {
-            return found("name", "it is empty or longer than 64 bytes");
+            return refuse("name", BrokenRule::FleetName);
         }
-        let Some(listen) = self.listen.or(own.and_then(of_v4)) else {
-            return found("listen", "an IPv4 address is wanted where there are no peers");
+        let Some(listen) = self.listen.or(own_peer.and_then(ipv4)) else {
+            return refuse("listen", BrokenRule::FleetAddressWithoutPeers);
         };
         let advertised = self.advertise.unwrap_or(listen);
         if advertised.ip().is_unspecified() || advertised.port() == 0 {
             let key = if self.advertise.is_some() { "advertise" } else { "listen" };
-            return found(key, "others can send nothing to this address: advertise another");
+            return refuse(key, BrokenRule::ReachableFleetAddress);
         }
-        if self.listen.is_none() && peers.iter().any(|peer| of_v4(peer).is_none()) {
-            return found("listen", "copies hear each other over IPv4 alone, and a peer has another address");
+        if self.listen.is_none() && peers.iter().any(|peer| ipv4(peer).is_none()) {
+            return refuse("listen", BrokenRule::PeersOverIpv4);
         }
-        if !(DATAGRAMS_LEAST..=MOST).contains(&self.datagrams) {
-            return found(
-                "datagrams",
-                &format!("{} does not lie from {DATAGRAMS_LEAST} to {MOST}", self.datagrams),
-            );
-        }
-        if !(KILOBYTES_LEAST..=MOST).contains(&self.kilobytes) {
-            return found(
-                "kilobytes",
-                &format!("{} does not lie from {KILOBYTES_LEAST} to {MOST}", self.kilobytes),
-            );
-        }
-        None
+        per_second("fleet.datagrams", self.datagrams_per_s, MINIMUM_DATAGRAMS_PER_S)
+            .or_else(|| per_second("fleet.kilobytes", self.kilobytes_per_s, MINIMUM_KILOBYTES_PER_S))
     }
 
-    /// None where `first_fault` would have found one.
+    /// None where `first_refusal` would have found one.
     pub fn checked(
         self,
         peers: &[SocketAddr],
-        own: Option<&SocketAddr>,
+        own_peer: Option<&SocketAddr>,
         zone: &str,
         copies: u32,
-    ) -> Option<Fleet> {
-        let by_peers = self.listen.is_none();
-        let listen = self.listen.or(own.and_then(of_v4))?;
-        let seeds =
-            if by_peers { peers.iter().filter_map(of_v4).chain(self.seeds).collect() } else { self.seeds };
-        Some(Fleet {
+    ) -> Option<FleetSettings> {
+        let uses_peer_socket = self.listen.is_none();
+        let listen = self.listen.or(own_peer.and_then(ipv4))?;
+        let seeds = if uses_peer_socket {
+            peers.iter().filter_map(ipv4).chain(self.seeds).collect()
+        } else {
+            self.seeds
+        };
+        Some(FleetSettings {
             name: self.name,
             listen,
             advertise: self.advertise.unwrap_or(listen),
-            uses_peer_socket: by_peers,
+            uses_peer_socket,
             seeds,
             zone: zone.to_string(),
-            budget: Budget { datagrams_per_s: self.datagrams, bytes_per_s: self.kilobytes << 10 },
+            budget: Budget { datagrams_per_s: self.datagrams_per_s, bytes_per_s: self.kilobytes_per_s << 10 },
             configured_replicas: f64::from(copies),
         })
     }
 }
+
+fn per_second(key: &str, value: u32, minimum: u32) -> Option<Refusal> {
+    if (minimum..=MAXIMUM_PER_S).contains(&value) {
+        return None;
+    }
+    Some(Refusal::new(key, Problem::OutsideBounds { value, minimum, maximum: MAXIMUM_PER_S }))
+}
--- a/crates/sidecar/src/configuration/operator_form/localities.rs
+++ b/crates/sidecar/src/configuration/operator_form/localities.rs
@@ -1,49 +1,48 @@
-//! The `[localities]` part of the operators' form: its names, defaults and checks.
+//! The `[localities]` table of the operators' form: its keys, defaults and checks.
 
+use crate::configuration::error::{BrokenRule, Refusal};
 use landingspread_localities::Paces;
 use serde::Deserialize;
 use std::time::Duration;
 
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Part {
-    #[serde(default = "wait", with = "humantime_serde")]
-    pub wait: Duration,
-    #[serde(default = "step", with = "humantime_serde")]
-    pub step: Duration,
+#[serde(deny_unknown_fields, expecting = "struct Part")]
+pub struct LocalitiesTable {
+    #[serde(default = "default_wait", with = "humantime_serde")]
+    wait: Duration,
+    #[serde(default = "default_step", with = "humantime_serde")]
+    step: Duration,
 }
 
-const LEAST: Duration = Duration::from_millis(100);
-const MOST: Duration = Duration::from_secs(600);
+const SHORTEST_DELAY: Duration = Duration::from_millis(100);
+const LONGEST_DELAY: Duration = Duration::from_secs(600);
 
-fn wait() -> Duration {
+fn default_wait() -> Duration {
     Paces::default().wait
 }
 
-fn step() -> Duration {
+fn default_step() -> Duration {
     Paces::default().step
 }
 
-impl Part {
-    /// The first key whose value can't be gone by.
-    pub fn first_fault(&self, fleet: bool, zones: &[String]) -> Option<(String, String)> {
-        let found = |key: &str, what: &str| Some((format!("localities.{key}"), what.to_string()));
-        if !fleet {
-            return Some(("localities".into(), "it needs the [fleet] part".into()));
+impl LocalitiesTable {
+    /// The first key whose value is refused.
+    pub fn first_refusal(&self, has_fleet: bool, zones: &[String]) -> Option<Refusal> {
+        if !has_fleet {
+            return Some(Refusal::new("localities", BrokenRule::NeedsFleet));
         }
         if zones.len() < 2 {
-            return Some(("localities".into(), "there are no two zones to choose from".into()));
+            return Some(Refusal::new("localities", BrokenRule::TwoZones));
         }
-        if !(LEAST..=MOST).contains(&self.wait) {
-            return found("wait", "it does not lie from 100 ms to 10 minutes");
-        }
-        if !(LEAST..=MOST).contains(&self.step) {
-            return found("step", "it does not lie from 100 ms to 10 minutes");
-        }
-        None
+        delay("localities.wait", self.wait).or_else(|| delay("localities.step", self.step))
     }
 
     pub fn checked(self) -> Paces {
         Paces { wait: self.wait, step: self.step }
     }
 }
+
+fn delay(key: &str, value: Duration) -> Option<Refusal> {
+    let within = (SHORTEST_DELAY..=LONGEST_DELAY).contains(&value);
+    if within { None } else { Some(Refusal::new(key, BrokenRule::DelayWithinRange)) }
+}
--- a/crates/sidecar/src/configuration/runtime_change.rs
+++ b/crates/sidecar/src/configuration/runtime_change.rs
@@ -1,14 +1,18 @@
-//! What of the configuration may change while the process runs: tenants' quotas, goals, limits and utilities of verbs, and
-//! discovery's address. It owns the names and checks of these keys; all others need a restart. A change is read as a whole,
-//! on top of what the file says: what it does not name is as there.
+//! What of the configuration may change while the process runs: tenants' quotas, goals, limits and utilities of verbs,
+//! and discovery's address.
+//!
+//! It owns the names and checks of these keys; all others need a restart. A change is read as a whole, on top of the
+//! file: a key that it does not name has the file's value.
 
-use super::settings::{Configuration, verb_fault};
+use super::settings::Configuration;
+use super::verb_limits::VerbLimits;
 use landingspread_control::{Contents, Fault};
-use landingspread_decisions::settings;
+use landingspread_decisions::settings::RequestClass;
 use std::net::SocketAddr;
 use std::str::FromStr;
+use std::time::Duration;
 
-/// Keys of the file that exist and can't be changed so.
+/// Keys of the file that exist and need a restart.
 const NEED_A_RESTART: [&str; 20] = [
     "name",
     "listen",
@@ -31,99 +35,140 @@
     "control",
     "discovery",
 ];
-const QUOTA_MOST: f64 = 1e9;
-
-/// What the file says of these keys.
-pub struct Live {
-    verbs: Vec<(String, settings::RequestClass)>,
-    tenants: Vec<(String, f64)>,
-    /// Whether there is one that could be moved.
-    discovery: bool,
+const HIGHEST_QUOTA: f64 = 1e9;
+
+/// The file's values of the keys that may change.
+pub struct RuntimeSettings {
+    verbs: Vec<NamedVerb>,
+    tenants: Vec<NamedQuota>,
+    /// Whether there is a discovery that could be moved.
+    has_discovery: bool,
+}
+
+struct NamedVerb {
+    name: String,
+    settings: RequestClass,
 }
 
-/// What holds by a change, all of it checked.
+struct NamedQuota {
+    name: String,
+    quota: f64,
+}
+
+/// The values that hold by a change, all of them checked.
 #[derive(Clone, Debug)]
-pub struct Changed {
-    /// Commands a second over all copies, by the tenants' numbers.
+pub struct RuntimeChange {
+    /// Requests a second over all copies, by the tenants' numbers.
     pub quotas: Vec<f64>,
-    /// By their numbers.
-    pub verbs: Vec<settings::RequestClass>,
-    /// Where discovery is, in place of what the file says.
+    /// The verbs, by their numbers.
+    pub verbs: Vec<RequestClass>,
+    /// The address of discovery in place of the file's.
     pub discovery: Option<SocketAddr>,
 }
 
-impl Live {
-    pub fn of(launch: &Configuration) -> Live {
-        let verbs =
-            launch.classes.iter().map(|verb| verb.name.clone()).zip(launch.policy.classes.iter().cloned());
-        let tenants = launch.tenants.iter().cloned().zip(launch.policy.quotas.iter().copied());
-        Live { verbs: verbs.collect(), tenants: tenants.collect(), discovery: launch.discovery.is_some() }
+impl RuntimeSettings {
+    /// The values of a configuration.
+    pub fn new(configuration: &Configuration) -> RuntimeSettings {
+        let verbs = configuration.classes.iter().zip(&configuration.policy.classes);
+        let tenants = configuration.tenants.iter().zip(&configuration.policy.quotas);
+        RuntimeSettings {
+            verbs: verbs
+                .map(|(verb, settings)| NamedVerb { name: verb.name.clone(), settings: settings.clone() })
+                .collect(),
+            tenants: tenants.map(|(name, quota)| NamedQuota { name: name.clone(), quota: *quota }).collect(),
+            has_discovery: configuration.discovery.is_some(),
+        }
     }
 
-    /// All of it, or the first key at fault.
-    pub fn read(&self, contents: &Contents) -> Result<Changed, Fault> {
-        let mut changed = Changed {
-            quotas: self.tenants.iter().map(|(_, quota)| *quota).collect(),
-            verbs: self.verbs.iter().map(|(_, verb)| verb.clone()).collect(),
+    /// Reads a change.
+    ///
+    /// # Errors
+    /// The first key whose value is refused; nothing of the change holds then.
+    pub fn read(&self, contents: &Contents) -> Result<RuntimeChange, Fault> {
+        let mut change = RuntimeChange {
+            quotas: self.tenants.iter().map(|tenant| tenant.quota).collect(),
+            verbs: self.verbs.iter().map(|verb| verb.settings.clone()).collect(),
             discovery: None,
         };
-        contents.iter().try_for_each(|(key, value)| self.take(key, value, &mut changed))?;
-        // Keys of one verb may only be wrong together.
-        for ((name, _), verb) in self.verbs.iter().zip(&changed.verbs) {
-            if let Some((leaves, what)) =
-                verb_fault(verb.latency_objective, verb.time_limit, verb.value, verb.late_value)
-            {
+        contents.iter().try_for_each(|(key, value)| self.read_key(key, value, &mut change))?;
+        self.check_verbs(contents, &change)?;
+        Ok(change)
+    }
+
+    /// Values of one verb may be fine each and not fit together.
+    fn check_verbs(&self, contents: &Contents, change: &RuntimeChange) -> Result<(), Fault> {
+        for (NamedVerb { name, .. }, verb) in self.verbs.iter().zip(&change.verbs) {
+            let limits = VerbLimits {
+                goal: verb.latency_objective,
+                limit: verb.time_limit,
+                utility: verb.value,
+                overdue_utility: verb.late_value,
+            };
+            if let Some(refusal) = limits.refusal() {
                 let key = |leaf: &&str| format!("verbs.{name}.{leaf}");
-                let said = leaves.iter().map(key).find(|key| contents.contains_key(key));
-                return Err(Fault { key: said.unwrap_or_else(|| key(&leaves[0])), what });
+                let changed = refusal.keys.iter().map(key).find(|key| contents.contains_key(key));
+                let key = changed.unwrap_or_else(|| key(&refusal.keys[0]));
+                return Err(Fault::of(&key, refusal.problem));
             }
         }
-        Ok(changed)
+        Ok(())
     }
 
-    fn take(&self, key: &str, value: &str, into: &mut Changed) -> Result<(), Fault> {
-        let needs = || Fault::of(key, "it needs a restart");
-        let (top, rest) = key.split_once('.').unwrap_or((key, ""));
-        match (top, rest.rsplit_once('.')) {
-            ("discovery", None) if rest == "address" => {
-                into.discovery = Some(figure(key, value, "an address with a port")?);
-                if self.discovery { Ok(()) } else { Err(needs()) }
-            }
-            ("tenants", Some((name, "quota"))) => {
-                let at = self.tenants.iter().position(|(known, _)| known == name);
-                let at = at.ok_or_else(|| Fault::of(key, "a new tenant needs a restart"))?;
-                let quota: f64 = figure(key, value, "a number")?;
-                if !(0.0..=QUOTA_MOST).contains(&quota) {
-                    return Err(Fault::of(key, format_args!("{value} does not lie from 0 to {QUOTA_MOST}")));
-                }
-                into.quotas[at] = quota;
-                Ok(())
-            }
+    fn read_key(&self, key: &str, value: &str, into: &mut RuntimeChange) -> Result<(), Fault> {
+        let (table, rest) = key.split_once('.').unwrap_or((key, ""));
+        match (table, rest.rsplit_once('.')) {
+            ("discovery", None) if rest == "address" => self.read_discovery(key, value, into),
+            ("tenants", Some((name, "quota"))) => self.read_quota(key, name, value, into),
             ("verbs", Some((name, leaf @ ("goal" | "limit" | "utility" | "overdue_utility")))) => {
-                let at = self.verbs.iter().position(|(known, _)| known == name);
-                let verb = at.and_then(|at| into.verbs.get_mut(at));
+                let index = self.verbs.iter().position(|known| known.name == name);
+                let verb = index.and_then(|index| into.verbs.get_mut(index));
                 let verb = verb.ok_or_else(|| Fault::of(key, "a new verb needs a restart"))?;
-                let span = || {
-                    humantime::parse_duration(value)
-                        .map_err(|_| Fault::of(key, format_args!("{value:?} is no span such as \"300ms\"")))
-                };
-                match leaf {
-                    "goal" => verb.latency_objective = span()?,
-                    "limit" => verb.time_limit = span()?,
-                    "utility" => verb.value = figure(key, value, "a number")?,
-                    _ => verb.late_value = figure(key, value, "a number")?,
-                }
-                Ok(())
+                read_verb(key, leaf, value, verb)
             }
-            ("verbs" | "tenants", Some(_)) => Err(needs()),
-            _ if NEED_A_RESTART.contains(&top) => Err(needs()),
+            ("verbs" | "tenants", Some(_)) => Err(needs_a_restart(key)),
+            _ if NEED_A_RESTART.contains(&table) => Err(needs_a_restart(key)),
             _ => Err(Fault::of(key, "there is no such key")),
         }
     }
+
+    fn read_discovery(&self, key: &str, value: &str, into: &mut RuntimeChange) -> Result<(), Fault> {
+        into.discovery = Some(parsed(key, value, "an address with a port")?);
+        if self.has_discovery { Ok(()) } else { Err(needs_a_restart(key)) }
+    }
+
+    fn read_quota(&self, key: &str, name: &str, value: &str, into: &mut RuntimeChange) -> Result<(), Fault> {
+        let index = self.tenants.iter().position(|known| known.name == name);
+        let index = index.ok_or_else(|| Fault::of(key, "a new tenant needs a restart"))?;
+        let quota: f64 = parsed(key, value, "a number")?;
+        if !(0.0..=HIGHEST_QUOTA).contains(&quota) {
+            return Err(Fault::of(key, format_args!("{value} does not lie from 0 to {HIGHEST_QUOTA}")));
+        }
+        into.quotas[index] = quota;
+        Ok(())
+    }
+}
+
+fn read_verb(key: &str, leaf: &str, value: &str, verb: &mut RequestClass) -> Result<(), Fault> {
+    match leaf {
+        "goal" => verb.latency_objective = duration(key, value)?,
+        "limit" => verb.time_limit = duration(key, value)?,
+        "utility" => verb.value = parsed(key, value, "a number")?,
+        _ => verb.late_value = parsed(key, value, "a number")?,
+    }
+    Ok(())
+}
+
+fn needs_a_restart(key: &str) -> Fault {
+    Fault::of(key, "it needs a restart")
+}
+
+fn duration(key: &str, value: &str) -> Result<Duration, Fault> {
+    humantime::parse_duration(value)
+        .map_err(|_| Fault::of(key, format_args!("{value:?} is no span such as \"300ms\"")))
 }
 
-fn figure<T: FromStr>(key: &str, value: &str, what: &str) -> Result<T, Fault> {
-    value.parse().map_err(|_| Fault::of(key, format_args!("{value:?} is not {what}")))
+fn parsed<T: FromStr>(key: &str, value: &str, wanted: &str) -> Result<T, Fault> {
+    value.parse().map_err(|_| Fault::of(key, format_args!("{value:?} is not {wanted}")))
 }
 
 #[cfg(test)]
--- a/crates/sidecar/src/configuration/runtime_change_tests.rs
+++ b/crates/sidecar/src/configuration/runtime_change_tests.rs
@@ -1,14 +1,16 @@
 use super::*;
-use crate::configuration::{EXAMPLE, of_text};
+use crate::configuration::{EXAMPLE, parse};
 
 /// What changes by one key, or which key is at fault and why.
-fn read(discovery: bool, changes: &[(&str, &str)]) -> Result<Changed, String> {
+fn read(discovery: bool, changes: &[(&str, &str)]) -> Result<RuntimeChange, String> {
     let tenants = EXAMPLE.replace("# [[tenants]]\n# name", "[[tenants]]\nname");
     let with_discovery = tenants.replace("# [discovery]\n# address", "[discovery]\naddress");
-    let launch =
-        of_text("l.toml", if discovery { &with_discovery } else { &tenants }).map_err(|_| "the example")?;
+    let configuration =
+        parse("l.toml", if discovery { &with_discovery } else { &tenants }).map_err(|_| "the example")?;
     let contents = changes.iter().map(|(key, value)| (key.to_string(), value.to_string())).collect();
-    Live::of(&launch).read(&contents).map_err(|fault| format!("{} | {}", fault.key, fault.what))
+    RuntimeSettings::new(&configuration)
+        .read(&contents)
+        .map_err(|fault| format!("{} | {}", fault.key, fault.what))
 }
 
 #[test]
--- a/crates/sidecar/src/control/mod.rs
+++ b/crates/sidecar/src/control/mod.rs
@@ -9,7 +9,7 @@
 pub mod said;
 
 use crate::clock::Clock;
-use crate::configuration::{Changed, Configuration, Control, Live};
+use crate::configuration::{Configuration, ControlSettings, RuntimeChange, RuntimeSettings};
 use crate::net::buffers::{SIZE, Stock};
 use crate::net::callers::Callers;
 use crate::net::owner::{Queue, Word};
@@ -33,7 +33,7 @@
 
 /// The sidecar's hand on its own parts.
 struct Hand {
-    live: Live,
+    live: RuntimeSettings,
     queue: Queue,
     callers: Rc<Callers>,
     discovery: Sender<Option<SocketAddr>>,
@@ -48,7 +48,7 @@
     fn enforce(&mut self, _version: &Version, contents: &Contents) {
         // It was checked just now.
         let Ok(changed) = self.live.read(contents) else { return };
-        let Changed { verbs, discovery, .. } = &changed;
+        let RuntimeChange { verbs, discovery, .. } = &changed;
         let (take, taken) = async_channel::bounded(1);
         self.callers.limits_changed(verbs.iter().map(|verb| verb.time_limit).collect());
         let _ = self.discovery.try_send(*discovery);
@@ -83,9 +83,9 @@
         callers: Rc<Callers>,
         discovery: Sender<Option<SocketAddr>>,
     ) -> Option<Followed> {
-        let Control { scope, region, machines, kept } = launch.control.as_ref()?;
+        let ControlSettings { scope, region, machines, cache_file: kept } = launch.control.as_ref()?;
         let mut follower = Follower::start(scope, &launch.name, machines, region, launch.seed);
-        let mut hand = Hand { live: Live::of(launch), queue, callers, discovery, taken: None };
+        let mut hand = Hand { live: RuntimeSettings::new(launch), queue, callers, discovery, taken: None };
         let shared = Shared::new(scope);
         let kept = Kept::at(kept.as_deref(), launch.state_folder.as_deref(), &launch.name);
         if let Some(kept) = &kept {
--- a/crates/sidecar/src/fleet/mod.rs
+++ b/crates/sidecar/src/fleet/mod.rs
@@ -8,7 +8,7 @@
 mod zones;
 
 use crate::clock::{Clock, unix_time};
-use crate::configuration::Fleet as Told;
+use crate::configuration::FleetSettings as Told;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
--- a/crates/sidecar/src/hollow.rs
+++ b/crates/sidecar/src/hollow.rs
@@ -59,7 +59,7 @@
         let text = text.map_err(|wrong| format!("{}: {wrong}", template.display()))?;
         let name = template.display().to_string();
         let one = |number| {
-            configuration::of_text(&name, &self.text(&text, number)).map_err(|wrong| wrong.to_string())
+            configuration::parse(&name, &self.text(&text, number)).map_err(|wrong| wrong.to_string())
         };
         (self.first..end).map(one).collect()
     }
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -1,5 +1,7 @@
-//! The command line. It owns the choice between sub-commands, the log's target and the exit code; it must
-//! never read the environment or open a socket itself.
+//! The command line.
+//!
+//! It owns the choice between sub-commands, the log's target and the exit code; it must never read the environment or
+//! open a socket itself.
 
 mod catalog;
 mod clock;
@@ -11,12 +13,13 @@
 mod handover;
 mod hollow;
 mod invariants;
-
 mod net;
 mod start;
 mod storage;
 
 use argh::FromArgs;
+use configuration::ConfigError;
+use std::fmt;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -25,12 +28,12 @@
 #[derive(FromArgs)]
 struct CommandLine {
     #[argh(subcommand)]
-    wanted: Wanted,
+    command: Subcommand,
 }
 
 #[derive(FromArgs)]
 #[argh(subcommand)]
-enum Wanted {
+enum Subcommand {
     Serve(Serve),
     Check(Check),
     Init(Init),
@@ -111,11 +114,46 @@
 #[argh(subcommand, name = "version")]
 struct Version {}
 
-fn begin_log() -> Result<(), String> {
-    let level = configuration::log_level().map_err(|wrong| wrong.to_string())?;
+/// Why a command fails; the text is its last word on standard error.
+enum CommandError {
+    Configuration(ConfigError),
+    Io(std::io::Error),
+    Other(String),
+}
+
+impl fmt::Display for CommandError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            CommandError::Configuration(error) => error.fmt(f),
+            CommandError::Io(error) => error.fmt(f),
+            CommandError::Other(text) => f.write_str(text),
+        }
+    }
+}
+
+impl From<ConfigError> for CommandError {
+    fn from(error: ConfigError) -> CommandError {
+        CommandError::Configuration(error)
+    }
+}
+
+impl From<std::io::Error> for CommandError {
+    fn from(error: std::io::Error) -> CommandError {
+        CommandError::Io(error)
+    }
+}
+
+impl From<String> for CommandError {
+    fn from(text: String) -> CommandError {
+        CommandError::Other(text)
+    }
+}
+
+fn start_log() -> Result<(), CommandError> {
+    let level = configuration::log_level()?;
     let log = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).with_target(false);
     let log = log.with_max_level(level);
-    if configuration::log_as_json().map_err(|wrong| wrong.to_string())? {
+    if configuration::log_as_json()? {
         log.json().flatten_event(true).init();
     } else {
         log.init();
@@ -123,13 +161,50 @@
     Ok(())
 }
 
-fn serve(file: Option<&Path>) -> Result<(), String> {
+fn serve(file: Option<&Path>) -> Result<(), CommandError> {
     let start = start::Start::begin();
-    begin_log()?;
-    let launch = configuration::read(file).map_err(|wrong| wrong.to_string())?;
+    start_log()?;
+    let configuration = configuration::read(file)?;
     start.configuration_read();
-    tracing::info!(name = launch.name, listen = %launch.listen, "starting");
-    net::serve(launch, file, start).map_err(|wrong| wrong.to_string())
+    tracing::info!(name = configuration.name, listen = %configuration.listen, "starting");
+    net::serve(configuration, file, start)?;
+    Ok(())
+}
+
+fn check(file: Option<&Path>) -> Result<(), CommandError> {
+    println!("{}", configuration::read(file)?);
+    Ok(())
+}
+
+fn run_control_machine(file: &Path) -> Result<(), CommandError> {
+    start_log()?;
+    control::machine::run(file)?;
+    Ok(())
+}
+
+fn play_followers(command: Followers) -> Result<(), CommandError> {
+    start_log()?;
+    let Followers { count, scopes, prefix, machines } = command;
+    control::followers::play(count, scopes, &prefix, &machines)?;
+    Ok(())
+}
+
+fn run(command: Subcommand) -> Result<(), CommandError> {
+    match command {
+        Subcommand::Serve(Serve { file }) => serve(file.as_deref()),
+        Subcommand::Check(Check { file }) => check(file.as_deref()),
+        Subcommand::Init(Init {}) => {
+            print!("{}", configuration::EXAMPLE);
+            Ok(())
+        }
+        Subcommand::Hold(Hold { listen, command }) => Err(handover::hold::hold(listen, &command).into()),
+        Subcommand::Control(Control { file }) => run_control_machine(&file),
+        Subcommand::Followers(followers) => play_followers(followers),
+        Subcommand::Version(Version {}) => {
+            println!("landingspread {}", env!("CARGO_PKG_VERSION"));
+            Ok(())
+        }
+    }
 }
 
 /// control sides of many sidecars in one process, without callers: for the lab's tests of size
@@ -157,60 +232,46 @@
     zones: String,
 }
 
-fn hollow(wanted: &Hollow) -> Result<(), String> {
-    begin_log()?;
-    let Hollow { template, count, first, base, fleet_size, zones } = wanted;
+fn hollow(command: &Hollow) -> Result<(), CommandError> {
+    start_log()?;
+    let Hollow { template, count, first, base, fleet_size, zones } = command;
     let zones = zones.split(',').map(str::to_string).collect();
     let numbers =
         hollow::Numbers { first: *first, count: *count, base: *base, fleet_size: *fleet_size, zones };
-    net::hollow(numbers.launches(template)?).map_err(|wrong| wrong.to_string())
+    net::hollow(numbers.launches(template)?)?;
+    Ok(())
 }
 
-fn main() -> ExitCode {
-    // No part of what operators are told: a testing aid.
-    let words: Vec<String> = std::env::args().collect();
-    if let ["hollow", rest @ ..] = &words.iter().skip(1).map(String::as_str).collect::<Vec<_>>()[..] {
-        return match Hollow::from_args(&["landingspread hollow"], rest) {
-            Ok(wanted) => ended(hollow(&wanted)),
-            Err(argh::EarlyExit { output, status }) => {
-                eprintln!("{output}");
-                if status.is_ok() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
-            }
-        };
+/// Runs the hollow command where it is asked for. It is a testing aid, and so not among those that help shows.
+fn hollow_command() -> Option<ExitCode> {
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let (command, rest) = arguments.split_first()?;
+    if command != "hollow" {
+        return None;
     }
-    let CommandLine { wanted } = argh::from_env();
-    let done = match wanted {
-        Wanted::Serve(Serve { file }) => serve(file.as_deref()),
-        Wanted::Check(Check { file }) => match configuration::read(file.as_deref()) {
-            Ok(launch) => {
-                println!("{launch}");
-                Ok(())
-            }
-            Err(wrong) => Err(wrong.to_string()),
-        },
-        Wanted::Init(Init {}) => {
-            print!("{}", configuration::EXAMPLE);
-            Ok(())
-        }
-        Wanted::Hold(Hold { listen, command }) => Err(handover::hold::hold(listen, &command).to_string()),
-        Wanted::Control(Control { file }) => begin_log().and_then(|()| control::machine::run(&file)),
-        Wanted::Followers(wanted) => begin_log().and_then(|()| {
-            let Followers { count, scopes, prefix, machines } = wanted;
-            control::followers::play(count, scopes, &prefix, &machines)
-        }),
-        Wanted::Version(Version {}) => {
-            println!("landingspread {}", env!("CARGO_PKG_VERSION"));
-            Ok(())
+    let rest: Vec<&str> = rest.iter().map(String::as_str).collect();
+    match Hollow::from_args(&["landingspread hollow"], &rest) {
+        Ok(command) => Some(exit_code(hollow(&command))),
+        Err(argh::EarlyExit { output, status }) => {
+            eprintln!("{output}");
+            Some(if status.is_ok() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
         }
-    };
-    ended(done)
+    }
+}
+
+fn main() -> ExitCode {
+    if let Some(code) = hollow_command() {
+        return code;
+    }
+    let CommandLine { command } = argh::from_env();
+    exit_code(run(command))
 }
 
-fn ended(done: Result<(), String>) -> ExitCode {
-    match done {
+fn exit_code(outcome: Result<(), CommandError>) -> ExitCode {
+    match outcome {
         Ok(()) => ExitCode::SUCCESS,
-        Err(wrong) => {
-            eprintln!("landingspread: {wrong}");
+        Err(error) => {
+            eprintln!("landingspread: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/sidecar/src/net/owner.rs
+++ b/crates/sidecar/src/net/owner.rs
@@ -12,7 +12,7 @@
 };
 use crate::catalog::Catalog;
 use crate::clock::Clock;
-use crate::configuration::{Changed, Configuration};
+use crate::configuration::{Configuration, RuntimeChange};
 use crate::console::Order;
 use crate::counters::{self, RefusalReason};
 use crate::fleet;
@@ -78,7 +78,7 @@
     /// By discovery itself, as it has too many calls.
     ListRefused,
     /// Quotas and verbs by now; told once the module has them.
-    Changed(Box<Changed>, Sender<()>),
+    Changed(Box<RuntimeChange>, Sender<()>),
     /// The process ends: by then all that is open has its final word.
     EndsBy(Duration),
     /// It is that time.
