--- a/crates/sidecar/src/configuration/environment.rs
+++ b/crates/sidecar/src/configuration/environment.rs
@@ -4,14 +4,23 @@
 use std::net::SocketAddr;
 use std::os::fd::RawFd;
 
+/// The configuration file.
 pub const NODE_CONFIG: &str = "NODE_CONFIG";
+/// The address of the operators' console.
 pub const NODE_CONSOLE: &str = "NODE_CONSOLE";
+/// The address of discovery.
 pub const NODE_DISCOVERY: &str = "NODE_DISCOVERY";
+/// The descriptor of the inherited listening socket.
 pub const NODE_FD: &str = "NODE_FD";
+/// The address that callers connect to.
 pub const NODE_LISTEN: &str = "NODE_LISTEN";
+/// The lowest level that is logged: error, warn, info, debug or trace.
 pub const NODE_LOG: &str = "NODE_LOG";
+/// The format of the log: text or json.
 pub const NODE_LOG_FORMAT: &str = "NODE_LOG_FORMAT";
+/// The sidecar's name.
 pub const NODE_NAME: &str = "NODE_NAME";
+/// The platform's private folder of the sidecar.
 pub const TMPDIR: &str = "TMPDIR";
 
 /// Which variables a reader sees.
--- a/crates/sidecar/src/configuration/error.rs
+++ b/crates/sidecar/src/configuration/error.rs
@@ -55,6 +55,7 @@
 }
 
 impl Refusal {
+    /// A refusal of the value at a key.
     pub fn new(key: impl Into<String>, problem: impl Into<Problem>) -> Refusal {
         Refusal { key: key.into(), problem: problem.into() }
     }
@@ -78,7 +79,7 @@
     LimitOutsideRange { limit: Duration, maximum: Duration },
     UnknownZone(String),
     PeerCount { addresses: usize, copies: usize },
-    VerbName(String),
+    ClassName(String),
     ServerId(String),
     Duplicate(String),
     Rule(BrokenRule),
@@ -95,8 +96,8 @@
     AtLeastOne,
     ServersWithoutDiscovery,
     HeaderName,
-    NeededByReceiptedVerb,
-    OnlyForReceiptedVerb,
+    NeededForIdempotencyKeys,
+    OnlyForIdempotencyKeys,
     FleetName,
     FleetAddressWithoutPeers,
     ReachableFleetAddress,
@@ -139,7 +140,7 @@
             Problem::PeerCount { addresses, copies } => {
                 write!(f, "{addresses} addresses for {copies} copies")
             }
-            Problem::VerbName(name) => write!(f, "{name:?} is no part of a path, or stands here twice"),
+            Problem::ClassName(name) => write!(f, "{name:?} is no part of a path, or stands here twice"),
             Problem::ServerId(id) => write!(f, "{id:?} is empty or stands here twice"),
             Problem::Duplicate(name) => write!(f, "{name:?} stands here twice"),
             Problem::Rule(rule) => rule.fmt(f),
@@ -158,8 +159,8 @@
             BrokenRule::AtLeastOne => "at least one is wanted",
             BrokenRule::ServersWithoutDiscovery => "without a discovery at least one is wanted",
             BrokenRule::HeaderName => "it is no header's name",
-            BrokenRule::NeededByReceiptedVerb => "a receipted verb needs it",
-            BrokenRule::OnlyForReceiptedVerb => "it belongs to receipted verbs alone",
+            BrokenRule::NeededForIdempotencyKeys => "a receipted verb needs it",
+            BrokenRule::OnlyForIdempotencyKeys => "it belongs to receipted verbs alone",
             BrokenRule::FleetName => "it is empty or longer than 64 bytes",
             BrokenRule::FleetAddressWithoutPeers => "an IPv4 address is wanted where there are no peers",
             BrokenRule::ReachableFleetAddress => "others can send nothing to this address: advertise another",
--- a/crates/sidecar/src/configuration/mod.rs
+++ b/crates/sidecar/src/configuration/mod.rs
@@ -4,13 +4,13 @@
 //! [`Configuration`]: the operators' TOML (`operator_form`) and the platform's JSON (`platform_form`). An error names
 //! the key or the variable at fault. Applying a change is left to the caller.
 
+mod class_limits;
 mod environment;
 mod error;
 mod operator_form;
 mod platform_form;
 mod runtime_change;
 mod settings;
-mod verb_limits;
 
 pub use error::ConfigError;
 pub use operator_form::EXAMPLE;
--- a/crates/sidecar/src/configuration/operator_form/build.rs
+++ b/crates/sidecar/src/configuration/operator_form/build.rs
@@ -1,6 +1,6 @@
 //! Turns a checked file of the operators' form into a [`Configuration`].
 
-use super::schema::{File, Group, Repeats, Server, Verb, WatchStart};
+use super::schema::{self, ClassTable, File, Server, WatchStart};
 use super::{control, localities};
 use crate::catalog::{Catalog, CatalogEntry};
 use crate::clock::Clock;
@@ -13,7 +13,7 @@
 use std::os::fd::RawFd;
 use std::time::Duration;
 
-/// A server that is warming up and has this multiple of its load within the window is overloaded.
+/// A server that is warming up crashes if it is sent more than this multiple of its present capacity for the window.
 const OVERLOAD_MULTIPLE: f64 = 3.0;
 const OVERLOAD_WINDOW: Duration = Duration::from_secs(2);
 
@@ -22,27 +22,28 @@
     let own_peer = file.peers.get(file.ordinal as usize).copied();
     let own_zone = file.zone.as_ref().or(file.zones.first()).cloned().unwrap_or_default();
     let fleet = file.fleet.take();
-    let fleet = fleet.and_then(|table| table.checked(&file.peers, own_peer.as_ref(), &own_zone, file.copies));
+    let fleet =
+        fleet.and_then(|table| table.checked(&file.peers, own_peer.as_ref(), &own_zone, file.replicas));
     Configuration {
         listen: file.listen,
         discovery: file.discovery.as_ref().map(|discovery| discovery.address),
         // Two sidecars that start together must not draw alike.
         seed: file.seed.unwrap_or_else(|| RandomState::new().hash_one(std::process::id())),
-        max_sockets: file.limits.sockets as usize,
+        max_sockets: file.limits.max_sockets as usize,
         memory_mb: file.limits.memory_mb as usize,
         clock: Clock::start(),
         initial_catalog: initial_servers(&file),
-        classes: file.verbs.iter().map(request_class).collect(),
+        classes: file.classes.iter().map(request_class).collect(),
         tenants: file.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
-        idle_connection_timeout: file.limits.conn_idle,
-        connect_timeout: file.limits.dial_timeout,
-        max_open_requests: file.limits.max_open as usize,
+        idle_connection_timeout: file.limits.idle_connection_timeout,
+        connect_timeout: file.limits.connect_timeout,
+        max_open_requests: file.limits.max_open_requests as usize,
         policy: policy(&file),
         fleet,
         localities: file.localities.map(localities::LocalitiesTable::checked),
         control: file.control.map(control::ControlTable::checked),
         peers: file.peers,
-        work_header: file.cost_header,
+        work_header: file.work_header,
         statistics_file: file.statistics_file,
         console: file.console,
         inherited_listener,
@@ -73,13 +74,13 @@
     Catalog { generation: 0, complete: true, entries: file.servers.iter().map(entry).collect() }
 }
 
-/// What the front has to know of a verb.
-fn request_class(verb: &Verb) -> RequestClass {
+/// What the front has to know of a class.
+fn request_class(class: &ClassTable) -> RequestClass {
     RequestClass {
-        name: verb.name.clone(),
-        method: if verb.repeats == Repeats::Idempotent { "GET" } else { "POST" },
-        idempotency_keyed: verb.repeats == Repeats::IdempotencyKeyed,
-        time_limit: verb.limit,
+        name: class.name.clone(),
+        method: if class.retry_safety == schema::RetrySafety::Idempotent { "GET" } else { "POST" },
+        idempotency_keyed: class.retry_safety == schema::RetrySafety::IdempotencyKeyed,
+        time_limit: class.time_limit,
     }
 }
 
@@ -87,64 +88,64 @@
 fn policy(file: &File) -> Settings {
     let rules = &file.rules;
     Settings {
-        replicas: f64::from(file.copies),
-        max_live_replicas: f64::from(file.copies),
+        replicas: f64::from(file.replicas),
+        max_live_replicas: f64::from(file.replicas),
         ordinal: file.ordinal,
         tier: file.tier,
-        idle_connection_timeout: file.limits.conn_idle,
+        idle_connection_timeout: file.limits.idle_connection_timeout,
         zone: zone_number(file, file.zone.as_ref()),
         polls_discovery: file
             .discovery
             .as_ref()
-            .is_some_and(|discovery| discovery.begins == WatchStart::Subscribe),
+            .is_some_and(|discovery| discovery.watch_start == WatchStart::Subscribe),
         poll_interval: Duration::MAX,
         timer_resolution: Duration::ZERO,
-        value_by_work: rules.utility_by_work,
-        over_quota_value: rules.beyond_quota,
+        value_by_work: rules.value_by_work,
+        over_quota_value: rules.over_quota_value,
         quotas: file.tenants.iter().map(|tenant| tenant.quota.unwrap_or(f64::MAX)).collect(),
-        classes: file.verbs.iter().map(policy_class).collect(),
+        classes: file.classes.iter().map(policy_class).collect(),
         capabilities: Capabilities {
-            health_checks: rules.checks,
-            cancellation: rules.cancel,
-            hedging: rules.parallel,
+            health_checks: rules.health_checks,
+            cancellation: rules.cancellation,
+            hedging: rules.hedging,
             peer_messages: !file.peers.is_empty(),
-            max_attempts: rules.relays,
-            max_retry_after: Some(rules.come_back).filter(|most| !most.is_zero()),
+            max_attempts: rules.max_attempts,
+            max_retry_after: Some(rules.max_retry_after).filter(|most| !most.is_zero()),
         },
         slow_start: SlowStart {
-            initial_fraction: rules.cold_share,
-            duration: rules.warm_after,
+            initial_fraction: rules.slow_start_fraction,
+            duration: rules.slow_start_duration,
             overload_multiple: OVERLOAD_MULTIPLE,
             overload_window: OVERLOAD_WINDOW,
         },
         costs: Costs {
-            cross_zone: rules.crossing,
-            health_check: rules.check,
-            peer_message: rules.peer,
-            connection: rules.connection,
+            cross_zone: rules.cross_zone_cost,
+            health_check: rules.health_check_cost,
+            peer_message: rules.peer_message_cost,
+            connection: rules.connection_cost,
         },
-        health_checks_report_load: rules.checks_tell,
-        objective: ObjectiveWeights { worst_class: rules.worst_verb },
+        health_checks_report_load: rules.health_checks_report_load,
+        objective: ObjectiveWeights { worst_class: rules.worst_class_weight },
     }
 }
 
-/// What the decisions have to know of a verb.
-fn policy_class(verb: &Verb) -> settings::RequestClass {
-    let group = match verb.group {
-        None | Some(Group::All) => DedupScope::All,
-        Some(Group::Zone) => DedupScope::Zone,
-        Some(Group::Cell) => DedupScope::Cell,
+/// What the decisions have to know of a class.
+fn policy_class(class: &ClassTable) -> settings::RequestClass {
+    let scope = match class.dedup_scope {
+        None | Some(schema::DedupScope::All) => DedupScope::All,
+        Some(schema::DedupScope::Zone) => DedupScope::Zone,
+        Some(schema::DedupScope::Cell) => DedupScope::Cell,
     };
     settings::RequestClass {
-        retry_safety: match verb.repeats {
-            Repeats::Idempotent => RetrySafety::Idempotent,
-            Repeats::IdempotencyKeyed => RetrySafety::IdempotencyKeyed(group),
-            Repeats::NonIdempotent => RetrySafety::NonIdempotent,
+        retry_safety: match class.retry_safety {
+            schema::RetrySafety::Idempotent => RetrySafety::Idempotent,
+            schema::RetrySafety::IdempotencyKeyed => RetrySafety::IdempotencyKeyed(scope),
+            schema::RetrySafety::NonIdempotent => RetrySafety::NonIdempotent,
         },
-        dedup_window: verb.memory.unwrap_or_default(),
-        latency_objective: verb.goal,
-        time_limit: verb.limit,
-        value: verb.utility,
-        late_value: verb.overdue_utility,
+        dedup_window: class.dedup_window.unwrap_or_default(),
+        latency_objective: class.latency_objective,
+        time_limit: class.time_limit,
+        value: class.value,
+        late_value: class.late_value,
     }
 }
--- a/crates/sidecar/src/configuration/operator_form/checks.rs
+++ b/crates/sidecar/src/configuration/operator_form/checks.rs
@@ -1,9 +1,9 @@
 //! Checks of the operators' form, in a fixed order: of several faults the first is shown.
 
-use super::schema::{File, Repeats, Server, Tenant, Verb};
+use super::schema::{ClassTable, File, RetrySafety, Server, Tenant};
+use crate::configuration::class_limits::ClassLimits;
 use crate::configuration::error::{BrokenRule, Problem, Refusal};
 use crate::configuration::settings::{MINIMUM_MEMORY_MB, MINIMUM_SOCKETS};
-use crate::configuration::verb_limits::VerbLimits;
 
 const HIGHEST_WEIGHT: f64 = 1e6;
 const HIGHEST_QUOTA: f64 = 1e9;
@@ -14,7 +14,9 @@
         .or_else(|| optional_tables(file))
         .or_else(|| cost_header(file))
         .or_else(|| bounds(file))
-        .or_else(|| file.verbs.iter().enumerate().find_map(|(index, verb)| self::verb(file, index, verb)))
+        .or_else(|| {
+            file.classes.iter().enumerate().find_map(|(index, class)| self::class(file, index, class))
+        })
         .or_else(|| {
             file.servers.iter().enumerate().find_map(|(index, server)| self::server(file, index, server))
         })
@@ -44,14 +46,14 @@
     if file.zones.is_empty() {
         return refuse("zones", BrokenRule::AtLeastOne);
     }
-    if file.verbs.is_empty() {
+    if file.classes.is_empty() {
         return refuse("verbs", BrokenRule::AtLeastOne);
     }
     if file.discovery.is_none() && file.servers.is_empty() {
         return refuse("servers", BrokenRule::ServersWithoutDiscovery);
     }
-    let copies = file.copies as usize;
-    if !file.peers.is_empty() && (file.peers.len() != copies || file.ordinal >= file.copies) {
+    let copies = file.replicas as usize;
+    if !file.peers.is_empty() && (file.peers.len() != copies || file.ordinal >= file.replicas) {
         return refuse("peers", Problem::PeerCount { addresses: file.peers.len(), copies });
     }
     None
@@ -66,44 +68,49 @@
 }
 
 fn cost_header(file: &File) -> Option<Refusal> {
-    let name = file.cost_header.as_ref()?;
+    let name = file.work_header.as_ref()?;
     let refused = name.is_empty() || name.contains([':', ' ']);
     if refused { refuse("cost_header", BrokenRule::HeaderName) } else { None }
 }
 
 fn bounds(file: &File) -> Option<Refusal> {
-    at_least("limits.sockets", file.limits.sockets, MINIMUM_SOCKETS)
+    at_least("limits.sockets", file.limits.max_sockets, MINIMUM_SOCKETS)
         .or_else(|| at_least("limits.memory_mb", file.limits.memory_mb, MINIMUM_MEMORY_MB))
-        .or_else(|| at_least("limits.max_open", file.limits.max_open, 1))
-        .or_else(|| at_least("copies", u64::from(file.copies), 1))
-        .or_else(|| at_least("rules.relays", u64::from(file.rules.relays), 1))
-        .or_else(|| at_most("rules.cold_share", file.rules.cold_share, 1.0))
-        .or_else(|| at_most("rules.crossing", file.rules.crossing, 1.0))
-        .or_else(|| at_most("rules.worst_verb", file.rules.worst_verb, 1.0))
-        .or_else(|| at_most("rules.check", file.rules.check, 1.0))
-        .or_else(|| at_most("rules.connection", file.rules.connection, 1.0))
-        .or_else(|| at_most("rules.peer", file.rules.peer, 1.0))
-        .or_else(|| at_most("rules.beyond_quota", file.rules.beyond_quota, 1.0))
+        .or_else(|| at_least("limits.max_open", file.limits.max_open_requests, 1))
+        .or_else(|| at_least("copies", u64::from(file.replicas), 1))
+        .or_else(|| at_least("rules.relays", u64::from(file.rules.max_attempts), 1))
+        .or_else(|| at_most("rules.cold_share", file.rules.slow_start_fraction, 1.0))
+        .or_else(|| at_most("rules.crossing", file.rules.cross_zone_cost, 1.0))
+        .or_else(|| at_most("rules.worst_verb", file.rules.worst_class_weight, 1.0))
+        .or_else(|| at_most("rules.check", file.rules.health_check_cost, 1.0))
+        .or_else(|| at_most("rules.connection", file.rules.connection_cost, 1.0))
+        .or_else(|| at_most("rules.peer", file.rules.peer_message_cost, 1.0))
+        .or_else(|| at_most("rules.beyond_quota", file.rules.over_quota_value, 1.0))
 }
 
-fn verb(file: &File, index: usize, verb: &Verb) -> Option<Refusal> {
+fn class(file: &File, index: usize, class: &ClassTable) -> Option<Refusal> {
     let key = |leaf: &str| format!("verbs.{index}.{leaf}");
-    let usable_in_path = !verb.name.is_empty() && !verb.name.contains(['/', '?', ' ']);
-    if !usable_in_path || file.verbs[..index].iter().any(|other| other.name == verb.name) {
-        return refuse(key("name"), Problem::VerbName(verb.name.clone()));
+    let usable_in_path = !class.name.is_empty() && !class.name.contains(['/', '?', ' ']);
+    if !usable_in_path || file.classes[..index].iter().any(|other| other.name == class.name) {
+        return refuse(key("name"), Problem::ClassName(class.name.clone()));
     }
-    let Verb { goal, limit, utility, overdue_utility, .. } = *verb;
-    if let Some(refusal) = (VerbLimits { goal, limit, utility, overdue_utility }).refusal() {
+    let limits = ClassLimits {
+        latency_objective: class.latency_objective,
+        time_limit: class.time_limit,
+        value: class.value,
+        late_value: class.late_value,
+    };
+    if let Some(refusal) = limits.refusal() {
         return refuse(key(refusal.keys[0]), refusal.problem);
     }
-    let receipted = verb.repeats == Repeats::IdempotencyKeyed;
-    if receipted && (verb.group.is_none() || verb.memory.is_none()) {
-        let missing = if verb.group.is_none() { "group" } else { "memory" };
-        return refuse(key(missing), BrokenRule::NeededByReceiptedVerb);
+    let keyed = class.retry_safety == RetrySafety::IdempotencyKeyed;
+    if keyed && (class.dedup_scope.is_none() || class.dedup_window.is_none()) {
+        let missing = if class.dedup_scope.is_none() { "group" } else { "memory" };
+        return refuse(key(missing), BrokenRule::NeededForIdempotencyKeys);
     }
-    if !receipted && (verb.group.is_some() || verb.memory.is_some()) {
-        let superfluous = if verb.group.is_some() { "group" } else { "memory" };
-        return refuse(key(superfluous), BrokenRule::OnlyForReceiptedVerb);
+    if !keyed && (class.dedup_scope.is_some() || class.dedup_window.is_some()) {
+        let superfluous = if class.dedup_scope.is_some() { "group" } else { "memory" };
+        return refuse(key(superfluous), BrokenRule::OnlyForIdempotencyKeys);
     }
     None
 }
--- a/crates/sidecar/src/configuration/operator_form/control.rs
+++ b/crates/sidecar/src/configuration/operator_form/control.rs
@@ -52,6 +52,7 @@
         machines.any(|(index, one)| self.machines[..index].iter().any(|other| other.address == one.address))
     }
 
+    /// The settings of a table in which no key was refused.
     pub fn checked(self) -> ControlSettings {
         let machine = |machine: ControlMachine| Machine { address: machine.address, region: machine.region };
         let machines = self.machines.into_iter().map(machine).collect();
--- a/crates/sidecar/src/configuration/operator_form/localities.rs
+++ b/crates/sidecar/src/configuration/operator_form/localities.rs
@@ -37,6 +37,7 @@
         delay("localities.wait", self.wait).or_else(|| delay("localities.step", self.step))
     }
 
+    /// The settings of a table in which no key was refused.
     pub fn checked(self) -> Paces {
         Paces { wait: self.wait, step: self.step }
     }
--- a/crates/sidecar/src/configuration/operator_form/mod.rs
+++ b/crates/sidecar/src/configuration/operator_form/mod.rs
@@ -47,8 +47,9 @@
         file.console = Some(address);
     }
     if let Some(address) = environment.address(NODE_DISCOVERY)? {
-        let begins = file.discovery.take().map_or(WatchStart::Automatic, |discovery| discovery.begins);
-        file.discovery = Some(DiscoveryTable { address, begins });
+        let watch_start =
+            file.discovery.take().map_or(WatchStart::Automatic, |discovery| discovery.watch_start);
+        file.discovery = Some(DiscoveryTable { address, watch_start });
     }
     if let Some(name) = environment.get(NODE_NAME) {
         file.name = name;
--- a/crates/sidecar/src/configuration/operator_form/schema.rs
+++ b/crates/sidecar/src/configuration/operator_form/schema.rs
@@ -1,7 +1,7 @@
 //! The tables and keys of the operators' form, with their defaults.
 //!
-//! Field names, and names of variants in snake case, are keys of the file unless `rename` says otherwise. Serde shows
-//! the name of a type in the error for a value of a wrong type: `expecting` keeps that text where a type was renamed.
+//! `rename` gives the key of the file where the field has the name that the rest of the code uses. Serde shows the name
+//! of a type in the error for a value of a wrong type: `expecting` keeps that text where a type was renamed.
 
 use super::{control, fleet, localities};
 use crate::configuration::settings::{
@@ -25,8 +25,8 @@
     pub zone: Option<String>,
     #[serde(default)]
     pub tier: u32,
-    #[serde(default = "one")]
-    pub copies: u32,
+    #[serde(rename = "copies", default = "one")]
+    pub replicas: u32,
     #[serde(default)]
     pub ordinal: u32,
     /// Every copy's address for messages between copies, by its ordinal.
@@ -35,7 +35,8 @@
     pub fleet: Option<fleet::FleetTable>,
     pub localities: Option<localities::LocalitiesTable>,
     pub control: Option<control::ControlTable>,
-    pub cost_header: Option<String>,
+    #[serde(rename = "cost_header")]
+    pub work_header: Option<String>,
     #[serde(rename = "learnt")]
     pub statistics_file: Option<PathBuf>,
     pub console: Option<SocketAddr>,
@@ -44,7 +45,8 @@
     pub discovery: Option<DiscoveryTable>,
     #[serde(default)]
     pub servers: Vec<Server>,
-    pub verbs: Vec<Verb>,
+    #[serde(rename = "verbs")]
+    pub classes: Vec<ClassTable>,
     #[serde(default)]
     pub tenants: Vec<Tenant>,
     #[serde(default)]
@@ -57,8 +59,8 @@
 #[serde(deny_unknown_fields, expecting = "struct Discovered")]
 pub struct DiscoveryTable {
     pub address: SocketAddr,
-    #[serde(default)]
-    pub begins: WatchStart,
+    #[serde(rename = "begins", default)]
+    pub watch_start: WatchStart,
 }
 
 /// When the watch of discovery is opened.
@@ -84,10 +86,10 @@
     pub weight: f64,
 }
 
-/// Whether a request may be sent again, by the key `repeats`.
+/// Whether a request may be sent again.
 #[derive(Clone, Copy, Deserialize, PartialEq)]
 #[serde(rename_all = "snake_case")]
-pub enum Repeats {
+pub enum RetrySafety {
     #[serde(rename = "pure")]
     Idempotent,
     #[serde(rename = "receipted")]
@@ -96,31 +98,34 @@
     NonIdempotent,
 }
 
-/// Among which servers repeats of one idempotency key are recognized, by the key `group`.
+/// Among which servers repeats of one idempotency key are recognized.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Group {
+pub enum DedupScope {
     All,
     Zone,
     Cell,
 }
 
+/// A class of requests, those with one verb in their path.
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Verb {
+#[serde(deny_unknown_fields, expecting = "struct Verb")]
+pub struct ClassTable {
     pub name: String,
-    pub repeats: Repeats,
-    pub group: Option<Group>,
-    #[serde(default, with = "humantime_serde")]
-    pub memory: Option<Duration>,
-    #[serde(with = "humantime_serde")]
-    pub goal: Duration,
-    #[serde(with = "humantime_serde")]
-    pub limit: Duration,
-    #[serde(default = "full")]
-    pub utility: f64,
-    #[serde(default)]
-    pub overdue_utility: f64,
+    #[serde(rename = "repeats")]
+    pub retry_safety: RetrySafety,
+    #[serde(rename = "group")]
+    pub dedup_scope: Option<DedupScope>,
+    #[serde(rename = "memory", default, with = "humantime_serde")]
+    pub dedup_window: Option<Duration>,
+    #[serde(rename = "goal", with = "humantime_serde")]
+    pub latency_objective: Duration,
+    #[serde(rename = "limit", with = "humantime_serde")]
+    pub time_limit: Duration,
+    #[serde(rename = "utility", default = "full")]
+    pub value: f64,
+    #[serde(rename = "overdue_utility", default)]
+    pub late_value: f64,
 }
 
 #[derive(Deserialize)]
@@ -134,23 +139,25 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    pub sockets: u64,
+    #[serde(rename = "sockets")]
+    pub max_sockets: u64,
     pub memory_mb: u64,
-    pub max_open: u64,
-    #[serde(with = "humantime_serde")]
-    pub conn_idle: Duration,
+    #[serde(rename = "max_open")]
+    pub max_open_requests: u64,
+    #[serde(rename = "conn_idle", with = "humantime_serde")]
+    pub idle_connection_timeout: Duration,
     #[serde(rename = "dial", with = "humantime_serde")]
-    pub dial_timeout: Duration,
+    pub connect_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
         Limits {
-            sockets: DEFAULT_MAX_SOCKETS,
+            max_sockets: DEFAULT_MAX_SOCKETS,
             memory_mb: DEFAULT_MEMORY_MB,
-            max_open: DEFAULT_MAX_OPEN_REQUESTS,
-            conn_idle: DEFAULT_IDLE_CONNECTION_TIMEOUT,
-            dial_timeout: DEFAULT_CONNECT_TIMEOUT,
+            max_open_requests: DEFAULT_MAX_OPEN_REQUESTS,
+            idle_connection_timeout: DEFAULT_IDLE_CONNECTION_TIMEOUT,
+            connect_timeout: DEFAULT_CONNECT_TIMEOUT,
         }
     }
 }
@@ -159,43 +166,56 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    pub relays: u32,
-    pub checks: bool,
-    pub cancel: bool,
-    pub parallel: bool,
-    #[serde(with = "humantime_serde")]
-    pub come_back: Duration,
-    pub cold_share: f64,
-    #[serde(with = "humantime_serde")]
-    pub warm_after: Duration,
-    pub crossing: f64,
-    pub utility_by_work: bool,
-    pub worst_verb: f64,
-    pub check: f64,
-    pub peer: f64,
-    pub connection: f64,
-    pub checks_tell: bool,
-    pub beyond_quota: f64,
+    #[serde(rename = "relays")]
+    pub max_attempts: u32,
+    #[serde(rename = "checks")]
+    pub health_checks: bool,
+    #[serde(rename = "cancel")]
+    pub cancellation: bool,
+    #[serde(rename = "parallel")]
+    pub hedging: bool,
+    #[serde(rename = "come_back", with = "humantime_serde")]
+    pub max_retry_after: Duration,
+    #[serde(rename = "cold_share")]
+    pub slow_start_fraction: f64,
+    #[serde(rename = "warm_after", with = "humantime_serde")]
+    pub slow_start_duration: Duration,
+    #[serde(rename = "crossing")]
+    pub cross_zone_cost: f64,
+    #[serde(rename = "utility_by_work")]
+    pub value_by_work: bool,
+    #[serde(rename = "worst_verb")]
+    pub worst_class_weight: f64,
+    #[serde(rename = "check")]
+    pub health_check_cost: f64,
+    #[serde(rename = "peer")]
+    pub peer_message_cost: f64,
+    #[serde(rename = "connection")]
+    pub connection_cost: f64,
+    #[serde(rename = "checks_tell")]
+    pub health_checks_report_load: bool,
+    #[serde(rename = "beyond_quota")]
+    pub over_quota_value: f64,
 }
 
 impl Default for Rules {
     fn default() -> Rules {
         Rules {
-            relays: 3,
-            checks: true,
-            cancel: true,
-            parallel: false,
-            come_back: Duration::from_secs(1),
-            cold_share: 0.3,
-            warm_after: Duration::from_secs(8),
-            crossing: 0.0,
-            utility_by_work: false,
-            worst_verb: 0.0,
-            check: 0.0,
-            peer: 0.0,
-            connection: 0.0,
-            checks_tell: false,
-            beyond_quota: 1.0,
+            max_attempts: 3,
+            health_checks: true,
+            cancellation: true,
+            hedging: false,
+            max_retry_after: Duration::from_secs(1),
+            slow_start_fraction: 0.3,
+            slow_start_duration: Duration::from_secs(8),
+            cross_zone_cost: 0.0,
+            value_by_work: false,
+            worst_class_weight: 0.0,
+            health_check_cost: 0.0,
+            peer_message_cost: 0.0,
+            connection_cost: 0.0,
+            health_checks_report_load: false,
+            over_quota_value: 1.0,
         }
     }
 }
--- a/crates/sidecar/src/configuration/runtime_change.rs
+++ b/crates/sidecar/src/configuration/runtime_change.rs
@@ -4,8 +4,8 @@
 //! It owns the names and checks of these keys; all others need a restart. A change is read as a whole, on top of the
 //! file: a key that it does not name has the file's value.
 
+use super::class_limits::ClassLimits;
 use super::settings::Configuration;
-use super::verb_limits::VerbLimits;
 use landingspread_control::{Contents, Fault};
 use landingspread_decisions::settings::RequestClass;
 use std::net::SocketAddr;
@@ -39,13 +39,13 @@
 
 /// The file's values of the keys that may change.
 pub struct RuntimeSettings {
-    verbs: Vec<NamedVerb>,
+    classes: Vec<NamedClass>,
     tenants: Vec<NamedQuota>,
     /// Whether there is a discovery that could be moved.
     has_discovery: bool,
 }
 
-struct NamedVerb {
+struct NamedClass {
     name: String,
     settings: RequestClass,
 }
@@ -60,8 +60,8 @@
 pub struct RuntimeChange {
     /// Requests a second over all copies, by the tenants' numbers.
     pub quotas: Vec<f64>,
-    /// The verbs, by their numbers.
-    pub verbs: Vec<RequestClass>,
+    /// The settings of classes, by their numbers.
+    pub classes: Vec<RequestClass>,
     /// The address of discovery in place of the file's.
     pub discovery: Option<SocketAddr>,
 }
@@ -69,11 +69,11 @@
 impl RuntimeSettings {
     /// The values of a configuration.
     pub fn new(configuration: &Configuration) -> RuntimeSettings {
-        let verbs = configuration.classes.iter().zip(&configuration.policy.classes);
+        let classes = configuration.classes.iter().zip(&configuration.policy.classes);
         let tenants = configuration.tenants.iter().zip(&configuration.policy.quotas);
         RuntimeSettings {
-            verbs: verbs
-                .map(|(verb, settings)| NamedVerb { name: verb.name.clone(), settings: settings.clone() })
+            classes: classes
+                .map(|(class, settings)| NamedClass { name: class.name.clone(), settings: settings.clone() })
                 .collect(),
             tenants: tenants.map(|(name, quota)| NamedQuota { name: name.clone(), quota: *quota }).collect(),
             has_discovery: configuration.discovery.is_some(),
@@ -87,22 +87,22 @@
     pub fn read(&self, contents: &Contents) -> Result<RuntimeChange, Fault> {
         let mut change = RuntimeChange {
             quotas: self.tenants.iter().map(|tenant| tenant.quota).collect(),
-            verbs: self.verbs.iter().map(|verb| verb.settings.clone()).collect(),
+            classes: self.classes.iter().map(|class| class.settings.clone()).collect(),
             discovery: None,
         };
         contents.iter().try_for_each(|(key, value)| self.read_key(key, value, &mut change))?;
-        self.check_verbs(contents, &change)?;
+        self.check_classes(contents, &change)?;
         Ok(change)
     }
 
-    /// Values of one verb may be fine each and not fit together.
-    fn check_verbs(&self, contents: &Contents, change: &RuntimeChange) -> Result<(), Fault> {
-        for (NamedVerb { name, .. }, verb) in self.verbs.iter().zip(&change.verbs) {
-            let limits = VerbLimits {
-                goal: verb.latency_objective,
-                limit: verb.time_limit,
-                utility: verb.value,
-                overdue_utility: verb.late_value,
+    /// Settings of one class may be fine each and not fit together.
+    fn check_classes(&self, contents: &Contents, change: &RuntimeChange) -> Result<(), Fault> {
+        for (NamedClass { name, .. }, class) in self.classes.iter().zip(&change.classes) {
+            let limits = ClassLimits {
+                latency_objective: class.latency_objective,
+                time_limit: class.time_limit,
+                value: class.value,
+                late_value: class.late_value,
             };
             if let Some(refusal) = limits.refusal() {
                 let key = |leaf: &&str| format!("verbs.{name}.{leaf}");
@@ -120,10 +120,10 @@
             ("discovery", None) if rest == "address" => self.read_discovery(key, value, into),
             ("tenants", Some((name, "quota"))) => self.read_quota(key, name, value, into),
             ("verbs", Some((name, leaf @ ("goal" | "limit" | "utility" | "overdue_utility")))) => {
-                let index = self.verbs.iter().position(|known| known.name == name);
-                let verb = index.and_then(|index| into.verbs.get_mut(index));
-                let verb = verb.ok_or_else(|| Fault::of(key, "a new verb needs a restart"))?;
-                read_verb(key, leaf, value, verb)
+                let index = self.classes.iter().position(|known| known.name == name);
+                let class = index.and_then(|index| into.classes.get_mut(index));
+                let class = class.ok_or_else(|| Fault::of(key, "a new verb needs a restart"))?;
+                read_class(key, leaf, value, class)
             }
             ("verbs" | "tenants", Some(_)) => Err(needs_a_restart(key)),
             _ if NEED_A_RESTART.contains(&table) => Err(needs_a_restart(key)),
@@ -148,12 +148,12 @@
     }
 }
 
-fn read_verb(key: &str, leaf: &str, value: &str, verb: &mut RequestClass) -> Result<(), Fault> {
+fn read_class(key: &str, leaf: &str, value: &str, class: &mut RequestClass) -> Result<(), Fault> {
     match leaf {
-        "goal" => verb.latency_objective = duration(key, value)?,
-        "limit" => verb.time_limit = duration(key, value)?,
-        "utility" => verb.value = parsed(key, value, "a number")?,
-        _ => verb.late_value = parsed(key, value, "a number")?,
+        "goal" => class.latency_objective = duration(key, value)?,
+        "limit" => class.time_limit = duration(key, value)?,
+        "utility" => class.value = parsed(key, value, "a number")?,
+        _ => class.late_value = parsed(key, value, "a number")?,
     }
     Ok(())
 }
--- a/crates/sidecar/src/configuration/runtime_change_tests.rs
+++ b/crates/sidecar/src/configuration/runtime_change_tests.rs
@@ -45,6 +45,6 @@
         [("discovery.address", "127.0.0.1:1"), ("tenants.acme.quota", "7"), ("verbs.view.goal", "20ms")];
     let changed = read(true, &changes).expect("it can be gone by");
     assert_eq!((changed.quotas, changed.discovery), (vec![7.0], "127.0.0.1:1".parse().ok()));
-    let goals: Vec<u128> = changed.verbs.iter().map(|verb| verb.latency_objective.as_millis()).collect();
+    let goals: Vec<u128> = changed.classes.iter().map(|class| class.latency_objective.as_millis()).collect();
     assert_eq!(goals, [20, 500, 800]);
 }
--- a/crates/sidecar/src/configuration/settings.rs
+++ b/crates/sidecar/src/configuration/settings.rs
@@ -12,12 +12,19 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
+/// File descriptors where the configuration sets no bound.
 pub const DEFAULT_MAX_SOCKETS: u64 = 1024;
+/// With fewer file descriptors the process can't serve.
 pub const MINIMUM_SOCKETS: u64 = 40;
+/// Memory in MB where the configuration sets no bound.
 pub const DEFAULT_MEMORY_MB: u64 = 192;
+/// With less memory, in MB, the process can't serve.
 pub const MINIMUM_MEMORY_MB: u64 = 16;
+/// How long servers keep idle connections by default.
 pub const DEFAULT_IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(30);
+/// How long connecting to a server may take by default.
 pub const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
+/// Open requests where the configuration sets no bound.
 pub const DEFAULT_MAX_OPEN_REQUESTS: u64 = 20_000;
 
 /// What the front has to know of a class of requests, a verb of the file, to read them; the rest is in the decisions'
--- a/crates/sidecar/src/control/mod.rs
+++ b/crates/sidecar/src/control/mod.rs
@@ -48,9 +48,9 @@
     fn enforce(&mut self, _version: &Version, contents: &Contents) {
         // It was checked just now.
         let Ok(changed) = self.live.read(contents) else { return };
-        let RuntimeChange { verbs, discovery, .. } = &changed;
+        let RuntimeChange { classes, discovery, .. } = &changed;
         let (take, taken) = async_channel::bounded(1);
-        self.callers.limits_changed(verbs.iter().map(|verb| verb.time_limit).collect());
+        self.callers.limits_changed(classes.iter().map(|class| class.time_limit).collect());
         let _ = self.discovery.try_send(*discovery);
         self.queue.tell(Word::Changed(Box::new(changed), take));
         self.taken = Some(taken);
--- a/crates/sidecar/src/net/legacy_fingerprint.rs
+++ b/crates/sidecar/src/net/legacy_fingerprint.rs
@@ -11,28 +11,28 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// The identity of a deployment as earlier releases wrote it into the file.
-pub fn deployment(launch: &Configuration) -> String {
-    let names: Vec<&str> = launch.classes.iter().map(|verb| verb.name.as_str()).collect();
+pub fn deployment(configuration: &Configuration) -> String {
+    let names: Vec<&str> = configuration.classes.iter().map(|class| class.name.as_str()).collect();
     let mut hasher = DefaultHasher::new();
-    debug_text(launch).hash(&mut hasher);
-    format!("tier {} of {}, set as {:016x}", launch.policy.tier, names.join(" "), hasher.finish())
+    debug_text(configuration).hash(&mut hasher);
+    format!("tier {} of {}, set as {:016x}", configuration.policy.tier, names.join(" "), hasher.finish())
 }
 
-fn debug_text(launch: &Configuration) -> String {
-    let terms = &launch.policy;
-    let verbs: Vec<String> = terms.classes.iter().map(verb).collect();
+fn debug_text(configuration: &Configuration) -> String {
+    let policy = &configuration.policy;
+    let classes: Vec<String> = policy.classes.iter().map(class).collect();
     format!(
         "[{}] {:?} {:?} {} {} {}",
-        verbs.join(", "),
-        launch.tenants,
-        terms.quotas,
-        allowed(&terms.capabilities),
-        cold(&terms.slow_start),
-        prices(&terms.costs)
+        classes.join(", "),
+        configuration.tenants,
+        policy.quotas,
+        allowed(&policy.capabilities),
+        cold(&policy.slow_start),
+        prices(&policy.costs)
     )
 }
 
-fn verb(verb: &RequestClass) -> String {
+fn class(class: &RequestClass) -> String {
     let RequestClass {
         retry_safety: kind,
         dedup_window: memory,
@@ -40,7 +40,7 @@
         time_limit: limit,
         value: utility,
         late_value: overdue_utility,
-    } = verb;
+    } = class;
     let kind = repeats(*kind);
     format!(
         "Verb {{ repeats: {kind}, memory: {memory:?}, goal: {goal:?}, limit: {limit:?}, utility: {utility:?}, \
--- a/crates/sidecar/src/net/owner.rs
+++ b/crates/sidecar/src/net/owner.rs
@@ -611,7 +611,7 @@
             Word::ListFailed => self.policy.discovery_poll_failed(now),
             Word::ListRefused => self.policy.discovery_poll_rejected(now),
             Word::Changed(changed, taken) => {
-                self.policy.settings_changed(now, &changed.quotas, &changed.verbs);
+                self.policy.settings_changed(now, &changed.quotas, &changed.classes);
                 let _ = taken.try_send(());
             }
             Word::EndsBy(at) => self.ends_by(now, at),
--- a/crates/sidecar/src/net/settings_fingerprint.rs
+++ b/crates/sidecar/src/net/settings_fingerprint.rs
@@ -12,37 +12,37 @@
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
 /// The fingerprint of the tier, the verbs, the tenants and the rules, as 16 hexadecimal digits.
-pub fn settings_fingerprint(launch: &Configuration) -> String {
-    let (mut text, terms) = (SettingsText::default(), &launch.policy);
-    text.number("tier", terms.tier);
-    text.number("verbs", launch.classes.len());
-    for (front, verb) in launch.classes.iter().zip(&terms.classes) {
-        write_verb(&mut text, &front.name, verb);
+pub fn settings_fingerprint(configuration: &Configuration) -> String {
+    let (mut text, policy) = (SettingsText::default(), &configuration.policy);
+    text.number("tier", policy.tier);
+    text.number("verbs", configuration.classes.len());
+    for (front, class) in configuration.classes.iter().zip(&policy.classes) {
+        write_class(&mut text, &front.name, class);
     }
-    text.number("tenants", launch.tenants.len());
-    for (name, quota) in launch.tenants.iter().zip(&terms.quotas) {
+    text.number("tenants", configuration.tenants.len());
+    for (name, quota) in configuration.tenants.iter().zip(&policy.quotas) {
         text.name("tenants.name", name);
         text.real("tenants.quota", *quota);
     }
-    text.flag("rules.checks", terms.capabilities.health_checks);
-    text.flag("rules.cancel", terms.capabilities.cancellation);
-    text.flag("rules.parallel", terms.capabilities.hedging);
-    text.flag("peers", terms.capabilities.peer_messages);
-    text.number("rules.relays", terms.capabilities.max_attempts);
-    text.span("rules.come_back", terms.capabilities.max_retry_after.unwrap_or(Duration::ZERO));
-    text.real("rules.cold_share", terms.slow_start.initial_fraction);
-    text.span("rules.warm_after", terms.slow_start.duration);
-    text.real("rules.tip_multiple", terms.slow_start.overload_multiple);
-    text.span("rules.fall", terms.slow_start.overload_window);
-    text.real("rules.crossing", terms.costs.cross_zone);
-    text.real("rules.check", terms.costs.health_check);
-    text.real("rules.peer", terms.costs.peer_message);
-    text.real("rules.connection", terms.costs.connection);
+    text.flag("rules.checks", policy.capabilities.health_checks);
+    text.flag("rules.cancel", policy.capabilities.cancellation);
+    text.flag("rules.parallel", policy.capabilities.hedging);
+    text.flag("peers", policy.capabilities.peer_messages);
+    text.number("rules.relays", policy.capabilities.max_attempts);
+    text.span("rules.come_back", policy.capabilities.max_retry_after.unwrap_or(Duration::ZERO));
+    text.real("rules.cold_share", policy.slow_start.initial_fraction);
+    text.span("rules.warm_after", policy.slow_start.duration);
+    text.real("rules.tip_multiple", policy.slow_start.overload_multiple);
+    text.span("rules.fall", policy.slow_start.overload_window);
+    text.real("rules.crossing", policy.costs.cross_zone);
+    text.real("rules.check", policy.costs.health_check);
+    text.real("rules.peer", policy.costs.peer_message);
+    text.real("rules.connection", policy.costs.connection);
     format!("{:016x}", fnv1a(text.0.as_bytes()))
 }
 
-fn write_verb(text: &mut SettingsText, name: &str, verb: &RequestClass) {
-    let (repeats, group) = match verb.retry_safety {
+fn write_class(text: &mut SettingsText, name: &str, class: &RequestClass) {
+    let (repeats, group) = match class.retry_safety {
         RetrySafety::Idempotent => ("pure", "none"),
         RetrySafety::IdempotencyKeyed(DedupScope::All) => ("receipted", "all"),
         RetrySafety::IdempotencyKeyed(DedupScope::Zone) => ("receipted", "zone"),
@@ -52,11 +52,11 @@
     text.name("verbs.name", name);
     text.name("verbs.repeats", repeats);
     text.name("verbs.group", group);
-    text.span("verbs.memory", verb.dedup_window);
-    text.span("verbs.goal", verb.latency_objective);
-    text.span("verbs.limit", verb.time_limit);
-    text.real("verbs.utility", verb.value);
-    text.real("verbs.overdue_utility", verb.late_value);
+    text.span("verbs.memory", class.dedup_window);
+    text.span("verbs.goal", class.latency_objective);
+    text.span("verbs.limit", class.time_limit);
+    text.real("verbs.utility", class.value);
+    text.real("verbs.overdue_utility", class.late_value);
 }
 
 /// The settings as lines of `key=value`, each value in a form that only equal settings share.
--- a/crates/sidecar/tests/configuration.rs
+++ b/crates/sidecar/tests/configuration.rs
@@ -31,7 +31,7 @@
     let mut inputs: Vec<PathBuf> =
         paths.filter(|path| path.extension().is_none_or(|ending| ending != "txt")).collect();
     inputs.sort();
-    assert_eq!(inputs.len(), 93, "cases");
+    assert_eq!(inputs.len(), 94, "cases");
     for input in inputs {
         let wanted = std::fs::read_to_string(input.with_extension("txt")).expect("its output");
         assert_eq!(printed(&folder, &input), wanted, "{}", input.display());
