--- a/crates/sidecar/tests/starts.rs
+++ b/crates/sidecar/tests/starts.rs
@@ -1,5 +1,5 @@
-//! How soon processes that are restarted answer `/_health` again, on cores that are all taken, with much to read from an
-//! earlier life, by a discovery that is slow or is not there; and what a start tells operators of its steps.
+//! How soon restarted processes answer `/_health` again, with all cores busy, a large statistics file to read, and a
+//! discovery that is slow or missing; and what the log shows operators of the steps of a start.
 
 mod helpers;
 
@@ -16,13 +16,14 @@
 const PROCESSES: usize = 30;
 /// Nine in ten of those that are restarted answer within this time.
 const READY_WITHIN: Duration = Duration::from_secs(10);
-/// A test gives up on a process then; it is among the slowest tenth or fails the test.
-const PATIENCE: Duration = Duration::from_secs(15);
-/// What an earlier process has kept: under 8 MiB, the most that is read.
-const KEPT: usize = 50_000;
+/// A test waits no longer for a process, which is then among the slowest tenth or fails the test.
+const LONGEST_WAIT: Duration = Duration::from_secs(15);
+/// Servers in the statistics file of the earlier process: under 8 MiB, the most that is read.
+const STORED_SERVERS: usize = 50_000;
 /// The load ends by itself if the test does not end it.
-const LOAD_MOST: Duration = Duration::from_secs(60);
-const SLOW: Duration = Duration::from_secs(3);
+const LONGEST_LOAD: Duration = Duration::from_secs(60);
+/// How late a slow discovery answers.
+const DISCOVERY_DELAY: Duration = Duration::from_secs(3);
 
 /// The steps of a start are not looked at beside the load.
 static TURN: Mutex<()> = Mutex::new(());
@@ -37,7 +38,7 @@
         for _ in 0..cores {
             let over = over.clone();
             thread::spawn(move || {
-                let until = Instant::now() + LOAD_MOST;
+                let until = Instant::now() + LONGEST_LOAD;
                 while !over.load(Ordering::Relaxed) && Instant::now() < until {
                     std::hint::spin_loop();
                 }
@@ -53,7 +54,7 @@
     }
 }
 
-/// A discovery whose every answer takes its time.
+/// A discovery that answers each poll late.
 fn slow_discovery(server: SocketAddr) -> SocketAddr {
     let listener = free();
     let address = listener.local_addr().expect("an address");
@@ -62,7 +63,7 @@
             thread::spawn(move || {
                 let mut peer = Peer::new(stream);
                 while let Ok(Some(_)) = peer.command() {
-                    thread::sleep(SLOW);
+                    thread::sleep(DISCOVERY_DELAY);
                     let body = catalog(1, &[("s1", server, "ready")]).to_string();
                     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
                     if peer.write((head + &body).as_bytes()).is_err() {
@@ -75,9 +76,9 @@
     address
 }
 
-fn config(name: &str, listen: SocketAddr, discovery: SocketAddr, kept: &Path) -> String {
+fn config(name: &str, listen: SocketAddr, discovery: SocketAddr, statistics_file: &Path) -> String {
     format!(
-        "name = \"{name}\"\nlisten = \"{listen}\"\ncopies = {PROCESSES}\nlearnt = {kept:?}\n\
+        "name = \"{name}\"\nlisten = \"{listen}\"\ncopies = {PROCESSES}\nlearnt = {statistics_file:?}\n\
          discovery = {{ address = \"{discovery}\", begins = \"subscribe\" }}\n\
          [[servers]]\nid = \"s1\"\naddress = \"{}\"\n\
          [[verbs]]\nname = \"view\"\nrepeats = \"pure\"\ngoal = \"300ms\"\nlimit = \"1s\"\n",
@@ -85,40 +86,41 @@
     )
 }
 
-/// One process, its configuration and what it keeps.
-struct Copy {
+/// One process, its configuration and its statistics file.
+struct Replica {
     sidecar: Sidecar,
-    kept: PathBuf,
+    statistics_file: PathBuf,
 }
 
-impl Copy {
-    fn start(number: usize, discovery: SocketAddr) -> Copy {
+impl Replica {
+    fn start(number: usize, discovery: SocketAddr) -> Replica {
         let address = nobody();
         let file = std::env::temp_dir().join(format!("landingspread-{address}.toml"));
-        let kept = file.with_extension("learnt");
-        std::fs::write(&file, config(&format!("n{number}"), address, discovery, &kept)).expect("a file");
+        let statistics_file = file.with_extension("learnt");
+        std::fs::write(&file, config(&format!("n{number}"), address, discovery, &statistics_file))
+            .expect("a file");
         let mut sidecar = Sidecar::spawn_by(address, file, &[]);
         sidecar.wait_ready();
-        Copy { sidecar, kept }
+        Replica { sidecar, statistics_file }
     }
 
-    /// Ends it as the platform does, and waits for that.
-    fn end(&mut self) {
+    /// Stops it as the platform does, and waits for its end.
+    fn stop(&mut self) {
         self.sidecar.signal("-TERM");
         let begun = Instant::now();
         while self.sidecar.running() {
-            assert!(begun.elapsed() < PATIENCE, "it does not end: {}", self.sidecar.account());
+            assert!(begun.elapsed() < LONGEST_WAIT, "it does not end: {}", self.sidecar.account());
             thread::sleep(ms(5));
         }
     }
 
-    /// Its next life begins. From there until it answers 200.
-    fn again(&mut self) -> Duration {
+    /// Starts it again. The time until it answers 200.
+    fn restart(&mut self) -> Duration {
         let begun = Instant::now();
         self.sidecar.start_again();
         while self.sidecar.status("GET /_health HTTP/1.1\r\n\r\n") != Some(200) {
             assert!(self.sidecar.running(), "it has ended: {}", self.sidecar.account());
-            if begun.elapsed() > PATIENCE {
+            if begun.elapsed() > LONGEST_WAIT {
                 println!("not ready: {}", self.sidecar.account());
                 break;
             }
@@ -128,39 +130,39 @@
     }
 }
 
-impl Drop for Copy {
+impl Drop for Replica {
     fn drop(&mut self) {
-        let _ = std::fs::remove_file(&self.kept);
+        let _ = std::fs::remove_file(&self.statistics_file);
     }
 }
 
-/// What a process of this deployment keeps, with as many endpoints as a file may well hold.
-fn much_kept(by: &Path) -> Value {
+/// The statistics file of this deployment, with as many servers as it may well hold.
+fn large_file(by: &Path) -> Value {
     let read = || std::fs::read(by).ok().and_then(|text| serde_json::from_slice::<Value>(&text).ok());
-    within("it keeps something", || read().is_some());
-    let mut kept = read().expect("a file");
+    within("it saves statistics", || read().is_some());
+    let mut statistics_file = read().expect("a file");
     let one = |number: usize| json!({"id": format!("s{number}"), "started_unix_ms": 0, "slowness": 1.5, "marked": false});
-    kept["servers"] = (0..KEPT).map(one).collect();
-    kept
+    statistics_file["servers"] = (0..STORED_SERVERS).map(one).collect();
+    statistics_file
 }
 
 fn unix_ms() -> u64 {
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
-/// Ends these and starts them anew, all at once, with a file that was kept just before.
-fn restarted(copies: &mut [Copy], kept: &mut Value) -> Vec<Duration> {
+/// Stops these and starts them again, all at once, with a file saved just before.
+fn restarted(replicas: &mut [Replica], statistics_file: &mut Value) -> Vec<Duration> {
     // A minute is the longest that it counts.
-    kept["saved_unix_ms"] = json!(unix_ms());
-    let kept = &kept.to_string();
+    statistics_file["saved_unix_ms"] = json!(unix_ms());
+    let statistics_file = &statistics_file.to_string();
     thread::scope(|scope| {
-        let all: Vec<_> = copies
+        let all: Vec<_> = replicas
             .iter_mut()
-            .map(|copy| {
+            .map(|replica| {
                 scope.spawn(move || {
-                    copy.end();
-                    std::fs::write(&copy.kept, kept).expect("a file");
-                    copy.again()
+                    replica.stop();
+                    std::fs::write(&replica.statistics_file, statistics_file).expect("a file");
+                    replica.restart()
                 })
             })
             .collect();
@@ -170,11 +172,11 @@
 
 /// Thirty of one discovery, `at_once` of them at a time.
 fn ready_in_time(what: &str, discovery: SocketAddr, at_once: usize) {
-    let mut copies: Vec<Copy> = (0..PROCESSES).map(|number| Copy::start(number, discovery)).collect();
-    let mut kept = much_kept(&copies[0].kept);
+    let mut replicas: Vec<Replica> = (0..PROCESSES).map(|number| Replica::start(number, discovery)).collect();
+    let mut statistics_file = large_file(&replicas[0].statistics_file);
     let load = Load::start();
     let mut took: Vec<Duration> =
-        copies.chunks_mut(at_once).flat_map(|part| restarted(part, &mut kept)).collect();
+        replicas.chunks_mut(at_once).flat_map(|part| restarted(part, &mut statistics_file)).collect();
     drop(load);
     took.sort();
     let (median, nine_tenths) = (took[PROCESSES / 2], took[PROCESSES * 9 / 10 - 1]);
@@ -183,18 +185,18 @@
         took[0],
         took[PROCESSES - 1]
     );
-    for copy in &copies {
+    for replica in &replicas {
         // The line follows the answer.
-        within("the ready line", || copy.sidecar.account().contains(" ready "));
-        let log = copy.sidecar.account();
-        assert!(!log.contains("servers start without statistics"), "what was kept is read: {log}");
+        within("the ready line", || replica.sidecar.account().contains(" ready "));
+        let log = replica.sidecar.account();
+        assert!(!log.contains("servers start without statistics"), "the statistics file is read: {log}");
         assert_eq!(log.matches(" ready ").count(), 1, "{log}");
     }
     assert!(nine_tenths <= READY_WITHIN, "{what}: {took:?}");
 }
 
 #[test]
-fn nine_in_ten_of_thirty_restarted_on_full_cores_answer_in_time_by_a_slow_discovery_and_by_none() {
+fn nine_in_ten_of_thirty_restarted_processes_are_ready_in_time_on_busy_cores() {
     let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
     let slow = slow_discovery(nobody());
     for at_once in [PROCESSES, PROCESSES / 10] {
@@ -207,7 +209,7 @@
 }
 
 #[test]
-fn a_start_tells_once_how_long_each_of_its_steps_took() {
+fn the_ready_line_shows_once_how_long_each_step_of_the_start_took() {
     let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
     let server = nobody();
     let (sidecar, discovery) = Sidecar::with(&[("s1", server)]);
