--- a/crates/sidecar/src/control/kept.rs
+++ b/crates/sidecar/src/control/kept.rs
@@ -2,7 +2,6 @@
 //! all. One that is cut, garbled, or of another service is passed over.
 
 use super::Hand;
-use crate::handover;
 use crate::storage::{self, BackgroundWriter, TemporaryName};
 use landingspread_control::{CHANGE_MOST, Follower, Version};
 use std::path::{Path, PathBuf};
@@ -16,8 +15,7 @@
 impl Kept {
     /// In the folder of the sidecar's state where no file is named; none where there is neither.
     pub fn at(named: Option<&Path>, state: Option<&Path>, name: &str) -> Option<Kept> {
-        let in_state =
-            || state.map(|folder| folder.join(format!("{}.control", handover::file_name_of(name))));
+        let in_state = || state.map(|folder| folder.join(format!("{}.control", storage::file_name_of(name))));
         let path = named.map(Path::to_path_buf).or_else(in_state)?;
         Some(Kept { path, saved: None, writer: BackgroundWriter::default() })
     }
--- a/crates/sidecar/src/handover/maintenance_record.rs
+++ b/crates/sidecar/src/handover/maintenance_record.rs
@@ -2,7 +2,6 @@
 //! write, under a lock. Of each server the newest entry counts. It owns the form of the file; what follows from an entry
 //! is left to the decisions.
 
-use super::file_name_of;
 use crate::clock::unix_ms;
 use crate::storage::{self, TemporaryName};
 use serde::{Deserialize, Serialize};
@@ -67,7 +66,7 @@
 impl MaintenanceRecord {
     /// Reads the record of a sidecar, if there is one.
     pub fn open(folder: &Path, name: &str) -> MaintenanceRecord {
-        let path = folder.join(format!("{}.maintenance", file_name_of(name)));
+        let path = folder.join(format!("{}.maintenance", storage::file_name_of(name)));
         let mut record = MaintenanceRecord { path, seen: None, entries: MaintenanceEntries::new() };
         record.refresh();
         record
--- a/crates/sidecar/src/handover/mod.rs
+++ b/crates/sidecar/src/handover/mod.rs
@@ -11,8 +11,3 @@
 
 pub use inherited_listener::inherited_listener;
 pub use presence::{CHECK_INTERVAL, Presence};
-
-/// A sidecar's name as part of a file's name.
-pub fn file_name_of(name: &str) -> String {
-    name.chars().map(|c| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' }).collect()
-}
--- a/crates/sidecar/src/handover/presence.rs
+++ b/crates/sidecar/src/handover/presence.rs
@@ -1,6 +1,5 @@
 //! Which processes of a sidecar are alive, by file locks that end with their holders.
 
-use super::file_name_of;
 use crate::storage;
 use std::fs::{File, TryLockError};
 use std::io;
@@ -43,7 +42,7 @@
     /// The folder or a file in it can't be made or locked.
     pub fn enter(folder: &Path, name: &str) -> io::Result<Presence> {
         std::fs::create_dir_all(folder)?;
-        let (folder, name) = (folder.to_path_buf(), file_name_of(name));
+        let (folder, name) = (folder.to_path_buf(), storage::file_name_of(name));
         let mut presence = Presence { folder, name, serving: None, successor: None };
         presence.serving = presence.try_lock(Role::Serving)?;
         if presence.serving.is_none() {
--- a/crates/sidecar/src/net/mod.rs
+++ b/crates/sidecar/src/net/mod.rs
@@ -214,7 +214,7 @@
         launch.state_folder.as_ref().filter(|_| takes_over && launch.statistics_file.is_none())
     {
         launch.statistics_file =
-            Some(folder.join(format!("{}.learnt", handover::file_name_of(&launch.name))));
+            Some(folder.join(format!("{}.learnt", crate::storage::file_name_of(&launch.name))));
     }
     if !launch.policy.polls_discovery {
         // Where changes come unprompted, the watch is there from the start.
--- a/crates/sidecar/src/storage.rs
+++ b/crates/sidecar/src/storage.rs
@@ -58,6 +58,11 @@
     }
 }
 
+/// A sidecar's name as part of a file's name.
+pub fn file_name_of(name: &str) -> String {
+    name.chars().map(|c| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' }).collect()
+}
+
 /// The path with a dot and a suffix behind its whole name.
 pub fn with_suffix(path: &Path, suffix: &str) -> PathBuf {
     let mut path = path.as_os_str().to_os_string();
--- a/crates/sidecar/src/storage_tests.rs
+++ b/crates/sidecar/src/storage_tests.rs
@@ -18,6 +18,11 @@
     }
 }
 
+#[test]
+fn names_of_sidecars_become_plain_names_of_files() {
+    assert_eq!(file_name_of("node/1 é-a"), "node_1__-a");
+}
+
 #[test]
 fn a_file_is_replaced_as_a_whole_or_stays() {
     let folder = folder("replace");
--- a/crates/sidecar/tests/discovery_recovery/crowd.rs
+++ b/crates/sidecar/tests/discovery_recovery/crowd.rs
@@ -73,6 +73,28 @@
     }
 }
 
+impl Observations {
+    /// Prints what was observed, and holds it against its bounds.
+    fn check(&self, summary: &str, sockets: usize, half_sent: bool) {
+        let descriptors = *self.descriptors.lock().expect("a lock");
+        let (console, calls) = *self.console.lock().expect("a lock");
+        let statuses = self.statuses.lock().expect("a lock").clone();
+        println!(
+            "{summary}, {descriptors} descriptors at most, console {console:.2?} at most of {calls}, \
+             new clients {statuses:?}"
+        );
+        assert!(descriptors <= sockets, "{descriptors} of {sockets} descriptors");
+        assert!(console <= ms(1000) && calls > 20, "the console: {console:?}, {calls}");
+        assert!(
+            statuses.keys().all(|status| [200, 503].contains(status)),
+            "a place or a status: {statuses:?}"
+        );
+        // Idle clients are closed for new ones; those with half a request come as fast as they are closed.
+        let served = statuses.get(&200).copied().unwrap_or(0);
+        assert!(served > 5 && (half_sent || statuses.len() == 1), "a place: {statuses:?}");
+    }
+}
+
 /// A connection that stays open: its request was answered, or is half sent.
 pub fn idle_client(at: SocketAddr, id: &str, half_sent: bool) -> Option<TcpStream> {
     let mut stream = TcpStream::connect(at).ok()?;
@@ -100,56 +122,56 @@
         config["limits"]["sockets"] = json!(sockets);
         config["limits"]["memory_mb"] = json!(memory_mb);
     };
-    let crowd = |sidecar: &Sidecar| {
-        let (at, pid, count) = (sidecar.address, sidecar.child.id(), sockets as usize);
-        let mut idle_clients: VecDeque<_> =
-            (0..count).filter_map(|number| idle_client(at, &format!("r{number}"), half_sent)).collect();
-        assert!(idle_clients.len() * 10 >= count * 9, "{} of {count} are idle", idle_clients.len());
-        let seen = observed.clone();
-        let observer = thread::spawn(move || {
-            for number in 0.. {
-                if !seen.is_running() {
-                    return;
-                }
-                if half_sent {
-                    // As fast as strangers are closed, or the buffers would not stay taken.
-                    idle_clients.extend((0..2).filter_map(|_| idle_client(at, "", true)));
-                    idle_clients.drain(..idle_clients.len().saturating_sub(count));
-                }
-                if number % 8 == 0 {
-                    seen.count_descriptors(pid);
-                }
-                thread::sleep(CHECK_INTERVAL);
-            }
-        });
-        let seen = observed.clone();
-        let calls = thread::spawn(move || {
-            for number in 0.. {
-                if !seen.is_running() {
-                    return;
-                }
-                seen.poll_console(console);
-                seen.connect_anew(at, number);
-                thread::sleep(ms(30));
-            }
-        });
-        Crowd(observed.clone(), vec![observer, calls])
-    };
+    let crowd = |sidecar: &Sidecar| start_crowd(sidecar, &observed, console, sockets as usize, half_sent);
     let timing = measure_beside(plan, change, crowd);
-    let descriptors = *observed.descriptors.lock().expect("a lock");
-    let (console, calls) = *observed.console.lock().expect("a lock");
-    let statuses = observed.statuses.lock().expect("a lock").clone();
-    println!(
-        "{mode:?}, {sockets} sockets, {}: in force after {:.2?}, {descriptors} descriptors at most, console \
-         {console:.2?} at most of {calls}, new clients {statuses:?}",
+    let summary = format!(
+        "{mode:?}, {sockets} sockets, {}: in force after {:.2?}",
         if half_sent { "half-sent requests" } else { "idle clients" },
         timing.in_force
     );
-    assert!(descriptors <= sockets as usize, "{descriptors} of {sockets} descriptors");
-    assert!(console <= ms(1000) && calls > 20, "the console: {console:?}, {calls}");
-    assert!(statuses.keys().all(|status| [200, 503].contains(status)), "a place or a status: {statuses:?}");
-    // Idle clients are closed for new ones; those with half a request come as fast as they are closed.
-    let served = statuses.get(&200).copied().unwrap_or(0);
-    assert!(served > 5 && (half_sent || statuses.len() == 1), "a place: {statuses:?}");
+    observed.check(&summary, sockets as usize, half_sent);
     timing.in_force
 }
+
+/// Opens idle connections, as many as there are descriptors, and starts the threads that observe.
+fn start_crowd(
+    sidecar: &Sidecar,
+    observed: &Arc<Observations>,
+    console: SocketAddr,
+    count: usize,
+    half_sent: bool,
+) -> Crowd {
+    let (at, pid) = (sidecar.address, sidecar.child.id());
+    let mut idle_clients: VecDeque<_> =
+        (0..count).filter_map(|number| idle_client(at, &format!("r{number}"), half_sent)).collect();
+    assert!(idle_clients.len() * 10 >= count * 9, "{} of {count} are idle", idle_clients.len());
+    let seen = observed.clone();
+    let observer = thread::spawn(move || {
+        for number in 0.. {
+            if !seen.is_running() {
+                return;
+            }
+            if half_sent {
+                // As fast as they are closed, or the buffers would not stay full.
+                idle_clients.extend((0..2).filter_map(|_| idle_client(at, "", true)));
+                idle_clients.drain(..idle_clients.len().saturating_sub(count));
+            }
+            if number % 8 == 0 {
+                seen.count_descriptors(pid);
+            }
+            thread::sleep(CHECK_INTERVAL);
+        }
+    });
+    let seen = observed.clone();
+    let calls = thread::spawn(move || {
+        for number in 0.. {
+            if !seen.is_running() {
+                return;
+            }
+            seen.poll_console(console);
+            seen.connect_anew(at, number);
+            thread::sleep(ms(30));
+        }
+    });
+    Crowd(observed.clone(), vec![observer, calls])
+}
