--- a/crates/sidecar/src/launch/live_tests.rs
+++ b/crates/sidecar/src/configuration/runtime_change_tests.rs
@@ -1,14 +1,16 @@
 use super::*;
-use crate::launch::{EXAMPLE, of_text};
+use crate::configuration::{EXAMPLE, parse};
 
 /// What changes by one key, or which key is at fault and why.
-fn read(discovery: bool, changes: &[(&str, &str)]) -> Result<Changed, String> {
+fn read(discovery: bool, changes: &[(&str, &str)]) -> Result<RuntimeChange, String> {
     let tenants = EXAMPLE.replace("# [[tenants]]\n# name", "[[tenants]]\nname");
     let with_discovery = tenants.replace("# [discovery]\n# address", "[discovery]\naddress");
-    let launch =
-        of_text("l.toml", if discovery { &with_discovery } else { &tenants }).map_err(|_| "the example")?;
+    let configuration =
+        parse("l.toml", if discovery { &with_discovery } else { &tenants }).map_err(|_| "the example")?;
     let contents = changes.iter().map(|(key, value)| (key.to_string(), value.to_string())).collect();
-    Live::of(&launch).read(&contents).map_err(|fault| format!("{} | {}", fault.key, fault.reason))
+    RuntimeSettings::new(&configuration)
+        .read(&contents)
+        .map_err(|fault| format!("{} | {}", fault.key, fault.reason))
 }
 
 #[test]
@@ -43,6 +45,6 @@
         [("discovery.address", "127.0.0.1:1"), ("tenants.acme.quota", "7"), ("verbs.view.goal", "20ms")];
     let changed = read(true, &changes).expect("it can be gone by");
     assert_eq!((changed.quotas, changed.discovery), (vec![7.0], "127.0.0.1:1".parse().ok()));
-    let goals: Vec<u128> = changed.verbs.iter().map(|verb| verb.latency_objective.as_millis()).collect();
+    let goals: Vec<u128> = changed.classes.iter().map(|class| class.latency_objective.as_millis()).collect();
     assert_eq!(goals, [20, 500, 800]);
 }
--- a/crates/sidecar/src/console/handlers.rs
+++ b/crates/sidecar/src/console/handlers.rs
@@ -3,10 +3,11 @@
 use super::reply::Reply;
 use super::request::Request;
 use super::{MaintenanceOrder, OWNER_TIMEOUT, Server};
+use crate::clock::unix_ms;
 use crate::counters;
 use crate::fleet::ZoneCommandReply;
-use crate::handover::LOOK_EVERY;
-use crate::handover::record::{WORDS_MOST, Word, unix_ms};
+use crate::handover::CHECK_INTERVAL;
+use crate::handover::maintenance_record::{MAXIMUM_ENTRIES, MaintenanceEntry};
 use crate::net::timeout::timeout;
 use async_io::Timer;
 use landingspread_localities::OperatorCommand;
@@ -39,7 +40,8 @@
 
     fn list_maintenance(&self) -> Reply {
         let orders = self.orders_in_force.borrow();
-        let out = orders.iter().filter(|(_, order)| order.out).map(|(server, _)| format!("{server}\n"));
+        let out =
+            orders.iter().filter(|(_, order)| order.in_maintenance).map(|(server, _)| format!("{server}\n"));
         Reply::text(200, &out.collect::<String>())
     }
 
@@ -79,7 +81,7 @@
     }
 
     async fn set_maintenance(&self, server: String, out: bool) -> Reply {
-        if out && self.orders_in_force.borrow().len() >= WORDS_MOST {
+        if out && self.orders_in_force.borrow().len() >= MAXIMUM_ENTRIES {
             return Reply::error(507, "too many endpoints are out");
         }
         match self.send_order(&server, out, None).await {
@@ -88,7 +90,7 @@
             Some(true) => {}
         }
         if let Some(record) = &mut *self.record.borrow_mut()
-            && let Err(error) = record.say(&server, out)
+            && let Err(error) = record.set(&server, out)
         {
             tracing::error!("console: {error}");
             return Reply::error(500, "it holds for this process alone: it could not be recorded");
@@ -96,7 +98,7 @@
         tracing::info!("console: {server} {} maintenance", if out { "entered" } else { "exited" });
         let at_unix_ms = unix_ms();
         let mut orders = self.orders_in_force.borrow_mut();
-        orders.insert(server, Word { out, at_unix_ms });
+        orders.insert(server, MaintenanceEntry { in_maintenance: out, at_unix_ms });
         orders.retain(|_, order| order.counts());
         Reply::text(200, "yes\n")
     }
@@ -112,19 +114,19 @@
     /// Takes over the orders that the other process of an upgrade recorded, for ever.
     pub(super) async fn follow_record(self: Rc<Self>) {
         loop {
-            Timer::after(LOOK_EVERY).await;
+            Timer::after(CHECK_INTERVAL).await;
             let recorded = {
                 let mut record = self.record.borrow_mut();
                 let Some(record) = &mut *record else { return };
-                if !record.look() {
+                if !record.refresh() {
                     continue;
                 }
-                record.words.clone()
+                record.entries.clone()
             };
             let before = std::mem::replace(&mut *self.orders_in_force.borrow_mut(), recorded.clone());
             for (server, order) in recorded {
-                if before.get(&server).is_none_or(|before| before.out != order.out) {
-                    let _ = self.send_order(&server, order.out, Some(order.age())).await;
+                if before.get(&server).is_none_or(|before| before.in_maintenance != order.in_maintenance) {
+                    let _ = self.send_order(&server, order.in_maintenance, Some(order.age())).await;
                 }
             }
         }
--- a/crates/sidecar/src/console/mod.rs
+++ b/crates/sidecar/src/console/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::control::status::ControlStatus;
 use crate::fleet;
-use crate::handover::record::{Record, Words};
+use crate::handover::maintenance_record::{MaintenanceEntries, MaintenanceRecord};
 use crate::net::buffers::{Buffer, ResourcePool};
 use crate::net::http::{self, IncomingMessage};
 use crate::net::timeout::timeout;
@@ -60,7 +60,7 @@
     /// To the owner.
     pub orders: Sender<MaintenanceOrder>,
     /// None where nothing outlives the process.
-    pub record: Option<Record>,
+    pub record: Option<MaintenanceRecord>,
     /// None where this copy is one of no fleet.
     pub fleet: Option<fleet::FleetHandle>,
     /// None where configuration comes from the file alone.
@@ -70,11 +70,11 @@
 struct Server {
     serving: Arc<AtomicBool>,
     orders: Sender<MaintenanceOrder>,
-    record: RefCell<Option<Record>>,
+    record: RefCell<Option<MaintenanceRecord>>,
     fleet: Option<fleet::FleetHandle>,
     control: Option<ControlStatus>,
     /// The orders that this process goes by.
-    orders_in_force: RefCell<Words>,
+    orders_in_force: RefCell<MaintenanceEntries>,
     stock: Rc<ResourcePool>,
     /// Connections that have not sent a whole request, oldest first, each with the channel that closes it.
     waiting: RefCell<BTreeMap<u64, Sender<()>>>,
@@ -98,7 +98,7 @@
 impl Server {
     fn new(console: Console) -> Server {
         let Console { serving, orders, record, fleet, control } = console;
-        let recorded = record.as_ref().map(|record| record.words.clone()).unwrap_or_default();
+        let recorded = record.as_ref().map(|record| record.entries.clone()).unwrap_or_default();
         Server {
             serving,
             orders,
--- a/crates/sidecar/src/control/host.rs
+++ b/crates/sidecar/src/control/host.rs
@@ -1,6 +1,6 @@
 //! Applies versions to the parts of a sidecar that run.
 
-use crate::launch::{Changed, Configuration, Live};
+use crate::configuration::{Configuration, RuntimeChange, RuntimeSettings};
 use crate::net::clients::ClientSide;
 use crate::net::owner::{Event, EventQueue};
 use async_channel::{Receiver, Sender};
@@ -16,7 +16,7 @@
 
 /// The parts of the sidecar that go by the configuration.
 pub struct SidecarHost {
-    live: Live,
+    live: RuntimeSettings,
     queue: EventQueue,
     callers: Rc<ClientSide>,
     discovery: Sender<Option<SocketAddr>>,
@@ -32,7 +32,7 @@
         callers: Rc<ClientSide>,
         discovery: Sender<Option<SocketAddr>>,
     ) -> SidecarHost {
-        SidecarHost { live: Live::of(configuration), queue, callers, discovery, applied: None }
+        SidecarHost { live: RuntimeSettings::new(configuration), queue, callers, discovery, applied: None }
     }
 }
 
@@ -44,7 +44,7 @@
     fn apply(&mut self, _version: &Version, contents: &Contents) {
         // It was checked just now.
         let Ok(changed) = self.live.read(contents) else { return };
-        let Changed { verbs, discovery, .. } = &changed;
+        let RuntimeChange { classes: verbs, discovery, .. } = &changed;
         let (notify, applied) = async_channel::bounded(1);
         self.callers.set_time_limits(verbs.iter().map(|verb| verb.time_limit).collect());
         let _ = self.discovery.try_send(*discovery);
--- a/crates/sidecar/src/control/snapshot_cache_tests.rs
+++ b/crates/sidecar/src/control/snapshot_cache_tests.rs
@@ -29,7 +29,7 @@
 
 fn saved(cache: &mut SnapshotCache, follower: &Follower) {
     cache.save(follower);
-    while cache.busy.load(Ordering::Acquire) {
+    while cache.writer.is_busy() {
         std::thread::sleep(std::time::Duration::from_millis(1));
     }
 }
--- a/crates/sidecar/src/control/task.rs
+++ b/crates/sidecar/src/control/task.rs
@@ -6,7 +6,7 @@
 use super::snapshot_cache::SnapshotCache;
 use super::status::ControlStatus;
 use crate::clock::Clock;
-use crate::launch::{Configuration, Control};
+use crate::configuration::{Configuration, ControlSettings};
 use crate::net::buffers::{BUFFER_SIZE, ResourcePool};
 use crate::net::clients::ClientSide;
 use crate::net::owner::EventQueue;
@@ -64,7 +64,7 @@
         callers: Rc<ClientSide>,
         discovery: Sender<Option<SocketAddr>>,
     ) -> Option<FollowTask<SidecarHost>> {
-        let Control { scope, region, machines, kept } = configuration.control.as_ref()?;
+        let ControlSettings { scope, region, machines, cache_file: kept } = configuration.control.as_ref()?;
         let mut follower = Follower::new(scope, &configuration.name, machines, region, configuration.seed);
         let mut host = SidecarHost::new(configuration, queue, callers, discovery);
         let status = ControlStatus::new(scope);
--- a/crates/sidecar/src/fleet/mod.rs
+++ b/crates/sidecar/src/fleet/mod.rs
@@ -19,7 +19,7 @@
 pub use zone_failover::{FailoverSettings, OBSERVATION_INTERVAL};
 
 use crate::clock::Clock;
-use crate::launch::Fleet as FleetSettings;
+use crate::configuration::FleetSettings;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use decision_link::{SharedObservations, SharedTraffic};
--- a/crates/sidecar/src/hollow.rs
+++ b/crates/sidecar/src/hollow.rs
@@ -1,7 +1,7 @@
 //! Many sidecars in one process, for tests of size: their configurations, made from one template. It owns how a copy's
 //! number becomes its name, address, zone and seeds.
 
-use crate::launch::{self, Configuration};
+use crate::configuration::{self, Configuration};
 use std::fmt;
 use std::io;
 use std::net::Ipv4Addr;
@@ -94,7 +94,7 @@
         let text = text.map_err(|error| HollowError::Template { path: template.into(), error })?;
         let file = template.display().to_string();
         let launch = |number| {
-            let launch = launch::of_text(&file, &self.configuration(&text, number));
+            let launch = configuration::parse(&file, &self.configuration(&text, number));
             launch.map_err(|fault| HollowError::Configuration(fault.to_string()))
         };
         (first..end).map(launch).collect()
--- a/crates/sidecar/src/net/buffers.rs
+++ b/crates/sidecar/src/net/buffers.rs
@@ -1,7 +1,7 @@
 //! The scarce resources of a sidecar: buffers, all of one size and used again, and permits for sockets. It owns how many of
 //! each there may be. Whoever gets none can say so at once, or wait in turn where a part of a message is under way already.
 
-use crate::launch::Configuration;
+use crate::configuration::Configuration;
 use async_io::Timer;
 use std::cell::{Cell, RefCell};
 use std::ops::Range;
--- a/crates/sidecar/src/net/clients/connection.rs
+++ b/crates/sidecar/src/net/clients/connection.rs
@@ -100,7 +100,7 @@
             }
             ParsedMessage::Health => {
                 let written = self.write_short(stream, 200, b"", b"ready\n", keep.is_ok()).await;
-                self.start.health_answered();
+                self.start.health_check_answered();
                 written.and(keep)
             }
             ParsedMessage::Request(request)
--- a/crates/sidecar/src/net/clients/state.rs
+++ b/crates/sidecar/src/net/clients/state.rs
@@ -2,7 +2,7 @@
 
 use super::latch::Latch;
 use crate::clock::Clock;
-use crate::launch::Configuration;
+use crate::configuration::Configuration;
 use crate::net::attempts::RetryRule;
 use crate::net::buffers::ResourcePool;
 use crate::net::local_failure::FailureLog;
--- a/crates/sidecar/src/net/discovery.rs
+++ b/crates/sidecar/src/net/discovery.rs
@@ -8,7 +8,7 @@
 use super::timeout::timeout;
 use crate::catalog::{Catalog, CatalogError};
 use crate::clock::Clock;
-use crate::launch::Configuration;
+use crate::configuration::Configuration;
 use crate::start::Start;
 use async_channel::Receiver;
 use async_io::Async;
@@ -146,7 +146,7 @@
             tracing::debug!(generation, complete = list.complete, entries, "endpoint list received");
             self.generation = Some(generation);
             self.wait = self.wait.mul_f64(WAIT_DECAY).max(self.min_wait);
-            self.start.list_came();
+            self.start.list_received();
             self.queue.push(Event::ListReceived(list));
         }
     }
@@ -163,7 +163,7 @@
         let wait = self.wait.saturating_sub(begun.elapsed());
         let head = self.poll_head(wait);
         in_time(CONNECT_TIMEOUT, http::write(&connection, head.as_bytes(), b"")).await?;
-        self.start.discovery_called();
+        self.start.discovery_polled();
         // Buffers of its own, freed with the list: requests that arrive slowly may hold all others.
         let max_buffers = self.resources.endpoint_list_buffers();
         let buffers = ResourcePool::buffers_only(max_buffers + 1);
--- a/crates/sidecar/src/net/listener.rs
+++ b/crates/sidecar/src/net/listener.rs
@@ -1,8 +1,8 @@
 //! The listener for clients: inherited, or bound at the configured address.
 
 use super::local_failure::{FailureCause, FailureLog, cause};
+use crate::configuration::Configuration;
 use crate::handover;
-use crate::launch::Configuration;
 use async_io::{Async, Timer};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -14,7 +14,7 @@
 
 /// The listener that whoever holds it for all processes passes on, or this process's own.
 pub(super) async fn listener(configuration: &Configuration) -> io::Result<Async<TcpListener>> {
-    match handover::inherited(configuration.inherited_listener, configuration.listen) {
+    match handover::inherited_listener(configuration.inherited_listener, configuration.listen) {
         Some(listener) => Async::new(listener),
         None => bind(configuration.listen).await,
     }
--- a/crates/sidecar/src/net/mod.rs
+++ b/crates/sidecar/src/net/mod.rs
@@ -11,7 +11,6 @@
 pub mod discovery;
 mod discovery_watch;
 pub mod http;
-mod learnt;
 mod leaving;
 mod legacy_fingerprint;
 mod listener;
@@ -23,6 +22,7 @@
 mod serve;
 mod service;
 mod settings_fingerprint;
+mod statistics_file;
 pub mod timeout;
 pub mod upstream;
 
--- a/crates/sidecar/src/net/owner/event.rs
+++ b/crates/sidecar/src/net/owner/event.rs
@@ -1,8 +1,8 @@
 //! The events that reach the owner, and the final responses that it sends.
 
 use crate::catalog::Catalog;
+use crate::configuration::RuntimeChange;
 use crate::invariants::must_hold;
-use crate::launch::Changed;
 use crate::net::upstream::{AttemptResult, OutgoingRequest, UpstreamResponse};
 use async_channel::{Receiver, Sender};
 use landingspread_decisions::host::{Id, LoadReport, Outcome, RequestArrival};
@@ -55,7 +55,7 @@
     /// Discovery has too many polls and refused this one.
     ListPollRefused,
     /// Quotas and verbs from now on; the sender is notified once the decisions have them.
-    SettingsChanged(Box<Changed>, Sender<()>),
+    SettingsChanged(Box<RuntimeChange>, Sender<()>),
     /// The process shuts down: all open requests have their final response by this time.
     ShutdownBy(Duration),
     /// That time has come.
--- a/crates/sidecar/src/net/owner/event_loop.rs
+++ b/crates/sidecar/src/net/owner/event_loop.rs
@@ -6,13 +6,13 @@
 use super::request_table::{OpenRequest, RequestTable, Services};
 use crate::catalog::Catalog;
 use crate::clock::Clock;
+use crate::configuration::Configuration;
 use crate::console::MaintenanceOrder;
 use crate::counters::{self, RefusalReason};
 use crate::fleet;
-use crate::handover::record::Words;
+use crate::handover::maintenance_record::MaintenanceEntries;
 use crate::invariants::must_hold;
-use crate::launch::Configuration;
-use crate::net::learnt::{self, Before, SAVE_EVERY, SAVE_FIRST, Saving};
+use crate::net::statistics_file::{self, FIRST_SAVE_AFTER, RestoredState, SAVE_INTERVAL, StatisticsWriter};
 use crate::net::upstream::AttemptResult;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -32,7 +32,7 @@
 pub struct OperatorChannels {
     pub orders: Receiver<MaintenanceOrder>,
     /// What was recorded before this process began.
-    pub recorded: Words,
+    pub recorded: MaintenanceEntries,
     /// Notified once an endpoint list has arrived.
     pub list_received: Sender<()>,
 }
@@ -52,7 +52,7 @@
     policy: Policy<DecisionHost>,
     clock: Clock,
     /// What an earlier process learned, until a whole endpoint list has arrived.
-    before: Before,
+    before: RestoredState,
     operators: OperatorChannels,
     fleet: Option<fleet::DecisionLink>,
     /// When this copy's view of the zones is next reported to the fleet.
@@ -61,7 +61,7 @@
     idle_until: Option<Duration>,
     save_to: Option<PathBuf>,
     save_at: Duration,
-    saving: Saving,
+    saving: StatisticsWriter,
 }
 
 /// Owns the decisions for as long as the process runs.
@@ -73,7 +73,7 @@
     queue: EventQueue,
     events: Receiver<Event>,
 ) {
-    let deployment = learnt::deployment(&configuration);
+    let deployment = statistics_file::Deployment::of(&configuration);
     let fleet = services.fleet.take();
     let clock = configuration.clock;
     let max_attempts = configuration.policy.capabilities.max_attempts as usize;
@@ -81,10 +81,13 @@
     let table = Rc::new(RefCell::new(table));
     let policy =
         Policy::start(DecisionHost(table.clone()), configuration.policy, configuration.seed, clock.now());
-    let before = configuration.statistics_file.as_ref().map(|path| learnt::read(path, &deployment, &clock));
+    let before = configuration
+        .statistics_file
+        .as_ref()
+        .map(|path| statistics_file::restore(path, &deployment, &clock));
     let before = before.unwrap_or_default();
-    table.borrow().services.start.kept_files_read();
-    let (save_at, save_to) = (clock.now() + SAVE_FIRST, configuration.statistics_file);
+    table.borrow().services.start.stored_files_read();
+    let (save_at, save_to) = (clock.now() + FIRST_SAVE_AFTER, configuration.statistics_file);
     let mut event_loop = EventLoop {
         table,
         policy,
@@ -95,7 +98,7 @@
         idle_until: None,
         save_to,
         save_at,
-        saving: Saving::of(deployment),
+        saving: StatisticsWriter::new(deployment),
         clock,
     };
     event_loop.restore_operator_orders();
@@ -107,11 +110,11 @@
     /// What operators told an earlier process is in force before the first list is taken in.
     fn restore_operator_orders(&mut self) {
         let now = self.clock.now();
-        self.before.named.iter().for_each(|server| self.policy.restore_known_server(server));
+        self.before.known_ids.iter().for_each(|server| self.policy.restore_known_server(server));
         for (server, word) in std::mem::take(&mut self.operators.recorded) {
             let id = Id::from(server);
             self.policy.restore_known_server(&id);
-            if word.out {
+            if word.in_maintenance {
                 self.policy.exclude_server(now, &id);
             }
         }
@@ -122,7 +125,7 @@
         let known = self.table.borrow_mut().update_servers(list);
         let now = self.clock.now();
         self.policy.endpoint_list_cached(now, &known);
-        self.policy.restore_statistics(now, &self.before.learnt);
+        self.policy.restore_statistics(now, &self.before.statistics);
     }
 
     async fn run(mut self, events: Receiver<Event>) {
@@ -205,7 +208,7 @@
 
     fn save(&mut self, now: Duration) {
         if let Some(path) = self.save_to.clone().filter(|_| self.save_at <= now) {
-            self.save_at = now + SAVE_EVERY;
+            self.save_at = now + SAVE_INTERVAL;
             let known = self.policy.known_servers().map(|id| id.to_string()).collect();
             self.saving.save(path, &self.policy.server_statistics(), known, &self.clock);
         }
@@ -250,7 +253,7 @@
             Event::ListPollFailed => self.policy.discovery_poll_failed(now),
             Event::ListPollRefused => self.policy.discovery_poll_rejected(now),
             Event::SettingsChanged(changed, applied) => {
-                self.policy.settings_changed(now, &changed.quotas, &changed.verbs);
+                self.policy.settings_changed(now, &changed.quotas, &changed.classes);
                 let _ = applied.try_send(());
             }
             Event::ShutdownBy(at) => self.shut_down_by(now, at),
@@ -264,7 +267,7 @@
         let entries = self.table.borrow_mut().update_servers(list);
         if complete {
             self.policy.endpoint_list_received(now, &entries);
-            self.policy.restore_statistics(now, &std::mem::take(&mut self.before.learnt));
+            self.policy.restore_statistics(now, &std::mem::take(&mut self.before.statistics));
         } else {
             self.policy.endpoint_list_changed(now, &entries);
         }
--- a/crates/sidecar/src/net/serve.rs
+++ b/crates/sidecar/src/net/serve.rs
@@ -5,8 +5,8 @@
 use super::listener::listener;
 use super::service::{self, Service};
 use super::timeout::timeout;
+use crate::configuration::{self, Configuration};
 use crate::counters;
-use crate::launch::{self, Configuration};
 use crate::start::Start;
 use async_channel::Receiver;
 use async_executor::{LocalExecutor, Task};
@@ -141,7 +141,7 @@
 
 /// Reads the configuration file again, of which the address of discovery is taken over. `false`: nothing changes.
 fn reload(file: Option<&Path>, watch: &mut DiscoveryWatch) -> bool {
-    let discovery = match launch::read_again(file) {
+    let discovery = match configuration::read_again(file) {
         Ok(configuration) => configuration.discovery,
         Err(fault) => {
             tracing::error!("SIGHUP: configuration not reloaded, the old one stays in force: {fault}");
@@ -168,7 +168,7 @@
     let until_killed = longest_request + KILL_DELAY;
     clients.begin_shutdown(until_killed - FINAL_RESPONSE_MARGIN);
     let taking = until_killed.saturating_sub(FINISH_TIME).max(MIN_TAKING_TIME);
-    if presence.is_some_and(|presence| presence.borrow_mut().another()) {
+    if presence.is_some_and(|presence| presence.borrow_mut().another_process()) {
         // The other process has the listener too, and accepts those who come.
         stop_accepting(&clients, accepting).await;
         clients.close_after_responses();
--- a/crates/sidecar/src/net/service.rs
+++ b/crates/sidecar/src/net/service.rs
@@ -7,12 +7,12 @@
 use super::owner::{self, OperatorChannels, Services};
 use super::peers::Peers;
 use super::upstream::{ConnectionPool, UpstreamClient};
+use crate::configuration::Configuration;
 use crate::console::Console;
 use crate::control;
 use crate::fleet;
-use crate::handover::record::Record;
-use crate::handover::{self, LOOK_EVERY, Presence};
-use crate::launch::Configuration;
+use crate::handover::maintenance_record::MaintenanceRecord;
+use crate::handover::{self, CHECK_INTERVAL, Presence};
 use crate::start::Start;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
@@ -79,7 +79,7 @@
 ) {
     let mut shared = None;
     loop {
-        let another = presence.borrow_mut().another();
+        let another = presence.borrow_mut().another_process();
         if shared.replace(another) != Some(another) {
             let (processes, sharing) = if another {
                 (2, "another process of this sidecar is running: resources are shared with it")
@@ -91,7 +91,7 @@
         }
         clients.shrink_to_share();
         pool.shrink_to_share();
-        Timer::after(LOOK_EVERY).await;
+        Timer::after(CHECK_INTERVAL).await;
     }
 }
 
@@ -170,8 +170,8 @@
     let (orders, ordered) = async_channel::bounded(MAX_WAITING_ORDERS);
     let (notify_list, list_received) = async_channel::bounded(1);
     let record = configuration.state_folder.as_ref().filter(|_| configuration.console.is_some());
-    let record = record.map(|folder| Record::open(folder, &configuration.name));
-    let recorded = record.as_ref().map(|record| record.words.clone()).unwrap_or_default();
+    let record = record.map(|folder| MaintenanceRecord::open(folder, &configuration.name));
+    let recorded = record.as_ref().map(|record| record.entries.clone()).unwrap_or_default();
     if let Some(address) = configuration.console {
         let serving = serving.clone();
         Console { serving, orders, record, fleet, control }.open(address)?;
@@ -185,7 +185,7 @@
     let takes_over = configuration.inherited_listener.is_some();
     let wanted = takes_over && configuration.statistics_file.is_none();
     if let Some(folder) = configuration.state_folder.as_ref().filter(|_| wanted) {
-        let file = format!("{}.learnt", handover::plain(&configuration.name));
+        let file = format!("{}.learnt", crate::storage::file_name_of(&configuration.name));
         configuration.statistics_file = Some(folder.join(file));
     }
 }
--- a/crates/sidecar/src/net/upstream/mod.rs
+++ b/crates/sidecar/src/net/upstream/mod.rs
@@ -15,7 +15,7 @@
 use super::buffers::{MAX_BUFFERED_BODY, ResourcePool};
 use super::http::{self, HttpError, IncomingMessage};
 use super::timeout::timeout;
-use crate::launch::Configuration;
+use crate::configuration::Configuration;
 use async_io::Timer;
 use futures_lite::future::{or, pending};
 use landingspread_decisions::host::{LoadReport, Outcome};
--- a/crates/sidecar/src/net/upstream/pool.rs
+++ b/crates/sidecar/src/net/upstream/pool.rs
@@ -2,7 +2,7 @@
 //! for long enough. It owns every socket to a server that no attempt uses; it never reads or writes a message.
 
 use super::idle_breaks::IdleBreakStats;
-use crate::launch::Configuration;
+use crate::configuration::Configuration;
 use crate::net::attempts::Location;
 use crate::net::buffers::{ResourcePool, SocketPermit};
 use crate::net::local_failure::{FailureCause, FailureLog, cause};
