--- a/crates/control/src/follower.rs
+++ b/crates/control/src/follower.rs
@@ -3,7 +3,7 @@
 
 use crate::config::{ConfigError, Contents};
 use crate::delta::{Delta, DeltaError, Snapshot};
-use crate::poll::Poll;
+use crate::poll::{Poll, ReportedRefusal};
 use crate::rendezvous::{ControlMachine, mix64, rendezvous_order};
 use crate::version::Version;
 use std::fmt;
@@ -187,7 +187,10 @@
 
     /// The next poll.
     pub fn next_poll(&self) -> Poll {
-        let refused = self.refused.as_ref().map(|refused| (refused.version, refused.error.to_string()));
+        let refused = self
+            .refused
+            .as_ref()
+            .map(|refused| ReportedRefusal { version: refused.version, reason: refused.error.to_string() });
         Poll {
             scope: self.scope.clone(),
             name: self.name.clone(),
--- a/crates/control/src/poll.rs
+++ b/crates/control/src/poll.rs
@@ -1,6 +1,7 @@
 //! A sidecar's poll as the query of a path, written and read. It owns the parameters' names and the percent-encoding.
 
 use crate::version::Version;
+use serde::{Deserialize, Serialize};
 use std::fmt::{self, Write};
 use std::time::Duration;
 
@@ -13,6 +14,28 @@
 /// Bytes of a refusal's reason; a longer one is truncated.
 const MAX_REASON_BYTES: usize = 400;
 
+/// A sidecar's report that it refused a version. As JSON it is the list `[VERSION, REASON]`.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(Version, String)", into = "(Version, String)")]
+pub struct ReportedRefusal {
+    /// The refused version.
+    pub version: Version,
+    /// The key at fault and what is wrong with it.
+    pub reason: String,
+}
+
+impl From<(Version, String)> for ReportedRefusal {
+    fn from((version, reason): (Version, String)) -> ReportedRefusal {
+        ReportedRefusal { version, reason }
+    }
+}
+
+impl From<ReportedRefusal> for (Version, String) {
+    fn from(refusal: ReportedRefusal) -> (Version, String) {
+        (refusal.version, refusal.reason)
+    }
+}
+
 /// What a sidecar reports and requests with each call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Poll {
@@ -22,8 +45,8 @@
     pub name: String,
     /// The version that is in force at the sidecar: the acknowledgement.
     pub acknowledged: Option<Version>,
-    /// The last version that was refused since then, with the key and the reason.
-    pub refused: Option<(Version, String)>,
+    /// The last refusal since then.
+    pub refused: Option<ReportedRefusal>,
     /// Whether the answer has to be a snapshot even where a delta would do.
     pub wants_snapshot: bool,
     /// How long the machine may wait for a newer version before it answers.
@@ -112,7 +135,7 @@
         if let Some(version) = self.acknowledged {
             let _ = write!(query, "&have={version}");
         }
-        if let Some((version, reason)) = &self.refused {
+        if let Some(ReportedRefusal { version, reason }) = &self.refused {
             let reason = percent_encoded(truncated(reason, MAX_REASON_BYTES));
             let _ = write!(query, "&refused={version}&why={reason}");
         }
@@ -138,7 +161,7 @@
         if reason.len() > MAX_REASON_BYTES || reason.chars().any(char::is_control) {
             return Err(MalformedPoll("why"));
         }
-        let refused = query.version("refused")?.map(|version| (version, reason));
+        let refused = query.version("refused")?.map(|version| ReportedRefusal { version, reason });
         let wait_ms = query.raw("wait_ms").map_or(Ok(0), str::parse::<u64>);
         let wait_ms = wait_ms.map_err(|_| MalformedPoll("wait_ms"))?;
         Ok(Poll {
--- a/crates/control/src/scope_status.rs
+++ b/crates/control/src/scope_status.rs
@@ -2,6 +2,7 @@
 //! answer operators together.
 
 use crate::config::Contents;
+use crate::poll::ReportedRefusal;
 use crate::version::Version;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -16,13 +17,22 @@
     /// The version that it acknowledged last.
     #[serde(rename = "have")]
     pub acknowledged: Option<Version>,
-    /// The version that it refused since then, with the key and the reason.
+    /// Its last refusal since then.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub refused: Option<(Version, String)>,
+    pub refused: Option<ReportedRefusal>,
     /// Milliseconds since its last poll.
     pub age_ms: u64,
 }
 
+/// A follower that has neither acknowledged nor refused the current version.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LaggingFollower<'a> {
+    /// Its name.
+    pub name: &'a str,
+    /// Whether it has stopped polling.
+    pub silent: bool,
+}
+
 /// How a scope stands, as one machine or several together know it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScopeStatus {
@@ -59,18 +69,21 @@
     /// The followers that refused the current version, with the reason of each.
     pub fn refusals(&self) -> impl Iterator<Item = (&String, &String)> {
         self.followers.iter().filter_map(|(name, follower)| {
-            let (version, reason) = follower.refused.as_ref()?;
-            (Some(*version) == self.version).then_some((name, reason))
+            let refused = follower.refused.as_ref()?;
+            (Some(refused.version) == self.version).then_some((name, &refused.reason))
         })
     }
 
-    /// The followers that have neither acknowledged nor refused the current version; `true` for those that are silent.
-    pub fn lagging(&self) -> impl Iterator<Item = (&String, bool)> {
+    /// The followers that have neither acknowledged nor refused the current version.
+    pub fn lagging(&self) -> impl Iterator<Item = LaggingFollower<'_>> {
         let lags = |follower: &FollowerStatus| {
-            let refused = follower.refused.as_ref().map(|(version, _)| *version);
+            let refused = follower.refused.as_ref().map(|refused| refused.version);
             follower.acknowledged < self.version && refused != self.version
         };
         let lagging = self.followers.iter().filter(move |(_, follower)| lags(follower));
-        lagging.map(|(name, follower)| (name, follower.age_ms > SILENT_AFTER.as_millis() as u64))
+        lagging.map(|(name, follower)| {
+            let silent = follower.age_ms > SILENT_AFTER.as_millis() as u64;
+            LaggingFollower { name, silent }
+        })
     }
 }
--- a/crates/control/src/version_store.rs
+++ b/crates/control/src/version_store.rs
@@ -4,7 +4,7 @@
 
 use crate::config::{ConfigError, Contents};
 use crate::delta::{Delta, DeltaError, Snapshot};
-use crate::poll::Poll;
+use crate::poll::{Poll, ReportedRefusal};
 use crate::scope_status::{FollowerStatus, ScopeStatus};
 use crate::version::{Digest, Version};
 use std::collections::{BTreeMap, VecDeque};
@@ -27,7 +27,7 @@
 struct LastPoll {
     at: Duration,
     acknowledged: Option<Version>,
-    refused: Option<(Version, String)>,
+    refused: Option<ReportedRefusal>,
 }
 
 #[derive(Default)]
@@ -170,6 +170,7 @@
     pub fn merge(&mut self, delta: Delta) -> Result<MergeOutcome, DeltaError> {
         let scope = delta.scope.clone();
         if !self.has_room(&scope) {
+            // One more scope than there may be is refused like a foreign one.
             return Err(DeltaError::WrongScope(scope));
         }
         let next = delta.apply(&scope, self.current(&scope))?;
@@ -188,7 +189,7 @@
     pub fn delta_for(&self, poll: &Poll) -> Option<Delta> {
         let scope = self.scopes.get(&poll.scope)?;
         let current = scope.current()?;
-        let refused = poll.refused.as_ref().map(|(version, _)| *version);
+        let refused = poll.refused.as_ref().map(|refused| refused.version);
         let version = current.version();
         // A follower that refused a newer version would refuse this one too, and poll again at once.
         if poll.acknowledged == Some(version) || refused >= Some(version) {
@@ -216,7 +217,7 @@
     pub fn has_refused(&self, scope: &str, name: &str, version: Version) -> bool {
         let follower = self.scopes.get(scope).and_then(|scope| scope.followers.get(name));
         let refused = follower.and_then(|follower| follower.refused.as_ref());
-        refused.is_some_and(|(refused, _)| *refused == version)
+        refused.is_some_and(|refused| refused.version == version)
     }
 
     /// Forgets followers that have not polled for an hour, and scopes that were polled but never published.
--- a/crates/control/tests/formats.rs
+++ b/crates/control/tests/formats.rs
@@ -54,7 +54,7 @@
         scope,
         name,
         acknowledged: Some(have),
-        refused: Some((refused, why)),
+        refused: Some((refused, why).into()),
         wants_snapshot: true,
         wait: seconds(6),
     }
--- a/crates/control/tests/protocol.rs
+++ b/crates/control/tests/protocol.rs
@@ -274,9 +274,9 @@
     other.record_poll(seconds(61), &call("moved", Some(second)));
     let mut status = one.scope_status(seconds(62), "basket").expect("it is known");
     status.merge(other.scope_status(seconds(62), "basket").expect("it is known"));
-    let lagging_store: BTreeMap<&str, bool> =
-        status.lagging().map(|(name, silent)| (name.as_str(), silent)).collect();
-    assert_eq!(lagging_store, BTreeMap::from([("gone", true), ("slow", false)]));
+    let lagging: BTreeMap<&str, bool> =
+        status.lagging().map(|follower| (follower.name, follower.silent)).collect();
+    assert_eq!(lagging, BTreeMap::from([("gone", true), ("slow", false)]));
     assert_eq!(status.acknowledged(), 1);
     one.expire(seconds(3605));
     assert!(!one.scope_status(seconds(3605), "basket").expect("it is known").followers.contains_key("gone"));
@@ -347,7 +347,7 @@
         wait in 0u64..60_000
     ) {
         let version = |(epoch, number, digest): (u64, u64, u128)| Version { epoch, number: number.max(1), digest };
-        let refused = have.map(|(epoch, number, digest)| (version((number, epoch, digest)), why));
+        let refused = have.map(|(epoch, number, digest)| (version((number, epoch, digest)), why).into());
         let wait = Duration::from_millis(wait);
         let poll = Poll { scope: "a-b.c_1".into(), name, acknowledged: have.map(version), refused, wants_snapshot: whole, wait };
         prop_assume!(poll.name.len() <= 128);
--- a/crates/sidecar/src/control/machine/polls.rs
+++ b/crates/sidecar/src/control/machine/polls.rs
@@ -7,7 +7,7 @@
 use async_channel::{Receiver, Sender};
 use async_io::Async;
 use futures_lite::future::or;
-use landingspread_control::Poll;
+use landingspread_control::{Poll, ReportedRefusal};
 use std::collections::BTreeMap;
 use std::net::TcpStream;
 use std::time::Instant;
@@ -89,8 +89,8 @@
     fn record_poll(&self, poll: &Poll) {
         let (now, mut store) = (self.clock.now(), self.store.borrow_mut());
         let refused = poll.refused.as_ref();
-        let new = refused.filter(|refused| !store.has_refused(&poll.scope, &poll.name, refused.0));
-        if let Some((version, reason)) = new {
+        let new = refused.filter(|refused| !store.has_refused(&poll.scope, &poll.name, refused.version));
+        if let Some(ReportedRefusal { version, reason }) = new {
             let (scope, name) = (&poll.scope, &poll.name);
             tracing::warn!(scope, name, %version, "control machine: follower refused version: {reason}");
         }
--- a/crates/sidecar/src/control/machine/report.rs
+++ b/crates/sidecar/src/control/machine/report.rs
@@ -5,7 +5,7 @@
 use super::Server;
 use super::peers::Peer;
 use super::reply::Reply;
-use landingspread_control::{ScopeStatus, Version};
+use landingspread_control::{LaggingFollower, ScopeStatus, Version};
 use serde_json::json;
 use std::fmt::Write;
 use std::time::Duration;
@@ -65,7 +65,7 @@
         let refused: serde_json::Map<_, _> =
             status.refusals().map(|(name, reason)| (name.clone(), reason.as_str().into())).collect();
         let behind: serde_json::Map<_, _> =
-            status.lagging().map(|(name, silent)| (name.clone(), silent.into())).collect();
+            status.lagging().map(|follower| (follower.name.into(), follower.silent.into())).collect();
         let kept: Vec<String> = status.history.iter().map(Version::to_string).collect();
         let report = json!({
             "scope": status.scope,
@@ -93,7 +93,7 @@
             let _ = writeln!(text, "    {name}: {reason}");
         }
         let _ = writeln!(text, "behind        {}", behind.len());
-        for (name, silent) in behind.iter().take(MAX_NAMES) {
+        for LaggingFollower { name, silent } in behind.iter().take(MAX_NAMES) {
             let _ = writeln!(text, "    {name}{}", if *silent { ", silent" } else { "" });
         }
         for (key, value) in &status.contents {
