--- a/crates/sidecar/src/configuration/operator_form/build.rs
+++ b/crates/sidecar/src/configuration/operator_form/build.rs
@@ -1,6 +1,6 @@
 //! Turns a checked file of the operators' form into a [`Configuration`].
 
-use super::schema::{self, ClassTable, File, Server, WatchStart};
+use super::schema::{self, ClassTable, File, Rules, Server, WatchStart};
 use super::{control, localities};
 use crate::catalog::{Catalog, CatalogEntry};
 use crate::clock::Clock;
@@ -104,31 +104,43 @@
         over_quota_value: rules.over_quota_value,
         quotas: file.tenants.iter().map(|tenant| tenant.quota.unwrap_or(f64::MAX)).collect(),
         classes: file.classes.iter().map(policy_class).collect(),
-        capabilities: Capabilities {
-            health_checks: rules.health_checks,
-            cancellation: rules.cancellation,
-            hedging: rules.hedging,
-            peer_messages: !file.peers.is_empty(),
-            max_attempts: rules.max_attempts,
-            max_retry_after: Some(rules.max_retry_after).filter(|most| !most.is_zero()),
-        },
-        slow_start: SlowStart {
-            initial_fraction: rules.slow_start_fraction,
-            duration: rules.slow_start_duration,
-            overload_multiple: OVERLOAD_MULTIPLE,
-            overload_window: OVERLOAD_WINDOW,
-        },
-        costs: Costs {
-            cross_zone: rules.cross_zone_cost,
-            health_check: rules.health_check_cost,
-            peer_message: rules.peer_message_cost,
-            connection: rules.connection_cost,
-        },
+        capabilities: capabilities(file),
+        slow_start: slow_start(rules),
+        costs: costs(rules),
         health_checks_report_load: rules.health_checks_report_load,
         objective: ObjectiveWeights { worst_class: rules.worst_class_weight },
     }
 }
 
+fn capabilities(file: &File) -> Capabilities {
+    Capabilities {
+        health_checks: file.rules.health_checks,
+        cancellation: file.rules.cancellation,
+        hedging: file.rules.hedging,
+        peer_messages: !file.peers.is_empty(),
+        max_attempts: file.rules.max_attempts,
+        max_retry_after: Some(file.rules.max_retry_after).filter(|most| !most.is_zero()),
+    }
+}
+
+fn slow_start(rules: &Rules) -> SlowStart {
+    SlowStart {
+        initial_fraction: rules.slow_start_fraction,
+        duration: rules.slow_start_duration,
+        overload_multiple: OVERLOAD_MULTIPLE,
+        overload_window: OVERLOAD_WINDOW,
+    }
+}
+
+fn costs(rules: &Rules) -> Costs {
+    Costs {
+        cross_zone: rules.cross_zone_cost,
+        health_check: rules.health_check_cost,
+        peer_message: rules.peer_message_cost,
+        connection: rules.connection_cost,
+    }
+}
+
 /// What the decisions have to know of a class.
 fn policy_class(class: &ClassTable) -> settings::RequestClass {
     let scope = match class.dedup_scope {
--- a/crates/sidecar/src/configuration/operator_form/control.rs
+++ b/crates/sidecar/src/configuration/operator_form/control.rs
@@ -7,6 +7,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
+/// The keys of the table.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Part")]
 pub struct ControlTable {
@@ -18,6 +19,7 @@
     cache_file: Option<PathBuf>,
 }
 
+/// One control machine.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct At")]
 pub struct ControlMachine {
--- a/crates/sidecar/src/configuration/operator_form/fleet.rs
+++ b/crates/sidecar/src/configuration/operator_form/fleet.rs
@@ -6,6 +6,7 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
+/// The keys of the table.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Part")]
 pub struct FleetTable {
--- a/crates/sidecar/src/configuration/operator_form/localities.rs
+++ b/crates/sidecar/src/configuration/operator_form/localities.rs
@@ -5,6 +5,7 @@
 use serde::Deserialize;
 use std::time::Duration;
 
+/// The keys of the table.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Part")]
 pub struct LocalitiesTable {
--- a/crates/sidecar/src/configuration/operator_form/schema.rs
+++ b/crates/sidecar/src/configuration/operator_form/schema.rs
@@ -55,6 +55,7 @@
     pub rules: Rules,
 }
 
+/// Where the endpoint list is watched: the table `[discovery]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Discovered")]
 pub struct DiscoveryTable {
@@ -74,6 +75,7 @@
     Subscribe,
 }
 
+/// A server that is known at the start: an entry of `[[servers]]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Server {
@@ -107,7 +109,7 @@
     Cell,
 }
 
-/// A class of requests, those with one verb in their path.
+/// A class of requests, those with one verb in their path: an entry of `[[verbs]]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Verb")]
 pub struct ClassTable {
@@ -128,6 +130,7 @@
     pub late_value: f64,
 }
 
+/// A caller with a quota in requests a second: an entry of `[[tenants]]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
@@ -135,7 +138,7 @@
     pub quota: Option<f64>,
 }
 
-/// Bounds of what the process takes of the machine.
+/// Bounds of what the process takes of the machine: the table `[limits]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
@@ -162,7 +165,7 @@
     }
 }
 
-/// What the decisions go by.
+/// What the decisions go by: the table `[rules]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
--- a/crates/sidecar/src/net/legacy_fingerprint.rs
+++ b/crates/sidecar/src/net/legacy_fingerprint.rs
@@ -26,9 +26,9 @@
         classes.join(", "),
         configuration.tenants,
         policy.quotas,
-        allowed(&policy.capabilities),
-        cold(&policy.slow_start),
-        prices(&policy.costs)
+        capabilities(&policy.capabilities),
+        slow_start(&policy.slow_start),
+        costs(&policy.costs)
     )
 }
 
@@ -41,15 +41,15 @@
         value: utility,
         late_value: overdue_utility,
     } = class;
-    let kind = repeats(*kind);
+    let kind = retry_safety(*kind);
     format!(
         "Verb {{ repeats: {kind}, memory: {memory:?}, goal: {goal:?}, limit: {limit:?}, utility: {utility:?}, \
          overdue_utility: {overdue_utility:?} }}"
     )
 }
 
-fn repeats(repeats: RetrySafety) -> &'static str {
-    match repeats {
+fn retry_safety(retry_safety: RetrySafety) -> &'static str {
+    match retry_safety {
         RetrySafety::Idempotent => "Pure",
         RetrySafety::IdempotencyKeyed(DedupScope::All) => "Receipted(All)",
         RetrySafety::IdempotencyKeyed(DedupScope::Zone) => "Receipted(Zone)",
@@ -58,7 +58,7 @@
     }
 }
 
-fn allowed(allowed: &Capabilities) -> String {
+fn capabilities(capabilities: &Capabilities) -> String {
     let Capabilities {
         health_checks: checks,
         cancellation: cancel,
@@ -66,27 +66,27 @@
         peer_messages: peers,
         max_attempts: relays,
         max_retry_after: come_back,
-    } = allowed;
+    } = capabilities;
     format!(
         "Allowed {{ checks: {checks:?}, cancel: {cancel:?}, parallel: {parallel:?}, peers: {peers:?}, \
          relays: {relays:?}, come_back: {come_back:?} }}"
     )
 }
 
-fn cold(rule: &SlowStart) -> String {
+fn slow_start(slow_start: &SlowStart) -> String {
     let SlowStart {
         initial_fraction: share,
         duration: warm_after,
         overload_multiple: multiple,
         overload_window: window,
-    } = rule;
+    } = slow_start;
     format!(
         "ColdRule {{ share: {share:?}, warm_after: {warm_after:?}, multiple: {multiple:?}, window: {window:?} }}"
     )
 }
 
-fn prices(prices: &Costs) -> String {
-    let Costs { cross_zone: crossing, health_check: check, peer_message: peer, connection } = prices;
+fn costs(costs: &Costs) -> String {
+    let Costs { cross_zone: crossing, health_check: check, peer_message: peer, connection } = costs;
     format!(
         "Prices {{ crossing: {crossing:?}, check: {check:?}, peer: {peer:?}, connection: {connection:?} }}"
     )
