--- a/crates/sidecar/src/handover/maintenance_record.rs
+++ b/crates/sidecar/src/handover/maintenance_record.rs
@@ -6,6 +6,7 @@
 use crate::storage::{self, TemporaryName};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
+use std::fmt;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
@@ -48,6 +49,44 @@
     entries: MaintenanceEntries,
 }
 
+/// Why the record can't be read or written.
+#[derive(Debug)]
+pub enum RecordError {
+    /// The system refused to lock, read or write a file.
+    Io(io::Error),
+    /// The file is torn, or was written by something else.
+    NotJson(serde_json::Error),
+    /// The file has a form that this release does not know.
+    Version(u32),
+    /// No more servers may be in maintenance.
+    Full,
+}
+
+impl fmt::Display for RecordError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            RecordError::Io(error) => error.fmt(f),
+            RecordError::NotJson(error) => error.fmt(f),
+            RecordError::Version(version) => write!(f, "version: {version} is not {VERSION}"),
+            RecordError::Full => write!(f, "over {MAXIMUM_ENTRIES} servers are in maintenance"),
+        }
+    }
+}
+
+impl std::error::Error for RecordError {}
+
+impl From<io::Error> for RecordError {
+    fn from(error: io::Error) -> RecordError {
+        RecordError::Io(error)
+    }
+}
+
+impl From<serde_json::Error> for RecordError {
+    fn from(error: serde_json::Error) -> RecordError {
+        RecordError::NotJson(error)
+    }
+}
+
 /// Tells one state of the file from another without reading it.
 #[derive(Clone, Copy, PartialEq)]
 struct FileStamp {
@@ -94,13 +133,13 @@
         true
     }
 
-    fn read(&self) -> io::Result<MaintenanceEntries> {
+    fn read(&self) -> Result<MaintenanceEntries, RecordError> {
         let Some(bytes) = storage::read_if_present(&self.path)? else {
             return Ok(MaintenanceEntries::new());
         };
         let file: RecordFile = serde_json::from_slice(&bytes)?;
         if file.version != VERSION {
-            return Err(io::Error::other(format!("version: {} is not {VERSION}", file.version)));
+            return Err(RecordError::Version(file.version));
         }
         Ok(file.entries)
     }
@@ -109,7 +148,7 @@
     ///
     /// # Errors
     /// The file can't be locked, read or written, or has no room for the entry; it stays as it is then.
-    pub fn set(&mut self, server: &str, in_maintenance: bool) -> io::Result<()> {
+    pub fn set(&mut self, server: &str, in_maintenance: bool) -> Result<(), RecordError> {
         let lock = storage::open_lock(&storage::with_suffix(&self.path, "lock"))?;
         lock.lock()?;
         let now = unix_ms();
@@ -117,7 +156,7 @@
         entries.retain(|_, entry| entry.counts());
         entries.insert(server.to_string(), MaintenanceEntry { in_maintenance, at_unix_ms: now });
         if entries.len() > MAXIMUM_ENTRIES {
-            return Err(io::Error::other(format!("over {MAXIMUM_ENTRIES} servers are in maintenance")));
+            return Err(RecordError::Full);
         }
         let file = RecordFile { version: VERSION, entries };
         storage::replace(&self.path, TemporaryName::Suffix, &serde_json::to_vec(&file)?)?;
--- a/crates/sidecar/src/handover/maintenance_record_tests.rs
+++ b/crates/sidecar/src/handover/maintenance_record_tests.rs
@@ -43,3 +43,27 @@
     );
     let _ = std::fs::remove_dir_all(folder);
 }
+
+#[test]
+fn errors_show_what_is_wrong_with_the_file() {
+    let folder = std::env::temp_dir().join(format!("landingspread-record-errors-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).expect("a folder");
+    let mut record = MaintenanceRecord::open(&folder, "n");
+    for (text, wanted) in [
+        ("{\"version\":2,\"words\":{}}", "version: 2 is not 1"),
+        ("{\"version\":1,\"wor", "EOF while parsing a string at line 1 column 17"),
+        ("[]", "invalid length 0, expected struct RecordFile with 2 elements at line 1 column 2"),
+    ] {
+        std::fs::write(&record.path, text).expect("written");
+        assert_eq!(record.set("s1", true).expect_err("an error").to_string(), wanted);
+    }
+    let full: Vec<String> = (0..MAXIMUM_ENTRIES)
+        .map(|number| format!("\"s{number}\":{{\"out\":true,\"at_unix_ms\":0}}"))
+        .collect();
+    std::fs::write(&record.path, format!("{{\"version\":1,\"words\":{{{}}}}}", full.join(",")))
+        .expect("written");
+    assert!(record.set("s0", true).is_ok(), "it has an entry already");
+    let error = record.set("another", true).expect_err("an error");
+    assert_eq!(error.to_string(), "over 4096 servers are in maintenance");
+    let _ = std::fs::remove_dir_all(folder);
+}
