--- a/crates/sidecar/src/net/service.rs
+++ b/crates/sidecar/src/net/service.rs
@@ -12,7 +12,7 @@
 use crate::control;
 use crate::fleet;
 use crate::handover::maintenance_record::MaintenanceRecord;
-use crate::handover::{self, CHECK_INTERVAL, Presence};
+use crate::handover::{CHECK_INTERVAL, Presence};
 use crate::start::Start;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
