--- a/crates/lab/src/sockets/mod.rs
+++ b/crates/lab/src/sockets/mod.rs
@@ -8,6 +8,7 @@
 pub mod callers;
 mod child;
 mod discovery;
+mod ejection_log;
 mod fleet;
 mod ledger;
 mod load;
--- a/crates/lab/src/sockets/scene.rs
+++ b/crates/lab/src/sockets/scene.rs
@@ -5,6 +5,7 @@
 use super::callers::{Asking, CallPlan, Done, Pace, run};
 use super::child::Sidecar;
 use super::discovery::{Discovery, Entry, Trouble};
+use super::ejection_log::ejection_note;
 use super::fleet::{Doing, Fleet, Make, Server, Verbs};
 use super::ledger::Ledger;
 use super::ports::unused;
@@ -600,13 +601,10 @@
     }
 }
 
-/// Marks and returns are told in the sidecars' logs.
+/// Notes the ejections and returns in the sidecars' logs.
 fn note_mark(tally: &mut Tally, now: Duration, copy: usize, line: &str) {
-    for word in ["mark ", "return "] {
-        let of_server = |rest: &str| rest.chars().next().is_some_and(|first| first == 't');
-        if let Some((_, rest)) = line.split_once(word).filter(|(_, rest)| of_server(rest)) {
-            tally.noted(now, copy, &format!("{word}{rest}"));
-        }
+    if let Some(note) = ejection_note(line) {
+        tally.noted(now, copy, &note);
     }
 }
 
--- a/crates/sidecar/src/net/owner/decision_host.rs
+++ b/crates/sidecar/src/net/owner/decision_host.rs
@@ -74,7 +74,8 @@
             DecisionEvent::SlowStartViolated(server) => {
                 must_hold!(SlowStart, false, "an attempt without a credit to {server}");
             }
-            DecisionEvent::Ejected(_) | DecisionEvent::Returned(_) => tracing::info!("{event}"),
+            DecisionEvent::Ejected(server) => tracing::info!("server {server} ejected"),
+            DecisionEvent::Returned(server) => tracing::info!("server {server} returned, in slow start"),
         }
     }
 }
--- a/crates/sidecar/tests/local_failures.rs
+++ b/crates/sidecar/tests/local_failures.rs
@@ -94,7 +94,7 @@
     let served = answers.iter().filter(|(_, answer)| answer.is_some_and(|(status, _)| status == 200)).count();
     assert!(served * 10 >= CLIENTS * 9, "{served} of {CLIENTS} served: {answers:?}");
     let log = sidecar.account();
-    assert!(!log.contains("mark s"), "a server was marked: {log}");
+    assert!(!log.contains("mark s") && !log.contains(" ejected"), "a server was ejected: {log}");
     assert!(log.matches("accept").count() < 10, "a line for each failure");
     for number in 0..20 {
         assert_eq!(sidecar.cmd("view", &format!("a{number}"), LEFT_MS), 200, "as ever afterwards");
