--- a/crates/sidecar/src/console/handlers.rs
+++ b/crates/sidecar/src/console/handlers.rs
@@ -80,33 +80,38 @@
         }
     }
 
-    async fn set_maintenance(&self, server: String, out: bool) -> Reply {
-        if out && self.orders_in_force.borrow().len() >= MAXIMUM_ENTRIES {
+    async fn set_maintenance(&self, server: String, in_maintenance: bool) -> Reply {
+        if in_maintenance && self.orders_in_force.borrow().len() >= MAXIMUM_ENTRIES {
             return Reply::error(507, "too many endpoints are out");
         }
-        match self.send_order(&server, out, None).await {
+        match self.send_order(&server, in_maintenance, None).await {
             None => return Reply::error(503, "the sidecar does not answer"),
             Some(false) => return Reply::error(404, "no list ever named this endpoint"),
             Some(true) => {}
         }
         if let Some(record) = &mut *self.record.borrow_mut()
-            && let Err(error) = record.set(&server, out)
+            && let Err(error) = record.set(&server, in_maintenance)
         {
             tracing::error!("console: {error}");
             return Reply::error(500, "it holds for this process alone: it could not be recorded");
         }
-        tracing::info!("console: {server} {} maintenance", if out { "entered" } else { "exited" });
+        tracing::info!("console: {server} {} maintenance", if in_maintenance { "entered" } else { "exited" });
         let at_unix_ms = unix_ms();
         let mut orders = self.orders_in_force.borrow_mut();
-        orders.insert(server, MaintenanceEntry { in_maintenance: out, at_unix_ms });
+        orders.insert(server, MaintenanceEntry { in_maintenance, at_unix_ms });
         orders.retain(|_, order| order.counts());
         Reply::text(200, "yes\n")
     }
 
     /// Sends an order to the owner. Returns whether a list ever named the endpoint; none where the owner does not answer.
-    async fn send_order(&self, server: &str, out: bool, recorded: Option<Duration>) -> Option<bool> {
-        let (known, reply) = async_channel::bounded(1);
-        let order = MaintenanceOrder { server: server.to_string(), out, recorded, known };
+    async fn send_order(
+        &self,
+        server: &str,
+        in_maintenance: bool,
+        recorded_age: Option<Duration>,
+    ) -> Option<bool> {
+        let (responder, reply) = async_channel::bounded(1);
+        let order = MaintenanceOrder { server: server.to_string(), in_maintenance, recorded_age, responder };
         self.orders.send(order).await.ok()?;
         timeout(OWNER_TIMEOUT, reply.recv()).await?.ok()
     }
@@ -123,9 +128,12 @@
                 }
                 record.entries.clone()
             };
-            let before = std::mem::replace(&mut *self.orders_in_force.borrow_mut(), recorded.clone());
+            let previous = std::mem::replace(&mut *self.orders_in_force.borrow_mut(), recorded.clone());
             for (server, order) in recorded {
-                if before.get(&server).is_none_or(|before| before.in_maintenance != order.in_maintenance) {
+                if previous
+                    .get(&server)
+                    .is_none_or(|previous| previous.in_maintenance != order.in_maintenance)
+                {
                     let _ = self.send_order(&server, order.in_maintenance, Some(order.age())).await;
                 }
             }
--- a/crates/sidecar/src/console/mod.rs
+++ b/crates/sidecar/src/console/mod.rs
@@ -45,12 +45,12 @@
 pub struct MaintenanceOrder {
     /// The endpoint's id.
     pub server: String,
-    /// Whether it goes out of use; false puts it back.
-    pub out: bool,
+    /// Whether it enters maintenance; false ends it.
+    pub in_maintenance: bool,
     /// How old the order is, where another process took it and recorded it.
-    pub recorded: Option<Duration>,
+    pub recorded_age: Option<Duration>,
     /// Answered with whether a list ever named the endpoint.
-    pub known: Sender<bool>,
+    pub responder: Sender<bool>,
 }
 
 /// What the console reports and acts by.
@@ -75,7 +75,7 @@
     control: Option<ControlStatus>,
     /// The orders that this process goes by.
     orders_in_force: RefCell<MaintenanceEntries>,
-    stock: Rc<ResourcePool>,
+    resources: Rc<ResourcePool>,
     /// Connections that have not sent a whole request, oldest first, each with the channel that closes it.
     waiting: RefCell<BTreeMap<u64, Sender<()>>>,
     connections: Cell<usize>,
@@ -106,7 +106,7 @@
             fleet,
             control,
             orders_in_force: RefCell::new(recorded),
-            stock: ResourcePool::buffers_only(MAX_CONNECTIONS),
+            resources: ResourcePool::buffers_only(MAX_CONNECTIONS),
             waiting: RefCell::default(),
             connections: Cell::new(0),
             next_connection: Cell::new(0),
@@ -149,17 +149,17 @@
     /// Serves the one request of a connection.
     async fn serve(&self, stream: Async<TcpStream>) {
         // There is one for each connection that is accepted.
-        let Some(buffer) = self.stock.buffer() else { return };
+        let Some(buffer) = self.resources.buffer() else { return };
         let number = self.next_connection.replace(self.next_connection.get() + 1);
         let (close, closed): (Sender<()>, Receiver<()>) = async_channel::bounded(1);
         self.waiting.borrow_mut().insert(number, close);
         let arrives = async { timeout(REQUEST_TIMEOUT, self.read(&stream, buffer)).await };
-        let gives_way = async {
+        let displaced = async {
             let _ = closed.recv().await;
             // Its place is wanted at once: there is no time for an answer.
             Some(Err(http::HttpError::Closed))
         };
-        let message = or(arrives, gives_way).await;
+        let message = or(arrives, displaced).await;
         self.waiting.borrow_mut().remove(&number);
         let reply = match message {
             None | Some(Err(http::HttpError::TimedOut)) => {
@@ -187,7 +187,7 @@
         if request.expects_continue && !request.is_complete() {
             http::write(stream, b"HTTP/1.1 100 Continue\r\n\r\n", b"").await?;
         }
-        request.read_to_end(stream, &self.stock, 0).await?;
+        request.read_to_end(stream, &self.resources, 0).await?;
         Ok(request)
     }
 }
--- a/crates/sidecar/src/control/client.rs
+++ b/crates/sidecar/src/control/client.rs
@@ -41,7 +41,7 @@
         match self {
             CallError::Timeout(time) => write!(f, "nothing within {time:?}"),
             CallError::Io(error) => error.fmt(f),
-            CallError::Http(error) => write!(f, "{error:?}"),
+            CallError::Http(error) => error.fmt(f),
             CallError::Status(status) => write!(f, "status {status}"),
         }
     }
@@ -96,7 +96,7 @@
         &mut self,
         machine: SocketAddr,
         request: &Request<'_>,
-        stock: &Rc<ResourcePool>,
+        resources: &Rc<ResourcePool>,
     ) -> Result<Response, CallError> {
         let Request { target, body, max_buffers, timeout } = *request;
         let stream = match self.0.take() {
@@ -111,7 +111,7 @@
         let answer = async {
             // No buffer is taken before there is something to read.
             stream.readable().await.map_err(|_| http::HttpError::Broken)?;
-            http::read_buffered_response(&stream, stock, max_buffers).await
+            http::read_buffered_response(&stream, resources, max_buffers).await
         };
         let (status, keep_alive, reader) = within(timeout, answer).await?;
         let mut body = Vec::new();
@@ -125,13 +125,13 @@
         &mut self,
         machine: SocketAddr,
         poll: &Poll,
-        stock: &Rc<ResourcePool>,
+        resources: &Rc<ResourcePool>,
         status: &ControlStatus,
     ) -> Result<Option<Vec<u8>>, CallError> {
         let target = format!("GET /control/v1/changes?{}", poll.to_query());
         let timeout = poll.wait + Follower::ANSWER_TIMEOUT;
         let request = Request { target: &target, body: b"", max_buffers: DELTA_BUFFERS, timeout };
-        let response = self.call(machine, &request, stock).await?;
+        let response = self.call(machine, &request, resources).await?;
         let head = if response.status == 200 { DELTA_HEAD_BYTES } else { NO_CONTENT_BYTES };
         status.count_call(target.len() + REQUEST_HEAD_BYTES, response.body.len() + head);
         match response.status {
--- a/crates/sidecar/src/control/followers.rs
+++ b/crates/sidecar/src/control/followers.rs
@@ -100,7 +100,7 @@
     let regions = regions_of(&machines);
     let executor = LocalExecutor::new();
     let (clock, mut statuses) = (Clock::start(), Vec::new());
-    let stock = ResourcePool::buffers_only(CONCURRENT_ANSWERS * ANSWER_BUFFERS);
+    let resources = ResourcePool::buffers_only(CONCURRENT_ANSWERS * ANSWER_BUFFERS);
     for number in 0..count {
         let (scope, name) = (format!("s{}", number % scopes), format!("{prefix}{number}"));
         let region = &regions[(number / scopes) as usize % regions.len()];
@@ -111,7 +111,7 @@
             follower: Follower::new(&scope, &name, &machines, region, seed),
             host: PrintingHost { number },
             clock: clock.clone(),
-            stock: Rc::clone(&stock),
+            resources: Rc::clone(&resources),
             cache: None,
             status,
         };
--- a/crates/sidecar/src/control/host.rs
+++ b/crates/sidecar/src/control/host.rs
@@ -18,7 +18,7 @@
 pub struct SidecarHost {
     live: RuntimeSettings,
     queue: EventQueue,
-    callers: Rc<ClientSide>,
+    clients: Rc<ClientSide>,
     discovery: Sender<Option<SocketAddr>>,
     /// Notified once the owner has taken the last version.
     applied: Option<Receiver<()>>,
@@ -29,10 +29,10 @@
     pub fn new(
         configuration: &Configuration,
         queue: EventQueue,
-        callers: Rc<ClientSide>,
+        clients: Rc<ClientSide>,
         discovery: Sender<Option<SocketAddr>>,
     ) -> SidecarHost {
-        SidecarHost { live: RuntimeSettings::new(configuration), queue, callers, discovery, applied: None }
+        SidecarHost { live: RuntimeSettings::new(configuration), queue, clients, discovery, applied: None }
     }
 }
 
@@ -46,7 +46,7 @@
         let Ok(changed) = self.live.read(contents) else { return };
         let RuntimeChange { classes: verbs, discovery, .. } = &changed;
         let (notify, applied) = async_channel::bounded(1);
-        self.callers.set_time_limits(verbs.iter().map(|verb| verb.time_limit).collect());
+        self.clients.set_time_limits(verbs.iter().map(|verb| verb.time_limit).collect());
         let _ = self.discovery.try_send(*discovery);
         self.queue.push(Event::SettingsChanged(Box::new(changed), notify));
         self.applied = Some(applied);
--- a/crates/sidecar/src/control/machine/mod.rs
+++ b/crates/sidecar/src/control/machine/mod.rs
@@ -76,7 +76,7 @@
     /// The store's digest; none where it has changed since it was computed.
     digest: Cell<Option<u128>>,
     waiting: RefCell<WaitingPolls>,
-    stock: Rc<ResourcePool>,
+    resources: Rc<ResourcePool>,
     connections: Cell<usize>,
     max_connections: usize,
     peers: Vec<Peer>,
@@ -95,7 +95,7 @@
         store: RefCell::default(),
         digest: Cell::new(None),
         waiting: RefCell::default(),
-        stock: ResourcePool::buffers_only(BUFFERS),
+        resources: ResourcePool::buffers_only(BUFFERS),
         connections: Cell::new(0),
         max_connections,
         peers,
--- a/crates/sidecar/src/control/machine/peers.rs
+++ b/crates/sidecar/src/control/machine/peers.rs
@@ -137,7 +137,7 @@
         max_buffers: usize,
     ) -> Result<Vec<u8>, CallError> {
         let request = Request { target, body: body.as_bytes(), max_buffers, timeout: ANSWER_TIMEOUT };
-        let response = client.call(peer.address, &request, &self.stock).await?;
+        let response = client.call(peer.address, &request, &self.resources).await?;
         match response.status {
             200 | 204 => Ok(response.body),
             status => Err(CallError::Status(status)),
--- a/crates/sidecar/src/control/machine/report.rs
+++ b/crates/sidecar/src/control/machine/report.rs
@@ -57,7 +57,7 @@
         let target = format!("GET /control/v1/scopes/{scope}?own=1");
         let request =
             Request { target: &target, body: b"", max_buffers: STATUS_BUFFERS, timeout: PEER_TIMEOUT };
-        let response = ControlClient::default().call(peer.address, &request, &self.stock).await?;
+        let response = ControlClient::default().call(peer.address, &request, &self.resources).await?;
         Ok(serde_json::from_slice(&response.body).ok().filter(|_| response.status == 200))
     }
 
@@ -66,7 +66,7 @@
             status.refusals().map(|(name, reason)| (name.clone(), reason.as_str().into())).collect();
         let behind: serde_json::Map<_, _> =
             status.lagging().map(|follower| (follower.name.into(), follower.silent.into())).collect();
-        let kept: Vec<String> = status.history.iter().map(Version::to_string).collect();
+        let history: Vec<String> = status.history.iter().map(Version::to_string).collect();
         let report = json!({
             "scope": status.scope,
             "version": status.version,
@@ -74,7 +74,7 @@
             "acknowledged": status.acknowledged(),
             "refused": refused,
             "behind_and_silent": behind,
-            "kept": kept,
+            "kept": history,
             "machines": self.peers.len() + 1,
             "machines_heard": answered,
         });
--- a/crates/sidecar/src/control/snapshot_cache.rs
+++ b/crates/sidecar/src/control/snapshot_cache.rs
@@ -27,32 +27,32 @@
         // One byte more than a snapshot may have: the follower refuses what is too long.
         let restored = match storage::read_prefix(&self.path, MAX_DELTA_BYTES as u64 + 1) {
             Ok(bytes) => follower.restore(&bytes, host).map_err(|error| error.to_string()),
-            Err(wrong) => Err(wrong.to_string()),
+            Err(error) => Err(error.to_string()),
         };
         match restored {
             Ok(version) => tracing::info!(%version, "control: restored cached snapshot from {path}"),
-            Err(wrong) => tracing::warn!("control: {path}: {wrong}; the file's configuration is in force"),
+            Err(error) => tracing::warn!("control: {path}: {error}; the file's configuration is in force"),
         }
     }
 
     /// Saves the snapshot in force, unless it is saved or a save is in progress; by a thread, as a slow disk must delay no
     /// request.
     pub fn save(&mut self, follower: &Follower) {
-        let Some(holds) = follower.in_force() else { return };
-        if self.saved == Some(holds.version()) {
+        let Some(in_force) = follower.in_force() else { return };
+        if self.saved == Some(in_force.version()) {
             return;
         }
         let Some(permit) = self.writer.permit() else { return };
-        self.saved = Some(holds.version());
-        let (text, path) = (holds.full_delta().to_json(), self.path.clone());
+        self.saved = Some(in_force.version());
+        let (text, path) = (in_force.full_delta().to_json(), self.path.clone());
         permit.spawn(move || write(&path, text.as_bytes()));
     }
 }
 
 /// Replaces the file at once, so that no reader finds a part of it.
 pub fn write(path: &Path, bytes: &[u8]) {
-    if let Err(wrong) = storage::replace(path, TemporaryName::ExtensionOfProcess, bytes) {
-        tracing::warn!("{}: {wrong}", path.display());
+    if let Err(error) = storage::replace(path, TemporaryName::ExtensionOfProcess, bytes) {
+        tracing::warn!("{}: {error}", path.display());
     }
 }
 
--- a/crates/sidecar/src/control/task.rs
+++ b/crates/sidecar/src/control/task.rs
@@ -48,7 +48,7 @@
     /// The time of refusals and of going back to the first machine.
     pub clock: Clock,
     /// Buffers for answers.
-    pub stock: Rc<ResourcePool>,
+    pub resources: Rc<ResourcePool>,
     /// None where no version outlives the process.
     pub cache: Option<SnapshotCache>,
     /// What the console reports.
@@ -61,21 +61,24 @@
     pub fn for_sidecar(
         configuration: &Configuration,
         queue: EventQueue,
-        callers: Rc<ClientSide>,
+        clients: Rc<ClientSide>,
         discovery: Sender<Option<SocketAddr>>,
     ) -> Option<FollowTask<SidecarHost>> {
-        let ControlSettings { scope, region, machines, cache_file: kept } = configuration.control.as_ref()?;
+        let ControlSettings { scope, region, machines, cache_file } = configuration.control.as_ref()?;
         let mut follower = Follower::new(scope, &configuration.name, machines, region, configuration.seed);
-        let mut host = SidecarHost::new(configuration, queue, callers, discovery);
+        let mut host = SidecarHost::new(configuration, queue, clients, discovery);
         let status = ControlStatus::new(scope);
-        let cache =
-            SnapshotCache::at(kept.as_deref(), configuration.state_folder.as_deref(), &configuration.name);
+        let cache = SnapshotCache::at(
+            cache_file.as_deref(),
+            configuration.state_folder.as_deref(),
+            &configuration.name,
+        );
         if let Some(cache) = &cache {
             cache.restore(&mut follower, &mut host);
             status.applied(&follower);
         }
-        let stock = ResourcePool::buffers_only(ANSWER_BUFFERS);
-        Some(FollowTask { follower, host, clock: configuration.clock.clone(), stock, cache, status })
+        let resources = ResourcePool::buffers_only(ANSWER_BUFFERS);
+        Some(FollowTask { follower, host, clock: configuration.clock.clone(), resources, cache, status })
     }
 }
 
@@ -86,7 +89,8 @@
         loop {
             let Some(machine) = self.follower.machine() else { return };
             self.status.polls(machine);
-            let answer = client.poll(machine, &self.follower.next_poll(), &self.stock, &self.status).await;
+            let answer =
+                client.poll(machine, &self.follower.next_poll(), &self.resources, &self.status).await;
             let now = self.clock.now();
             let Err(error) = self.handle(machine, now, answer, &mut client).await else {
                 failures = 0;
--- a/crates/sidecar/src/counters.rs
+++ b/crates/sidecar/src/counters.rs
@@ -199,8 +199,8 @@
 
 /// Logs every counter that is not zero, in one line.
 pub fn log_all() {
-    let counted = text();
-    let counted = counted.lines().filter(|line| !line.ends_with(" 0"));
-    let counted = counted.map(|line| line.trim_start_matches("landingspread_")).collect::<Vec<_>>().join(" ");
-    tracing::info!("counters: {counted}");
+    let all = text();
+    let nonzero = all.lines().filter(|line| !line.ends_with(" 0"));
+    let nonzero = nonzero.map(|line| line.trim_start_matches("landingspread_")).collect::<Vec<_>>().join(" ");
+    tracing::info!("counters: {nonzero}");
 }
--- a/crates/sidecar/src/handover/maintenance_record.rs
+++ b/crates/sidecar/src/handover/maintenance_record.rs
@@ -98,7 +98,7 @@
 pub struct MaintenanceRecord {
     path: PathBuf,
     /// The file's state when it was last read or written; None where there was none.
-    seen: Option<FileStamp>,
+    last_stamp: Option<FileStamp>,
     pub entries: MaintenanceEntries,
 }
 
@@ -106,7 +106,7 @@
     /// Reads the record of a sidecar, if there is one.
     pub fn open(folder: &Path, name: &str) -> MaintenanceRecord {
         let path = folder.join(format!("{}.maintenance", storage::file_name_of(name)));
-        let mut record = MaintenanceRecord { path, seen: None, entries: MaintenanceEntries::new() };
+        let mut record = MaintenanceRecord { path, last_stamp: None, entries: MaintenanceEntries::new() };
         record.refresh();
         record
     }
@@ -119,10 +119,10 @@
     /// Reads the file if it has changed. Whether it had.
     pub fn refresh(&mut self) -> bool {
         let stamp = self.stamp();
-        if stamp == self.seen {
+        if stamp == self.last_stamp {
             return false;
         }
-        self.seen = stamp;
+        self.last_stamp = stamp;
         match self.read() {
             Ok(entries) => self.entries = entries,
             // The entries read before stay in force: maintenance must not end by a torn file.
@@ -161,7 +161,7 @@
         let file = RecordFile { version: VERSION, entries };
         storage::replace(&self.path, TemporaryName::Suffix, &serde_json::to_vec(&file)?)?;
         self.entries = file.entries;
-        self.seen = self.stamp();
+        self.last_stamp = self.stamp();
         Ok(())
     }
 }
--- a/crates/sidecar/src/hollow.rs
+++ b/crates/sidecar/src/hollow.rs
@@ -93,10 +93,10 @@
         let text = std::fs::read_to_string(template);
         let text = text.map_err(|error| HollowError::Template { path: template.into(), error })?;
         let file = template.display().to_string();
-        let launch = |number| {
-            let launch = configuration::parse(&file, &self.configuration(&text, number));
-            launch.map_err(|fault| HollowError::Configuration(fault.to_string()))
+        let configuration_of = |number| {
+            let parsed = configuration::parse(&file, &self.configuration(&text, number));
+            parsed.map_err(|error| HollowError::Configuration(error.to_string()))
         };
-        (first..end).map(launch).collect()
+        (first..end).map(configuration_of).collect()
     }
 }
--- a/crates/sidecar/src/net/clients/connection.rs
+++ b/crates/sidecar/src/net/clients/connection.rs
@@ -65,7 +65,7 @@
         );
         must_hold!(
             Closing,
-            !(answer_owed && ahead.holds_whole_request()),
+            !(answer_owed && ahead.has_complete_request()),
             "closed as {} over a request",
             reason.name()
         );
@@ -87,13 +87,13 @@
         };
         let (mut message, parsed) = self.read_or_reject(stream, buffer, connected_at).await?;
         let surplus = if message.is_complete() { message.surplus().len() } else { 0 };
-        let arrived_at = ahead.message_came(message.take_bytes_read(), surplus);
+        let arrived_at = ahead.message_arrived(message.take_bytes_read(), surplus);
         if message.is_complete() {
             ahead.add(message.surplus());
             message.drop_surplus();
         }
         let keep = self.may_keep_alive(&message, crowded, ahead);
-        let kept = match parsed {
+        let outcome = match parsed {
             ParsedMessage::Health if self.shutdown_deadline.get().is_some() => {
                 let _ = self.reject(stream, &rejection(503, "ending"), false).await;
                 Err(CloseReason::Shutdown)
@@ -115,6 +115,6 @@
                 self.serve_request(stream, request, message, arrived_at, crowded, ahead).await
             }
         };
-        if ahead.is_lost() { kept.and(Err(CloseReason::Crowded)) } else { kept }
+        if ahead.is_lost() { outcome.and(Err(CloseReason::Crowded)) } else { outcome }
     }
 }
--- a/crates/sidecar/src/net/clients/exchange.rs
+++ b/crates/sidecar/src/net/clients/exchange.rs
@@ -76,12 +76,12 @@
         };
         let keep = self.may_keep_alive(&message, crowded, ahead);
         let written = self.write_final(stream, response, verb, keep, message.http_minor).await;
-        let kept = written.and(keep);
+        let outcome = written.and(keep);
         // Behind a part of a response, or with nobody there, there is nothing that a reset could discard.
-        if !matches!(kept, Ok(()) | Err(CloseReason::ResponseBroken | CloseReason::ClientLeft)) {
+        if !matches!(outcome, Ok(()) | Err(CloseReason::ResponseBroken | CloseReason::ClientLeft)) {
             self.linger(stream).await;
         }
-        kept
+        outcome
     }
 
     /// When a request is due whose last byte arrived at `arrived_at`.
@@ -143,10 +143,10 @@
                 let _ = upload.events.send(BodyEvent::Complete(self.clock.instant(deadline))).await;
                 Ok(())
             };
-            or(end, client_gone(stream)).await?;
+            or(end, client_disconnected(stream)).await?;
         }
         // During a shutdown, whatever is read would have to be answered too.
-        ahead.until_gone(stream, || !self.closing_connections.get()).await;
+        ahead.until_disconnected(stream, || !self.closing_connections.get()).await;
         Err(HttpError::Closed)
     }
 
@@ -178,7 +178,7 @@
             let read = timeout(STALL_TIMEOUT, message.read_more(stream)).await;
             read.unwrap_or(Err(HttpError::TimedOut))?;
             let surplus = if message.is_complete() { message.surplus().len() } else { 0 };
-            arrived_at = ahead.message_came(message.take_bytes_read(), surplus);
+            arrived_at = ahead.message_arrived(message.take_bytes_read(), surplus);
             if message.is_complete() {
                 ahead.add(message.surplus());
                 message.drop_surplus();
@@ -193,14 +193,14 @@
                 Ok(())
             };
             // Where nothing is taken nothing is read, and the client's leaving would not be seen.
-            or(pass_on, client_gone(stream)).await?;
+            or(pass_on, client_disconnected(stream)).await?;
         }
         Ok(arrived_at)
     }
 }
 
 /// Ends with the client's connection, as seen without reading from it.
-async fn client_gone(stream: &Async<TcpStream>) -> Result<(), HttpError> {
+async fn client_disconnected(stream: &Async<TcpStream>) -> Result<(), HttpError> {
     leaving::until_ended(stream).await;
     Err(HttpError::Closed)
 }
--- a/crates/sidecar/src/net/clients/read.rs
+++ b/crates/sidecar/src/net/clients/read.rs
@@ -183,7 +183,7 @@
         match () {
             () if !message.is_complete() => Err(CloseReason::BadRequest),
             () if !message.keep_alive => Err(CloseReason::ClientAsked),
-            () if ahead.holds_whole_request() => Ok(()),
+            () if ahead.has_complete_request() => Ok(()),
             () if self.closing_connections.get() => Err(CloseReason::Shutdown),
             () if crowded || ahead.is_lost() => Err(CloseReason::Crowded),
             () => Ok(()),
--- a/crates/sidecar/src/net/discovery.rs
+++ b/crates/sidecar/src/net/discovery.rs
@@ -130,7 +130,7 @@
             match error {
                 DiscoveryError::Overloaded => {
                     self.wait = (self.wait * 2).min(MAX_OVERLOADED_WAIT);
-                    self.queue.push(Event::ListPollRefused);
+                    self.queue.push(Event::ListPollRejected);
                 }
                 _ => self.queue.push(Event::ListPollFailed),
             }
@@ -152,10 +152,10 @@
     }
 
     /// One poll, on the connection that is kept if there is one.
-    async fn poll(&self, kept: &mut Option<Async<TcpStream>>) -> Result<Catalog, DiscoveryError> {
+    async fn poll(&self, idle_connection: &mut Option<Async<TcpStream>>) -> Result<Catalog, DiscoveryError> {
         // The time of a slow connect is taken off the poll's wait.
         let begun = Instant::now();
-        let connection = match kept.take() {
+        let connection = match idle_connection.take() {
             Some(connection) => connection,
             None => in_time(CONNECT_TIMEOUT, Async::<TcpStream>::connect(self.address)).await?,
         };
@@ -179,7 +179,7 @@
         let value = value.map_err(DiscoveryError::InvalidJson)?;
         let list = Catalog::parse(&value, &self.zones, &self.clock);
         let list = list.map_err(DiscoveryError::InvalidList)?;
-        *kept = keep_alive.then_some(connection);
+        *idle_connection = keep_alive.then_some(connection);
         Ok(list)
     }
 
--- a/crates/sidecar/src/net/http/http_tests.rs
+++ b/crates/sidecar/src/net/http/http_tests.rs
@@ -17,7 +17,7 @@
 }
 
 /// What comes of these bytes, written in pieces to a real socket that is closed after them.
-fn heard(bytes: &[u8], pieces: usize, of_request: bool) -> Result<(Vec<u8>, bool), HttpError> {
+fn received(bytes: &[u8], pieces: usize, of_request: bool) -> Result<(Vec<u8>, bool), HttpError> {
     let (mut near, far) = pair();
     let bytes = bytes.to_vec();
     let writer = std::thread::spawn(move || {
@@ -25,13 +25,13 @@
             let _ = near.write_all(piece);
         }
     });
-    let stock = ResourcePool::with_limits(64, 16);
-    let buffer = stock.buffer().expect("a buffer");
+    let resources = ResourcePool::with_limits(64, 16);
+    let buffer = resources.buffer().expect("a buffer");
     let read = async {
         let parse = if of_request { ParsedHead::of_request } else { ParsedHead::of_response };
-        let mut coming = IncomingMessage::read_message(&far, buffer, parse, &|| ()).await?;
-        coming.read_to_end(&far, &stock, MAX_BUFFERED_BODY).await?;
-        Ok(coming)
+        let mut message = IncomingMessage::read_message(&far, buffer, parse, &|| ()).await?;
+        message.read_to_end(&far, &resources, MAX_BUFFERED_BODY).await?;
+        Ok(message)
     };
     let message = block_on(read);
     drop(far);
@@ -58,9 +58,9 @@
             bytes.extend_from_slice(b"\r\n");
         }
         bytes.extend_from_slice(b"0\r\nTrailer: 1\r\n\r\n");
-        let (heard, keep) = heard(&bytes, pieces, false).expect("a whole answer");
+        let (received, keep) = received(&bytes, pieces, false).expect("a whole answer");
         prop_assert!(keep);
-        prop_assert_eq!(heard, body);
+        prop_assert_eq!(received, body);
         Ok(())
     });
 }
@@ -71,7 +71,7 @@
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
         let mut bytes = head.into_bytes();
         bytes.extend(std::iter::repeat_n(b'x', cut.min(length - 1)));
-        prop_assert!(matches!(heard(&bytes, 3, false), Err(HttpError::Closed | HttpError::Broken)));
+        prop_assert!(matches!(received(&bytes, 3, false), Err(HttpError::Closed | HttpError::Broken)));
         Ok(())
     });
 }
@@ -82,7 +82,7 @@
     let heads = ["", "GET / HTTP/1.1\r\n", "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"];
     run((0..heads.len(), noise, 1usize..4), |(head, noise, pieces)| {
         let bytes = [heads[head].as_bytes(), &noise].concat();
-        if let Ok((body, _)) = heard(&bytes, pieces, true) {
+        if let Ok((body, _)) = received(&bytes, pieces, true) {
             prop_assert!(body.len() <= bytes.len());
         }
         Ok(())
@@ -94,7 +94,7 @@
     for (length, pieces) in [(MAX_BUFFERED_BODY, 1), (MAX_BUFFERED_BODY, 7), (MAX_BUFFERED_BODY + 1, 1)] {
         let head = format!("POST /a HTTP/1.1\r\nContent-Length: {length}\r\n\r\n");
         let bytes = [head.as_bytes(), &vec![b'x'; length]].concat();
-        match heard(&bytes, pieces, true) {
+        match received(&bytes, pieces, true) {
             Ok((body, keep)) => assert!(keep && body.len() == MAX_BUFFERED_BODY),
             Err(bad) => assert!(length > MAX_BUFFERED_BODY && matches!(bad, HttpError::TooLarge)),
         }
@@ -110,27 +110,28 @@
         let chunks: Vec<u8> = body.chunks(size).flat_map(chunk).collect();
         [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", &chunks[..], b"0\r\nA: b\r\n\r\n"].concat()
     };
-    let told = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-    let told = [told.as_bytes(), &body].concat();
+    let with_length = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
+    let with_length = [with_length.as_bytes(), &body].concat();
     let to_end = [b"HTTP/1.1 200 OK\r\n\r\n", &body[..]].concat();
-    for (bytes, keep) in [(told, true), (chunked(11), true), (chunked(70_001), true), (to_end, false)] {
+    for (bytes, keep) in [(with_length, true), (chunked(11), true), (chunked(70_001), true), (to_end, false)]
+    {
         let (near, far) = pair();
         let writer = std::thread::spawn(move || (&near).write_all(&bytes).is_ok());
-        let stock = ResourcePool::buffers_only(2);
-        let buffer = stock.buffer().expect("a buffer");
-        let (heard, kept) = block_on(async {
-            let mut coming = IncomingMessage::read_response(&far, buffer).await.expect("a head");
-            let mut heard = Vec::new();
-            while !coming.is_complete() {
-                for piece in coming.take_parts(&stock).await {
-                    heard.extend_from_slice(piece.bytes());
+        let resources = ResourcePool::buffers_only(2);
+        let buffer = resources.buffer().expect("a buffer");
+        let (received, kept_alive) = block_on(async {
+            let mut message = IncomingMessage::read_response(&far, buffer).await.expect("a head");
+            let mut received = Vec::new();
+            while !message.is_complete() {
+                for piece in message.take_parts(&resources).await {
+                    received.extend_from_slice(piece.bytes());
                 }
-                coming.read_more(&far).await.expect("the rest");
+                message.read_more(&far).await.expect("the rest");
             }
-            heard.extend(coming.body_bytes());
-            (heard, coming.keep_alive)
+            received.extend(message.body_bytes());
+            (received, message.keep_alive)
         });
-        assert!(heard == body && kept == keep);
+        assert!(received == body && kept_alive == keep);
         drop(far);
         writer.join().expect("the writer ends");
     }
@@ -141,8 +142,8 @@
     let interim = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
     let text = format!("{interim}HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc");
     for pieces in 1..9 {
-        let heard = heard(text.as_bytes(), pieces, false).expect("the real answer");
-        assert_eq!(heard, (b"abc".to_vec(), true));
+        let received = received(text.as_bytes(), pieces, false).expect("the real answer");
+        assert_eq!(received, (b"abc".to_vec(), true));
     }
 }
 
@@ -154,13 +155,13 @@
     for extra in codings.iter().chain(&lengths) {
         for text in [format!("Content-Length: 3\r\n{extra}"), format!("{extra}\r\nContent-Length: 3")] {
             let text = format!("POST /a HTTP/1.1\r\n{text}\r\n\r\nabc");
-            assert!(matches!(heard(text.as_bytes(), 1, true), Err(HttpError::Malformed)), "{extra}");
+            assert!(matches!(received(text.as_bytes(), 1, true), Err(HttpError::Malformed)), "{extra}");
         }
     }
     for version in ["1.0", "1.1"] {
         let coding = if version == "1.0" { "chunked" } else { "gzip, chunked" };
         let text = format!("POST /a HTTP/{version}\r\nTransfer-Encoding: {coding}\r\n\r\n0\r\n\r\n");
-        assert!(matches!(heard(text.as_bytes(), 1, true), Err(HttpError::Malformed)), "{coding}");
+        assert!(matches!(received(text.as_bytes(), 1, true), Err(HttpError::Malformed)), "{coding}");
     }
 }
 
@@ -178,12 +179,12 @@
             let (near, far) = pair();
             let bytes = bytes.clone();
             let writer = std::thread::spawn(move || (&near).write_all(&bytes).is_ok());
-            let stock = ResourcePool::with_limits(64, 16);
-            match block_on(read_buffered_response(&far, &stock, most)) {
+            let resources = ResourcePool::with_limits(64, 16);
+            match block_on(read_buffered_response(&far, &resources, most)) {
                 Ok((status, keep, mut long)) => {
-                    let mut heard = Vec::new();
-                    io::Read::read_to_end(&mut long, &mut heard).expect("from memory");
-                    assert!(most == 100 && heard == body && keep && status == Some(200));
+                    let mut received = Vec::new();
+                    io::Read::read_to_end(&mut long, &mut received).expect("from memory");
+                    assert!(most == 100 && received == body && keep && status == Some(200));
                 }
                 Err(bad) => assert!(most == 50 && matches!(bad, HttpError::TooLarge)),
             }
--- a/crates/sidecar/src/net/http/message.rs
+++ b/crates/sidecar/src/net/http/message.rs
@@ -149,20 +149,20 @@
         if (self.full_parts.len() + 1) * BUFFER_SIZE >= max {
             return false;
         }
-        let Some(fresh) = pool.buffer() else { return false };
-        let part = self.swap_buffer(fresh);
+        let Some(replacement) = pool.buffer() else { return false };
+        let part = self.swap_buffer(replacement);
         self.full_parts.push(part);
         true
     }
 
     /// Takes the decoded bytes of the current buffer and goes on with another one.
-    fn swap_buffer(&mut self, mut fresh: Buffer) -> BodyPart {
+    fn swap_buffer(&mut self, mut replacement: Buffer) -> BodyPart {
         // The end of the buffer may cut a chunk size: bytes that are not decoded move to the new buffer.
         let rest = &self.buffer.filled()[self.decoder.end..];
-        fresh.spare()[..rest.len()].copy_from_slice(rest);
-        fresh.fill(rest.len());
+        replacement.spare()[..rest.len()].copy_from_slice(rest);
+        replacement.fill(rest.len());
         let range = 0..std::mem::take(&mut self.decoder.end);
-        BodyPart { buffer: std::mem::replace(&mut self.buffer, fresh), range }
+        BodyPart { buffer: std::mem::replace(&mut self.buffer, replacement), range }
     }
 
     /// Reads what the connection has. There must be room, see `ensure_room`.
@@ -179,8 +179,8 @@
             let range = 0..std::mem::take(&mut self.decoder.end);
             taken.push(BodyPart { buffer: std::mem::replace(&mut self.buffer, Buffer::none(pool)), range });
         } else if self.decoder.end > 0 {
-            let fresh = pool.buffer_in_turn().await;
-            taken.push(self.swap_buffer(fresh));
+            let replacement = pool.buffer_in_turn().await;
+            taken.push(self.swap_buffer(replacement));
         }
         taken
     }
--- a/crates/sidecar/src/net/owner/event.rs
+++ b/crates/sidecar/src/net/owner/event.rs
@@ -53,7 +53,7 @@
     ListReceived(Catalog),
     ListPollFailed,
     /// Discovery has too many polls and refused this one.
-    ListPollRefused,
+    ListPollRejected,
     /// Quotas and verbs from now on; the sender is notified once the decisions have them.
     SettingsChanged(Box<RuntimeChange>, Sender<()>),
     /// The process shuts down: all open requests have their final response by this time.
--- a/crates/sidecar/src/net/owner/event_loop.rs
+++ b/crates/sidecar/src/net/owner/event_loop.rs
@@ -52,7 +52,7 @@
     policy: Policy<DecisionHost>,
     clock: Clock,
     /// What an earlier process learned, until a whole endpoint list has arrived.
-    before: RestoredState,
+    restored: RestoredState,
     operators: OperatorChannels,
     fleet: Option<fleet::DecisionLink>,
     /// When this copy's view of the zones is next reported to the fleet.
@@ -81,17 +81,17 @@
     let table = Rc::new(RefCell::new(table));
     let policy =
         Policy::start(DecisionHost(table.clone()), configuration.policy, configuration.seed, clock.now());
-    let before = configuration
+    let restored = configuration
         .statistics_file
         .as_ref()
         .map(|path| statistics_file::restore(path, &deployment, &clock));
-    let before = before.unwrap_or_default();
+    let restored = restored.unwrap_or_default();
     table.borrow().services.start.stored_files_read();
     let (save_at, save_to) = (clock.now() + FIRST_SAVE_AFTER, configuration.statistics_file);
     let mut event_loop = EventLoop {
         table,
         policy,
-        before,
+        restored,
         operators,
         fleet,
         zones_reported_at: clock.now(),
@@ -110,11 +110,11 @@
     /// What operators told an earlier process is in force before the first list is taken in.
     fn restore_operator_orders(&mut self) {
         let now = self.clock.now();
-        self.before.known_ids.iter().for_each(|server| self.policy.restore_known_server(server));
-        for (server, word) in std::mem::take(&mut self.operators.recorded) {
+        self.restored.known_ids.iter().for_each(|server| self.policy.restore_known_server(server));
+        for (server, entry) in std::mem::take(&mut self.operators.recorded) {
             let id = Id::from(server);
             self.policy.restore_known_server(&id);
-            if word.in_maintenance {
+            if entry.in_maintenance {
                 self.policy.exclude_server(now, &id);
             }
         }
@@ -125,7 +125,7 @@
         let known = self.table.borrow_mut().update_servers(list);
         let now = self.clock.now();
         self.policy.endpoint_list_cached(now, &known);
-        self.policy.restore_statistics(now, &self.before.statistics);
+        self.policy.restore_statistics(now, &self.restored.statistics);
     }
 
     async fn run(mut self, events: Receiver<Event>) {
@@ -175,21 +175,21 @@
 
     fn operator_order(&mut self, order: MaintenanceOrder) {
         let (now, id) = (self.clock.now(), Id::from(order.server));
-        if order.recorded.is_some() {
+        if order.recorded_age.is_some() {
             self.policy.restore_known_server(&id);
         }
-        let known = if order.out {
+        let known = if order.in_maintenance {
             self.policy.exclude_server(now, &id)
         } else {
-            let since = now.saturating_sub(order.recorded.unwrap_or_default());
+            let since = now.saturating_sub(order.recorded_age.unwrap_or_default());
             self.policy.include_server(now, &id, since)
         };
-        if order.out {
+        if order.in_maintenance {
             self.table.borrow_mut().cancel_unwritten_to(&id);
         }
         // Connections to a server that is restarted are of no more use.
         self.table.borrow().services.pool.forget(&id);
-        let _ = order.known.try_send(known);
+        let _ = order.responder.try_send(known);
     }
 
     fn fleet_size_changed(&mut self, replicas: &ReplicaView) {
@@ -251,7 +251,7 @@
             Event::ListReceived(list) => self.list_received(now, list),
             Event::PeerMessage(peer, message) => self.peer_message(now, peer, &message),
             Event::ListPollFailed => self.policy.discovery_poll_failed(now),
-            Event::ListPollRefused => self.policy.discovery_poll_rejected(now),
+            Event::ListPollRejected => self.policy.discovery_poll_rejected(now),
             Event::SettingsChanged(changed, applied) => {
                 self.policy.settings_changed(now, &changed.quotas, &changed.classes);
                 let _ = applied.try_send(());
@@ -267,18 +267,18 @@
         let entries = self.table.borrow_mut().update_servers(list);
         if complete {
             self.policy.endpoint_list_received(now, &entries);
-            self.policy.restore_statistics(now, &std::mem::take(&mut self.before.statistics));
+            self.policy.restore_statistics(now, &std::mem::take(&mut self.restored.statistics));
         } else {
             self.policy.endpoint_list_changed(now, &entries);
         }
     }
 
     fn peer_message(&mut self, now: Duration, peer: u32, message: &[u8]) {
-        let before = self.policy.ignored_messages().all();
+        let ignored_before = self.policy.ignored_messages().all();
         self.policy.peer_message_received(now, peer, message);
         let IgnoredMessages { malformed, unknown_server } = self.policy.ignored_messages();
         // Logged at 1, 2, 4, 8 and so on: a peer of another version sends such messages all day.
-        if (before + 1..=malformed + unknown_server).any(u64::is_power_of_two) {
+        if (ignored_before + 1..=malformed + unknown_server).any(u64::is_power_of_two) {
             tracing::warn!(malformed, unknown_server, peer, "messages of peers were ignored");
         }
     }
--- a/crates/sidecar/src/net/owner/request_table.rs
+++ b/crates/sidecar/src/net/owner/request_table.rs
@@ -273,9 +273,9 @@
             if lifecycle == Lifecycle::Removed {
                 pool.forget(server);
             }
-            let before = servers.remove(server);
-            let before = before.as_ref().or(old.get(server));
-            let moved = before.is_some_and(|before| before.address != entry.address);
+            let previous = servers.remove(server);
+            let previous = previous.as_ref().or(old.get(server));
+            let moved = previous.is_some_and(|previous| previous.address != entry.address);
             let known = KnownServer {
                 address: entry.address,
                 location: Location { zone: entry.listed.zone, cell: entry.listed.cell },
--- a/crates/sidecar/src/net/peers_tests.rs
+++ b/crates/sidecar/src/net/peers_tests.rs
@@ -23,21 +23,21 @@
     let (queue, words) = owner::queue();
     let executor = LocalExecutor::new();
     executor.spawn(second.clone().receive(queue)).detach();
-    let heard = async {
-        let mut heard = Vec::new();
-        while heard.len() < 2 {
-            if let Ok(Event::PeerMessage(peer, said)) = words.recv().await {
-                heard.push((peer, said));
+    let received = async {
+        let mut received = Vec::new();
+        while received.len() < 2 {
+            if let Ok(Event::PeerMessage(peer, message)) = words.recv().await {
+                received.push((peer, message));
             }
         }
-        heard
+        received
     };
     let late = async {
         async_io::Timer::after(std::time::Duration::from_secs(5)).await;
-        panic!("not both were heard");
+        panic!("not both were received");
     };
-    let heard = async_io::block_on(executor.run(or(heard, late)));
-    assert_eq!(heard, [(0, b"one".to_vec()), (2, b"two".to_vec())]);
+    let received = async_io::block_on(executor.run(or(received, late)));
+    assert_eq!(received, [(0, b"one".to_vec()), (2, b"two".to_vec())]);
     assert!(words.is_empty());
     assert_eq!(second.dropped.get(), 2, "the stranger's and the long one are counted");
     // Nothing takes them off the queue: it stays within its bound.
--- a/crates/sidecar/src/net/read_ahead.rs
+++ b/crates/sidecar/src/net/read_ahead.rs
@@ -16,13 +16,13 @@
 use std::time::Duration;
 
 /// How many arrival times are told apart on one connection.
-const MAX_MARKS: usize = 64;
+const MAX_ARRIVALS: usize = 64;
 /// How many bytes are read at a time.
 const READ_SIZE: usize = 1024;
 
 /// All bytes of a connection up to this offset had arrived at this time.
 #[derive(Clone, Copy)]
-struct Mark {
+struct Arrival {
     offset: u64,
     at: Duration,
 }
@@ -32,44 +32,44 @@
     /// How many bytes were read.
     read: u64,
     /// By rising offset and time.
-    marks: VecDeque<Mark>,
+    recorded: VecDeque<Arrival>,
 }
 
 impl Arrivals {
     fn new() -> Arrivals {
-        Arrivals { read: 0, marks: VecDeque::new() }
+        Arrivals { read: 0, recorded: VecDeque::new() }
     }
 
     /// `count` bytes were read just now.
     fn read_now(&mut self, count: usize, now: Duration) {
         self.read += count as u64;
-        self.mark(self.read, now);
+        self.record(self.read, now);
     }
 
     /// The system has `count` bytes that are not read yet.
     fn unread_now(&mut self, count: u64, now: Duration) {
-        self.mark(self.read + count, now);
+        self.record(self.read + count, now);
     }
 
-    fn mark(&mut self, offset: u64, now: Duration) {
-        if self.marks.back().is_some_and(|last| last.offset >= offset) {
+    fn record(&mut self, offset: u64, now: Duration) {
+        if self.recorded.back().is_some_and(|last| last.offset >= offset) {
             return;
         }
-        let full = self.marks.len() >= MAX_MARKS;
-        match self.marks.back_mut().filter(|_| full) {
+        let full = self.recorded.len() >= MAX_ARRIVALS;
+        match self.recorded.back_mut().filter(|_| full) {
             // Too many to tell apart: bytes count as older than they are, never as younger.
             Some(last) => last.offset = offset,
-            None => self.marks.push_back(Mark { offset, at: now }),
+            None => self.recorded.push_back(Arrival { offset, at: now }),
         }
     }
 
     /// When the last byte arrived behind which `surplus` bytes were read. Earlier arrivals are forgotten.
     fn arrival_before(&mut self, surplus: usize, now: Duration) -> Duration {
         let offset = self.read.saturating_sub(surplus as u64);
-        while self.marks.len() > 1 && self.marks.front().is_some_and(|first| first.offset < offset) {
-            self.marks.pop_front();
+        while self.recorded.len() > 1 && self.recorded.front().is_some_and(|first| first.offset < offset) {
+            self.recorded.pop_front();
         }
-        self.marks.front().filter(|first| first.offset >= offset).map_or(now, |first| first.at)
+        self.recorded.front().filter(|first| first.offset >= offset).map_or(now, |first| first.at)
     }
 }
 
@@ -97,7 +97,7 @@
 
     /// A message has just arrived completely, or as far as it is buffered: `read` bytes were read for it, `surplus` of them
     /// lie behind it. Returns when its last byte arrived.
-    pub fn message_came(&self, read: usize, surplus: usize) -> Duration {
+    pub fn message_arrived(&self, read: usize, surplus: usize) -> Duration {
         let now = self.clock.now();
         let mut arrivals = self.arrivals.borrow_mut();
         if read > 0 {
@@ -115,9 +115,9 @@
         if stored.is_none() {
             *stored = self.resources.buffer();
         }
-        let room = stored.as_mut().and_then(|buffer| buffer.spare().get_mut(..bytes.len()));
-        match room {
-            Some(room) => room.copy_from_slice(bytes),
+        let space = stored.as_mut().and_then(|buffer| buffer.spare().get_mut(..bytes.len()));
+        match space {
+            Some(space) => space.copy_from_slice(bytes),
             None => return self.lost.set(true),
         }
         stored.iter_mut().for_each(|buffer| buffer.fill(bytes.len()));
@@ -139,13 +139,13 @@
     }
 
     /// Whether what is stored begins with a complete request.
-    pub fn holds_whole_request(&self) -> bool {
+    pub fn has_complete_request(&self) -> bool {
         !self.lost.get()
             && self.bytes.borrow().as_ref().is_some_and(|bytes| http::is_complete_request(bytes.filled()))
     }
 
     /// How much more can be stored; nothing where the buffer is full or none is free.
-    fn room(&self) -> usize {
+    fn free_space(&self) -> usize {
         let mut stored = self.bytes.borrow_mut();
         if stored.is_none() {
             *stored = self.resources.buffer();
@@ -155,10 +155,10 @@
 
     /// Returns when the client has left. What it writes ahead would hide that, so it is read as far as there is room and
     /// `may_read` allows; beyond that, the end of the connection is looked for behind what is not read.
-    pub async fn until_gone(&self, mut stream: &Async<TcpStream>, may_read: impl Fn() -> bool) {
+    pub async fn until_disconnected(&self, mut stream: &Async<TcpStream>, may_read: impl Fn() -> bool) {
         let mut bytes = [0; READ_SIZE];
         while matches!(stream.peek(&mut [0]).await, Ok(1..)) {
-            let max = if may_read() { self.room().min(bytes.len()) } else { 0 };
+            let max = if may_read() { self.free_space().min(bytes.len()) } else { 0 };
             if max == 0 {
                 if leaving::has_ended(stream) {
                     return;
--- a/crates/sidecar/src/net/read_ahead_tests.rs
+++ b/crates/sidecar/src/net/read_ahead_tests.rs
@@ -26,6 +26,6 @@
     for step in 0..1000 {
         arrivals.read_now(10, at(step));
     }
-    assert_eq!(arrivals.marks.len(), MAX_MARKS);
-    assert_eq!(arrivals.arrival_before(0, at(1000)), at(MAX_MARKS as u64 - 1));
+    assert_eq!(arrivals.recorded.len(), MAX_ARRIVALS);
+    assert_eq!(arrivals.arrival_before(0, at(1000)), at(MAX_ARRIVALS as u64 - 1));
 }
--- a/crates/sidecar/src/net/statistics_file_tests.rs
+++ b/crates/sidecar/src/net/statistics_file_tests.rs
@@ -28,9 +28,9 @@
 fn read_back(file: &serde_json::Value, name: &str, deployment: &Deployment) -> RestoredState {
     let path = temporary_file(name);
     std::fs::write(&path, file.to_string()).expect("written");
-    let before = restore(&path, deployment, &Clock::start());
+    let restored = restore(&path, deployment, &Clock::start());
     let _ = std::fs::remove_file(path);
-    before
+    restored
 }
 
 #[test]
@@ -50,17 +50,17 @@
 
 #[test]
 fn files_of_earlier_releases_are_read() {
-    let servers = |before: &RestoredState| {
-        before.statistics.iter().map(|one| one.server.to_string()).collect::<Vec<_>>()
+    let servers = |restored: &RestoredState| {
+        restored.statistics.iter().map(|one| one.server.to_string()).collect::<Vec<_>>()
     };
     for (name, configuration) in DEPLOYMENTS {
         let deployment = Deployment::of(&configuration_of(configuration));
-        let before = read_back(&earlier_file(name), name, &deployment);
+        let restored = read_back(&earlier_file(name), name, &deployment);
         let wanted: &[&str] = if name == "every_kind" { &["s1", "s\"2\" é"] } else { &["s1"] };
-        assert_eq!(servers(&before), wanted, "{name}");
-        let named: Vec<String> = before.known_ids.iter().map(ToString::to_string).collect();
+        assert_eq!(servers(&restored), wanted, "{name}");
+        let named: Vec<String> = restored.known_ids.iter().map(ToString::to_string).collect();
         assert_eq!(named, wanted, "{name}");
-        let first = &before.statistics[0];
+        let first = &restored.statistics[0];
         assert_eq!((first.started_at, first.slowness, first.ejected), (None, 1.0, false), "{name}");
         for (_, other) in DEPLOYMENTS.iter().filter(|(other, _)| *other != name) {
             let other = Deployment::of(&configuration_of(other));
@@ -89,9 +89,10 @@
     let mut wanted = earlier_file("plain");
     wanted["settings"] = deployment.settings.clone().into();
     let (path, clock) = (temporary_file("written"), Clock::start());
-    let learnt = [ServerStatistics { server: "s1".into(), started_at: None, slowness: 1.0, ejected: false }];
+    let statistics =
+        [ServerStatistics { server: "s1".into(), started_at: None, slowness: 1.0, ejected: false }];
     let saving = StatisticsWriter::new(deployment);
-    saving.save(path.clone(), &learnt, vec!["s1".into()], &clock);
+    saving.save(path.clone(), &statistics, vec!["s1".into()], &clock);
     while saving.writer.is_busy() {
         std::thread::sleep(Duration::from_millis(1));
     }
--- a/crates/sidecar/src/net/upstream/upstream_tests.rs
+++ b/crates/sidecar/src/net/upstream/upstream_tests.rs
@@ -27,13 +27,13 @@
     let address = listener.local_addr().expect("an address");
     let client = Rc::new(Async::new(TcpStream::connect(address).expect("a client")).expect("a socket"));
     let _ = listener.accept().expect("the client's connection");
-    let stock = ResourcePool::with_limits(64, 16);
+    let resources = ResourcePool::with_limits(64, 16);
     let head = b"POST /confirm HTTP/1.1\r\nContent-Length: 100000\r\n".to_vec();
-    let told = "X-Expires-In-Ms: 1000\r\n\r\n";
-    let size = head.len() + told.len() + BODY;
+    let time_limit = "X-Expires-In-Ms: 1000\r\n\r\n";
+    let size = head.len() + time_limit.len() + BODY;
     let server = std::thread::spawn(move || answers_at_once(&listener, size));
     let (give, next) = async_channel::unbounded();
-    for piece in BodyPart::filled(&stock, BODY) {
+    for piece in BodyPart::filled(&resources, BODY) {
         assert!(give.try_send(BodyEvent::Part(piece)).is_ok(), "room for it");
     }
     let rest = StreamedBody {
@@ -53,9 +53,12 @@
         client: ClientPresence::of(&client),
         guard: AttemptGuard::new(rule),
     };
-    let pool =
-        Rc::new(ConnectionPool::with_timeouts(Duration::from_secs(1), Duration::from_secs(1), stock.clone()));
-    let upstream = Rc::new(UpstreamClient { pool, resources: stock, health_path: "/ping" });
+    let pool = Rc::new(ConnectionPool::with_timeouts(
+        Duration::from_secs(1),
+        Duration::from_secs(1),
+        resources.clone(),
+    ));
+    let upstream = Rc::new(UpstreamClient { pool, resources, health_path: "/ping" });
     let target = Target { server: "s1".into(), address, location: Location { zone: 0, cell: 0 } };
     let stage = Cell::new(AttemptStage::Unwritten);
     let attempt = async {
