--- a/crates/sidecar/src/control/machine/connections.rs
+++ b/crates/sidecar/src/control/machine/connections.rs
@@ -50,7 +50,7 @@
                     executor.spawn(serve).detach();
                 }
                 Err(error) => {
-                    tracing::warn!("accept: {error}");
+                    tracing::warn!("control machine: accept failed: {error}");
                     Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
--- a/crates/sidecar/src/counters.rs
+++ b/crates/sidecar/src/counters.rs
@@ -157,7 +157,7 @@
 
 /// A request had a rejection or a failure as its final response.
 pub fn refused(request: &str, why: RefusalReason) {
-    tracing::debug!(request, reason = why.name(), "refused");
+    tracing::debug!(request, reason = why.name(), "request rejected or failed");
     increment(&REFUSALS[why as usize]);
 }
 
--- a/crates/sidecar/src/fleet/worker.rs
+++ b/crates/sidecar/src/fleet/worker.rs
@@ -50,6 +50,7 @@
 }
 
 impl Worker {
+    /// Serves the fleet: datagrams, tasks and ticks, one after the other. Never returns.
     pub async fn run(mut self, socket: Option<Async<UdpSocket>>, forwarded: Option<Receiver<Vec<u8>>>) {
         let mut buffer = [0; RECEIVE_BYTES];
         let mut tick_at = self.clock.now();
--- a/crates/sidecar/src/handover/maintenance_record.rs
+++ b/crates/sidecar/src/handover/maintenance_record.rs
@@ -125,9 +125,9 @@
         self.last_stamp = stamp;
         match self.read() {
             Ok(entries) => self.entries = entries,
-            // The entries read before stay in force: maintenance must not end by a torn file.
+            // The entries read last stay in force: maintenance must not end by a torn file.
             Err(error) => {
-                tracing::error!("{}: {error}; the entries read before stay in force", self.path.display());
+                tracing::error!("{}: {error}; the entries read last stay in force", self.path.display());
             }
         }
         true
--- a/crates/sidecar/src/hollow.rs
+++ b/crates/sidecar/src/hollow.rs
@@ -65,7 +65,7 @@
 
 impl CopyRange {
     /// The template filled in for one copy.
-    fn configuration(&self, template: &str, number: u32) -> String {
+    fn filled_template(&self, template: &str, number: u32) -> String {
         let index = number - self.base;
         let fleet = index.checked_div(self.fleet_size).unwrap_or(0);
         let start = self.base + fleet * self.fleet_size;
@@ -81,7 +81,7 @@
     }
 
     /// Every copy's configuration, read and checked as an operator's file is.
-    pub fn launches(&self, template: &Path) -> Result<Vec<Configuration>, HollowError> {
+    pub fn configurations(&self, template: &Path) -> Result<Vec<Configuration>, HollowError> {
         let first = self.first;
         if self.zones.is_empty() || first < self.base {
             return Err(HollowError::Range);
@@ -94,7 +94,7 @@
         let text = text.map_err(|error| HollowError::Template { path: template.into(), error })?;
         let file = template.display().to_string();
         let configuration_of = |number| {
-            let parsed = configuration::parse(&file, &self.configuration(&text, number));
+            let parsed = configuration::parse(&file, &self.filled_template(&text, number));
             parsed.map_err(|error| HollowError::Configuration(error.to_string()))
         };
         (first..end).map(configuration_of).collect()
--- a/crates/sidecar/src/net/serve.rs
+++ b/crates/sidecar/src/net/serve.rs
@@ -149,7 +149,9 @@
         }
     };
     let (Some(address), true) = (discovery, watch.is_configured()) else {
-        tracing::info!("SIGHUP: no discovery is configured before or now, nothing to reload");
+        tracing::info!(
+            "SIGHUP: neither the old nor the new configuration has a discovery, nothing to reload"
+        );
         return false;
     };
     tracing::info!(discovery = %address, "SIGHUP: the configuration is read again");
