--- a/crates/sidecar/src/control/host.rs
+++ b/crates/sidecar/src/control/host.rs
@@ -44,9 +44,9 @@
     fn apply(&mut self, _version: &Version, contents: &Contents) {
         // It was checked just now.
         let Ok(changed) = self.live.read(contents) else { return };
-        let RuntimeChange { classes: verbs, discovery, .. } = &changed;
+        let RuntimeChange { classes, discovery, .. } = &changed;
         let (notify, applied) = async_channel::bounded(1);
-        self.clients.set_time_limits(verbs.iter().map(|verb| verb.time_limit).collect());
+        self.clients.set_time_limits(classes.iter().map(|class| class.time_limit).collect());
         let _ = self.discovery.try_send(*discovery);
         self.queue.push(Event::SettingsChanged(Box::new(changed), notify));
         self.applied = Some(applied);
--- a/crates/sidecar/src/control/machine/peers.rs
+++ b/crates/sidecar/src/control/machine/peers.rs
@@ -105,8 +105,8 @@
         let Some(peer) = self.peers.get(number) else { return };
         let (mut client, mut poll_at, mut was_available) = (ControlClient::default(), Instant::now(), None);
         loop {
-            let left = poll_at.saturating_duration_since(Instant::now());
-            let done = match timeout(left, pushes.recv()).await {
+            let remaining = poll_at.saturating_duration_since(Instant::now());
+            let done = match timeout(remaining, pushes.recv()).await {
                 Some(Ok(Push { scope, done })) => {
                     let pushed = self.push(peer, &mut client, &scope).await;
                     pushed.map(|()| _ = done.try_send(()))
--- a/crates/sidecar/src/control/machine/polls.rs
+++ b/crates/sidecar/src/control/machine/polls.rs
@@ -67,13 +67,13 @@
             if let Some(delta) = self.store.borrow().delta_for(&poll) {
                 return Some(Reply::json(200, delta.to_json()));
             }
-            let left = deadline.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return Some(Reply::no_content());
             }
             let notified = self.waiting.borrow_mut().add(&poll.scope);
             let published = async {
-                let _ = timeout(left, notified.recv()).await;
+                let _ = timeout(remaining, notified.recv()).await;
                 Some(())
             };
             // The client sends nothing while it waits: what can be read is its end.
--- a/crates/sidecar/src/control/machine/versions.rs
+++ b/crates/sidecar/src/control/machine/versions.rs
@@ -93,8 +93,8 @@
         drop(done);
         let (deadline, mut count) = (Instant::now() + DISTRIBUTE_TIMEOUT, 1);
         while count <= self.peers.len() {
-            let left = deadline.saturating_duration_since(Instant::now());
-            match timeout(left, acknowledged.recv()).await {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            match timeout(remaining, acknowledged.recv()).await {
                 Some(Ok(())) => count += 1,
                 // No machine is left that could acknowledge it, or the time is over.
                 Some(Err(_)) | None => break,
--- a/crates/sidecar/src/net/clients/exchange.rs
+++ b/crates/sidecar/src/net/clients/exchange.rs
@@ -53,10 +53,10 @@
         } else {
             self.clock.now() + BODY_TIMEOUT
         };
-        let (id, verb, time_limit) = (request.id.clone(), request.verb, request.time_limit);
+        let (id, class, time_limit) = (request.id.clone(), request.class, request.time_limit);
         let arrival = RequestArrival {
             id: id.clone(),
-            class: verb,
+            class,
             deadline,
             body_incomplete: !complete,
             tenant: request.tenant,
@@ -75,7 +75,7 @@
             Err(error) => return Err(self.request_aborted(stream, id, number, error).await),
         };
         let keep = self.may_keep_alive(&message, crowded, ahead);
-        let written = self.write_final(stream, response, verb, keep, message.http_minor).await;
+        let written = self.write_final(stream, response, class, keep, message.http_minor).await;
         let outcome = written.and(keep);
         // Behind a part of a response, or with nobody there, there is nothing that a reset could discard.
         if !matches!(outcome, Ok(()) | Err(CloseReason::ResponseBroken | CloseReason::ClientLeft)) {
@@ -98,11 +98,11 @@
         message: &mut IncomingMessage,
         events: Receiver<BodyEvent>,
     ) -> OutgoingRequest {
-        let Request { id, verb, time_limit, mut head, .. } = request;
+        let Request { id, class, time_limit, mut head, .. } = request;
         let complete = message.is_complete();
-        let run_once = !complete || self.parser.verbs[verb].method != "GET";
+        let run_once = !complete || self.parser.classes[class].method != "GET";
         let (encoding, framing) = match message.length() {
-            Some(0) if self.parser.verbs[verb].method == "GET" => (BodyEncoding::Identity, String::new()),
+            Some(0) if self.parser.classes[class].method == "GET" => (BodyEncoding::Identity, String::new()),
             Some(length) => (BodyEncoding::Identity, format!("Content-Length: {length}\r\n")),
             None => (BodyEncoding::Chunked, "Transfer-Encoding: chunked\r\n".to_string()),
         };
@@ -115,7 +115,7 @@
             time_limit,
             consumed: Cell::new(false),
         });
-        let guard = AttemptGuard::new(self.retry_rules[verb]);
+        let guard = AttemptGuard::new(self.retry_rules[class]);
         OutgoingRequest { id, head, body, rest, run_once, client: ClientPresence::of(stream), guard }
     }
 
--- a/crates/sidecar/src/net/clients/state.rs
+++ b/crates/sidecar/src/net/clients/state.rs
@@ -29,7 +29,7 @@
 pub struct ClientSide {
     pub(super) clock: Clock,
     pub(super) parser: RequestParser,
-    /// The current time limits of the verbs, for requests that have none of their own.
+    /// The current time limits of the request classes, for requests that have none of their own.
     pub(super) time_limits: RefCell<Vec<Duration>>,
     /// What further attempts of each verb's requests go by.
     pub(super) retry_rules: Vec<RetryRule>,
@@ -92,7 +92,7 @@
             hedging: policy.capabilities.hedging,
         };
         let parser = RequestParser {
-            verbs: configuration.classes.clone(),
+            classes: configuration.classes.clone(),
             tenants: configuration.tenants.clone(),
             cost_header: configuration.work_header.clone(),
         };
--- a/crates/sidecar/src/net/clients/write.rs
+++ b/crates/sidecar/src/net/clients/write.rs
@@ -18,13 +18,13 @@
         &self,
         stream: &Async<TcpStream>,
         response: FinalResponse,
-        verb: usize,
+        class: usize,
         keep: Result<(), CloseReason>,
         http_minor: u8,
     ) -> Result<(), CloseReason> {
         match response {
             FinalResponse::Response(response) => {
-                self.pass_on_response(stream, *response, verb, keep, http_minor).await
+                self.pass_on_response(stream, *response, class, keep, http_minor).await
             }
             FinalResponse::Rejected(retry_after) => {
                 let header = retry_after.map(|span| format!("Retry-After: {:.3}\r\n", span.as_secs_f64()));
@@ -40,7 +40,7 @@
         &self,
         stream: &Async<TcpStream>,
         mut response: UpstreamResponse,
-        verb: usize,
+        class: usize,
         keep: Result<(), CloseReason>,
         http_minor: u8,
     ) -> Result<(), CloseReason> {
@@ -57,7 +57,7 @@
         while written && !response.message.is_complete() {
             response.message.discard_buffered();
             if response.read_more().await.is_err() {
-                self.queue.push(Event::ResponseBroke(response.server().clone(), verb));
+                self.queue.push(Event::ResponseBroke(response.server().clone(), class));
                 if ends_connection {
                     // Only a reset tells the client that this is not the end of the response.
                     let _ = rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO));
--- a/crates/sidecar/src/net/leaving.rs
+++ b/crates/sidecar/src/net/leaving.rs
@@ -59,7 +59,7 @@
     }
 
     /// Whether it has left. The end of its connection may show before the event for it has come through the queue.
-    pub fn left(&self) -> bool {
+    pub fn has_left(&self) -> bool {
         match self.stream.upgrade() {
             None => true,
             Some(stream) => self.since.elapsed() > RECENTLY_CHECKED && has_ended(&stream),
--- a/crates/sidecar/src/net/owner/event.rs
+++ b/crates/sidecar/src/net/owner/event.rs
@@ -54,7 +54,7 @@
     ListPollFailed,
     /// Discovery has too many polls and refused this one.
     ListPollRejected,
-    /// Quotas and verbs from now on; the sender is notified once the decisions have them.
+    /// Quotas and request classes from now on; the sender is notified once the decisions have them.
     SettingsChanged(Box<RuntimeChange>, Sender<()>),
     /// The process shuts down: all open requests have their final response by this time.
     ShutdownBy(Duration),
--- a/crates/sidecar/src/net/request.rs
+++ b/crates/sidecar/src/net/request.rs
@@ -27,8 +27,8 @@
 /// A request as its head gives it.
 pub struct Request {
     pub id: Id,
-    /// The number of its verb.
-    pub verb: usize,
+    /// The number of its request class.
+    pub class: usize,
     /// The number of its tenant.
     pub tenant: usize,
     /// How long the client waits, from the request's last byte on.
@@ -47,7 +47,7 @@
 
 /// Parses requests by the settings.
 pub struct RequestParser {
-    pub verbs: Vec<RequestClass>,
+    pub classes: Vec<RequestClass>,
     pub tenants: Vec<String>,
     /// The header in which a request declares its work, if there is one.
     pub cost_header: Option<String>,
@@ -65,9 +65,9 @@
         if method == "GET" && path == "/_health" {
             return Ok(ParsedMessage::Health);
         }
-        let (number, verb) = self.verb(method, path)?;
+        let (number, class) = self.class(method, path)?;
         let header = |name: &str| http::header(head.headers, name);
-        if verb.idempotency_keyed && header("idempotency-key").is_none_or(str::is_empty) {
+        if class.idempotency_keyed && header("idempotency-key").is_none_or(str::is_empty) {
             return Err(rejection(400, "a receipted verb needs an Idempotency-Key"));
         }
         let valid_id =
@@ -75,7 +75,7 @@
         let id = header("x-trace-id").filter(valid_id);
         let id = id.ok_or(rejection(400, "X-Trace-Id is missing or odd"))?.into();
         let time_limit = match header("x-expires-in-ms").map(str::parse::<u64>) {
-            None => time_limits.get(number).copied().unwrap_or(verb.time_limit),
+            None => time_limits.get(number).copied().unwrap_or(class.time_limit),
             Some(Ok(ms)) if (1..=MAX_TIME_LIMIT_MS).contains(&ms) => Duration::from_millis(ms),
             Some(_) => return Err(rejection(400, "X-Expires-In-Ms is odd")),
         };
@@ -86,17 +86,17 @@
         let declared_work = self.cost_header.as_ref().and_then(|name| header(name));
         let declared_work = declared_work.map(read_declared_work).transpose()?;
         let head = outgoing_head(method, path, head.headers);
-        Ok(ParsedMessage::Request(Request { id, verb: number, tenant, time_limit, declared_work, head }))
+        Ok(ParsedMessage::Request(Request { id, class: number, tenant, time_limit, declared_work, head }))
     }
 
-    fn verb(&self, method: &str, path: &str) -> Result<(usize, &RequestClass), Rejection> {
+    fn class(&self, method: &str, path: &str) -> Result<(usize, &RequestClass), Rejection> {
         let name = path.trim_start_matches('/').split(['/', '?']).next().unwrap_or("");
-        let verb = self.verbs.iter().enumerate().find(|(_, verb)| verb.name == name);
-        let (number, verb) = verb.ok_or(rejection(404, "no such verb"))?;
-        if method != verb.method {
+        let class = self.classes.iter().enumerate().find(|(_, class)| class.name == name);
+        let (number, class) = class.ok_or(rejection(404, "no such verb"))?;
+        if method != class.method {
             return Err(rejection(405, "the verb takes another method"));
         }
-        Ok((number, verb))
+        Ok((number, class))
     }
 }
 
--- a/crates/sidecar/src/net/statistics_file.rs
+++ b/crates/sidecar/src/net/statistics_file.rs
@@ -15,8 +15,8 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Older statistics say little of the servers as they are.
-const FRESH_FOR: Duration = Duration::from_secs(60);
+/// Older statistics say little of the servers as they are now.
+const MAX_STATISTICS_AGE: Duration = Duration::from_secs(60);
 /// The first save is this long after the start.
 pub const FIRST_SAVE_AFTER: Duration = Duration::from_secs(1);
 /// A process that is killed loses no more than this.
@@ -104,7 +104,7 @@
             Unusable::Version(version) => write!(f, "version: {version} is not {VERSION}"),
             Unusable::OtherDeployment { found, own } => write!(f, "deployment: {found:?} is not {own:?}"),
             Unusable::Stale { saved_unix_ms } => {
-                write!(f, "saved_unix_ms: {saved_unix_ms} lies more than {FRESH_FOR:?} away")
+                write!(f, "saved_unix_ms: {saved_unix_ms} lies more than {MAX_STATISTICS_AGE:?} away")
             }
         }
     }
@@ -120,7 +120,7 @@
         return Err(Unusable::OtherDeployment { found: file.deployment, own: deployment.legacy.clone() });
     }
     // A file from the future was written by another clock.
-    if unix_ms().abs_diff(file.saved_unix_ms) > FRESH_FOR.as_millis() as u64 {
+    if unix_ms().abs_diff(file.saved_unix_ms) > MAX_STATISTICS_AGE.as_millis() as u64 {
         return Err(Unusable::Stale { saved_unix_ms: file.saved_unix_ms });
     }
     Ok(file)
--- a/crates/sidecar/src/net/upstream/mod.rs
+++ b/crates/sidecar/src/net/upstream/mod.rs
@@ -80,7 +80,7 @@
         // The client may have left in the very moment in which the connection came up, and retries may no longer be
         // deduplicated by then.
         let may_start =
-            || !request.client.left() && request.guard.begin(&request.id, number, to.location).is_ok();
+            || !request.client.has_left() && request.guard.begin(&request.id, number, to.location).is_ok();
         let write = async |connection: &UpstreamConnection, last_byte_written: &Cell<bool>| {
             stage.set(AttemptStage::Started);
             let on_last_byte = || {
--- a/crates/sidecar/src/storage.rs
+++ b/crates/sidecar/src/storage.rs
@@ -81,9 +81,9 @@
 }
 
 /// The first bytes of a file, at most so many.
-pub fn read_prefix(path: &Path, most: u64) -> io::Result<Vec<u8>> {
+pub fn read_prefix(path: &Path, max: u64) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
-    File::open(path)?.take(most).read_to_end(&mut bytes)?;
+    File::open(path)?.take(max).read_to_end(&mut bytes)?;
     Ok(bytes)
 }
 
