--- a/crates/sidecar/src/net/clients/exchange.rs
+++ b/crates/sidecar/src/net/clients/exchange.rs
@@ -53,10 +53,10 @@
         } else {
             self.clock.now() + BODY_TIMEOUT
         };
-        let (id, verb, time_limit) = (request.id.clone(), request.verb, request.time_limit);
+        let (id, class, time_limit) = (request.id.clone(), request.class, request.time_limit);
         let arrival = RequestArrival {
             id: id.clone(),
-            class: verb,
+            class,
             deadline,
             body_incomplete: !complete,
             tenant: request.tenant,
@@ -75,13 +75,13 @@
             Err(error) => return Err(self.request_aborted(stream, id, number, error).await),
         };
         let keep = self.may_keep_alive(&message, crowded, ahead);
-        let written = self.write_final(stream, response, verb, keep, message.http_minor).await;
-        let kept = written.and(keep);
+        let written = self.write_final(stream, response, class, keep, message.http_minor).await;
+        let outcome = written.and(keep);
         // Behind a part of a response, or with nobody there, there is nothing that a reset could discard.
-        if !matches!(kept, Ok(()) | Err(CloseReason::ResponseBroken | CloseReason::ClientLeft)) {
+        if !matches!(outcome, Ok(()) | Err(CloseReason::ResponseBroken | CloseReason::ClientLeft)) {
             self.linger(stream).await;
         }
-        kept
+        outcome
     }
 
     /// When a request is due whose last byte arrived at `arrived_at`.
@@ -98,11 +98,11 @@
         message: &mut IncomingMessage,
         events: Receiver<BodyEvent>,
     ) -> OutgoingRequest {
-        let Request { id, verb, time_limit, mut head, .. } = request;
+        let Request { id, class, time_limit, mut head, .. } = request;
         let complete = message.is_complete();
-        let run_once = !complete || self.parser.verbs[verb].method != "GET";
+        let run_once = !complete || self.parser.classes[class].method != "GET";
         let (encoding, framing) = match message.length() {
-            Some(0) if self.parser.verbs[verb].method == "GET" => (BodyEncoding::Identity, String::new()),
+            Some(0) if self.parser.classes[class].method == "GET" => (BodyEncoding::Identity, String::new()),
             Some(length) => (BodyEncoding::Identity, format!("Content-Length: {length}\r\n")),
             None => (BodyEncoding::Chunked, "Transfer-Encoding: chunked\r\n".to_string()),
         };
@@ -115,7 +115,7 @@
             time_limit,
             consumed: Cell::new(false),
         });
-        let guard = AttemptGuard::new(self.retry_rules[verb]);
+        let guard = AttemptGuard::new(self.retry_rules[class]);
         OutgoingRequest { id, head, body, rest, run_once, client: ClientPresence::of(stream), guard }
     }
 
@@ -143,10 +143,10 @@
                 let _ = upload.events.send(BodyEvent::Complete(self.clock.instant(deadline))).await;
                 Ok(())
             };
-            or(end, client_gone(stream)).await?;
+            or(end, client_disconnected(stream)).await?;
         }
         // During a shutdown, whatever is read would have to be answered too.
-        ahead.until_gone(stream, || !self.closing_connections.get()).await;
+        ahead.until_disconnected(stream, || !self.closing_connections.get()).await;
         Err(HttpError::Closed)
     }
 
@@ -178,7 +178,7 @@
             let read = timeout(STALL_TIMEOUT, message.read_more(stream)).await;
             read.unwrap_or(Err(HttpError::TimedOut))?;
             let surplus = if message.is_complete() { message.surplus().len() } else { 0 };
-            arrived_at = ahead.message_came(message.take_bytes_read(), surplus);
+            arrived_at = ahead.message_arrived(message.take_bytes_read(), surplus);
             if message.is_complete() {
                 ahead.add(message.surplus());
                 message.drop_surplus();
@@ -193,14 +193,14 @@
                 Ok(())
             };
             // Where nothing is taken nothing is read, and the client's leaving would not be seen.
-            or(pass_on, client_gone(stream)).await?;
+            or(pass_on, client_disconnected(stream)).await?;
         }
         Ok(arrived_at)
     }
 }
 
 /// Ends with the client's connection, as seen without reading from it.
-async fn client_gone(stream: &Async<TcpStream>) -> Result<(), HttpError> {
+async fn client_disconnected(stream: &Async<TcpStream>) -> Result<(), HttpError> {
     leaving::until_ended(stream).await;
     Err(HttpError::Closed)
 }
