--- a/crates/decisions/tests/decisions/zones.rs
+++ b/crates/decisions/tests/decisions/zones.rs
@@ -128,7 +128,7 @@
     told(&mut scene, 0.0, None);
     // One of three that are in use fails: more than half of all are not clear, and it is marked all the same.
     (0..200).for_each(|_| {
-        drop(scene.play(0, |server| if server == "s0" { Outcome::Error } else { Outcome::Ok }))
+        drop(scene.play(0, |server| if server == "s0" { Outcome::Error } else { Outcome::Ok }));
     });
     assert!(scene.noted("mark s0"));
 }
--- a/crates/lab/src/fleet/emulated.rs
+++ b/crates/lab/src/fleet/emulated.rs
@@ -244,7 +244,7 @@
                     let room = self.copies[copy].waiting < SOCKET_MOST;
                     self.copies[copy].waiting += u32::from(room);
                     return if room {
-                        self.put(awake, What::Came(copy, bytes))
+                        self.put(awake, What::Came(copy, bytes));
                     };
                 }
                 self.copies[copy].waiting = self.copies[copy].waiting.saturating_sub(1);
--- a/crates/lab/src/sockets/scene.rs
+++ b/crates/lab/src/sockets/scene.rs
@@ -491,7 +491,7 @@
                 fault.servers.iter().for_each(|place| self.start_server(fault.tier, *place, now));
             }
             Kind::ListFlapping => {
-                fault.servers.iter().for_each(|place| self.tell(fault.tier, *place, "ready", None, now))
+                fault.servers.iter().for_each(|place| self.tell(fault.tier, *place, "ready", None, now));
             }
             Kind::ZoneLost => {
                 for tier in 0..self.tiers.len() {
--- a/crates/lab/src/sockets/watches.rs
+++ b/crates/lab/src/sockets/watches.rs
@@ -86,7 +86,7 @@
         unsafe { shared.poller.add(&listener, Event::readable(LISTENER))? };
         let own = shared.clone();
         let serve = move || {
-            Serving { shared: own, listener, conns: BTreeMap::new(), due: BTreeSet::new(), next: 0 }.run()
+            Serving { shared: own, listener, conns: BTreeMap::new(), due: BTreeSet::new(), next: 0 }.run();
         };
         let thread = thread::Builder::new().name("watches".into()).spawn(serve)?;
         Ok(Watches { address, shared, thread: Some(thread) })
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -50,7 +50,7 @@
             (MessageKind::Ping, _) => self.send_with_names(from, MessageKind::Ack, number),
             (MessageKind::Ack, subject) => self.handle_ack(number, subject.unwrap_or(from)),
             (MessageKind::PingReq, Some(subject)) => {
-                self.handle_ping_req(Requester { address: from, probe_number: number }, subject)
+                self.handle_ping_req(Requester { address: from, probe_number: number }, subject);
             }
             // The helper acks to this member but does not reach the subject: the fault is not this member's own.
             (MessageKind::Nack, _) => self.health_penalty = self.health_penalty.saturating_sub(1),
--- a/crates/sidecar/src/console/request.rs
+++ b/crates/sidecar/src/console/request.rs
@@ -82,7 +82,7 @@
 
 /// A body that is a plain, short text.
 fn plain_text(body: &[u8]) -> Option<String> {
-    let text = std::str::from_utf8(body).map(str::trim).unwrap_or("");
+    let text = std::str::from_utf8(body).map_or("", str::trim);
     let is_plain = (1..=MAX_ID_BYTES).contains(&text.len()) && !text.chars().any(char::is_control);
     is_plain.then(|| text.to_string())
 }
--- a/crates/sidecar/src/handover/inherited_listener.rs
+++ b/crates/sidecar/src/handover/inherited_listener.rs
@@ -16,13 +16,14 @@
 }
 
 fn take_over(descriptor: RawFd) -> io::Result<TcpListener> {
-    // Whether there is one at all is checked first. The number is looked at here alone, before anything else is opened,
-    // so that no other part of this process can own it.
+    // SAFETY: the number is looked at here alone, before anything else is opened, so that no other part of this process can own
+    // or close it; that there is such a descriptor at all is checked with the first call.
     let borrowed = unsafe { BorrowedFd::borrow_raw(descriptor) };
     rustix::io::fcntl_getfd(borrowed)?;
     if !rustix::net::sockopt::socket_acceptconn(borrowed)? {
         return Err(io::Error::other("it does not listen"));
     }
+    // SAFETY: as above; the descriptor is open and a listening socket, and this process owns it from here on.
     Ok(TcpListener::from(unsafe { OwnedFd::from_raw_fd(descriptor) }))
 }
 
--- a/crates/sidecar/tests/control/rig.rs
+++ b/crates/sidecar/tests/control/rig.rs
@@ -246,9 +246,9 @@
                         answer(&mut stream).map(|(status, _, _)| status)
                     };
                     if asked() == Some(200) {
-                        answered += 1
+                        answered += 1;
                     } else {
-                        wrong += 1
+                        wrong += 1;
                     }
                     thread::sleep(ms(10));
                 }
--- a/crates/sidecar/tests/discovery_recovery/crowd.rs
+++ b/crates/sidecar/tests/discovery_recovery/crowd.rs
@@ -58,7 +58,7 @@
         stream.write_all(b"GET /status HTTP/1.1\r\nHost: x\r\n\r\n").expect("a call");
         assert_eq!(answer(&mut stream).map(|(status, _, _)| status), Some(200), "the console says so");
         update(&self.console, |(slowest, count)| {
-            (*slowest, *count) = (begun.elapsed().max(*slowest), *count + 1)
+            (*slowest, *count) = (begun.elapsed().max(*slowest), *count + 1);
         });
     }
 
--- a/crates/sidecar/tests/helpers/gate.rs
+++ b/crates/sidecar/tests/helpers/gate.rs
@@ -185,7 +185,7 @@
             });
         }
         Way::Resets => {
-            rustix::net::sockopt::set_socket_linger(&stream, Some(Duration::ZERO)).expect("linger")
+            rustix::net::sockopt::set_socket_linger(&stream, Some(Duration::ZERO)).expect("linger");
         }
         _ => drop(stream),
     }
