--- a/crates/localities/src/evidence.rs
+++ b/crates/localities/src/evidence.rs
@@ -1,30 +1,33 @@
-//! Evidence: what the reports of all copies together say of a zone, and whether it counts as lost, is contradicted, or may
-//! return. All are plain functions of the reports: two copies that hold the same reports come to the same result.
+//! Evidence on a zone from the reports of all replicas: whether the zone is lost, whether an evacuation is contradicted,
+//! and whether the zone may return. These are pure functions of the reports, so that replicas with the same reports reach
+//! the same result.
 
 use crate::report::{ZoneHealth, ZoneObservation, ZoneReport};
 use std::time::Duration;
 
-/// Older reports and observations say nothing of the present.
+/// Observations older than this, counting the age of their report, are ignored.
 pub const EVIDENCE_WINDOW: Duration = Duration::from_secs(2);
-/// At least so many copies of a zone must find another one silent, where it has as many.
+/// The minimum number of replicas that must find a zone silent. For the criterion within one zone it is capped by the
+/// number of replicas there, but never below two.
 const MIN_SILENT_OBSERVERS: u32 = 3;
-/// Or one in so many of all copies, from more than one zone: more than the seventh of them whose reports may be false.
+/// The fleet-wide criterion: the number of all replicas divided by this, rounded up, must find the zone silent. A fifth
+/// exceeds the seventh of the replicas whose reports may be false.
 const FLEET_FRACTION_DIVISOR: u32 = 5;
-/// And this fraction of all copies with an observation.
+/// The fleet-wide criterion also needs this fraction of all replicas with an observation to find the zone silent.
 const MIN_SILENT_FRACTION: f64 = 0.4;
-/// Trials come in turn. Where more copies than these are answered in a zone that they evacuated, these are answers to
-/// regular traffic.
+/// The most replicas that may be answered by an evacuated zone without contradicting the evacuation. Trials are sent in
+/// turn, so that answers to more replicas are answers to regular traffic.
 const MAX_CONCURRENT_TRIALS: u32 = 5;
-/// Older trials do not count.
+/// Answers to trials sent longer ago than this do not count.
 const TRIAL_RESULT_TTL: Duration = Duration::from_secs(4);
 
-/// One copy's newest report.
+/// The newest report of one replica, and where it comes from.
 pub struct Observer<'a> {
-    /// The id of the zone that the copy runs in.
+    /// The id of the zone that the replica runs in.
     pub zone: u32,
-    /// The report.
+    /// The replica's newest report.
     pub report: &'a ZoneReport,
-    /// How long ago it was received.
+    /// How old the report is; added to the ages in it.
     pub age: Duration,
 }
 
@@ -34,34 +37,34 @@
     }
 }
 
-/// How many copies observe what.
+/// The number of replicas by what they observe of one zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
-    /// Copies that are answered.
+pub struct ObserverCounts {
+    /// Replicas that the zone answers.
     pub answered: u32,
-    /// Of these, copies that are answered slowly.
+    /// The part of `answered` that the zone answers slowly.
     pub slow: u32,
-    /// Copies that are not answered.
+    /// Replicas that the zone does not answer.
     pub silent: u32,
 }
 
-/// What the copies observe of one zone. Copies inside that zone that are answered count only among themselves: they say
-/// nothing of the paths of others.
+/// What the replicas observe of one zone. A replica inside the zone that is answered counts only for replicas of that
+/// zone: its answers say nothing about the network paths of other zones.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Evidence {
-    /// Of the copies in the local copy's own zone.
-    pub same_zone: Tally,
-    /// Of all copies.
-    pub all: Tally,
-    /// From how many zones some copy finds it silent.
+    /// Counts over the replicas in the local replica's own zone.
+    pub same_zone: ObserverCounts,
+    /// Counts over all replicas of the fleet.
+    pub all: ObserverCounts,
+    /// The number of zones with at least one replica that finds the observed zone silent.
     pub silent_zones: u32,
 }
 
-/// Collects what the observers report of `zone`, by observations no older than `window`. `own` is the zone of the local
-/// copy.
+/// Counts what the observers report of `zone`, by observations no older than `window`. `own_zone` is the zone of the local
+/// replica. Reports of isolated replicas are ignored.
 pub fn collect_evidence<'a>(
     observers: impl Iterator<Item = Observer<'a>>,
-    own: u32,
+    own_zone: u32,
     zone: u32,
     window: Duration,
 ) -> Evidence {
@@ -69,26 +72,26 @@
     let mut silent_zones: Vec<u32> = Vec::new();
     for observer in observers.filter(|observer| !observer.report.isolated) {
         let Some(observation) = observer.observation(zone) else { continue };
-        let same_zone = observer.zone == own;
-        let inside = observer.zone == zone && own != zone;
+        let same_zone = observer.zone == own_zone;
+        let inside_zone = observer.zone == zone && own_zone != zone;
         let silent = matches!(observation.health, ZoneHealth::Silent { .. });
-        let mut record = |record: &dyn Fn(&mut Tally)| {
-            if silent || !inside {
-                record(&mut evidence.all);
+        let mut add = |increment: &dyn Fn(&mut ObserverCounts)| {
+            if silent || !inside_zone {
+                increment(&mut evidence.all);
             }
             if same_zone {
-                record(&mut evidence.same_zone);
+                increment(&mut evidence.same_zone);
             }
         };
         match observation.health {
             ZoneHealth::Answering { sent_ago, slow } if sent_ago + observer.age <= window => {
-                record(&|tally| {
-                    tally.answered += 1;
-                    tally.slow += u32::from(slow);
+                add(&|counts| {
+                    counts.answered += 1;
+                    counts.slow += u32::from(slow);
                 });
             }
             ZoneHealth::Silent { since } if since + observer.age <= window => {
-                record(&|tally| tally.silent += 1);
+                add(&|counts| counts.silent += 1);
                 if !silent_zones.contains(&observer.zone) {
                     silent_zones.push(observer.zone);
                 }
@@ -101,46 +104,50 @@
 }
 
 impl Evidence {
-    /// Whether the zone is lost for the copies of the own zone, given the number of these and of all copies. Either half
-    /// of the own zone's copies find it silent; or a fifth of all copies do, from more than one zone, and those with an
-    /// observation mostly agree. One copy alone never decides it: what it may avoid by itself is up to outlier ejection.
-    pub fn is_lost(&self, zone_copies: u32, all_copies: u32) -> bool {
+    /// Whether the zone is lost for the replicas of the own zone, given their number and the number of all replicas. Either
+    /// at least half of the own zone's replicas find it silent, and no fewer than it answers; or a fifth of all replicas do,
+    /// from at least two zones, and `MIN_SILENT_FRACTION` of those with an observation and a third of the own zone's agree.
+    /// One replica alone never decides: servers that only it cannot reach are left to outlier ejection.
+    pub fn is_lost(&self, zone_replicas: u32, all_replicas: u32) -> bool {
         let Evidence { same_zone, all, silent_zones } = self;
-        let half = MIN_SILENT_OBSERVERS.min(zone_copies).max(2).max(zone_copies.div_ceil(2));
-        let by_own_zone = same_zone.silent >= half && same_zone.silent >= same_zone.answered;
+        let min_silent_in_zone =
+            MIN_SILENT_OBSERVERS.min(zone_replicas).max(2).max(zone_replicas.div_ceil(2));
+        let by_own_zone = same_zone.silent >= min_silent_in_zone && same_zone.silent >= same_zone.answered;
         let mostly_silent =
             f64::from(all.silent) >= MIN_SILENT_FRACTION * f64::from(all.silent + all.answered);
-        let many = all.silent >= MIN_SILENT_OBSERVERS.max(all_copies.div_ceil(FLEET_FRACTION_DIVISOR));
-        let by_fleet = many && *silent_zones >= 2 && mostly_silent;
+        let enough_silent =
+            all.silent >= MIN_SILENT_OBSERVERS.max(all_replicas.div_ceil(FLEET_FRACTION_DIVISOR));
+        let by_fleet = enough_silent && *silent_zones >= 2 && mostly_silent;
         let own_zone_agrees = same_zone.silent >= 1 && 2 * same_zone.silent >= same_zone.answered;
         by_own_zone || (by_fleet && own_zone_agrees)
     }
 
-    /// Whether what was sent since the evacuation shows that half of the copies that evacuated the zone are answered there
-    /// all the same, as when two sides of a partition meet and one of them had lost the zone.
-    pub fn contradicts(&self, zone_copies: u32) -> bool {
-        self.same_zone.answered > MAX_CONCURRENT_TRIALS.max(zone_copies / 2)
+    /// Whether the evacuated zone answers more than half of the own zone's replicas, and more than trials explain, for
+    /// requests sent since the evacuation. This happens when two sides of a partition reconnect and only one of them had lost the zone.
+    pub fn contradicts(&self, zone_replicas: u32) -> bool {
+        self.same_zone.answered > MAX_CONCURRENT_TRIALS.max(zone_replicas / 2)
     }
 
-    /// Whether the next step of the recovery ramp may be taken.
+    /// Whether the evidence allows the next step of the recovery ramp. Uses the counts over all replicas if the own zone's
+    /// replicas have no observation.
     pub fn supports_next_step(&self) -> bool {
-        let from_all = self.same_zone == Tally::default();
-        let Tally { answered, slow, silent } = if from_all { self.all } else { self.same_zone };
-        let needed = if from_all { MIN_SILENT_OBSERVERS } else { 1 };
+        let use_all = self.same_zone == ObserverCounts::default();
+        let ObserverCounts { answered, slow, silent } = if use_all { self.all } else { self.same_zone };
+        let needed = if use_all { MIN_SILENT_OBSERVERS } else { 1 };
         answered >= needed && 4 * silent <= answered && 2 * slow < answered
     }
 }
 
-/// Whether the trials let a zone return that was evacuated for `evacuated_for`: two copies' trials (one's, where the own
-/// zone has one copy) were answered after the latest that failed.
+/// Whether trials allow a zone to return that was evacuated for `evacuated_for`: the trials of two replicas (of one, where
+/// the own zone has only one replica) were answered, both sent after the latest trial that failed.
 pub fn trials_succeeded<'a>(
     observers: impl Iterator<Item = Observer<'a>>,
-    (own, zone): (u32, u32),
+    (own_zone, zone): (u32, u32),
     evacuated_for: Duration,
-    zone_copies: u32,
+    zone_replicas: u32,
 ) -> bool {
     let (mut answered, mut failed) = (Vec::new(), Duration::MAX);
-    for observer in observers.filter(|observer| observer.zone == own && !observer.report.isolated) {
+    for observer in observers.filter(|observer| observer.zone == own_zone && !observer.report.isolated) {
         let Some(observation) = observer.observation(zone) else { continue };
         match observation.health {
             ZoneHealth::Answering { sent_ago, .. } => answered.push(sent_ago + observer.age),
@@ -150,7 +157,7 @@
     }
     answered.retain(|ago| *ago <= evacuated_for.min(TRIAL_RESULT_TTL));
     answered.sort();
-    let needed = zone_copies.clamp(1, 2) as usize;
+    let needed = zone_replicas.clamp(1, 2) as usize;
     answered.get(needed - 1).is_some_and(|ago| *ago < failed)
 }
 
--- a/crates/localities/src/failover/mod.rs
+++ b/crates/localities/src/failover/mod.rs
@@ -1,9 +1,9 @@
-//! Zone failover over time: the verdicts that a copy issues, adopts and follows, the trials that it sends, and the report
-//! that it makes.
+//! Zone failover over time: the verdicts that a replica issues, adopts and follows, the trials that it sends, and its own
+//! report.
 //!
-//! A verdict holds for the copies of one zone on a zone, as a network path may be cut for some and not for others. Whoever's
-//! reports come to a change issues the verdict with the next number; the other copies of the zone adopt it from any report.
-//! No particular copy has to be alive for that. What operators command holds for all copies, and prevails.
+//! A verdict on a zone applies to the replicas of one zone, because a network partition may cut off some zones only. Any
+//! replica whose evidence calls for a change issues the verdict with the next number, and the other replicas of its zone
+//! adopt it from any report: there is no leader. A verdict of an operator applies to all replicas and takes precedence.
 
 mod own_report;
 mod trials;
@@ -21,24 +21,24 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A verdict that this copy follows.
+/// A verdict that this replica follows.
 #[derive(Clone, Copy, Debug)]
 struct KnownVerdict {
     verdict: Verdict,
-    /// When it was issued, by the local clock.
+    /// When the verdict was issued, by the local clock.
     issued_at: Duration,
 }
 
-/// Another live copy's report, decoded.
+/// The decoded report of another live replica.
 struct PeerState {
     id: u64,
-    /// The id of its zone.
+    /// The id of the peer's zone.
     zone: u32,
     report: ZoneReport,
     age: Duration,
 }
 
-/// One copy's side of the zone failover.
+/// The zone failover of one replica.
 #[derive(Clone, Debug)]
 pub struct ZoneFailover<H> {
     host: H,
@@ -46,11 +46,11 @@
     /// The ids of the zones, in the configured order.
     zone_ids: Vec<u32>,
     own_zone: u32,
-    /// Verdicts of this copy's zone, by the id of the zone that they are about.
+    /// Verdicts that apply to the replicas of `own_zone`, by the id of the zone that they are about.
     verdicts: BTreeMap<u32, KnownVerdict>,
     /// Verdicts of operators, by the id of the zone that they are about.
     operator_verdicts: BTreeMap<u32, KnownVerdict>,
-    /// By zone, in the configured order, as are `evidence` and `trials`.
+    /// Indexed by zone in the configured order, as are `evidence` and `trials`.
     own_observations: Vec<OwnObservation>,
     evidence: Vec<Evidence>,
     trials: Vec<Option<u64>>,
@@ -62,7 +62,7 @@
 }
 
 impl<H: Host> ZoneFailover<H> {
-    /// Starts with all zones in service.
+    /// Creates the zone failover with all zones in service.
     pub fn start(host: H, config: FailoverConfig) -> ZoneFailover<H> {
         let zone_ids: Vec<u32> = config.zones.iter().map(|zone| zone_id(zone)).collect();
         let unknown = |zone| OwnObservation { zone, ready: 0, health: ZoneHealth::Unknown };
@@ -84,13 +84,13 @@
         }
     }
 
-    /// The host that verdicts are reported to.
+    /// The host that is notified of verdicts.
     pub fn host(&mut self) -> &mut H {
         &mut self.host
     }
 
-    /// Takes in how the zones look to this copy and what the others report, and evaluates all zones. `true`: the own report
-    /// has news that should reach the others soon.
+    /// Records this replica's observations and the peers' reports, and evaluates all zones. Returns `true` if the own report
+    /// changed in a way that should be sent to the peers soon.
     pub fn tick<'a>(
         &mut self,
         now: Duration,
@@ -138,12 +138,12 @@
         states
     }
 
-    /// This copy's report, for the others.
+    /// This replica's encoded report, to be sent to the peers.
     pub fn report_bytes(&self) -> &[u8] {
         &self.report_bytes
     }
 
-    /// What the decision engine gets, by zone.
+    /// The traffic fraction and the trial of each zone, for the decision engine.
     pub fn traffic(&self) -> Vec<ZoneTraffic> {
         let traffic = |zone: usize| ZoneTraffic {
             zone,
@@ -153,12 +153,12 @@
         (0..self.zone_ids.len()).map(traffic).collect()
     }
 
-    /// Whether this copy reaches no zone at all.
+    /// Whether this replica reaches no zone at all: it has tried at least two, and all are silent.
     pub fn isolated(&self) -> bool {
         self.isolated
     }
 
-    /// The state of each zone, for operators.
+    /// The status of each zone, for operators, in the configured order.
     pub fn statuses(&self) -> impl Iterator<Item = ZoneStatus<'_>> {
         (0..self.zone_ids.len()).map(|zone| self.status(zone))
     }
@@ -202,7 +202,7 @@
         self.stage(zone).traffic_fraction()
     }
 
-    /// All copies with a report, this one first.
+    /// All replicas with their newest reports, this replica first.
     fn observers<'a>(&'a self, peers: &'a [PeerState]) -> impl Iterator<Item = Observer<'a>> {
         let own = Observer { zone: self.own_zone, report: &self.report, age: Duration::ZERO };
         let others =
@@ -211,7 +211,7 @@
     }
 }
 
-/// Hashes numbers alike on all copies, and in every build (rounds of SplitMix64).
+/// A hash of the numbers that is the same on all replicas and in all builds (rounds of SplitMix64).
 fn mix_bits(numbers: &[u64]) -> u64 {
     numbers.iter().fold(0x9e37_79b9_7f4a_7c15, |mix, number| {
         let mut mix = (mix ^ number).wrapping_add(0x9e37_79b9_7f4a_7c15);
--- a/crates/localities/src/failover/own_report.rs
+++ b/crates/localities/src/failover/own_report.rs
@@ -1,10 +1,10 @@
-//! The report that this copy makes for the others.
+//! The report that this replica sends to its peers.
 
 use super::*;
 use crate::report::ZoneObservation;
 use std::mem::{Discriminant, discriminant};
 
-/// The report is made anew at least this often, as the ages in it grow.
+/// The report is encoded again after at most this time, because the ages in it grow.
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
 impl<H: Host> ZoneFailover<H> {
@@ -14,12 +14,13 @@
         self.own_observations.iter().map(observation).collect()
     }
 
-    /// Completes the report. `true`: the others should have it soon, as a zone is or was silent, or verdicts changed.
+    /// Adds the verdicts to the report, and encodes it if it changed or is due. Returns `true` if the peers should receive
+    /// it soon: it changed, and a zone is or was silent or the verdicts differ.
     pub(super) fn update_report(&mut self, now: Duration, previous: &ZoneReport) -> bool {
         let with_age = |known: &KnownVerdict| (known.verdict, now.saturating_sub(known.issued_at));
         let all = self.operator_verdicts.values().chain(self.verdicts.values());
         self.report.verdicts = all.map(with_age).collect();
-        // Zones that are not in service matter most, where a report cannot hold all verdicts.
+        // A report may be too short for all verdicts; those on zones that are not in service take precedence.
         self.report.verdicts.sort_by_key(|(verdict, age)| (verdict.stage == ZoneStage::InService, *age));
         let report = &self.report;
         let verdicts_changed = verdicts(report) != verdicts(previous);
--- a/crates/localities/src/failover/trials.rs
+++ b/crates/localities/src/failover/trials.rs
@@ -1,19 +1,20 @@
-//! Trials of evacuated zones, which the copies of a zone send in turn, and verifications of what others report.
+//! Trials of evacuated zones, which the replicas of a zone send in turn, and verifications of zones that peers report as
+//! silent.
 
 use super::*;
 use crate::evidence::EVIDENCE_WINDOW;
 use crate::report::ZoneObservation;
 
-/// The copies of all zones together send one trial in this time.
+/// The replicas of all zones together send one trial to an evacuated zone per interval.
 const TRIAL_INTERVAL: Duration = Duration::from_millis(250);
-/// A copy whose neighbours find a zone silent sends something there this often, unless it has as recent a sign of its own:
-/// a copy that sends nothing there would hold up the verdict.
+/// How often a replica verifies a zone that others of its own zone find silent, unless it has an observation as recent as
+/// this. A replica without an observation would delay the verdict.
 const VERIFICATION_INTERVAL: Duration = Duration::from_millis(500);
-/// Set in the numbers of verifications, to tell them from those of trials.
+/// Set in the numbers of verifications, which distinguishes them from the numbers of trials.
 const VERIFICATION_FLAG: u64 = 1 << 63;
 
 impl<H: Host> ZoneFailover<H> {
-    /// The number of the trial or verification that is this copy's to send now, if one is.
+    /// The number of the trial or verification that this replica is to send now, if any.
     pub(super) fn trial_turn(&self, now: Duration, zone: usize, peers: &[PeerState]) -> Option<u64> {
         if self.needs_verification(zone, peers) {
             let turn = now.as_micros() / VERIFICATION_INTERVAL.as_micros();
@@ -27,18 +28,19 @@
         let number = u64::from(known.verdict.number);
         let turn_length = TRIAL_INTERVAL * self.zone_ids.len().max(1) as u32;
         let turn = (now.saturating_sub(known.issued_at).as_micros() / turn_length.as_micros()) as u64;
-        let order = |copy: u64| (mix_bits(&[copy, u64::from(id), number]), copy);
+        let order = |replica: u64| (mix_bits(&[replica, u64::from(id), number]), replica);
         let own = order(self.config.id);
-        let (mut copies, mut rank) = (1, 0);
+        let (mut replicas, mut rank) = (1, 0);
         for peer in peers.iter().filter(|peer| peer.zone == self.own_zone) {
-            copies += 1;
+            replicas += 1;
             rank += u64::from(order(peer.id) < own);
         }
-        // In the first turn what was sent before the verdict still comes to its end.
-        (turn > 0 && turn % copies == rank).then_some(number << 32 | turn)
+        // No trial is sent in the first turn: requests sent before the verdict are still ending.
+        (turn > 0 && turn % replicas == rank).then_some(number << 32 | turn)
     }
 
-    /// A neighbour finds a zone silent that is in service, and this copy has no recent observation of its own.
+    /// Whether another replica of the own zone finds this zone silent, which is not evacuated, while this replica has no
+    /// recent observation of it.
     fn needs_verification(&self, zone: usize, peers: &[PeerState]) -> bool {
         if self.isolated || self.stage(zone) == ZoneStage::Evacuated {
             return false;
--- a/crates/localities/src/failover/types.rs
+++ b/crates/localities/src/failover/types.rs
@@ -1,16 +1,16 @@
-//! What a `ZoneFailover` is configured with, gets and gives.
+//! The configuration, inputs and outputs of `ZoneFailover`.
 
 use crate::evidence::Evidence;
 use crate::report::ZoneHealth;
 use crate::verdict::{Verdict, ZoneStage};
 use std::time::Duration;
 
-/// How fast an evacuated zone is taken back.
+/// The minimum times of an evacuation and of each step of the recovery ramp.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecoveryTimings {
-    /// How long a zone stays evacuated at least, whatever trials show; longer after a further evacuation.
+    /// The minimum time for which a zone stays evacuated, even if trials succeed. Repeated evacuations last longer.
     pub min_evacuation: Duration,
-    /// How long each step of the recovery ramp lasts at least.
+    /// The minimum time of each step of the recovery ramp.
     pub min_ramp_step: Duration,
 }
 
@@ -20,95 +20,95 @@
     }
 }
 
-/// Receives verdicts, for operators.
+/// Is notified of each new verdict, to report it to operators.
 pub trait Host {
-    /// This copy issued a verdict on the evidence, or on an operator's command.
+    /// This replica issued a verdict on the evidence, or on an operator's command.
     fn verdict_issued(&mut self, _zone: &str, _verdict: &Verdict, _evidence: &Evidence) {}
-    /// This copy adopted another's verdict.
-    fn verdict_adopted(&mut self, _zone: &str, _verdict: &Verdict, _by: &str) {}
+    /// This replica adopted a verdict from the report of the peer with this name.
+    fn verdict_adopted(&mut self, _zone: &str, _verdict: &Verdict, _peer: &str) {}
 }
 
-/// The local copy and the zones, as configured.
+/// The configuration of the local replica and of the zones.
 #[derive(Clone, Debug)]
 pub struct FailoverConfig {
-    /// A number unique among all copies, by which trials take turns.
+    /// The replica's id, unique among all replicas; it determines the turn of the replica's trials.
     pub id: u64,
-    /// The zone that the copy runs in.
+    /// The name of the zone that the replica runs in.
     pub zone: String,
-    /// All zones by name.
+    /// The names of all zones, in the order that zone indices refer to.
     pub zones: Vec<String>,
-    /// How fast an evacuated zone is taken back.
+    /// The minimum times of the recovery of an evacuated zone.
     pub timings: RecoveryTimings,
 }
 
-/// What operators may command for a zone.
+/// A command of an operator on a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorCommand {
-    /// The whole fleet evacuates the zone, until `Return`.
+    /// The whole fleet evacuates the zone until `Return`.
     Evacuate,
-    /// The fleet takes the zone back, over the recovery ramp.
+    /// The fleet returns the zone to service over the recovery ramp.
     Return,
 }
 
-/// How a zone looks to the local copy's decision engine.
+/// The health of a zone as the local replica's decision engine observes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwnObservation {
     /// The zone's index among the configured zones.
     pub zone: usize,
     /// Servers of the zone that the endpoint list holds as ready.
     pub ready: usize,
-    /// How the zone looks.
+    /// The health of the zone as observed.
     pub health: ZoneHealth,
 }
 
-/// Another live copy and its newest report.
+/// Another live replica and its newest report.
 pub struct PeerReport<'a> {
-    /// The copy's number, unique among all.
+    /// The peer's id, unique among all replicas.
     pub id: u64,
-    /// Its name.
+    /// The peer's name, passed to `Host::verdict_adopted`.
     pub name: &'a str,
-    /// Its zone; empty while that is unknown.
+    /// The name of the peer's zone; empty if unknown.
     pub zone: &'a str,
-    /// Its report as bytes; `None` while none was received.
+    /// The peer's encoded report; `None` until one is received.
     pub report: Option<&'a [u8]>,
-    /// How long ago the report was made.
+    /// The time since the report was made.
     pub age: Duration,
 }
 
-/// What the decision engine gets for a zone.
+/// What the decision engine is to send to a zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneTraffic {
     /// The zone's index among the configured zones.
     pub zone: usize,
-    /// The fraction, from 0 to 1, of the traffic that the zone would get in service.
+    /// The fraction of its usual traffic that the zone gets, from 0 to 1.
     pub traffic_fraction: f64,
-    /// Set while this copy is to send a trial to the zone, or to verify what others report of it; a new number for each.
+    /// The number of the trial or verification that this replica is to send to the zone, if any. Each has a new number.
     pub trial: Option<u64>,
 }
 
-/// A zone's state, for operators.
+/// The status of a zone, for operators.
 #[derive(Clone, Debug)]
 pub struct ZoneStatus<'a> {
-    /// The zone's name.
+    /// The name of the zone.
     pub zone: &'a str,
-    /// The stage that it is in.
+    /// The stage that the zone is in.
     pub stage: ZoneStage,
-    /// The number of the verdict that holds; 0 where none was issued.
+    /// The number of the verdict in force; 0 if there is none.
     pub number: u32,
-    /// An operator evacuated it.
+    /// Whether an operator evacuated the zone.
     pub by_operator: bool,
-    /// How many times it was evacuated of late.
+    /// The number of recent evacuations of the zone.
     pub evacuations: u8,
-    /// When the verdict was issued.
+    /// When the verdict in force was issued, by the local clock.
     pub since: Option<Duration>,
-    /// The fraction of its traffic that it gets.
+    /// The fraction of its usual traffic that the zone gets, from 0 to 1.
     pub traffic_fraction: f64,
-    /// This copy is to send a trial.
+    /// Whether this replica is to send a trial or a verification.
     pub trial: bool,
     /// Servers of the zone that the endpoint list holds as ready.
     pub ready: usize,
-    /// How the zone looks to this copy.
+    /// The zone's health as this replica observes it.
     pub health: ZoneHealth,
-    /// What all copies observe of it.
+    /// What all replicas observe of the zone.
     pub evidence: Evidence,
 }
--- a/crates/localities/src/failover/verdicts.rs
+++ b/crates/localities/src/failover/verdicts.rs
@@ -1,25 +1,26 @@
-//! Verdicts: issued on the evidence, adopted from others, or commanded by operators.
+//! Verdicts: issued on the evidence, adopted from peers, or commanded by operators.
 
 use super::*;
-use crate::evidence::{EVIDENCE_WINDOW, Tally, collect_evidence, trials_succeeded};
+use crate::evidence::{EVIDENCE_WINDOW, ObserverCounts, collect_evidence, trials_succeeded};
 use crate::verdict::supersedes;
 
-/// Answers to what was sent so soon after a verdict may belong to what was sent before: clocks and reports are that coarse.
+/// Requests sent within this time after a verdict are no evidence for the next one: clocks and the ages in reports are
+/// too coarse to tell them from requests sent before the verdict.
 const SETTLE_TIME: Duration = Duration::from_millis(200);
-/// A step of the recovery ramp that nothing speaks against ends after this many times its least length,
+/// A ramp step ends after this many times its minimum length if no replica of the own zone finds the zone silent.
 const MAX_RAMP_STEP_FACTOR: u32 = 10;
-/// and after this many times where nothing was sent there either.
+/// A ramp step ends after this many times its minimum length if no replica of the own zone has an observation.
 const UNTRIED_RAMP_STEP_FACTOR: u32 = 3;
-/// Evacuations longer ago than this do not lengthen the next one.
+/// The count of evacuations, which lengthens the next one, is reset if the last verdict is older than this.
 const EVACUATION_MEMORY: Duration = Duration::from_secs(60);
-/// Each further evacuation lasts this many times as long, up to `MAX_BACKOFF`.
+/// Each repeated evacuation lasts this many times as long as the previous one, up to `MAX_BACKOFF`.
 const BACKOFF_FACTOR: u32 = 8;
 const MAX_BACKOFF: Duration = Duration::from_secs(60);
-/// A verdict whose number is further ahead than this is not genuine.
+/// A verdict whose number is more than this ahead of the known one is rejected as not genuine.
 const MAX_NUMBER_ADVANCE: u32 = 1 << 24;
 
 impl<H: Host> ZoneFailover<H> {
-    /// Operators command a zone out of service or back, for the whole fleet. `false`: there is no such zone.
+    /// Applies an operator's command on a zone, for the whole fleet. Returns `false` if there is no zone of this name.
     pub fn operator_command(&mut self, now: Duration, zone: &str, command: OperatorCommand) -> bool {
         let Some(index) = self.config.zones.iter().position(|known| known == zone) else { return false };
         let id = self.zone_ids[index];
@@ -32,7 +33,7 @@
         let verdict = Verdict { zone: id, number, stage, by_operator: true, evacuations: 0 };
         self.host.verdict_issued(zone, &verdict, &self.evidence[index]);
         self.adopt_operator_verdict(now, verdict, Duration::ZERO);
-        // The next tick makes a new report.
+        // Makes the report due, so that the next tick encodes it.
         self.reported_at = Duration::ZERO;
         true
     }
@@ -55,17 +56,17 @@
         }
     }
 
-    /// Whether a verdict prevails over the known one, and its number is plausible.
+    /// Whether a received verdict prevails over the known one and has a plausible number.
     fn is_acceptable(&self, verdict: &Verdict) -> bool {
         let verdicts = if verdict.by_operator { &self.operator_verdicts } else { &self.verdicts };
         let known = verdicts.get(&verdict.zone).map(|known| known.verdict);
-        let last = known.map_or(0, |known| known.number);
-        let plausible = verdict.number <= last.saturating_add(MAX_NUMBER_ADVANCE);
+        let known_number = known.map_or(0, |known| known.number);
+        let plausible = verdict.number <= known_number.saturating_add(MAX_NUMBER_ADVANCE);
         plausible && known.is_none_or(|known| supersedes(verdict, &known))
     }
 
-    /// A zone that operators return comes back over the recovery ramp, as after a loss; several copies that adopt the
-    /// command at once come to the same verdict.
+    /// Adopts an operator's verdict. A zone that an operator returns comes back over the recovery ramp, as after a loss.
+    /// Replicas that adopt the same command concurrently create the same verdict for the first step.
     fn adopt_operator_verdict(&mut self, now: Duration, verdict: Verdict, age: Duration) {
         let was_evacuated = self.stage_by_id(verdict.zone) == ZoneStage::Evacuated;
         let issued_at = now.saturating_sub(age);
@@ -96,13 +97,13 @@
         self.verdicts.insert(id, KnownVerdict { verdict, issued_at: now });
     }
 
-    /// Collects the evidence on a zone, and issues a verdict where it calls for one.
+    /// Collects the evidence on a zone, and issues a verdict if the evidence calls for one.
     pub(super) fn evaluate(&mut self, now: Duration, zone: usize, peers: &[PeerState]) {
         let id = self.zone_ids[zone];
         let known = self.verdicts.get(&id).copied();
         let stage = known.map_or(ZoneStage::InService, |known| known.verdict.stage);
         let verdict_age = known.map_or(Duration::MAX, |known| now.saturating_sub(known.issued_at));
-        // After a verdict only what was sent since then says anything of the zone.
+        // Only requests sent since the last verdict count as evidence.
         let sent_since = verdict_age.saturating_sub(SETTLE_TIME);
         let window = EVIDENCE_WINDOW.min(sent_since);
         let evidence = collect_evidence(self.observers(peers), self.own_zone, id, window);
@@ -110,20 +111,20 @@
         if self.isolated || self.stage(zone) != stage {
             return;
         }
-        let zone_copies = 1 + peers.iter().filter(|peer| peer.zone == self.own_zone).count() as u32;
-        let all_copies = 1 + peers.len() as u32;
+        let zone_replicas = 1 + peers.iter().filter(|peer| peer.zone == self.own_zone).count() as u32;
+        let all_replicas = 1 + peers.len() as u32;
         match stage {
-            ZoneStage::Evacuated if evidence.contradicts(zone_copies) => {
+            ZoneStage::Evacuated if evidence.contradicts(zone_replicas) => {
                 self.issue_verdict(now, zone, ZoneStage::InService);
             }
             ZoneStage::Evacuated => {
                 let zones = (self.own_zone, id);
-                let succeeded = trials_succeeded(self.observers(peers), zones, sent_since, zone_copies);
+                let succeeded = trials_succeeded(self.observers(peers), zones, sent_since, zone_replicas);
                 if succeeded && verdict_age >= self.evacuation_period(known.as_ref()) {
                     self.issue_verdict(now, zone, ZoneStage::Recovering(1));
                 }
             }
-            _ if evidence.is_lost(zone_copies, all_copies) && self.may_evacuate(now, zone) => {
+            _ if evidence.is_lost(zone_replicas, all_replicas) && self.may_evacuate(now, zone) => {
                 self.issue_verdict(now, zone, ZoneStage::Evacuated);
             }
             ZoneStage::Recovering(_) if self.step_is_over(&evidence, verdict_age) => {
@@ -133,8 +134,8 @@
         }
     }
 
-    /// A copy that has just started knows few others and little of what they report; and the last zone in service is never
-    /// evacuated.
+    /// Whether this replica may evacuate the zone. A replica that has just started knows too few peers and reports to
+    /// decide; and the last zone in service with ready servers is never evacuated.
     fn may_evacuate(&self, now: Duration, zone: usize) -> bool {
         let settled = self.started_at.is_some_and(|started_at| started_at + EVIDENCE_WINDOW <= now);
         let in_service = |other: usize| {
@@ -145,20 +146,21 @@
     }
 
     fn step_is_over(&self, evidence: &Evidence, verdict_age: Duration) -> bool {
-        let least = self.config.timings.min_ramp_step;
-        let untried =
-            evidence.same_zone == Tally::default() && verdict_age >= least * UNTRIED_RAMP_STEP_FACTOR;
-        let slow = evidence.same_zone.silent == 0 && verdict_age >= least * MAX_RAMP_STEP_FACTOR;
-        untried || slow || (verdict_age >= least && evidence.supports_next_step())
+        let minimum = self.config.timings.min_ramp_step;
+        let untried = evidence.same_zone == ObserverCounts::default()
+            && verdict_age >= minimum * UNTRIED_RAMP_STEP_FACTOR;
+        let past_maximum = evidence.same_zone.silent == 0 && verdict_age >= minimum * MAX_RAMP_STEP_FACTOR;
+        untried || past_maximum || (verdict_age >= minimum && evidence.supports_next_step())
     }
 
-    /// How long a zone stays evacuated at least: longer after each evacuation, with a jitter that all copies compute alike.
+    /// The minimum time for which a zone stays evacuated. It grows with each recent evacuation, and has a jitter of 10% either
+    /// way that is the same on all replicas.
     fn evacuation_period(&self, known: Option<&KnownVerdict>) -> Duration {
         let Some(KnownVerdict { verdict, .. }) = known else { return Duration::ZERO };
-        let least = self.config.timings.min_evacuation;
+        let minimum = self.config.timings.min_evacuation;
         let repeats = u32::from(verdict.evacuations.max(1)) - 1;
-        let backoff = least * BACKOFF_FACTOR.saturating_pow(repeats).min(1000);
+        let backoff = minimum * BACKOFF_FACTOR.saturating_pow(repeats).min(1000);
         let jitter = mix_bits(&[u64::from(verdict.zone), u64::from(verdict.number)]) % 1000;
-        backoff.min(MAX_BACKOFF.max(least)).mul_f64(0.9 + 0.2 * jitter as f64 / 1000.0)
+        backoff.min(MAX_BACKOFF.max(minimum)).mul_f64(0.9 + 0.2 * jitter as f64 / 1000.0)
     }
 }
--- a/crates/localities/src/lib.rs
+++ b/crates/localities/src/lib.rs
@@ -1,9 +1,9 @@
 //! Zone failover: which zones a fleet evacuates and takes back into service, and the fraction of its traffic that each zone
-//! gets. It owns what a copy reports of zones, the rule by which a zone counts as lost, and the recovery ramp. Nothing here
-//! reads a clock or a socket, or selects a server: the decision engine selects within the fractions.
+//! gets. It owns the zone reports that replicas exchange, the rule by which a zone counts as lost, and the recovery ramp. It
+//! reads no clock or socket and selects no server: the decision engine selects servers within the fractions.
 //!
-//! Everything is a function of the members' newest reports: `report` has their bytes, `evidence` what they come to,
-//! `verdict` the order of verdicts, and `failover` the course of time. `docs/zones-design.md` gives the reasons.
+//! All results are functions of the members' newest reports: `report` encodes them, `evidence` counts what they say of a
+//! zone, `verdict` orders verdicts, and `failover` applies all three over time. See `docs/zones-design.md` for the reasons.
 
 #![warn(missing_docs)]
 
@@ -12,7 +12,7 @@
 mod report;
 mod verdict;
 
-pub use evidence::{Evidence, Tally};
+pub use evidence::{Evidence, ObserverCounts};
 pub use failover::{
     FailoverConfig, Host, OperatorCommand, OwnObservation, PeerReport, RecoveryTimings, ZoneFailover,
     ZoneStatus, ZoneTraffic,
--- a/crates/localities/src/report.rs
+++ b/crates/localities/src/report.rs
@@ -1,13 +1,13 @@
-//! Zone reports: how the zones look to one copy, and the verdicts that it follows. Only a copy's newest report counts, so
-//! that order, loss and duplication do no harm. A report that is received may be any bytes; what is decoded is bounded.
+//! Zone reports: one replica's observations of the zones, and the verdicts that it follows. Only a replica's newest report
+//! counts, so that reordering, loss and duplication do no harm. Received bytes are untrusted: decoding bounds every length.
 //!
-//! | bytes | what |
+//! | bytes | content |
 //! | --- | --- |
-//! | 0 | the version |
-//! | 1 | flags: 1 for a copy that is isolated, whose observations mean nothing |
-//! | 2, 3 | how many observations, how many verdicts follow |
-//! | 6 each | a zone's id; its health; the age of the latest sign, in units of 20 ms |
-//! | 12 each | a zone's id; the verdict's number; its stage and the operator flag; evacuations; its age in units of 10 ms |
+//! | 0 | version |
+//! | 1 | flags: 1 if the replica is isolated, and its observations are to be ignored |
+//! | 2, 3 | number of observations, number of verdicts |
+//! | 6 per observation | zone id; health; age of the latest answer or failure, in units of 20 ms |
+//! | 12 per verdict | zone id; number; stage and operator flag; evacuations; age in units of 10 ms |
 
 use crate::verdict::{Verdict, ZoneStage};
 use std::time::Duration;
@@ -29,52 +29,52 @@
 const HEALTH_ANSWERING: u8 = 1;
 const HEALTH_SILENT: u8 = 2;
 const HEALTH_MASK: u8 = 0x0f;
-/// Set beside `HEALTH_ANSWERING`.
+/// Combined with `HEALTH_ANSWERING` where the answer was slow.
 const FLAG_SLOW: u8 = 0x10;
-/// Set beside a verdict's stage.
+/// Combined with a verdict's stage where an operator commanded it.
 const FLAG_OPERATOR: u8 = 0x80;
 
-/// A zone's id in reports: the FNV-1a hash of its name.
+/// A zone's id in reports: the 32-bit FNV-1a hash of its name.
 pub fn zone_id(name: &str) -> u32 {
     name.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
 }
 
-/// How a zone looks to one copy.
+/// The health of a zone as one replica observes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneHealth {
-    /// The copy has sent nothing there of late.
+    /// The replica has not sent anything to the zone recently.
     Unknown,
-    /// Something sent there was answered, whatever the answer was.
+    /// The zone answered; an error is an answer as well.
     Answering {
-        /// How long ago that was sent.
+        /// How long ago the answered request or check was sent.
         sent_ago: Duration,
-        /// The answer took long.
+        /// Whether the answer was slow.
         slow: bool,
     },
-    /// Nothing sent there was answered in time.
+    /// Nothing sent to the zone was answered in time.
     Silent {
-        /// The age of the latest sign of that.
+        /// How long ago the latest failure to answer was observed.
         since: Duration,
     },
 }
 
-/// One copy's observation of one zone.
+/// One replica's observation of one zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ZoneObservation {
-    /// The zone's id.
+    /// The id of the observed zone.
     pub zone: u32,
-    /// How the zone looks.
+    /// The health of the zone as observed.
     pub health: ZoneHealth,
 }
 
-/// One copy's report, as of the time it was made.
+/// One replica's report; ages in it are as of the time when it was made.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ZoneReport {
-    /// The copy reaches no zone at all: the fault is its own, and its observations count for nothing.
+    /// Whether the replica reaches no zone at all. The fault is then its own, and its observations are ignored.
     pub isolated: bool,
-    /// How the zones look to it.
+    /// The replica's observations, at most one per zone.
     pub observations: Vec<ZoneObservation>,
-    /// Verdicts that hold for the copy's own zone, and those of operators, with their ages.
+    /// The verdicts in force for the replica's own zone and those commanded by operators, each with its age.
     pub verdicts: Vec<(Verdict, Duration)>,
 }
 
@@ -82,7 +82,8 @@
     (age.as_millis() as u64 / unit_ms).min(max)
 }
 
-/// The report as bytes; observations and verdicts beyond the bounds are left out.
+/// Encodes a report in at most `MAX_REPORT_BYTES`. Observations and verdicts beyond the bounds are left out, and ages are
+/// clamped.
 pub fn encode(report: &ZoneReport) -> Vec<u8> {
     let observations = &report.observations[..report.observations.len().min(MAX_OBSERVATIONS)];
     let verdicts = &report.verdicts[..report.verdicts.len().min(MAX_VERDICTS)];
@@ -113,13 +114,13 @@
     bytes
 }
 
-/// The bytes not read yet; reads are `None` where too few are left.
+/// The bytes that are not read yet. A read returns `None` if too few bytes remain.
 struct ByteReader<'a>(&'a [u8]);
 
 impl ByteReader<'_> {
     fn take<const N: usize>(&mut self) -> Option<[u8; N]> {
-        let (taken, rest) = self.0.split_at_checked(N)?;
-        self.0 = rest;
+        let (taken, remaining) = self.0.split_at_checked(N)?;
+        self.0 = remaining;
         taken.try_into().ok()
     }
 
@@ -147,20 +148,20 @@
     }
 }
 
-/// The report that these bytes encode; `None` where they are cut short, out of bounds or of another version.
+/// Decodes a report; `None` if the bytes are truncated, exceed a bound or are of another version.
 pub fn decode(bytes: &[u8]) -> Option<ZoneReport> {
-    let mut rest = ByteReader(bytes);
-    let [version, flags, observations, verdicts] = rest.take()?;
+    let mut reader = ByteReader(bytes);
+    let [version, flags, observations, verdicts] = reader.take()?;
     let in_bounds = observations as usize <= MAX_OBSERVATIONS && verdicts as usize <= MAX_VERDICTS;
     if version != VERSION || !in_bounds {
         return None;
     }
     let mut report = ZoneReport { isolated: flags & FLAG_ISOLATED != 0, ..ZoneReport::default() };
     for _ in 0..observations {
-        report.observations.push(rest.observation()?);
+        report.observations.push(reader.observation()?);
     }
     for _ in 0..verdicts {
-        report.verdicts.push(rest.verdict()?);
+        report.verdicts.push(reader.verdict()?);
     }
     Some(report)
 }
--- a/crates/localities/src/report_tests.rs
+++ b/crates/localities/src/report_tests.rs
@@ -1,10 +1,10 @@
-//! Reports that are written and read back, cut ones, and arbitrary bytes.
+//! Encoding and decoding of reports, with truncated and arbitrary bytes.
 
 use super::*;
 use proptest::prelude::*;
 
 #[test]
-fn a_report_decodes_to_what_was_encoded_and_cut_ones_are_rejected() {
+fn encoded_report_decodes_and_truncations_are_rejected() {
     let ms = Duration::from_millis;
     let report = ZoneReport {
         isolated: true,
@@ -30,21 +30,21 @@
     let bytes = encode(&report);
     assert!(bytes.len() <= MAX_REPORT_BYTES);
     assert_eq!(decode(&bytes), Some(report));
-    (0..bytes.len()).for_each(|end| assert_eq!(decode(&bytes[..end]), None, "{end}"));
+    (0..bytes.len()).for_each(|end| assert_eq!(decode(&bytes[..end]), None, "truncated to {end} bytes"));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 20_000, failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn arbitrary_bytes_are_decoded_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..200), head in 0u8..3) {
+    fn arbitrary_bytes_are_rejected_or_decode_to_a_valid_report(bytes in prop::collection::vec(any::<u8>(), 0..200), version in 0u8..3) {
         let mut bytes = bytes;
         if let Some(first) = bytes.first_mut() {
-            *first = head;
+            *first = version;
         }
         if let Some(report) = decode(&bytes) {
-            let again = encode(&report);
-            prop_assert!(again.len() <= MAX_REPORT_BYTES);
-            prop_assert_eq!(decode(&again), Some(report));
+            let reencoded = encode(&report);
+            prop_assert!(reencoded.len() <= MAX_REPORT_BYTES);
+            prop_assert_eq!(decode(&reencoded), Some(report));
         }
     }
 }
--- a/crates/localities/src/verdict.rs
+++ b/crates/localities/src/verdict.rs
@@ -1,14 +1,14 @@
-//! Verdicts on zones and their order. The verdicts on one zone are numbered: all copies pass through them in the order of
-//! the numbers, some perhaps skipping one, none going back.
+//! Verdicts on zones and their order. The verdicts on one zone are numbered. A replica adopts them in ascending order: it
+//! may skip a number, but never goes back to an earlier one.
 
-/// How far a zone is in service.
+/// The stage of a zone between full service and evacuation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneStage {
-    /// It gets all of its traffic.
+    /// The zone gets all of its traffic.
     InService,
-    /// It gets nothing but trial requests.
+    /// The zone gets no traffic except trials.
     Evacuated,
-    /// It is on a step of the recovery ramp, the first being 1.
+    /// The zone is on this step of the recovery ramp, counted from 1.
     Recovering(u8),
 }
 
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The stage that follows on the way back into service.
+    /// The next stage on the way back into service; `InService` stays.
     pub fn next(self) -> ZoneStage {
         match self {
             ZoneStage::InService => ZoneStage::InService,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The stage on the wire.
+    /// The stage's code in zone reports.
     pub(crate) fn code(self) -> u8 {
         match self {
             ZoneStage::InService => ZoneStage::IN_SERVICE_CODE,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The stage as operators read it.
+    /// The stage's name in logs and on the console page.
     pub fn name(self) -> &'static str {
         match self {
             ZoneStage::InService => "whole",
@@ -71,23 +71,24 @@
     }
 }
 
-/// What the copies of one zone hold of a zone, or what operators commanded for all copies.
+/// The decision on a zone that the replicas of one zone agreed on, or that an operator commanded for all replicas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Verdict {
-    /// The id of the zone that it is about.
+    /// The id of the zone that the verdict is about.
     pub zone: u32,
-    /// Its number; the first verdict on a zone has 1.
+    /// The verdict's number; the first verdict on a zone has 1.
     pub number: u32,
-    /// The stage that the zone is in by this verdict.
+    /// The stage that the verdict puts the zone into.
     pub stage: ZoneStage,
-    /// An operator commanded it.
+    /// Whether an operator commanded the verdict.
     pub by_operator: bool,
-    /// How many times the zone was evacuated of late.
+    /// The number of recent evacuations of the zone, which lengthen the next one.
     pub evacuations: u8,
 }
 
 impl Verdict {
-    /// The greater one prevails: the later one, and of one number the one that sends less traffic to the zone.
+    /// The key by which verdicts are compared; the greatest prevails. The higher number comes first, then the stage with
+    /// less traffic, then the higher number of evacuations.
     fn precedence(&self) -> (u32, u8, u8) {
         let caution = match self.stage {
             ZoneStage::InService => 0,
@@ -98,10 +99,10 @@
     }
 }
 
-/// Whether a verdict prevails over the known one. Copies that had not heard of each other may issue different verdicts under
-/// one number: all come to the same one, in whichever order they hear them.
-pub fn supersedes(one: &Verdict, known: &Verdict) -> bool {
-    one.precedence() > known.precedence()
+/// Whether a verdict prevails over the known one. Replicas that have not received each other's reports may issue different
+/// verdicts with the same number; this total order makes all replicas converge on one, in any order of receipt.
+pub fn supersedes(verdict: &Verdict, known: &Verdict) -> bool {
+    verdict.precedence() > known.precedence()
 }
 
 #[cfg(test)]
--- a/crates/localities/tests/partitions.rs
+++ b/crates/localities/tests/partitions.rs
@@ -1,5 +1,5 @@
-//! Two sides of a partition that hold opposite verdicts and meet; trials in turn, when a copy whose turn it is dies. The test
-//! carries the reports from copy to copy.
+//! Clusters of replicas whose reports the test delivers: a partition with opposite verdicts that heals, idle replicas,
+//! trials in turn where a replica stops, and operators' commands.
 
 use landingspread_localities::{
     FailoverConfig, Host, OperatorCommand, OwnObservation, PeerReport, RecoveryTimings, ZoneFailover,
@@ -8,199 +8,211 @@
 use std::time::Duration;
 
 const TICK: Duration = Duration::from_millis(50);
-const AWAY: usize = 1;
+const REMOTE_ZONE: usize = 1;
 
 #[derive(Debug)]
-struct Quiet;
+struct NullHost;
 
-impl Host for Quiet {}
+impl Host for NullHost {}
 
-struct Scene {
+struct Cluster {
     now: Duration,
-    copies: Vec<ZoneFailover<Quiet>>,
-    /// Each copy's report, a tick ago.
-    words: Vec<Vec<u8>>,
-    /// How each copy's last request to the far zone ended, and when.
-    last: Vec<(ZoneHealth, Duration)>,
-    down: Vec<bool>,
-    /// Copies that send nothing to the far zone unless they are asked to.
+    replicas: Vec<ZoneFailover<NullHost>>,
+    /// The report of each replica as of the previous tick.
+    reports: Vec<Vec<u8>>,
+    /// How the last request of each replica to the remote zone ended, and when.
+    last_outcomes: Vec<(ZoneHealth, Duration)>,
+    stopped: Vec<bool>,
+    /// Replicas that send nothing to the remote zone except trials and verifications.
     idle: Vec<bool>,
 }
 
-impl Scene {
-    fn new(copies: u64) -> Scene {
+impl Cluster {
+    fn new(replicas: u64) -> Cluster {
         let config = |id: u64| FailoverConfig {
             id,
             zone: "here".into(),
             zones: vec!["here".into(), "away".into()],
             timings: RecoveryTimings::default(),
         };
-        Scene {
+        Cluster {
             now: Duration::from_secs(10),
-            copies: (0..copies).map(|id| ZoneFailover::start(Quiet, config(id))).collect(),
-            words: vec![Vec::new(); copies as usize],
-            last: vec![(ZoneHealth::Unknown, Duration::ZERO); copies as usize],
-            down: vec![false; copies as usize],
-            idle: vec![false; copies as usize],
+            replicas: (0..replicas).map(|id| ZoneFailover::start(NullHost, config(id))).collect(),
+            reports: vec![Vec::new(); replicas as usize],
+            last_outcomes: vec![(ZoneHealth::Unknown, Duration::ZERO); replicas as usize],
+            stopped: vec![false; replicas as usize],
+            idle: vec![false; replicas as usize],
         }
     }
 
-    /// Lets time pass; `reach` says who receives whose reports, `silent` which copies get no answer from the far zone.
-    fn run(&mut self, span: Duration, reach: &dyn Fn(usize, usize) -> bool, silent: &dyn Fn(usize) -> bool) {
-        let until = self.now + span;
+    /// Advances the time. `delivers(sender, receiver)` selects the reports that arrive, `silent` the replicas that the remote
+    /// zone does not answer.
+    fn run(
+        &mut self,
+        duration: Duration,
+        delivers: &dyn Fn(usize, usize) -> bool,
+        silent: &dyn Fn(usize) -> bool,
+    ) {
+        let until = self.now + duration;
         while self.now < until {
             self.now += TICK;
-            let words = self.words.clone();
-            for at in (0..self.copies.len()).filter(|at| !self.down[*at]) {
-                let traffic_fraction = self.copies[at].traffic()[AWAY];
-                if (traffic_fraction.traffic_fraction > 0.0 && !self.idle[at])
-                    || traffic_fraction.trial.is_some()
-                {
-                    let health = match silent(at) {
+            let reports = self.reports.clone();
+            for index in (0..self.replicas.len()).filter(|index| !self.stopped[*index]) {
+                let traffic = self.replicas[index].traffic()[REMOTE_ZONE];
+                if (traffic.traffic_fraction > 0.0 && !self.idle[index]) || traffic.trial.is_some() {
+                    let health = match silent(index) {
                         true => ZoneHealth::Silent { since: Duration::ZERO },
                         false => ZoneHealth::Answering { sent_ago: Duration::ZERO, slow: false },
                     };
-                    self.last[at] = (health, self.now);
+                    self.last_outcomes[index] = (health, self.now);
                 }
-                let ago = self.now - self.last[at].1;
-                let health = match self.last[at].0 {
-                    ZoneHealth::Silent { .. } => ZoneHealth::Silent { since: ago },
-                    ZoneHealth::Answering { slow, .. } => ZoneHealth::Answering { sent_ago: ago, slow },
+                let age = self.now - self.last_outcomes[index].1;
+                let health = match self.last_outcomes[index].0 {
+                    ZoneHealth::Silent { .. } => ZoneHealth::Silent { since: age },
+                    ZoneHealth::Answering { slow, .. } => ZoneHealth::Answering { sent_ago: age, slow },
                     ZoneHealth::Unknown => ZoneHealth::Unknown,
                 };
-                let same_zone = ZoneHealth::Answering { sent_ago: Duration::ZERO, slow: false };
+                let answering = ZoneHealth::Answering { sent_ago: Duration::ZERO, slow: false };
                 let own = [
-                    OwnObservation { zone: 0, ready: 2, health: same_zone },
-                    OwnObservation { zone: AWAY, ready: 2, health },
+                    OwnObservation { zone: 0, ready: 2, health: answering },
+                    OwnObservation { zone: REMOTE_ZONE, ready: 2, health },
                 ];
-                let peers = (0..words.len()).filter(|other| *other != at && !self.down[*other]);
-                let peers = peers.filter(|other| reach(*other, at)).map(|other| PeerReport {
+                let peers = (0..reports.len()).filter(|other| *other != index && !self.stopped[*other]);
+                let peers = peers.filter(|other| delivers(*other, index)).map(|other| PeerReport {
                     id: other as u64,
                     name: "peer",
                     zone: "here",
-                    report: Some(words[other].as_slice()).filter(|word| !word.is_empty()),
+                    report: Some(reports[other].as_slice()).filter(|report| !report.is_empty()),
                     age: TICK,
                 });
-                self.copies[at].tick(self.now, &own, peers);
-                self.words[at] = self.copies[at].report_bytes().to_vec();
+                self.replicas[index].tick(self.now, &own, peers);
+                self.reports[index] = self.replicas[index].report_bytes().to_vec();
             }
         }
     }
 
     fn stages(&self) -> Vec<ZoneStage> {
-        self.copies.iter().map(|copy| copy.statuses().nth(AWAY).expect("a zone").stage).collect()
+        self.replicas
+            .iter()
+            .map(|replica| replica.statuses().nth(REMOTE_ZONE).expect("the remote zone has a status").stage)
+            .collect()
     }
 
-    fn turns(&self) -> usize {
-        self.copies.iter().filter(|copy| copy.traffic()[AWAY].trial.is_some()).count()
+    fn trial_count(&self) -> usize {
+        self.replicas.iter().filter(|replica| replica.traffic()[REMOTE_ZONE].trial.is_some()).count()
     }
 }
 
-fn all(_: usize, _: usize) -> bool {
+fn all_connected(_: usize, _: usize) -> bool {
     true
 }
 
-fn nobody(_: usize) -> bool {
+fn none_silent(_: usize) -> bool {
     false
 }
 
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
-fn halves_with_opposite_verdicts_meet_and_return_the_zone() {
-    for copies in [4, 8, 16, 40] {
-        let mut scene = Scene::new(copies);
-        scene.run(SECOND * 3, &all, &nobody);
-        let half = copies as usize / 2;
-        let apart = |one: usize, other: usize| (one < half) == (other < half);
-        scene.run(SECOND * 5, &apart, &|copy| copy < half);
-        let stages = scene.stages();
-        assert!(stages[..half].iter().all(|stage| *stage == ZoneStage::Evacuated), "{copies}: {stages:?}");
-        assert!(stages[half..].iter().all(|stage| *stage == ZoneStage::InService), "{copies}: {stages:?}");
-        // The partition heals, and the zone answers all.
-        scene.run(SECOND, &all, &nobody);
-        let stages = scene.stages();
-        assert!(stages.iter().all(|stage| *stage == stages[0]), "{copies}: {stages:?}");
-        scene.run(SECOND * 2, &all, &nobody);
+fn healed_partition_with_opposite_verdicts_returns_zone() {
+    for replicas in [4, 8, 16, 40] {
+        let mut cluster = Cluster::new(replicas);
+        cluster.run(SECOND * 3, &all_connected, &none_silent);
+        let half = replicas as usize / 2;
+        let same_side = |one: usize, other: usize| (one < half) == (other < half);
+        cluster.run(SECOND * 5, &same_side, &|replica| replica < half);
+        let stages = cluster.stages();
+        assert!(stages[..half].iter().all(|stage| *stage == ZoneStage::Evacuated), "{replicas}: {stages:?}");
+        assert!(stages[half..].iter().all(|stage| *stage == ZoneStage::InService), "{replicas}: {stages:?}");
+        // The partition heals, and the zone answers all replicas.
+        cluster.run(SECOND, &all_connected, &none_silent);
+        let stages = cluster.stages();
+        assert!(stages.iter().all(|stage| *stage == stages[0]), "{replicas}: {stages:?}");
+        cluster.run(SECOND * 2, &all_connected, &none_silent);
         assert!(
-            scene.stages().iter().all(|stage| *stage != ZoneStage::Evacuated),
-            "{copies}: {:?}",
-            scene.stages()
+            cluster.stages().iter().all(|stage| *stage != ZoneStage::Evacuated),
+            "{replicas}: {:?}",
+            cluster.stages()
         );
-        scene.run(SECOND * 4, &all, &nobody);
+        cluster.run(SECOND * 4, &all_connected, &none_silent);
         assert!(
-            scene.stages().iter().all(|stage| *stage == ZoneStage::InService),
-            "{copies}: {:?}",
-            scene.stages()
+            cluster.stages().iter().all(|stage| *stage == ZoneStage::InService),
+            "{replicas}: {:?}",
+            cluster.stages()
         );
     }
 }
 
 #[test]
-fn an_idle_copy_is_asked_to_verify_and_holds_up_no_verdict() {
-    let mut scene = Scene::new(3);
-    scene.idle[2] = true;
-    scene.run(SECOND * 3, &all, &nobody);
-    assert_eq!(scene.turns(), 0, "no copy finds it silent");
-    scene.run(TICK * 6, &all, &|_| true);
-    let stages = scene.stages();
+fn idle_replica_verifies_and_does_not_delay_a_verdict() {
+    let mut cluster = Cluster::new(3);
+    cluster.idle[2] = true;
+    cluster.run(SECOND * 3, &all_connected, &none_silent);
+    assert_eq!(cluster.trial_count(), 0, "no verification while no replica finds the zone silent");
+    cluster.run(TICK * 6, &all_connected, &|_| true);
+    let stages = cluster.stages();
     assert!(stages.iter().all(|stage| *stage == ZoneStage::Evacuated), "{stages:?}");
-    // One copy's observation alone is verified, not followed.
-    let mut scene = Scene::new(3);
-    scene.idle[2] = true;
-    scene.run(SECOND * 3, &all, &nobody);
-    scene.run(SECOND * 3, &all, &|copy| copy == 0);
-    let stages = scene.stages();
+    // The observation of one replica alone is verified, and causes no evacuation.
+    let mut cluster = Cluster::new(3);
+    cluster.idle[2] = true;
+    cluster.run(SECOND * 3, &all_connected, &none_silent);
+    cluster.run(SECOND * 3, &all_connected, &|replica| replica == 0);
+    let stages = cluster.stages();
     assert!(stages.iter().all(|stage| *stage == ZoneStage::InService), "{stages:?}");
 }
 
 #[test]
-fn trials_take_turns_and_a_copy_that_dies_costs_one_turn() {
-    let mut scene = Scene::new(6);
-    scene.run(SECOND * 3, &all, &nobody);
-    scene.run(SECOND * 2, &all, &|_| true);
-    let mut had = Vec::new();
+fn trials_rotate_and_a_stopped_replica_costs_one_turn() {
+    let mut cluster = Cluster::new(6);
+    cluster.run(SECOND * 3, &all_connected, &none_silent);
+    cluster.run(SECOND * 2, &all_connected, &|_| true);
+    let mut senders = Vec::new();
     for _ in 0..60 {
-        scene.run(TICK * 2, &all, &|_| true);
-        assert!(scene.turns() <= 2, "two at the boundary of two turns");
-        let one = scene.copies.iter().position(|copy| copy.traffic()[AWAY].trial.is_some());
-        one.into_iter().for_each(|one| had.push(one));
+        cluster.run(TICK * 2, &all_connected, &|_| true);
+        assert!(cluster.trial_count() <= 2, "at most two trials at the boundary of two turns");
+        let sender =
+            cluster.replicas.iter().position(|replica| replica.traffic()[REMOTE_ZONE].trial.is_some());
+        sender.into_iter().for_each(|sender| senders.push(sender));
     }
-    had.dedup();
-    assert!(had.len() >= 9, "{had:?}");
-    let dies = had[had.len() - 1];
-    scene.down[dies] = true;
-    scene.run(SECOND * 3, &all, &|_| true);
-    let others = (0..6).filter(|copy| *copy != dies);
+    senders.dedup();
+    assert!(senders.len() >= 9, "{senders:?}");
+    let stopped_replica = senders[senders.len() - 1];
+    cluster.stopped[stopped_replica] = true;
+    cluster.run(SECOND * 3, &all_connected, &|_| true);
+    let others = (0..6).filter(|replica| *replica != stopped_replica);
     assert!(
         others
-            .map(|copy| scene.copies[copy].traffic()[AWAY])
-            .all(|traffic_fraction| traffic_fraction.traffic_fraction == 0.0)
+            .map(|replica| cluster.replicas[replica].traffic()[REMOTE_ZONE])
+            .all(|traffic| traffic.traffic_fraction == 0.0)
     );
-    // Its turn passes, and the zone returns by the others' trials.
-    scene.run(SECOND * 6, &all, &nobody);
-    let stages = scene.stages();
+    // The turn of the stopped replica passes, and the zone returns by the other replicas' trials.
+    cluster.run(SECOND * 6, &all_connected, &none_silent);
+    let stages = cluster.stages();
     assert!(
-        (0..6).filter(|copy| *copy != dies).all(|copy| stages[copy] == ZoneStage::InService),
+        (0..6)
+            .filter(|replica| *replica != stopped_replica)
+            .all(|replica| stages[replica] == ZoneStage::InService),
         "{stages:?}"
     );
 }
 
 #[test]
-fn operator_commands_prevail_over_evidence_until_they_are_withdrawn() {
-    let mut scene = Scene::new(5);
-    scene.run(SECOND * 3, &all, &nobody);
-    assert!(!scene.copies[0].operator_command(scene.now, "nowhere", OperatorCommand::Evacuate));
-    assert!(scene.copies[2].operator_command(scene.now, "away", OperatorCommand::Evacuate));
-    scene.run(TICK * 4, &all, &nobody);
-    assert!(scene.stages().iter().all(|stage| *stage == ZoneStage::Evacuated), "{:?}", scene.stages());
-    // The copy that received the command dies: the others carry on.
-    scene.down[2] = true;
-    scene.run(SECOND * 70, &all, &nobody);
-    let left = |scene: &Scene| (0..5).filter(|copy| scene.stages()[*copy] == ZoneStage::Evacuated).count();
-    assert_eq!(left(&scene), 5);
-    assert_eq!(scene.turns(), 0, "a zone that operators evacuated is not tried");
-    assert!(scene.copies[4].operator_command(scene.now, "away", OperatorCommand::Return));
-    scene.run(SECOND * 3, &all, &nobody);
-    assert_eq!(left(&scene), 1, "{:?}", scene.stages());
+fn operator_commands_override_evidence_until_withdrawn() {
+    let mut cluster = Cluster::new(5);
+    cluster.run(SECOND * 3, &all_connected, &none_silent);
+    assert!(!cluster.replicas[0].operator_command(cluster.now, "nowhere", OperatorCommand::Evacuate));
+    assert!(cluster.replicas[2].operator_command(cluster.now, "away", OperatorCommand::Evacuate));
+    cluster.run(TICK * 4, &all_connected, &none_silent);
+    assert!(cluster.stages().iter().all(|stage| *stage == ZoneStage::Evacuated), "{:?}", cluster.stages());
+    // The replica that received the command stops; the others keep the verdict.
+    cluster.stopped[2] = true;
+    cluster.run(SECOND * 70, &all_connected, &none_silent);
+    let evacuated_count = |cluster: &Cluster| {
+        (0..5).filter(|replica| cluster.stages()[*replica] == ZoneStage::Evacuated).count()
+    };
+    assert_eq!(evacuated_count(&cluster), 5);
+    assert_eq!(cluster.trial_count(), 0, "a zone that operators evacuated gets no trials");
+    assert!(cluster.replicas[4].operator_command(cluster.now, "away", OperatorCommand::Return));
+    cluster.run(SECOND * 3, &all_connected, &none_silent);
+    assert_eq!(evacuated_count(&cluster), 1, "{:?}", cluster.stages());
 }
