--- a/crates/wirehost/src/dispatcher.rs
+++ b/crates/wirehost/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! Takes the wire's lines and passes each to its instance.
+//! Reads the wire's lines and dispatches each message to the decision instance that it names.
 
 use crate::fields::Fields;
 use crate::instance_host::{InstanceHost, Reply};
@@ -9,36 +9,37 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The endpoint list whose entries come next.
+/// The endpoint list that the next entries belong to, and the number of entries still expected.
 #[derive(Default)]
-struct OpenList {
+struct CurrentList {
     number: usize,
-    entries_to_come: usize,
+    entries_remaining: usize,
 }
 
-/// All instances of the process, and the lists that they share.
+/// The decision instances of the process, and the endpoint lists that they share.
 #[derive(Default)]
 pub struct Dispatcher {
     now: Duration,
     reply: Reply,
     instances: BTreeMap<String, Policy<InstanceHost>>,
     lists: BTreeMap<usize, Vec<ListedServer>>,
-    open: OpenList,
+    current_list: CurrentList,
 }
 
 impl Dispatcher {
-    /// Takes one line, without its end; the line that ends a batch gives the complete reply back.
+    /// Processes one line, without its line terminator. The line that ends a batch returns the complete reply to it.
     ///
     /// # Errors
     ///
-    /// If the line can't be taken. It then changes nothing, but for an entry of a list, which counts as one of its list's.
+    /// Returns an error if the line is malformed. The line then has no effect, except that a malformed list entry still
+    /// counts as one of its list's entries, and that unreadable settings are answered with GIVE_IN.
     pub fn read_line(&mut self, line: &str) -> Result<Option<String>, MalformedLine> {
         let mut fields = Fields::of(line);
         match fields.next_text().unwrap_or("") {
             "" => {}
             "TURN" => self.now = fields.span("Moment")?,
             "END" => return Ok(Some(self.take_reply())),
-            "MANIFEST" => self.open_list(&mut fields)?,
+            "MANIFEST" => self.begin_list(&mut fields)?,
             "ITEM" => self.add_entry(&mut fields)?,
             message => self.dispatch(message, &mut fields)?,
         }
@@ -51,20 +52,21 @@
         reply
     }
 
-    fn open_list(&mut self, fields: &mut Fields<'_>) -> Result<(), MalformedLine> {
+    fn begin_list(&mut self, fields: &mut Fields<'_>) -> Result<(), MalformedLine> {
         let number = fields.required("List")?;
-        let entries_to_come = fields.required("Members")?;
-        self.open = OpenList { number, entries_to_come };
+        let entries_remaining = fields.required("Members")?;
+        self.current_list = CurrentList { number, entries_remaining };
         self.lists.insert(number, Vec::new());
         Ok(())
     }
 
     fn add_entry(&mut self, fields: &mut Fields<'_>) -> Result<(), MalformedLine> {
-        // Counted before it is read: an entry that can't be read must not swallow the next list's.
-        let entries_left = self.open.entries_to_come.checked_sub(1).ok_or(MalformedLine::ItemOutsideList)?;
-        self.open.entries_to_come = entries_left;
+        // Counted before it is parsed, so that a malformed entry does not take the place of a later list's entry.
+        let entries_remaining =
+            self.current_list.entries_remaining.checked_sub(1).ok_or(MalformedLine::ItemOutsideList)?;
+        self.current_list.entries_remaining = entries_remaining;
         let entry = fields.listed_server()?;
-        self.lists.entry(self.open.number).or_default().push(entry);
+        self.lists.entry(self.current_list.number).or_default().push(entry);
         Ok(())
     }
 
@@ -116,7 +118,7 @@
     }
 }
 
-/// What came of a poll of discovery, by `Mode`.
+/// Passes the result of a discovery poll to the instance: `Mode` says whether the poll failed, or how the list was obtained.
 fn endpoint_list(
     instance: &mut Policy<InstanceHost>,
     now: Duration,
--- a/crates/wirehost/src/fields.rs
+++ b/crates/wirehost/src/fields.rs
@@ -1,28 +1,29 @@
-//! The fields of one line: separated by single spaces, in a fixed order, `-` where an optional one is absent.
+//! Parses the fields of one line. Fields are separated by single spaces and have a fixed order; an absent optional field is
+//! `-`.
 
 use crate::malformed::MalformedLine;
 use landingspread_decisions::host::{Id, Lifecycle, ListedServer, LoadReport, Outcome, RequestArrival};
 use std::str::FromStr;
 use std::time::Duration;
 
-/// The bit of a request's `Options` that says that its cost was declared.
+/// The bit of a request's `Options` that marks its `CostGuess` as declared.
 const COST_DECLARED: u32 = 1;
 
-/// Reads fields one after the other.
+/// The fields of a line that are not read yet.
 pub struct Fields<'a>(std::str::Split<'a, char>);
 
 impl<'a> Fields<'a> {
-    /// The fields of a line without its end.
+    /// Splits a line, given without its line terminator, into fields.
     pub fn of(line: &'a str) -> Fields<'a> {
         Fields(line.split(' '))
     }
 
-    /// The next field's text, if there is one.
+    /// The text of the next field; `None` at the end of the line.
     pub fn next_text(&mut self) -> Option<&'a str> {
         self.0.next()
     }
 
-    /// All fields that are left.
+    /// The texts of all fields that are not read yet.
     pub fn remaining(&mut self) -> Vec<&'a str> {
         self.0.by_ref().collect()
     }
@@ -31,7 +32,7 @@
         self.0.next();
     }
 
-    /// The next field's text, which must not be empty.
+    /// The text of the next field; an error if the field is missing or empty.
     pub fn text(&mut self, field: &'static str) -> Result<&'a str, MalformedLine> {
         self.0.next().filter(|text| !text.is_empty()).ok_or(MalformedLine::MissingField(field))
     }
@@ -46,12 +47,12 @@
         }
     }
 
-    /// A value that must be there.
+    /// The value of the next field; an error if the field is missing, empty, `-` or unreadable.
     pub fn required<T: FromStr>(&mut self, field: &'static str) -> Result<T, MalformedLine> {
         self.optional(field)?.ok_or(MalformedLine::MissingField(field))
     }
 
-    /// A moment or a span, in microseconds on the wire.
+    /// A time or a duration, in microseconds on the wire.
     pub fn span(&mut self, field: &'static str) -> Result<Duration, MalformedLine> {
         Ok(Duration::from_micros(self.required(field)?))
     }
@@ -61,7 +62,7 @@
         Ok(self.text(field)?.into())
     }
 
-    /// `1` or `0`.
+    /// A boolean: `1` for true, `0` for false.
     pub fn flag(&mut self, field: &'static str) -> Result<bool, MalformedLine> {
         match self.text(field)? {
             "1" => Ok(true),
@@ -70,7 +71,7 @@
         }
     }
 
-    /// The wire's number of an outcome.
+    /// The outcome of an attempt or a health check, by its number on the wire.
     pub fn outcome(&mut self) -> Result<Outcome, MalformedLine> {
         Ok(match self.text("Rc")? {
             "10" => Outcome::Ok,
@@ -85,7 +86,7 @@
         })
     }
 
-    /// Bytes as hex digits; `-` is none at all.
+    /// Bytes as pairs of hexadecimal digits; `-` stands for no bytes.
     pub fn bytes(&mut self, field: &'static str) -> Result<Vec<u8>, MalformedLine> {
         let text = self.text(field)?;
         let digits = if text == "-" { "" } else { text };
@@ -97,7 +98,8 @@
         bytes.ok_or_else(|| MalformedLine::NotHex { field, text: text.into() })
     }
 
-    /// A load report as `name:value` pairs; what can't be read counts as not reported.
+    /// A load report as `name:value` pairs separated by commas. A value that is unreadable, negative or not finite counts as
+    /// not reported.
     pub fn load_report(&mut self) -> LoadReport {
         let mut report = LoadReport::default();
         for pair in self.0.next().unwrap_or("-").split(',') {
@@ -113,7 +115,7 @@
         report
     }
 
-    /// The fields of REQUEST behind the instance's name.
+    /// The fields of REQUEST that follow the instance's name.
     pub fn request_arrival(&mut self) -> Result<RequestArrival, MalformedLine> {
         let id = self.id("Req")?;
         let class = self.required("Grade")?;
@@ -126,7 +128,7 @@
         Ok(RequestArrival { id, class, deadline, body_incomplete: false, tenant, declared_work })
     }
 
-    /// The fields of ITEM.
+    /// The fields of ITEM, an entry of an endpoint list.
     pub fn listed_server(&mut self) -> Result<ListedServer, MalformedLine> {
         let server = self.id("Endpoint")?;
         let zone = self.required("Locality")?;
--- a/crates/wirehost/src/instance_host.rs
+++ b/crates/wirehost/src/instance_host.rs
@@ -1,4 +1,4 @@
-//! What one instance asks for, written as lines of the wire.
+//! The host of one decision instance: writes the instance's calls as lines of the wire.
 
 use landingspread_decisions::host::{Event, Host, Id};
 use std::cell::RefCell;
@@ -6,22 +6,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The lines of a batch so far: all instances of the process write to one.
+/// The reply to the current batch so far, shared by all instances of the process.
 pub type Reply = Rc<RefCell<String>>;
 
-/// The host of one instance.
+/// The host of one decision instance.
 pub struct InstanceHost {
     name: String,
     reply: Reply,
 }
 
 impl InstanceHost {
-    /// A host that writes lines under the instance's name.
+    /// Creates a host that writes lines with this instance name to the shared reply.
     pub fn new(name: &str, reply: Reply) -> InstanceHost {
         InstanceHost { name: name.into(), reply }
     }
 
-    /// Writes one line: the message, the instance's name, and fields that each begin with a space.
+    /// Writes one line: the message, the instance's name, and the fields, each with a leading space.
     pub fn write(&self, message: &str, fields: fmt::Arguments<'_>) {
         let mut reply = self.reply.borrow_mut();
         // Writing to a String cannot fail.
--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -1,5 +1,5 @@
-//! The simulator's wire for landingspread: many decision instances in one process. It translates lines into calls on the instances
-//! and their calls into lines; it must never decide anything.
+//! Hosts many decision instances in one process, on the line protocol of the simulator (the wire). It translates lines into
+//! calls on the instances and the instances' calls into lines, and must make no decisions of its own.
 
 #![warn(missing_docs)]
 
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts many decision instances on the simulator's wire: standard input in, standard output back.
+//! Hosts many decision instances on the simulator's wire: reads lines from standard input, writes replies to standard output,
+//! and reports malformed lines on standard error.
 
 use landingspread_wirehost::Dispatcher;
 use std::io::{self, BufRead, BufWriter, Write};
--- a/crates/wirehost/src/malformed.rs
+++ b/crates/wirehost/src/malformed.rs
@@ -1,43 +1,43 @@
-//! What can be wrong with a line of the wire.
+//! The errors that a line of the wire may have.
 
 use landingspread_decisions::settings::SettingError;
 use std::fmt;
 
-/// A line that can't be taken. Fields and messages have the wire's own names.
+/// Why a line was rejected. Fields and messages have their names on the wire.
 #[derive(Debug, PartialEq, Eq)]
 pub enum MalformedLine {
-    /// A field is missing or empty.
+    /// A required field is missing, empty or `-`.
     MissingField(&'static str),
-    /// A field's text is not of its type.
+    /// The text of a field does not parse as the field's type.
     UnreadableField {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// What stands there.
+        /// The text of the field in the line.
         text: String,
     },
-    /// A field's text is none of those that it may have.
+    /// The text of a field is not one of the field's values.
     UnknownValue {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// What stands there.
+        /// The text of the field in the line.
         text: String,
     },
-    /// A field that holds bytes is not hexadecimal.
+    /// The text of a field that holds bytes is not hexadecimal.
     NotHex {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// What stands there.
+        /// The text of the field in the line.
         text: String,
     },
-    /// An endpoint beyond those that its list announced.
+    /// An ITEM beyond the number of entries that its list's MANIFEST announced.
     ItemOutsideList,
-    /// A list is used that was never given.
+    /// A TOPOLOGY refers to a list that no MANIFEST announced.
     UnknownList,
-    /// A message of this name, for an instance that does not run.
+    /// A message of this name addresses an instance that is not running.
     NoSuchInstance(String),
-    /// A message of a name that the wire does not have.
+    /// The wire has no message of this name.
     UnknownMessage(String),
-    /// The settings of a new instance can't be read.
+    /// The settings of a new instance are invalid.
     Settings(SettingError),
 }
 
@@ -46,12 +46,14 @@
         match self {
             MalformedLine::MissingField(field) => write!(f, "{field} is missing"),
             MalformedLine::UnreadableField { field, text } => write!(f, "{field} can't be read: {text:?}"),
-            MalformedLine::UnknownValue { field, text } => write!(f, "{field} is unknown: {text:?}"),
-            MalformedLine::NotHex { field, text } => write!(f, "{field} is no hex: {text:?}"),
+            MalformedLine::UnknownValue { field, text } => {
+                write!(f, "{field} has an unknown value: {text:?}")
+            }
+            MalformedLine::NotHex { field, text } => write!(f, "{field} is not hexadecimal: {text:?}"),
             MalformedLine::ItemOutsideList => f.write_str("ITEM outside a list"),
-            MalformedLine::UnknownList => f.write_str("TOPOLOGY names a list that was never given"),
+            MalformedLine::UnknownList => f.write_str("TOPOLOGY refers to a list that no MANIFEST announced"),
             MalformedLine::NoSuchInstance(message) => {
-                write!(f, "{message} for an instance that does not run")
+                write!(f, "{message} for an instance that is not running")
             }
             MalformedLine::UnknownMessage(message) => write!(f, "unknown message {message:?}"),
             MalformedLine::Settings(error) => error.fmt(f),
