--- a/crates/localities/src/evidence.rs
+++ b/crates/localities/src/evidence.rs
@@ -8,7 +8,8 @@
 /// Observations older than this, counting the age of their report, are ignored.
 pub const EVIDENCE_WINDOW: Duration = Duration::from_secs(2);
 /// The minimum number of replicas that must find a zone silent. For the criterion within one zone it is capped by the
-/// number of replicas there, but never below two.
+/// number of replicas there, but never below two. It is also the minimum number of answered replicas for the next ramp
+/// step, if the counts over all replicas decide it.
 const MIN_SILENT_OBSERVERS: u32 = 3;
 /// The fleet-wide criterion: the number of all replicas divided by this, rounded up, must find the zone silent. A fifth
 /// exceeds the seventh of the replicas whose reports may be false.
@@ -123,7 +124,8 @@
     }
 
     /// Whether the evacuated zone answers more than half of the own zone's replicas, and more than trials explain, for
-    /// requests sent since the evacuation. This happens when two sides of a partition reconnect and only one of them had lost the zone.
+    /// requests sent since the evacuation. This happens when two sides of a partition reconnect and only one of them had
+    /// lost the zone.
     pub fn contradicts(&self, zone_replicas: u32) -> bool {
         self.same_zone.answered > MAX_CONCURRENT_TRIALS.max(zone_replicas / 2)
     }
