--- a/crates/decisions/tests/decisions/logged_run.rs
+++ b/crates/decisions/tests/decisions/logged_run.rs
@@ -1,7 +1,8 @@
-//! Seeded runs round a logging host: arrivals, answers of all outcomes, changes of the list, operators' and peers' words.
+//! Seeded runs with a logging host: requests, attempts with all outcomes, endpoint list changes, operators' commands and
+//! messages from peers.
 
-use crate::logged_host::{Draws, Due, Played, World, number_of};
-use crate::scripted_host::{ms, terms};
+use crate::logged_host::{LoggingHost, PendingEvent, RandomSequence, SimulatedNetwork, server_number};
+use crate::scripted_host::{ms, test_settings};
 use landingspread_decisions::host::{
     AttemptEnd, Id, Lifecycle, ListedServer, LoadReport, Outcome, ReplicaView, RequestArrival,
 };
@@ -14,120 +15,118 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-struct Run {
-    world: Rc<RefCell<World>>,
-    policy: Policy<Played>,
+struct SeededRun {
+    network: Rc<RefCell<SimulatedNetwork>>,
+    policy: Policy<LoggingHost>,
     servers: u32,
     rate: u64,
     sweep_at: Duration,
-    rests: bool,
+    skips_sweeps: bool,
     trial: u64,
-    given: u64,
+    request_count: u64,
 }
 
-impl Run {
-    fn draw(&self, bound: u64) -> u64 {
-        self.world.borrow_mut().draws.below(bound)
+impl SeededRun {
+    fn random_below(&self, bound: u64) -> u64 {
+        self.network.borrow_mut().random.below(bound)
     }
 
     fn entry(&self, number: u32) -> ListedServer {
-        let state =
+        let lifecycles =
             [Lifecycle::Ready, Lifecycle::Ready, Lifecycle::Ready, Lifecycle::Draining, Lifecycle::Removed];
-        let now = self.world.borrow().now;
-        let up_since = (self.draw(4) == 0).then(|| now.saturating_sub(ms(self.draw(20_000))));
+        let now = self.network.borrow().now;
+        let start_time =
+            (self.random_below(4) == 0).then(|| now.saturating_sub(ms(self.random_below(20_000))));
         ListedServer {
             server: format!("s{number}").into(),
             zone: number % 2,
             cell: number % 4,
-            lifecycle: state[self.draw(5) as usize],
+            lifecycle: lifecycles[self.random_below(5) as usize],
             nominal_capacity: [1.0, 1.0, 0.0, 2.5][(number % 4) as usize],
-            started_at: up_since,
+            started_at: start_time,
         }
     }
 
-    fn whole_list(&self) -> Vec<ListedServer> {
+    fn complete_list(&self) -> Vec<ListedServer> {
         (0..self.servers)
-            .filter(|number| number % 7 != 6 || self.draw(2) == 0)
+            .filter(|number| number % 7 != 6 || self.random_below(2) == 0)
             .map(|number| ListedServer { lifecycle: Lifecycle::Ready, ..self.entry(number) })
             .collect()
     }
 
-    fn arrives(&mut self, now: Duration) {
-        self.given += 1;
-        let id: Id = format!("c{:05}", self.given).into();
-        let (coming, verb) = (self.draw(100) < 4, self.draw(41) as usize % 4);
-        let due = now + ms(if coming { 900_000 } else { 200 + self.draw(2800) });
-        let cost = (self.draw(3) == 0).then(|| Duration::from_micros(1000 + self.draw(20_000)));
-        let tenant = self.draw(3) as usize;
-        // One in forty is of a verb that no setting tells of.
-        let verb = if self.draw(100) == 0 { 9 } else { verb };
+    fn submit_request(&mut self, now: Duration) {
+        self.request_count += 1;
+        let id: Id = format!("c{:05}", self.request_count).into();
+        let (incomplete, class) = (self.random_below(100) < 4, self.random_below(41) as usize % 4);
+        let deadline = now + ms(if incomplete { 900_000 } else { 200 + self.random_below(2800) });
+        let work =
+            (self.random_below(3) == 0).then(|| Duration::from_micros(1000 + self.random_below(20_000)));
+        let tenant = self.random_below(3) as usize;
+        // One request in a hundred has a class that the settings do not have.
+        let class = if self.random_below(100) == 0 { 9 } else { class };
         {
-            let mut world = self.world.borrow_mut();
-            world.verbs.insert(id.clone(), verb);
-            let span = ms(20 + world.draws.below(300));
-            if coming {
-                world.later(span, Due::Body(id.clone()));
+            let mut network = self.network.borrow_mut();
+            network.classes.insert(id.clone(), class);
+            let delay = ms(20 + network.random.below(300));
+            if incomplete {
+                network.schedule(delay, PendingEvent::BodyCompleted(id.clone()));
             }
-            if world.draws.of_100(3) {
-                world.later(span / 2, Due::Left(id.clone()));
+            if network.random.chance_percent(3) {
+                network.schedule(delay / 2, PendingEvent::ClientDisconnected(id.clone()));
             }
         }
         self.policy.request_arrived(
             now,
-            RequestArrival {
-                id,
-                class: verb,
-                deadline: due,
-                body_incomplete: coming,
-                tenant,
-                declared_work: cost,
-            },
+            RequestArrival { id, class, deadline, body_incomplete: incomplete, tenant, declared_work: work },
         );
     }
 
-    fn comes(&mut self, now: Duration, due: Due) {
-        match due {
-            Due::Answer { cmd, number, server, sent, outcome } => {
-                let (closed, spent, load) = {
-                    let mut world = self.world.borrow_mut();
+    fn deliver(&mut self, now: Duration, event: PendingEvent) {
+        match event {
+            PendingEvent::AttemptEnded { request, number, server, sent_at, outcome } => {
+                let (closed, consumed, load) = {
+                    let mut network = self.network.borrow_mut();
                     if outcome == Outcome::Ok {
-                        world.finished.insert(cmd.clone());
-                        if world.draws.of_100(2) {
-                            let verb = world.verbs[&cmd];
-                            world.later(ms(5), Due::Broke(server.clone(), verb));
+                        network.finished.insert(request.clone());
+                        if network.random.chance_percent(2) {
+                            let class = network.classes[&request];
+                            network.schedule(ms(5), PendingEvent::ResponseInterrupted(server.clone(), class));
                         }
                     }
-                    let load = if outcome == Outcome::Ok { world.load() } else { LoadReport::default() };
-                    (world.finished.contains(&cmd), world.draws.of_100(1), load)
+                    let load =
+                        if outcome == Outcome::Ok { network.load_report() } else { LoadReport::default() };
+                    (network.finished.contains(&request), network.random.chance_percent(1), load)
                 };
-                let latency = now - sent;
-                let ended = AttemptEnd {
-                    request: cmd,
+                let latency = now - sent_at;
+                let attempt_end = AttemptEnd {
+                    request,
                     request_closed: closed,
-                    body_consumed: spent,
+                    body_consumed: consumed,
                     outcome,
                     attempt: number,
                     latency,
                     server,
                     load,
                 };
-                self.policy.attempt_ended(now, ended);
+                self.policy.attempt_ended(now, attempt_end);
+            }
+            PendingEvent::ResponseStarted(request) => self.policy.response_started(now, &request),
+            PendingEvent::ResponseInterrupted(server, class) => {
+                self.policy.response_interrupted(now, &server, class);
             }
-            Due::Began(cmd) => self.policy.response_started(now, &cmd),
-            Due::Broke(server, verb) => self.policy.response_interrupted(now, &server, verb),
-            Due::Body(cmd) => self.policy.body_completed(now, &cmd, now + ms(1500)),
-            Due::Left(cmd) => {
-                if self.world.borrow_mut().finished.insert(cmd.clone()) {
-                    self.policy.client_disconnected(now, &cmd);
+            PendingEvent::BodyCompleted(request) => self.policy.body_completed(now, &request, now + ms(1500)),
+            PendingEvent::ClientDisconnected(request) => {
+                if self.network.borrow_mut().finished.insert(request.clone()) {
+                    self.policy.client_disconnected(now, &request);
                 }
             }
-            Due::Checked(server) => {
-                let number = number_of(&server);
+            PendingEvent::HealthCheckEnded(server) => {
+                let number = server_number(&server);
                 let (outcome, load) = {
-                    let mut world = self.world.borrow_mut();
-                    let load = world.load();
-                    let absent = number == 6 && (11..14).contains(&world.second());
-                    match world.draws.below(20) {
+                    let mut network = self.network.borrow_mut();
+                    let load = network.load_report();
+                    let absent = number == 6 && (11..14).contains(&network.second_in_cycle());
+                    match network.random.below(20) {
                         _ if absent => (Outcome::ConnectFailed, load),
                         0 => (Outcome::Timeout, load),
                         1 => (Outcome::Error, load),
@@ -136,24 +135,24 @@
                 };
                 self.policy.health_check_ended(now, outcome, &server, load);
             }
-            Due::ListAnswer => match self.draw(4) {
+            PendingEvent::DiscoveryPollEnded => match self.random_below(4) {
                 0 => self.policy.discovery_poll_failed(now),
                 1 => self.policy.discovery_poll_rejected(now),
-                _ => self.policy.endpoint_list_received(now, &self.whole_list()),
+                _ => self.policy.endpoint_list_received(now, &self.complete_list()),
             },
         }
     }
 
-    /// What others than callers and servers say.
-    fn happens(&mut self, now: Duration) {
-        let number = self.draw(u64::from(self.servers)) as u32;
+    /// Applies a random event that comes neither from clients nor from servers.
+    fn apply_external_event(&mut self, now: Duration) {
+        let number = self.random_below(u64::from(self.servers)) as u32;
         let server: Id = format!("s{number}").into();
-        match self.draw(18) {
+        match self.random_below(18) {
             0..=2 => self.policy.endpoint_list_changed(now, &[self.entry(number)]),
-            3 => self.policy.endpoint_list_cached(now, &self.whole_list()),
+            3 => self.policy.endpoint_list_cached(now, &self.complete_list()),
             4 => {
                 let known = self.policy.exclude_server(now, &server);
-                self.world.borrow_mut().say(format_args!("left out {known}"));
+                self.network.borrow_mut().log_line(format_args!("left out {known}"));
             }
             5..=6 => {
                 for number in 0..self.servers {
@@ -165,129 +164,148 @@
                 }
             }
             7..=8 => {
-                self.trial += self.draw(2);
-                let share = [1.0, 0.0, 0.4, f64::NAN][self.draw(4) as usize];
-                let trial = (self.draw(3) > 0).then_some(self.trial);
+                self.trial += self.random_below(2);
+                let traffic_fraction = [1.0, 0.0, 0.4, f64::NAN][self.random_below(4) as usize];
+                let trial = (self.random_below(3) > 0).then_some(self.trial);
                 let zones = [
                     ZoneTraffic { zone: 0, fraction: 1.0, trial: None },
-                    ZoneTraffic { zone: 1, fraction: share, trial },
+                    ZoneTraffic { zone: 1, fraction: traffic_fraction, trial },
                 ];
                 self.policy.zone_traffic_changed(now, &zones);
             }
             9 => {
-                let count = [1.0, 2.0, 7.5, 100.0, f64::NAN][self.draw(5) as usize];
-                let place = (self.draw(2) == 0).then_some(number);
-                let traffic = (self.draw(2) == 0).then_some(20.0);
-                let may_live = count + self.draw(3) as f64;
+                let count = [1.0, 2.0, 7.5, 100.0, f64::NAN][self.random_below(5) as usize];
+                let replica_ordinal = (self.random_below(2) == 0).then_some(number);
+                let reported_rate = (self.random_below(2) == 0).then_some(20.0);
+                let alive_limit = count + self.random_below(3) as f64;
                 self.policy.replicas_changed(
                     now,
-                    &ReplicaView { count, max_alive: may_live, ordinal: place, mean_request_rate: traffic },
+                    &ReplicaView {
+                        count,
+                        max_alive: alive_limit,
+                        ordinal: replica_ordinal,
+                        mean_request_rate: reported_rate,
+                    },
                 );
             }
             10..=12 => {
-                let mut words = Outbox::default();
-                words.idle_broke(ms(300 + self.draw(2000)));
-                words.class_outcome(self.draw(1 << 24) as u32, self.draw(3) as usize, self.draw(2) == 0);
-                let mut words = words.take().expect("there are words");
-                words.extend(peer_messages::traffic_message(self.draw(90) as f64));
-                words.truncate(words.len() - self.draw(2) as usize);
-                self.policy.peer_message_received(now, number, &words);
+                let mut message = Outbox::default();
+                message.idle_broke(ms(300 + self.random_below(2000)));
+                message.class_outcome(
+                    self.random_below(1 << 24) as u32,
+                    self.random_below(3) as usize,
+                    self.random_below(2) == 0,
+                );
+                let mut message = message.take().expect("the outbox has events");
+                message.extend(peer_messages::traffic_message(self.random_below(90) as f64));
+                message.truncate(message.len() - self.random_below(2) as usize);
+                self.policy.peer_message_received(now, number, &message);
             }
             13 => {
-                let learnt = self.policy.server_statistics();
-                self.policy.restore_statistics(now, &learnt);
-                let mut world = self.world.borrow_mut();
-                for one in &learnt {
-                    let since = one.started_at.map_or("-".into(), |at| at.as_nanos().to_string());
-                    world.say(format_args!("learnt {} {since} {} {}", one.server, one.slowness, one.ejected));
+                let statistics = self.policy.server_statistics();
+                self.policy.restore_statistics(now, &statistics);
+                let mut network = self.network.borrow_mut();
+                for known in &statistics {
+                    let since = known.started_at.map_or("-".into(), |at| at.as_nanos().to_string());
+                    network.log_line(format_args!(
+                        "learnt {} {since} {} {}",
+                        known.server, known.slowness, known.ejected
+                    ));
                 }
             }
             14 => {
-                let mut verbs = settings(SETTINGS[0].1).classes;
-                verbs[0].latency_objective = ms(500 + self.draw(800));
-                verbs[1].value = 0.5;
-                self.policy.settings_changed(now, &[3.0, 50.0], &verbs);
+                let mut classes = run_settings(RUNS[0].1).classes;
+                classes[0].latency_objective = ms(500 + self.random_below(800));
+                classes[1].value = 0.5;
+                self.policy.settings_changed(now, &[3.0, 50.0], &classes);
             }
             15 => self.policy.discovery_poll_failed(now),
             16 => self.policy.discovery_poll_rejected(now),
-            _ => self.sees(now),
+            _ => self.log_observations(now),
         }
     }
 
-    fn sees(&mut self, now: Duration) {
-        let (seen, unheard) = (self.policy.zone_observations(now), self.policy.ignored_messages());
-        let (asked, named) = (self.policy.request_rate(), self.policy.known_servers().count());
-        let mut world = self.world.borrow_mut();
-        let span = |span: Option<Duration>| span.map_or("-".into(), |span| span.as_nanos().to_string());
-        for zone in seen {
-            let (answered, silent) = (span(zone.answered), span(zone.silent));
-            world.say(format_args!("zone {} {} {answered} {silent} {}", zone.zone, zone.ready, zone.slow));
+    fn log_observations(&mut self, now: Duration) {
+        let (observations, ignored) = (self.policy.zone_observations(now), self.policy.ignored_messages());
+        let (request_rate, known_servers) = (self.policy.request_rate(), self.policy.known_servers().count());
+        let mut network = self.network.borrow_mut();
+        let nanos = |duration: Option<Duration>| {
+            duration.map_or("-".into(), |duration| duration.as_nanos().to_string())
+        };
+        for zone in observations {
+            let (answered, silent) = (nanos(zone.answered), nanos(zone.silent));
+            network.log_line(format_args!(
+                "zone {} {} {answered} {silent} {}",
+                zone.zone, zone.ready, zone.slow
+            ));
         }
-        world.say(format_args!(
-            "asked {asked} named {named} {} {}",
-            unheard.malformed, unheard.unknown_server
+        network.log_line(format_args!(
+            "asked {request_rate} named {known_servers} {} {}",
+            ignored.malformed, ignored.unknown_server
         ));
     }
 
-    fn sweeps(&mut self, now: Duration) {
-        if std::mem::take(&mut self.rests) {
+    fn run_sweep(&mut self, now: Duration) {
+        if std::mem::take(&mut self.skips_sweeps) {
             self.policy.skip_sweeps(now);
         }
         self.policy.timer_fired(now);
         let next = self.policy.next_sweep();
-        self.world.borrow_mut().say(format_args!("next {}", next.as_nanos()));
-        // Now and then this copy is late itself.
-        let late = if self.draw(200) == 0 { ms(self.draw(90)) } else { Duration::ZERO };
-        let span = next - now;
-        (self.sweep_at, self.rests) = (next + late, span > ms(50));
+        self.network.borrow_mut().log_line(format_args!("next {}", next.as_nanos()));
+        // One sweep in 200 is late, as if this replica had been delayed.
+        let delay = if self.random_below(200) == 0 { ms(self.random_below(90)) } else { Duration::ZERO };
+        let duration = next - now;
+        (self.sweep_at, self.skips_sweeps) = (next + delay, duration > ms(50));
     }
 
-    /// Before anything but a sweep.
-    fn wakes(&mut self, now: Duration) {
-        if std::mem::take(&mut self.rests) {
+    /// Ends the skipping of sweeps; called before each event that is not a sweep.
+    fn resume_sweeps(&mut self, now: Duration) {
+        if std::mem::take(&mut self.skips_sweeps) {
             self.sweep_at = self.policy.skip_sweeps(now.min(self.sweep_at));
         }
     }
 
-    fn plays(&mut self, until: Duration) {
-        let from = self.world.borrow().now;
-        let (mut arrival, mut happening) = (from + ms(5), from + ms(500));
+    fn run_until(&mut self, until: Duration) {
+        let from = self.network.borrow().now;
+        let (mut arrival, mut external_event) = (from + ms(5), from + ms(500));
         loop {
-            let due = self.world.borrow().due.first_key_value().map_or(Duration::MAX, |((at, _), _)| *at);
-            let now = due.min(arrival).min(happening).min(self.sweep_at);
+            let next_pending =
+                self.network.borrow().pending.first_key_value().map_or(Duration::MAX, |((at, _), _)| *at);
+            let now = next_pending.min(arrival).min(external_event).min(self.sweep_at);
             if now > until {
                 break;
             }
-            self.world.borrow_mut().now = now;
+            self.network.borrow_mut().now = now;
             if now == self.sweep_at {
-                self.sweeps(now);
+                self.run_sweep(now);
                 continue;
             }
-            self.wakes(now);
-            if now == due {
-                let (_, due) = self.world.borrow_mut().due.pop_first().expect("it is the first");
-                self.comes(now, due);
+            self.resume_sweeps(now);
+            if now == next_pending {
+                let (_, event) = self.network.borrow_mut().pending.pop_first().expect("an event is pending");
+                self.deliver(now, event);
             } else if now == arrival {
-                self.arrives(now);
-                let second = self.world.borrow().second();
-                let calls = if (16..19).contains(&second) { 5 * self.rate } else { self.rate };
-                let calls = if (21..25).contains(&second) { 2 } else { calls };
-                arrival += Duration::from_micros(1 + self.draw(2_000_000 / calls));
+                self.submit_request(now);
+                let second = self.network.borrow().second_in_cycle();
+                let rate = if (16..19).contains(&second) { 5 * self.rate } else { self.rate };
+                let rate = if (21..25).contains(&second) { 2 } else { rate };
+                arrival += Duration::from_micros(1 + self.random_below(2_000_000 / rate));
             } else {
-                self.happens(now);
-                happening += ms(1 + self.draw(500));
+                self.apply_external_event(now);
+                external_event += ms(1 + self.random_below(500));
             }
         }
     }
 }
 
-fn settings(extra: &str) -> Settings {
-    let scope = extra.split_whitespace().next().expect("the group comes first");
-    terms(scope, &extra[scope.len()..])
+/// The settings of a run: the scope of deduplication, followed by further settings.
+fn run_settings(extra: &str) -> Settings {
+    let scope = extra.split_whitespace().next().expect("the settings start with the scope");
+    test_settings(scope, &extra[scope.len()..])
 }
 
-/// Name, group and settings, servers, commands a second.
-pub const SETTINGS: [(&str, &str, u32, u64); 11] = [
+/// The runs: name in the fixture, scope and settings, number of servers, requests per second.
+pub const RUNS: [(&str, &str, u32, u64); 11] = [
     ("plain", "zone", 8, 60),
     (
         "trials",
@@ -357,27 +375,28 @@
     ),
 ];
 
-/// A minute of virtual time.
-pub fn play(extra: &str, servers: u32, rate: u64, seed: u64) -> String {
-    let world = Rc::new(RefCell::new(World {
+/// Runs the decisions for a minute of virtual time, and returns the log of their calls.
+pub fn run_for_a_minute(extra: &str, servers: u32, rate: u64, seed: u64) -> String {
+    let network = Rc::new(RefCell::new(SimulatedNetwork {
         now: ms(1000),
-        text: String::new(),
-        draws: Draws(seed),
-        due: BTreeMap::new(),
-        count: 0,
-        verbs: BTreeMap::new(),
+        log: String::new(),
+        random: RandomSequence(seed),
+        pending: BTreeMap::new(),
+        event_count: 0,
+        classes: BTreeMap::new(),
         finished: BTreeSet::new(),
-        relays: BTreeMap::new(),
+        attempts: BTreeMap::new(),
         last_sent: BTreeMap::new(),
     }));
-    let policy = Policy::start(Played(world.clone()), settings(extra), seed, ms(1000));
-    let (sweep_at, rests) = (ms(1020), false);
-    let mut run = Run { world, policy, servers, rate, sweep_at, rests, trial: 0, given: 0 };
+    let policy = Policy::start(LoggingHost(network.clone()), run_settings(extra), seed, ms(1000));
+    let (sweep_at, skips_sweeps) = (ms(1020), false);
+    let mut run =
+        SeededRun { network, policy, servers, rate, sweep_at, skips_sweeps, trial: 0, request_count: 0 };
     run.policy.restore_known_server(&"s999".into());
-    run.policy.endpoint_list_cached(ms(1000), &run.whole_list());
-    run.plays(ms(60_000));
+    run.policy.endpoint_list_cached(ms(1000), &run.complete_list());
+    run.run_until(ms(60_000));
     run.policy.shut_down_by(ms(60_000), ms(60_500));
-    run.plays(ms(61_000));
-    run.sees(ms(61_000));
-    std::mem::take(&mut run.world.borrow_mut().text)
+    run.run_until(ms(61_000));
+    run.log_observations(ms(61_000));
+    std::mem::take(&mut run.network.borrow_mut().log)
 }
--- a/crates/decisions/tests/decisions/main.rs
+++ b/crates/decisions/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! The decisions, played by scripted and seeded hosts.
+//! Tests of `Policy` with scripted and seeded hosts.
 
 mod logged_host;
 mod logged_run;
--- a/crates/decisions/tests/decisions/random_runs.rs
+++ b/crates/decisions/tests/decisions/random_runs.rs
@@ -1,9 +1,9 @@
-//! Seeded random runs: the script checks the rules at every call, whatever happens in whatever order.
+//! Random sequences of events with a fixed seed: the scripted host checks its rules at every call.
 
-use crate::scripted_host::{Scene, entry, ms, terms};
+use crate::scripted_host::{Harness, entry, ms, test_settings};
 use landingspread_decisions::host::{Lifecycle, LoadReport, Outcome};
 use proptest::prelude::*;
-use proptest::test_runner::{Config as Runs, RngAlgorithm, RngSeed};
+use proptest::test_runner::{Config as ProptestConfig, RngAlgorithm, RngSeed};
 
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Ok,
@@ -16,130 +16,131 @@
     Outcome::NotSent,
 ];
 
-fn runs() -> Runs {
-    Runs {
+fn proptest_config() -> ProptestConfig {
+    ProptestConfig {
         cases: 200,
         rng_algorithm: RngAlgorithm::ChaCha,
         rng_seed: RngSeed::Fixed(20),
         failure_persistence: None,
-        ..Runs::default()
+        ..ProptestConfig::default()
     }
 }
 
-/// What to do, to which, and how: read by `step`.
+/// One random event: the action, the selector of its request or server, and the variant; interpreted by `step`.
 type Step = (u8, u16, u16);
 
-fn step(scene: &mut Scene, (what, which, how): Step) {
-    let server = format!("s{}", which % 9);
-    match what {
+fn step(harness: &mut Harness, (action, selector, variant): Step) {
+    let server = format!("s{}", selector % 9);
+    match action {
         0..=1 => {
-            scene.give_coming(usize::from(which % 4));
+            harness.submit_incomplete(usize::from(selector % 4));
         }
         2 => {
-            let coming = scene.coming();
-            if let Some(id) = coming.get(usize::from(which) % coming.len().max(1)) {
-                scene.body_came(id, ms(u64::from(how % 3000)));
+            let incomplete = harness.incomplete_requests();
+            if let Some(id) = incomplete.get(usize::from(selector) % incomplete.len().max(1)) {
+                harness.complete_body(id, ms(u64::from(variant % 3000)));
             }
         }
         3..=4 => {
-            scene.give(usize::from(which % 4), ms(u64::from(how % 3000)));
+            harness.submit(usize::from(selector % 4), ms(u64::from(variant % 3000)));
         }
         5..=8 => {
-            let out = scene.out();
-            if let Some((id, number)) = out.get(usize::from(which) % out.len().max(1)).cloned() {
-                let in_flight = (how % 3 == 0).then(|| f64::from(how % 40));
-                let util = (how % 4 == 0).then(|| f64::from(how % 10) / 9.0);
-                let load = LoadReport { in_flight, utilization: util, ..LoadReport::default() };
-                let coming = scene.coming().contains(&id);
-                scene.end_as(
+            let open = harness.open_attempts();
+            if let Some((id, number)) = open.get(usize::from(selector) % open.len().max(1)).cloned() {
+                let in_flight = (variant % 3 == 0).then(|| f64::from(variant % 40));
+                let reported_utilization = (variant % 4 == 0).then(|| f64::from(variant % 10) / 9.0);
+                let load =
+                    LoadReport { in_flight, utilization: reported_utilization, ..LoadReport::default() };
+                let incomplete = harness.incomplete_requests().contains(&id);
+                harness.end_attempt_with_body(
                     &id,
                     number,
-                    OUTCOMES[usize::from(how) % OUTCOMES.len()],
+                    OUTCOMES[usize::from(variant) % OUTCOMES.len()],
                     load,
-                    coming && how % 2 == 0,
+                    incomplete && variant % 2 == 0,
                 );
             }
         }
-        9..=10 => scene.pass(ms(u64::from(how % 400))),
+        9..=10 => harness.advance(ms(u64::from(variant % 400))),
         11 => {
-            let state = [Lifecycle::Ready, Lifecycle::Draining, Lifecycle::Removed][usize::from(how % 3)];
-            let restarted = (how % 5 == 0).then(|| scene.now());
-            scene.change(&[landingspread_decisions::host::ListedServer {
+            let state = [Lifecycle::Ready, Lifecycle::Draining, Lifecycle::Removed][usize::from(variant % 3)];
+            let restarted = (variant % 5 == 0).then(|| harness.now());
+            harness.change_list(&[landingspread_decisions::host::ListedServer {
                 started_at: restarted,
                 ..entry(&server, state)
             }]);
         }
         12 => {
-            let out = scene.out();
-            if let Some((id, _)) = out.get(usize::from(which) % out.len().max(1)).cloned() {
-                scene.leave(&id);
+            let open = harness.open_attempts();
+            if let Some((id, _)) = open.get(usize::from(selector) % open.len().max(1)).cloned() {
+                harness.disconnect_client(&id);
             }
         }
-        13 => scene.check_all(OUTCOMES[usize::from(how) % OUTCOMES.len()]),
+        13 => harness.end_health_checks(OUTCOMES[usize::from(variant) % OUTCOMES.len()]),
         14 => {
-            let now = scene.now();
-            scene.policy.discovery_poll_failed(now);
+            let now = harness.now();
+            harness.policy.discovery_poll_failed(now);
             let load = LoadReport {
-                in_flight: Some(f64::from(how % 6)),
-                utilization: Some(f64::from(how % 3) / 2.0),
+                in_flight: Some(f64::from(variant % 6)),
+                utilization: Some(f64::from(variant % 3) / 2.0),
                 ..LoadReport::default()
             };
-            scene.policy.health_check_ended(now, Outcome::Ok, &server.as_str().into(), load);
-            let [a, b] = how.to_be_bytes();
-            scene.policy.peer_message_received(
+            harness.policy.health_check_ended(now, Outcome::Ok, &server.as_str().into(), load);
+            let [a, b] = variant.to_be_bytes();
+            harness.policy.peer_message_received(
                 now,
-                u32::from(which),
+                u32::from(selector),
                 &[1, a, b, 64 + a % 5, a, b, a, 130, b, a, b, 2, b, a, a],
             );
-            scene.policy.client_disconnected(now, &"never-given".into());
+            harness.policy.client_disconnected(now, &"never-submitted".into());
         }
         15 => {
-            scene.operators(&server, how % 3 > 0);
+            harness.set_excluded(&server, variant % 3 > 0);
         }
         _ => {
             let entries: Vec<_> =
-                (0..which % 9).map(|at| entry(&format!("s{at}"), Lifecycle::Ready)).collect();
-            let gone: Vec<_> =
-                (which % 9..9).map(|at| entry(&format!("s{at}"), Lifecycle::Removed)).collect();
-            scene.told(&entries);
-            scene.told(&gone);
-            scene.policy.endpoint_list_received(scene.now(), &entries);
+                (0..selector % 9).map(|at| entry(&format!("s{at}"), Lifecycle::Ready)).collect();
+            let removed: Vec<_> =
+                (selector % 9..9).map(|at| entry(&format!("s{at}"), Lifecycle::Removed)).collect();
+            harness.record_list(&entries);
+            harness.record_list(&removed);
+            harness.policy.endpoint_list_received(harness.now(), &entries);
         }
     }
 }
 
 proptest! {
-    #![proptest_config(runs())]
+    #![proptest_config(proptest_config())]
 
     #[test]
-    fn the_rules_hold_whatever_happens(
+    fn rules_hold_for_random_sequences_of_events(
         scope in prop::sample::select(vec!["all", "zone", "cell"]),
         probes: bool,
-        parallel: bool,
-        cancel: bool,
+        hedging: bool,
+        cancellation: bool,
         subscribe: bool,
         peers: bool,
-        looks: bool,
-        balancers in prop::sample::select(vec![1u32, 2, 5, 40, 300]),
+        preselection: bool,
+        replicas in prop::sample::select(vec![1u32, 2, 5, 40, 300]),
         ordinal in 0u32..300,
         seed: u64,
         steps in prop::collection::vec((0u8..17, any::<u16>(), any::<u16>()), 1..160),
     ) {
         let discovery = if subscribe { "subscribe" } else { "automatic" };
         let extra = format!(
-            "PolicyLimits.Probes={probes} PolicyLimits.ParallelTries={parallel} PolicyLimits.MayCancel={cancel} \
-             Discovery={discovery} Balancers={balancers} Ordinal={ordinal} PolicyLimits.Peers={peers} \
+            "PolicyLimits.Probes={probes} PolicyLimits.ParallelTries={hedging} PolicyLimits.MayCancel={cancellation} \
+             Discovery={discovery} Balancers={replicas} Ordinal={ordinal} PolicyLimits.Peers={peers} \
              Report.How={} Report.Fields=active Costs.Probe=0.002 PolicyLimits.ConnIdle=2000000",
-            if looks { "probe" } else { "answers" }
+            if preselection { "probe" } else { "answers" }
         );
-        let mut scene = Scene::new(terms(scope, &extra), scope, seed, 6);
-        for given in steps {
-            step(&mut scene, given);
+        let mut harness = Harness::new(test_settings(scope, &extra), scope, seed, 6);
+        for random_step in steps {
+            step(&mut harness, random_step);
         }
-        scene.coming().iter().for_each(|id| scene.body_came(id, ms(1000)));
-        scene.pass(ms(3100));
-        let world = scene.script.0.borrow();
-        prop_assert!(world.cmds.values().all(|cmd| cmd.ended.is_some()), "rule 1: no final answer");
-        prop_assert!(probes || world.checks.is_empty());
+        harness.incomplete_requests().iter().for_each(|id| harness.complete_body(id, ms(1000)));
+        harness.advance(ms(3100));
+        let state = harness.host.0.borrow();
+        prop_assert!(state.requests.values().all(|request| request.final_response.is_some()), "rule 1: a request has no final response");
+        prop_assert!(probes || state.health_checks.is_empty());
     }
 }
--- a/crates/decisions/tests/decisions/scripted_host.rs
+++ b/crates/decisions/tests/decisions/scripted_host.rs
@@ -1,4 +1,9 @@
-//! A host that plays the network by script and checks the rules at every call.
+//! A host whose network is scripted by the test, and which checks three rules at every call:
+//!
+//! 1. Each request has exactly one final response, at most `RESPONSE_SLACK` after its deadline.
+//! 2. Attempts of a request overlap only with hedging, and a request that may have run is sent again or rejected only where
+//!    its class allows it, within `DEDUPLICATION_WINDOW`.
+//! 3. No attempt starts more than `REMOVAL_GRACE` after its server was removed, set to draining or excluded.
 
 use landingspread_decisions::host::{
     AttemptEnd, Event, Host, Id, Lifecycle, ListedServer, LoadReport, Outcome, RequestArrival,
@@ -10,180 +15,226 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-pub const SLACK: Duration = Duration::from_millis(20);
-pub const GRACE: Duration = Duration::from_millis(500);
-pub const MEMORY: Duration = Duration::from_millis(700);
+/// How long after its deadline a request may have its final response: one sweep.
+pub const RESPONSE_SLACK: Duration = Duration::from_millis(20);
+/// How long after a server became unavailable an attempt may still start there.
+pub const REMOVAL_GRACE: Duration = Duration::from_millis(500);
+/// How long servers remember idempotency keys; the `MemorySpan` of each class.
+pub const DEDUPLICATION_WINDOW: Duration = Duration::from_millis(700);
 
-pub fn ms(span: u64) -> Duration {
-    Duration::from_millis(span)
+pub fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
-/// Verb 0 is pure, 1 receipted within `scope`, 2 effectful, 3 receipted by all.
-pub fn terms(scope: &str, extra: &str) -> Settings {
+/// Settings of four classes: 0 is idempotent, 1 is deduplicated within `scope`, 2 runs at most once, and 3 is deduplicated
+/// by all servers. `extra` has further settings, which override these.
+pub fn test_settings(scope: &str, extra: &str) -> Settings {
     let mut text = String::from(
         "Discovery=automatic Balancers=1 Rules.ColdShare=0.3 Rules.Cold=8000000 Rules.TipMultiple=3 \
          Rules.Fall=2000000 Rules.AskEvery=10000000 PolicyLimits.MayCancel=true PolicyLimits.MostRelays=4 \
          PolicyLimits.Probes=true PolicyLimits.RetryAfter=true PolicyLimits.MaxRetryAfter=2000000 Verbs.count=4",
     );
-    let kinds = ["idempotent", "deduplicated", "at_most_once", "deduplicated"];
-    for (at, kind) in kinds.iter().enumerate() {
-        let scope = if at == 3 { "all" } else { scope };
-        text +=
-            &format!(" Verbs.{at}.Effect={kind} Verbs.{at}.KeyScope={scope} Verbs.{at}.MemorySpan=700000");
-        text +=
-            &format!(" Verbs.{at}.ResponseGoal=1000000 Verbs.{at}.TimeLimit=3000000 Verbs.{at}.Utility=2");
-    }
-    // The last of two pairs with one path counts.
-    Settings::decode(&format!("{text} {extra}")).expect("the script's settings can be read")
+    let effects = ["idempotent", "deduplicated", "at_most_once", "deduplicated"];
+    for (index, effect) in effects.iter().enumerate() {
+        let scope = if index == 3 { "all" } else { scope };
+        text += &format!(
+            " Verbs.{index}.Effect={effect} Verbs.{index}.KeyScope={scope} Verbs.{index}.MemorySpan=700000"
+        );
+        text += &format!(
+            " Verbs.{index}.ResponseGoal=1000000 Verbs.{index}.TimeLimit=3000000 Verbs.{index}.Utility=2"
+        );
+    }
+    // Of two values of one setting the last counts, so that `extra` may override.
+    Settings::decode(&format!("{text} {extra}")).expect("the test's settings are valid")
 }
 
+/// How a request ended for its client.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Final {
+pub enum FinalResponse {
     Answered,
-    Declined,
-    Terminated,
-    Left,
+    Rejected,
+    Failed,
+    ClientDisconnected,
 }
 
-pub struct Relay {
+/// An attempt that the policy started, with its outcome once it has ended.
+pub struct TrackedAttempt {
     pub server: Id,
-    pub sent: Duration,
-    pub not_past: Duration,
+    pub sent_at: Duration,
+    pub deadline: Duration,
     pub outcome: Option<Outcome>,
     pub cancelled: bool,
 }
 
-pub struct Taken {
-    pub verb: usize,
-    pub due: Duration,
-    pub relays: Vec<Relay>,
-    pub ended: Option<Final>,
-    /// Its last byte has not come.
-    pub coming: bool,
-    /// What was sent of it cannot be sent again.
-    pub spent: bool,
+/// A submitted request with its attempts and final response.
+pub struct TrackedRequest {
+    pub class: usize,
+    pub deadline: Duration,
+    pub attempts: Vec<TrackedAttempt>,
+    pub final_response: Option<FinalResponse>,
+    /// The last byte of the request's body has not arrived.
+    pub body_incomplete: bool,
+    /// The part of the body that was sent can't be sent again.
+    pub body_consumed: bool,
 }
 
+/// What the host knows: the time, the endpoint list, the requests, and the policy's calls that tests inspect.
 #[derive(Default)]
-pub struct World {
+pub struct HostState {
     pub now: Duration,
     pub listed: BTreeMap<Id, ListedServer>,
-    pub off_since: BTreeMap<Id, Duration>,
-    /// By operators' word.
-    pub out_since: BTreeMap<Id, Duration>,
-    pub cmds: BTreeMap<Id, Taken>,
-    pub checks: Vec<Id>,
-    pub notes: Vec<String>,
-    pub let_go: Vec<Id>,
-    pub told: Vec<Vec<u8>>,
-    pub come_back: Option<Duration>,
-    pub list_calls: usize,
+    /// Servers that the endpoint list shows as draining or removed, and since when.
+    pub unavailable_since: BTreeMap<Id, Duration>,
+    /// Servers that operators have excluded, and since when.
+    pub excluded_since: BTreeMap<Id, Duration>,
+    pub requests: BTreeMap<Id, TrackedRequest>,
+    pub health_checks: Vec<Id>,
+    pub logged_events: Vec<String>,
+    pub connections_closed: Vec<Id>,
+    pub peer_messages: Vec<Vec<u8>>,
+    pub retry_after: Option<Duration>,
+    pub discovery_polls: usize,
     pub scope: String,
-    pub parallel: bool,
+    pub hedging: bool,
 }
 
-impl World {
-    fn drops_repeats(&self, verb: usize, one: &Id, other: &Id) -> bool {
-        let (one, other) = (&self.listed[one], &self.listed[other]);
-        match (verb, self.scope.as_str()) {
+impl HostState {
+    /// Whether a retry at the later server may follow an attempt at the earlier one that may have run.
+    fn deduplicates_retry(&self, class: usize, earlier: &Id, later: &Id) -> bool {
+        let (earlier, later) = (&self.listed[earlier], &self.listed[later]);
+        match (class, self.scope.as_str()) {
             (0 | 3, _) | (1, "all") => true,
-            (1, "zone") => one.zone == other.zone,
-            (1, _) => one.cell == other.cell && one.zone == other.zone,
+            (1, "zone") => earlier.zone == later.zone,
+            (1, _) => earlier.cell == later.cell && earlier.zone == later.zone,
             _ => false,
         }
     }
 
-    fn finish(&mut self, id: &Id, how: Final) {
-        let cmd = self.cmds.get_mut(id).expect("a command that was given");
-        assert_eq!(cmd.ended, None, "rule 1: a second final answer");
-        assert!(self.now <= cmd.due + SLACK, "rule 1: a final answer past the time limit");
-        cmd.ended = Some(how);
+    fn record_final_response(&mut self, id: &Id, response: FinalResponse) {
+        let request = self.requests.get_mut(id).expect("the request was submitted");
+        assert_eq!(request.final_response, None, "rule 1: {id} has a second final response");
+        assert!(
+            self.now <= request.deadline + RESPONSE_SLACK,
+            "rule 1: the final response of {id} is past its deadline"
+        );
+        request.final_response = Some(response);
     }
 
-    pub fn sent_to(&self, server: &str) -> usize {
-        self.cmds.values().flat_map(|cmd| &cmd.relays).filter(|relay| &*relay.server == server).count()
+    pub fn attempts_to(&self, server: &str) -> usize {
+        self.requests
+            .values()
+            .flat_map(|request| &request.attempts)
+            .filter(|attempt| &*attempt.server == server)
+            .count()
     }
 
-    pub fn overdue_answers(&self) -> usize {
-        self.cmds.values().filter(|cmd| cmd.ended.is_none() && self.now > cmd.due + SLACK).count()
+    pub fn overdue_requests(&self) -> usize {
+        self.requests
+            .values()
+            .filter(|request| {
+                request.final_response.is_none() && self.now > request.deadline + RESPONSE_SLACK
+            })
+            .count()
     }
 }
 
+/// The host of a policy under test; shares its state with the `Harness`.
 #[derive(Clone, Default)]
-pub struct Script(pub Rc<RefCell<World>>);
-
-impl Host for Script {
-    fn start_attempt(&mut self, id: &Id, to: &Id, not_past: Duration) {
-        let mut world = self.0.borrow_mut();
-        let cmd = &world.cmds[id];
-        assert_eq!(cmd.ended, None, "rule 1: a relay after the final answer");
-        assert!(!cmd.spent, "a relay of what cannot be sent again");
-        let off = world.off_since.get(to);
-        assert!(off.is_none_or(|at| world.now <= *at + GRACE), "rule 3: a relay to a server that is off");
-        let out = world.out_since.get(to);
-        assert!(out.is_none_or(|at| world.now <= *at + GRACE), "rule 3: a relay to a server left out");
-        for earlier in &cmd.relays {
-            assert!(earlier.outcome.is_some() || world.parallel, "rule 2: two relays at once");
+pub struct ScriptedHost(pub Rc<RefCell<HostState>>);
+
+impl Host for ScriptedHost {
+    fn start_attempt(&mut self, id: &Id, server: &Id, deadline: Duration) {
+        let mut state = self.0.borrow_mut();
+        let request = &state.requests[id];
+        assert_eq!(request.final_response, None, "rule 1: an attempt of {id} after its final response");
+        assert!(!request.body_consumed, "an attempt of {id}, whose body was consumed");
+        let unavailable = state.unavailable_since.get(server);
+        assert!(
+            unavailable.is_none_or(|since| state.now <= *since + REMOVAL_GRACE),
+            "rule 3: an attempt to the unavailable server {server}"
+        );
+        let excluded = state.excluded_since.get(server);
+        assert!(
+            excluded.is_none_or(|since| state.now <= *since + REMOVAL_GRACE),
+            "rule 3: an attempt to the excluded server {server}"
+        );
+        for earlier in &request.attempts {
+            assert!(earlier.outcome.is_some() || state.hedging, "rule 2: two attempts of {id} at once");
             if earlier.outcome.is_none_or(|outcome| !outcome.never_ran()) {
-                assert!(world.drops_repeats(cmd.verb, &earlier.server, to), "rule 2: a repeat not dropped");
-                assert!(cmd.verb == 0 || world.now <= earlier.sent + MEMORY, "rule 2: a repeat forgotten");
+                assert!(
+                    state.deduplicates_retry(request.class, &earlier.server, server),
+                    "rule 2: a retry of {id} that {server} does not deduplicate"
+                );
+                assert!(
+                    request.class == 0 || state.now <= earlier.sent_at + DEDUPLICATION_WINDOW,
+                    "rule 2: a retry of {id} past the deduplication window"
+                );
             }
         }
-        let not_past = not_past.min(cmd.due);
-        let relay = Relay { server: to.clone(), sent: world.now, not_past, outcome: None, cancelled: false };
-        world.cmds.get_mut(id).expect("a command that was given").relays.push(relay);
+        let deadline = deadline.min(request.deadline);
+        let attempt = TrackedAttempt {
+            server: server.clone(),
+            sent_at: state.now,
+            deadline,
+            outcome: None,
+            cancelled: false,
+        };
+        state.requests.get_mut(id).expect("the request was submitted").attempts.push(attempt);
     }
 
-    fn reject(&mut self, id: &Id, come_back: Option<Duration>) {
-        let mut world = self.0.borrow_mut();
-        let cmd = &world.cmds[id];
-        let may_have_run = cmd.relays.iter().any(|r| r.outcome.is_none_or(|outcome| !outcome.never_ran()));
-        let harmless = matches!(cmd.verb, 0 | 3) || (cmd.verb == 1 && world.scope == "all");
-        assert!(harmless || !may_have_run, "rule 2: a decline of what may have run");
-        world.come_back = come_back;
-        world.finish(id, Final::Declined);
+    fn reject(&mut self, id: &Id, retry_after: Option<Duration>) {
+        let mut state = self.0.borrow_mut();
+        let request = &state.requests[id];
+        let may_have_run =
+            request.attempts.iter().any(|attempt| attempt.outcome.is_none_or(|outcome| !outcome.never_ran()));
+        let safe_to_run_twice =
+            matches!(request.class, 0 | 3) || (request.class == 1 && state.scope == "all");
+        assert!(safe_to_run_twice || !may_have_run, "rule 2: {id} is rejected, but may have run");
+        state.retry_after = retry_after;
+        state.record_final_response(id, FinalResponse::Rejected);
     }
 
     fn fail(&mut self, id: &Id) {
-        self.0.borrow_mut().finish(id, Final::Terminated);
+        self.0.borrow_mut().record_final_response(id, FinalResponse::Failed);
     }
 
-    fn cancel_attempt(&mut self, id: &Id, relay: u32) {
-        let mut world = self.0.borrow_mut();
-        let cmd = world.cmds.get_mut(id).expect("a command that was given");
-        cmd.relays[relay as usize].cancelled = true;
+    fn cancel_attempt(&mut self, id: &Id, attempt: u32) {
+        let mut state = self.0.borrow_mut();
+        let request = state.requests.get_mut(id).expect("the request was submitted");
+        request.attempts[attempt as usize].cancelled = true;
     }
 
     fn check_health(&mut self, server: &Id) {
-        let out = self.0.borrow().out_since.contains_key(server);
-        assert!(!out, "a check of a server left out");
-        self.0.borrow_mut().checks.push(server.clone());
+        let excluded = self.0.borrow().excluded_since.contains_key(server);
+        assert!(!excluded, "a health check of the excluded server {server}");
+        self.0.borrow_mut().health_checks.push(server.clone());
     }
 
     fn wake_after(&mut self, _: Duration) {}
 
     fn poll_discovery(&mut self) {
-        self.0.borrow_mut().list_calls += 1;
+        self.0.borrow_mut().discovery_polls += 1;
     }
 
     fn close_idle_connections(&mut self, server: &Id) {
-        self.0.borrow_mut().let_go.push(server.clone());
+        self.0.borrow_mut().connections_closed.push(server.clone());
     }
 
-    fn send_to_peers(&mut self, _: Option<u32>, words: &[u8]) {
-        assert!(words.len() <= 256, "a message of at most 256 bytes");
-        self.0.borrow_mut().told.push(words.to_vec());
+    fn send_to_peers(&mut self, _: Option<u32>, message: &[u8]) {
+        assert!(message.len() <= 256, "a peer message exceeds 256 bytes");
+        self.0.borrow_mut().peer_messages.push(message.to_vec());
     }
 
-    fn log(&mut self, text: &Event) {
-        self.0.borrow_mut().notes.push(text.to_string());
+    fn log(&mut self, event: &Event) {
+        self.0.borrow_mut().logged_events.push(event.to_string());
     }
 }
 
-pub struct Scene {
-    pub script: Script,
-    pub policy: Policy<Script>,
-    given: u64,
+/// A policy under test and its host. Its methods are the events of a test.
+pub struct Harness {
+    pub host: ScriptedHost,
+    pub policy: Policy<ScriptedHost>,
+    request_count: u64,
 }
 
 pub fn entry(server: &str, state: Lifecycle) -> ListedServer {
@@ -198,83 +249,91 @@
     }
 }
 
-impl Scene {
-    pub fn new(terms: Settings, scope: &str, seed: u64, servers: u32) -> Self {
-        let script = Script::default();
-        let world = World {
+impl Harness {
+    pub fn new(settings: Settings, scope: &str, seed: u64, servers: u32) -> Self {
+        let host = ScriptedHost::default();
+        let state = HostState {
             scope: scope.into(),
-            parallel: terms.capabilities.hedging,
+            hedging: settings.capabilities.hedging,
             now: ms(1000),
-            ..World::default()
+            ..HostState::default()
         };
-        script.0.replace(world);
-        let policy = Policy::start(script.clone(), terms, seed, ms(1000));
-        let mut scene = Scene { script, policy, given: 0 };
-        let entries: Vec<_> = (0..servers).map(|at| entry(&format!("s{at}"), Lifecycle::Ready)).collect();
-        scene.told(&entries);
-        scene.policy.endpoint_list_cached(ms(1000), &entries);
-        scene
+        host.0.replace(state);
+        let policy = Policy::start(host.clone(), settings, seed, ms(1000));
+        let mut harness = Harness { host, policy, request_count: 0 };
+        let entries: Vec<_> =
+            (0..servers).map(|index| entry(&format!("s{index}"), Lifecycle::Ready)).collect();
+        harness.record_list(&entries);
+        harness.policy.endpoint_list_cached(ms(1000), &entries);
+        harness
     }
 
     pub fn now(&self) -> Duration {
-        self.script.0.borrow().now
+        self.host.0.borrow().now
     }
 
-    pub fn told(&mut self, entries: &[ListedServer]) {
-        let mut world = self.script.0.borrow_mut();
-        let now = world.now;
+    pub fn record_list(&mut self, entries: &[ListedServer]) {
+        let mut state = self.host.0.borrow_mut();
+        let now = state.now;
         for entry in entries {
             if entry.lifecycle == Lifecycle::Ready {
-                world.off_since.remove(&entry.server);
+                state.unavailable_since.remove(&entry.server);
             } else {
-                world.off_since.entry(entry.server.clone()).or_insert(now);
+                state.unavailable_since.entry(entry.server.clone()).or_insert(now);
             }
-            world.listed.insert(entry.server.clone(), entry.clone());
+            state.listed.insert(entry.server.clone(), entry.clone());
         }
     }
 
-    pub fn change(&mut self, entries: &[ListedServer]) {
-        self.told(entries);
+    pub fn change_list(&mut self, entries: &[ListedServer]) {
+        self.record_list(entries);
         self.policy.endpoint_list_changed(self.now(), entries);
     }
 
-    /// Operators leave the server out, or use it again.
-    pub fn operators(&mut self, server: &str, out: bool) -> bool {
+    /// Excludes the server or includes it again, as operators do. Returns whether any list has named the server.
+    pub fn set_excluded(&mut self, server: &str, excluded: bool) -> bool {
         let (now, id) = (self.now(), Id::from(server));
-        if !out {
-            self.script.0.borrow_mut().out_since.remove(&id);
+        if !excluded {
+            self.host.0.borrow_mut().excluded_since.remove(&id);
             return self.policy.include_server(now, &id, now);
         }
         let known = self.policy.exclude_server(now, &id);
         if known {
-            self.script.0.borrow_mut().out_since.entry(id).or_insert(now);
+            self.host.0.borrow_mut().excluded_since.entry(id).or_insert(now);
         }
         known
     }
 
-    pub fn give(&mut self, verb: usize, due_in: Duration) -> Id {
-        self.give_one(verb, due_in, false)
+    pub fn submit(&mut self, class: usize, timeout: Duration) -> Id {
+        self.submit_request(class, timeout, false)
     }
 
-    /// A command whose body is still coming.
-    pub fn give_coming(&mut self, verb: usize) -> Id {
-        self.give_one(verb, ms(900_000), true)
+    /// Submits a request whose body is still incomplete.
+    pub fn submit_incomplete(&mut self, class: usize) -> Id {
+        self.submit_request(class, ms(900_000), true)
     }
 
-    fn give_one(&mut self, verb: usize, due_in: Duration, coming: bool) -> Id {
-        self.given += 1;
-        let id: Id = format!("c{:05}", self.given).into();
+    fn submit_request(&mut self, class: usize, timeout: Duration, incomplete: bool) -> Id {
+        self.request_count += 1;
+        let id: Id = format!("c{:05}", self.request_count).into();
         let now = self.now();
-        let due = now + due_in;
-        let taken = Taken { verb, due, relays: Vec::new(), ended: None, coming, spent: false };
-        self.script.0.borrow_mut().cmds.insert(id.clone(), taken);
+        let deadline = now + timeout;
+        let tracked = TrackedRequest {
+            class,
+            deadline,
+            attempts: Vec::new(),
+            final_response: None,
+            body_incomplete: incomplete,
+            body_consumed: false,
+        };
+        self.host.0.borrow_mut().requests.insert(id.clone(), tracked);
         self.policy.request_arrived(
             now,
             RequestArrival {
                 id: id.clone(),
-                class: verb,
-                deadline: due,
-                body_incomplete: coming,
+                class,
+                deadline,
+                body_incomplete: incomplete,
                 tenant: 0,
                 declared_work: None,
             },
@@ -282,62 +341,72 @@
         id
     }
 
-    /// The bodies that are still coming.
-    pub fn coming(&self) -> Vec<Id> {
-        let world = self.script.0.borrow();
-        let coming = world.cmds.iter().filter(|(_, cmd)| cmd.coming && cmd.ended.is_none());
-        coming.map(|(id, _)| id.clone()).collect()
+    /// Open requests whose bodies are incomplete.
+    pub fn incomplete_requests(&self) -> Vec<Id> {
+        let state = self.host.0.borrow();
+        let incomplete = state
+            .requests
+            .iter()
+            .filter(|(_, request)| request.body_incomplete && request.final_response.is_none());
+        incomplete.map(|(id, _)| id.clone()).collect()
     }
 
-    pub fn body_came(&mut self, id: &Id, due_in: Duration) {
-        let (now, due) = (self.now(), self.now() + due_in);
+    pub fn complete_body(&mut self, id: &Id, timeout: Duration) {
+        let (now, deadline) = (self.now(), self.now() + timeout);
         {
-            let mut world = self.script.0.borrow_mut();
-            let cmd = world.cmds.get_mut(id).expect("a command that was given");
-            (cmd.coming, cmd.due) = (false, due);
-            // A relay counts as sent when its last byte has come.
-            for relay in cmd.relays.iter_mut().filter(|relay| relay.outcome.is_none()) {
-                (relay.sent, relay.not_past) = (now, relay.not_past.min(due));
+            let mut state = self.host.0.borrow_mut();
+            let request = state.requests.get_mut(id).expect("the request was submitted");
+            (request.body_incomplete, request.deadline) = (false, deadline);
+            // An attempt counts as sent when the last byte of the body has arrived.
+            for attempt in request.attempts.iter_mut().filter(|attempt| attempt.outcome.is_none()) {
+                (attempt.sent_at, attempt.deadline) = (now, attempt.deadline.min(deadline));
             }
         }
-        self.policy.body_completed(self.now(), id, due);
+        self.policy.body_completed(self.now(), id, deadline);
     }
 
-    /// The relays that are out, oldest command first.
-    pub fn out(&self) -> Vec<(Id, u32)> {
-        let world = self.script.0.borrow();
-        let mut out = Vec::new();
-        for (id, cmd) in &world.cmds {
-            for (number, relay) in (0u32..).zip(&cmd.relays) {
-                if relay.outcome.is_none() {
-                    out.push((id.clone(), number));
+    /// The attempts in flight as request id and attempt number, oldest request first.
+    pub fn open_attempts(&self) -> Vec<(Id, u32)> {
+        let state = self.host.0.borrow();
+        let mut open = Vec::new();
+        for (id, request) in &state.requests {
+            for (number, attempt) in (0u32..).zip(&request.attempts) {
+                if attempt.outcome.is_none() {
+                    open.push((id.clone(), number));
                 }
             }
         }
-        out
-    }
-
-    pub fn end(&mut self, id: &Id, number: u32, outcome: Outcome, load: LoadReport) {
-        self.end_as(id, number, outcome, load, false);
-    }
-
-    pub fn end_as(&mut self, id: &Id, number: u32, outcome: Outcome, load: LoadReport, spent: bool) {
-        let ended = {
-            let mut world = self.script.0.borrow_mut();
-            let now = world.now;
-            let cmd = world.cmds.get_mut(id).expect("a command that was given");
-            let relay = &mut cmd.relays[number as usize];
-            relay.outcome = Some(outcome);
-            let (server, latency) = (relay.server.clone(), now - relay.sent);
-            if outcome == Outcome::Ok && cmd.ended.is_none() {
-                cmd.ended = Some(Final::Answered);
+        open
+    }
+
+    pub fn end_attempt(&mut self, id: &Id, number: u32, outcome: Outcome, load: LoadReport) {
+        self.end_attempt_with_body(id, number, outcome, load, false);
+    }
+
+    pub fn end_attempt_with_body(
+        &mut self,
+        id: &Id,
+        number: u32,
+        outcome: Outcome,
+        load: LoadReport,
+        consumed: bool,
+    ) {
+        let attempt_end = {
+            let mut state = self.host.0.borrow_mut();
+            let now = state.now;
+            let request = state.requests.get_mut(id).expect("the request was submitted");
+            let attempt = &mut request.attempts[number as usize];
+            attempt.outcome = Some(outcome);
+            let (server, latency) = (attempt.server.clone(), now - attempt.sent_at);
+            if outcome == Outcome::Ok && request.final_response.is_none() {
+                request.final_response = Some(FinalResponse::Answered);
             }
-            cmd.spent |= spent;
-            let closed = cmd.ended.is_some();
+            request.body_consumed |= consumed;
+            let closed = request.final_response.is_some();
             AttemptEnd {
                 request: id.clone(),
                 request_closed: closed,
-                body_consumed: spent,
+                body_consumed: consumed,
                 outcome,
                 attempt: number,
                 latency,
@@ -345,62 +414,66 @@
                 load,
             }
         };
-        self.policy.attempt_ended(self.now(), ended);
+        self.policy.attempt_ended(self.now(), attempt_end);
     }
 
-    pub fn leave(&mut self, id: &Id) {
-        let open = self.script.0.borrow().cmds[id].ended.is_none();
+    pub fn disconnect_client(&mut self, id: &Id) {
+        let open = self.host.0.borrow().requests[id].final_response.is_none();
         if open {
-            self.script.0.borrow_mut().finish(id, Final::Left);
+            self.host.0.borrow_mut().record_final_response(id, FinalResponse::ClientDisconnected);
             self.policy.client_disconnected(self.now(), id);
         }
     }
 
-    /// Lets time go by in sweeps; relays end as the wire ends them when cancelled or out of time.
-    pub fn pass(&mut self, span: Duration) {
-        let until = self.now() + span;
+    /// Advances the time sweep by sweep. Attempts that were cancelled or are past their deadlines end.
+    pub fn advance(&mut self, duration: Duration) {
+        let until = self.now() + duration;
         while self.now() < until {
             let now = (self.now() + ms(20)).min(until);
-            self.script.0.borrow_mut().now = now;
-            for (id, number) in self.out() {
-                let (cancelled, late) = {
-                    let world = self.script.0.borrow();
-                    let relay = &world.cmds[&id].relays[number as usize];
-                    (relay.cancelled, relay.not_past <= now)
+            self.host.0.borrow_mut().now = now;
+            for (id, number) in self.open_attempts() {
+                let (cancelled, past_deadline) = {
+                    let state = self.host.0.borrow();
+                    let attempt = &state.requests[&id].attempts[number as usize];
+                    (attempt.cancelled, attempt.deadline <= now)
                 };
-                if cancelled || late {
+                if cancelled || past_deadline {
                     let outcome = if cancelled { Outcome::Cancelled } else { Outcome::Timeout };
-                    self.end(&id, number, outcome, LoadReport::default());
+                    self.end_attempt(&id, number, outcome, LoadReport::default());
                 }
             }
             self.policy.timer_fired(now);
-            assert_eq!(self.script.0.borrow().overdue_answers(), 0, "rule 1: no final answer in time");
+            assert_eq!(
+                self.host.0.borrow().overdue_requests(),
+                0,
+                "rule 1: a request has no final response in time"
+            );
         }
     }
 
-    /// Gives a pure command and lets the server it goes to end it.
-    pub fn play(&mut self, verb: usize, outcome_at: impl Fn(&str) -> Outcome) -> Id {
-        let id = self.give(verb, ms(3000));
-        self.pass(ms(20));
-        for (id, number) in self.out() {
-            let server = self.script.0.borrow().cmds[&id].relays[number as usize].server.clone();
-            self.end(&id, number, outcome_at(&server), LoadReport::default());
+    /// Submits a request and ends all attempts in flight after one sweep, each with the outcome for its server.
+    pub fn run_request(&mut self, class: usize, outcome_of: impl Fn(&str) -> Outcome) -> Id {
+        let id = self.submit(class, ms(3000));
+        self.advance(ms(20));
+        for (id, number) in self.open_attempts() {
+            let server = self.host.0.borrow().requests[&id].attempts[number as usize].server.clone();
+            self.end_attempt(&id, number, outcome_of(&server), LoadReport::default());
         }
         id
     }
 
-    pub fn check_all(&mut self, outcome: Outcome) {
-        let checks = std::mem::take(&mut self.script.0.borrow_mut().checks);
-        for server in checks {
+    pub fn end_health_checks(&mut self, outcome: Outcome) {
+        let health_checks = std::mem::take(&mut self.host.0.borrow_mut().health_checks);
+        for server in health_checks {
             self.policy.health_check_ended(self.now(), outcome, &server, LoadReport::default());
         }
     }
 
-    pub fn ended(&self, id: &Id) -> Option<Final> {
-        self.script.0.borrow().cmds[id].ended
+    pub fn final_response(&self, id: &Id) -> Option<FinalResponse> {
+        self.host.0.borrow().requests[id].final_response
     }
 
-    pub fn noted(&self, text: &str) -> bool {
-        self.script.0.borrow().notes.iter().any(|note| note.starts_with(text))
+    pub fn has_logged(&self, text: &str) -> bool {
+        self.host.0.borrow().logged_events.iter().any(|event| event.starts_with(text))
     }
 }
--- a/crates/decisions/tests/decisions/skipped_sweeps.rs
+++ b/crates/decisions/tests/decisions/skipped_sweeps.rs
@@ -1,6 +1,7 @@
-//! Sweeps that are left out at rest: whoever leaves them out hears the same calls, at the same times.
+//! Sweeps that the host skips while nothing happens: the decisions make the same calls at the same times as without
+//! skipping.
 
-use crate::scripted_host::{entry, ms, terms};
+use crate::scripted_host::{entry, ms, test_settings};
 use landingspread_decisions::host::{
     AttemptEnd, Event, Host, Id, Lifecycle, LoadReport, Outcome, RequestArrival,
 };
@@ -11,133 +12,146 @@
 use std::time::Duration;
 
 #[derive(Default)]
-struct Log {
+struct CallLog {
     now: Duration,
     lines: Vec<String>,
-    /// Relays that are out: command, number, server.
-    out: Vec<(Id, u32, Id)>,
-    relays: std::collections::BTreeMap<Id, u32>,
-    checks: Vec<Id>,
+    /// The attempts in flight: request id, attempt number, server.
+    open_attempts: Vec<(Id, u32, Id)>,
+    attempt_counts: std::collections::BTreeMap<Id, u32>,
+    health_checks: Vec<Id>,
 }
 
 #[derive(Clone, Default)]
-struct Logged(Rc<RefCell<Log>>);
+struct LoggingHost(Rc<RefCell<CallLog>>);
 
-impl Logged {
-    fn say(&self, text: String) {
+impl LoggingHost {
+    fn record(&self, call: String) {
         let mut log = self.0.borrow_mut();
-        let line = format!("{:?} {text}", log.now);
+        let line = format!("{:?} {call}", log.now);
         log.lines.push(line);
     }
 }
 
-impl Host for Logged {
-    fn start_attempt(&mut self, cmd: &Id, server: &Id, not_past: Duration) {
-        self.say(format!("relay {cmd} {server} {not_past:?}"));
+impl Host for LoggingHost {
+    fn start_attempt(&mut self, request: &Id, server: &Id, deadline: Duration) {
+        self.record(format!("relay {request} {server} {deadline:?}"));
         let mut log = self.0.borrow_mut();
-        let next = log.relays.entry(cmd.clone()).or_default();
+        let next = log.attempt_counts.entry(request.clone()).or_default();
         let number = *next;
         *next += 1;
-        log.out.push((cmd.clone(), number, server.clone()));
+        log.open_attempts.push((request.clone(), number, server.clone()));
     }
 
-    fn reject(&mut self, cmd: &Id, come_back: Option<Duration>) {
-        self.say(format!("decline {cmd} {come_back:?}"));
+    fn reject(&mut self, request: &Id, retry_after: Option<Duration>) {
+        self.record(format!("decline {request} {retry_after:?}"));
     }
 
-    fn fail(&mut self, cmd: &Id) {
-        self.say(format!("terminate {cmd}"));
+    fn fail(&mut self, request: &Id) {
+        self.record(format!("terminate {request}"));
     }
 
-    fn cancel_attempt(&mut self, cmd: &Id, relay: u32) {
-        self.say(format!("cancel {cmd} {relay}"));
+    fn cancel_attempt(&mut self, request: &Id, attempt: u32) {
+        self.record(format!("cancel {request} {attempt}"));
     }
 
     fn check_health(&mut self, server: &Id) {
-        self.say(format!("check {server}"));
-        self.0.borrow_mut().checks.push(server.clone());
+        self.record(format!("check {server}"));
+        self.0.borrow_mut().health_checks.push(server.clone());
     }
 
     fn wake_after(&mut self, _: Duration) {}
 
     fn poll_discovery(&mut self) {
-        self.say("subscribe".into());
+        self.record("subscribe".into());
     }
 
     fn close_idle_connections(&mut self, server: &Id) {
-        self.say(format!("let go {server}"));
+        self.record(format!("let go {server}"));
     }
 
-    fn send_to_peers(&mut self, peer: Option<u32>, words: &[u8]) {
-        self.say(format!("tell {peer:?} {words:?}"));
+    fn send_to_peers(&mut self, peer: Option<u32>, message: &[u8]) {
+        self.record(format!("tell {peer:?} {message:?}"));
     }
 
-    fn log(&mut self, text: &Event) {
-        self.say(format!("note {text}"));
+    fn log(&mut self, event: &Event) {
+        self.record(format!("note {event}"));
     }
 }
 
-const SWEEP: Duration = Duration::from_millis(20);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A copy whose host calls each sweep, or leaves out those that the module lets it.
-struct Copy {
-    host: Logged,
-    policy: Policy<Logged>,
-    rests: bool,
+/// A replica whose host calls each sweep, or skips the sweeps that `Policy::next_sweep` allows it to skip.
+struct SweptReplica {
+    host: LoggingHost,
+    policy: Policy<LoggingHost>,
+    skips_sweeps: bool,
     sweep_at: Duration,
-    rests_until: Option<Duration>,
+    skipping_until: Option<Duration>,
     sweeps: u32,
 }
 
-impl Copy {
-    fn new(rests: bool, extra: &str, seed: u64) -> Copy {
-        let host = Logged::default();
+impl SweptReplica {
+    fn new(skips_sweeps: bool, extra: &str, seed: u64) -> SweptReplica {
+        let host = LoggingHost::default();
         host.0.borrow_mut().now = ms(1000);
-        let policy = Policy::start(host.clone(), terms("zone", extra), seed, ms(1000));
-        Copy { host, policy, rests, sweep_at: ms(1000) + SWEEP, rests_until: None, sweeps: 0 }
+        let policy = Policy::start(host.clone(), test_settings("zone", extra), seed, ms(1000));
+        SweptReplica {
+            host,
+            policy,
+            skips_sweeps,
+            sweep_at: ms(1000) + SWEEP_INTERVAL,
+            skipping_until: None,
+            sweeps: 0,
+        }
     }
 
-    fn pass_to(&mut self, until: Duration) {
+    fn advance_to(&mut self, until: Duration) {
         loop {
-            let at = self.rests_until.unwrap_or(self.sweep_at);
+            let at = self.skipping_until.unwrap_or(self.sweep_at);
             if at > until {
                 break;
             }
-            if self.rests_until.take().is_some() {
-                assert_eq!(self.policy.skip_sweeps(at), at, "rest ends at a sweep's time");
+            if self.skipping_until.take().is_some() {
+                assert_eq!(self.policy.skip_sweeps(at), at, "skipping ends at the time of a sweep");
             }
             self.host.0.borrow_mut().now = at;
             self.policy.timer_fired(at);
             self.sweeps += 1;
-            self.sweep_at = at + SWEEP;
+            self.sweep_at = at + SWEEP_INTERVAL;
             let next = self.policy.next_sweep();
-            self.rests_until = Some(next).filter(|next| self.rests && *next > self.sweep_at);
+            self.skipping_until = Some(next).filter(|next| self.skips_sweeps && *next > self.sweep_at);
         }
         self.host.0.borrow_mut().now = until;
     }
 
-    /// Something happens then.
-    fn hear(&mut self, at: Duration, what: impl FnOnce(&mut Policy<Logged>, &Logged)) {
-        self.pass_to(at);
-        if let Some(until) = self.rests_until.take() {
+    /// Advances to this time and applies an event.
+    fn handle(&mut self, at: Duration, apply: impl FnOnce(&mut Policy<LoggingHost>, &LoggingHost)) {
+        self.advance_to(at);
+        if let Some(until) = self.skipping_until.take() {
             self.sweep_at = self.policy.skip_sweeps(at.min(until));
         }
-        what(&mut self.policy, &self.host);
+        apply(&mut self.policy, &self.host);
     }
 }
 
 const OUTCOMES: [Outcome; 6] =
     [Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::Timeout, Outcome::ConnectFailed, Outcome::NotSent];
 
-/// One thing that happens: `draw` says what, which and how.
-fn happens(policy: &mut Policy<Logged>, host: &Logged, now: Duration, number: usize, draw: u64) {
-    let (which, how) = ((draw >> 8) as usize, (draw >> 40) as usize);
-    match draw % 10 {
+/// Applies one random event: `random_bits` selects the action, the request or server, and the variant.
+fn apply_random_event(
+    policy: &mut Policy<LoggingHost>,
+    host: &LoggingHost,
+    now: Duration,
+    number: usize,
+    random_bits: u64,
+) {
+    let (selector, variant) = ((random_bits >> 8) as usize, (random_bits >> 40) as usize);
+    match random_bits % 10 {
         0..=2 => {
             let id: Id = format!("c{number:05}").into();
             let arrival = RequestArrival {
                 id,
-                class: which % 4,
+                class: selector % 4,
                 deadline: now + ms(1500),
                 body_incomplete: false,
                 tenant: 0,
@@ -146,31 +160,31 @@
             policy.request_arrived(now, arrival);
         }
         3..=6 => {
-            let out = {
+            let attempt_in_flight = {
                 let mut log = host.0.borrow_mut();
-                let count = log.out.len();
-                (count > 0).then(|| log.out.remove(which % count))
+                let count = log.open_attempts.len();
+                (count > 0).then(|| log.open_attempts.remove(selector % count))
             };
-            let Some((cmd, relay, server)) = out else { return };
-            let (outcome, latency) = (OUTCOMES[how % OUTCOMES.len()], ms(5 + how as u64 % 40));
-            let ended = AttemptEnd {
-                request: cmd,
+            let Some((request, attempt, server)) = attempt_in_flight else { return };
+            let (outcome, latency) = (OUTCOMES[variant % OUTCOMES.len()], ms(5 + variant as u64 % 40));
+            let attempt_end = AttemptEnd {
+                request,
                 request_closed: outcome == Outcome::Ok,
                 body_consumed: false,
                 outcome,
-                attempt: relay,
+                attempt,
                 latency,
                 server,
                 load: LoadReport::default(),
             };
-            policy.attempt_ended(now, ended);
+            policy.attempt_ended(now, attempt_end);
         }
         7 => {
-            let checks = std::mem::take(&mut host.0.borrow_mut().checks);
-            for server in checks {
+            let health_checks = std::mem::take(&mut host.0.borrow_mut().health_checks);
+            for server in health_checks {
                 policy.health_check_ended(
                     now,
-                    OUTCOMES[how % OUTCOMES.len()],
+                    OUTCOMES[variant % OUTCOMES.len()],
                     &server,
                     LoadReport::default(),
                 );
@@ -178,21 +192,21 @@
         }
         8 => {
             let state =
-                [Lifecycle::Ready, Lifecycle::Draining, Lifecycle::Removed, Lifecycle::Ready][how % 4];
-            policy.endpoint_list_changed(now, &[entry(&format!("s{}", which % 8), state)]);
+                [Lifecycle::Ready, Lifecycle::Draining, Lifecycle::Removed, Lifecycle::Ready][variant % 4];
+            policy.endpoint_list_changed(now, &[entry(&format!("s{}", selector % 8), state)]);
         }
         _ => {
-            let share = [1.0, 0.0, 0.5][how % 3];
+            let traffic_fraction = [1.0, 0.0, 0.5][variant % 3];
             policy.zone_traffic_changed(
                 now,
-                &[ZoneTraffic { zone: 1, fraction: share, trial: Some(how as u64 % 4) }],
+                &[ZoneTraffic { zone: 1, fraction: traffic_fraction, trial: Some(variant as u64 % 4) }],
             );
         }
     }
 }
 
-/// A plain sequence that depends on nothing but the seed (Steele, Lea and Flood's SplitMix64).
-fn draw(state: &mut u64) -> u64 {
+/// The next number of a pseudorandom sequence that depends on nothing but the seed (SplitMix64 of Steele, Lea and Flood).
+fn next_random(state: &mut u64) -> u64 {
     *state = state.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let mut z = *state;
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -201,35 +215,41 @@
 }
 
 #[test]
-fn skipped_sweeps_change_no_call_and_no_time_of_any() {
+fn skipped_sweeps_change_no_call_and_no_time() {
     for seed in 1..=60 {
         let extra = if seed % 2 == 0 { "Balancers=3 PolicyLimits.Peers=true" } else { "" };
-        let mut copies = [Copy::new(false, extra, seed), Copy::new(true, extra, seed)];
+        let mut replicas = [SweptReplica::new(false, extra, seed), SweptReplica::new(true, extra, seed)];
         let entries: Vec<_> = (0..6).map(|at| entry(&format!("s{at}"), Lifecycle::Ready)).collect();
-        copies.iter_mut().for_each(|copy| copy.policy.endpoint_list_cached(ms(1000), &entries));
+        replicas.iter_mut().for_each(|replica| replica.policy.endpoint_list_cached(ms(1000), &entries));
         let (mut state, mut now) = (seed, ms(1000));
         for number in 0..400 {
-            let long = draw(&mut state).is_multiple_of(12);
-            now += Duration::from_micros(draw(&mut state) % if long { 9_000_000 } else { 30_000 });
-            let what = draw(&mut state);
-            for copy in &mut copies {
-                copy.hear(now, |policy, host| happens(policy, host, now, number, what));
+            let long_pause = next_random(&mut state).is_multiple_of(12);
+            now +=
+                Duration::from_micros(next_random(&mut state) % if long_pause { 9_000_000 } else { 30_000 });
+            let random_bits = next_random(&mut state);
+            for replica in &mut replicas {
+                replica
+                    .handle(now, |policy, host| apply_random_event(policy, host, now, number, random_bits));
             }
-            let [all, some] = &copies;
-            assert_eq!(all.host.0.borrow().lines, some.host.0.borrow().lines, "seed {seed}, step {number}");
+            let [swept, skipping] = &replicas;
+            assert_eq!(
+                swept.host.0.borrow().lines,
+                skipping.host.0.borrow().lines,
+                "seed {seed}, step {number}"
+            );
         }
-        copies.iter_mut().for_each(|copy| copy.pass_to(now + ms(30_000)));
-        let [all, some] = &copies;
-        assert_eq!(all.host.0.borrow().lines, some.host.0.borrow().lines, "seed {seed}, at the end");
-        assert!(all.host.0.borrow().lines.len() > 100 && some.sweeps < all.sweeps, "seed {seed}");
+        replicas.iter_mut().for_each(|replica| replica.advance_to(now + ms(30_000)));
+        let [swept, skipping] = &replicas;
+        assert_eq!(swept.host.0.borrow().lines, skipping.host.0.borrow().lines, "seed {seed}, at the end");
+        assert!(swept.host.0.borrow().lines.len() > 100 && skipping.sweeps < swept.sweeps, "seed {seed}");
     }
 }
 
 #[test]
-fn a_replica_without_requests_is_swept_twice_a_second() {
-    let mut copy = Copy::new(true, "", 1);
+fn idle_replica_is_swept_twice_per_second() {
+    let mut replica = SweptReplica::new(true, "", 1);
     let entries: Vec<_> = (0..6).map(|at| entry(&format!("s{at}"), Lifecycle::Ready)).collect();
-    copy.policy.endpoint_list_cached(ms(1000), &entries);
-    copy.pass_to(ms(11_000));
-    assert!((20..=22).contains(&copy.sweeps), "{} sweeps in 10 s", copy.sweeps);
+    replica.policy.endpoint_list_cached(ms(1000), &entries);
+    replica.advance_to(ms(11_000));
+    assert!((20..=22).contains(&replica.sweeps), "{} sweeps in 10 s", replica.sweeps);
 }
--- a/crates/decisions/tests/decisions/zones.rs
+++ b/crates/decisions/tests/decisions/zones.rs
@@ -1,134 +1,151 @@
-//! Zones that the fleet leaves and takes back, as the decisions hear of it. Servers of even numbers stand in zone 0.
+//! Zones whose traffic fraction the fleet changes, trials, and zone observations. Servers with even numbers are in zone 0.
 
-use crate::scripted_host::{Scene, entry, ms, terms};
+use crate::scripted_host::{Harness, entry, ms, test_settings};
 use landingspread_decisions::host::{Lifecycle, Outcome};
 use landingspread_decisions::zones::ZoneTraffic;
 
-fn scene(extra: &str) -> Scene {
-    let mut scene = Scene::new(terms("all", extra), "all", 9, 6);
-    told(&mut scene, 1.0, None);
-    scene
+fn harness(extra: &str) -> Harness {
+    let mut harness = Harness::new(test_settings("all", extra), "all", 9, 6);
+    set_zone_1_traffic(&mut harness, 1.0, None);
+    harness
 }
 
-/// What is told of zone 1.
-fn told(scene: &mut Scene, share: f64, trial: Option<u64>) {
-    let now = scene.now();
-    let here = ZoneTraffic { zone: 0, fraction: 1.0, trial: None };
-    scene.policy.zone_traffic_changed(now, &[here, ZoneTraffic { zone: 1, fraction: share, trial }]);
+/// Sets the traffic fraction and the trial of zone 1; zone 0 stays in service.
+fn set_zone_1_traffic(harness: &mut Harness, traffic_fraction: f64, trial: Option<u64>) {
+    let now = harness.now();
+    let zone_0 = ZoneTraffic { zone: 0, fraction: 1.0, trial: None };
+    harness
+        .policy
+        .zone_traffic_changed(now, &[zone_0, ZoneTraffic { zone: 1, fraction: traffic_fraction, trial }]);
 }
 
-fn play(scene: &mut Scene, cmds: usize) {
-    (0..cmds).for_each(|_| drop(scene.play(0, |_| Outcome::Ok)));
+fn run_requests(harness: &mut Harness, count: usize) {
+    (0..count).for_each(|_| drop(harness.run_request(0, |_| Outcome::Ok)));
 }
 
-fn sent_to_zone_1(scene: &Scene) -> usize {
-    let world = scene.script.0.borrow();
-    ["s1", "s3", "s5"].iter().map(|server| world.sent_to(server)).sum()
+fn attempts_to_zone_1(harness: &Harness) -> usize {
+    let state = harness.host.0.borrow();
+    ["s1", "s3", "s5"].iter().map(|server| state.attempts_to(server)).sum()
 }
 
 #[test]
-fn a_drained_zone_gets_nothing_but_health_checks_in_turn_until_it_is_used_again() {
-    let mut scene = scene("");
-    play(&mut scene, 60);
-    assert!(sent_to_zone_1(&scene) > 10);
-    told(&mut scene, 0.0, None);
-    let before = sent_to_zone_1(&scene);
-    scene.script.0.borrow_mut().checks.clear();
-    play(&mut scene, 100);
-    // A server that joins it, or that the list says has started, is no way round.
-    scene.change(&[entry("s7", Lifecycle::Ready), entry("s1", Lifecycle::Removed)]);
-    scene.change(&[entry("s1", Lifecycle::Ready)]);
-    play(&mut scene, 100);
-    scene.pass(ms(3000));
-    assert_eq!(sent_to_zone_1(&scene) + scene.script.0.borrow().sent_to("s7"), before);
-    assert!(scene.script.0.borrow().checks.is_empty(), "no check without the turn");
-    for turn in 1..=4 {
-        told(&mut scene, 0.0, Some(turn));
-        told(&mut scene, 0.0, Some(turn));
-        scene.pass(ms(200));
-        assert_eq!(scene.script.0.borrow().checks.len(), 1, "one check a turn");
-        scene.check_all(Outcome::Ok);
-        scene.pass(ms(3000));
-        assert!(scene.script.0.borrow().checks.is_empty());
+fn zone_without_traffic_gets_only_trial_health_checks() {
+    let mut harness = harness("");
+    run_requests(&mut harness, 60);
+    assert!(attempts_to_zone_1(&harness) > 10);
+    set_zone_1_traffic(&mut harness, 0.0, None);
+    let before = attempts_to_zone_1(&harness);
+    harness.host.0.borrow_mut().health_checks.clear();
+    run_requests(&mut harness, 100);
+    // A server that joins the zone, or that the list shows as restarted, gets no request either.
+    harness.change_list(&[entry("s7", Lifecycle::Ready), entry("s1", Lifecycle::Removed)]);
+    harness.change_list(&[entry("s1", Lifecycle::Ready)]);
+    run_requests(&mut harness, 100);
+    harness.advance(ms(3000));
+    assert_eq!(attempts_to_zone_1(&harness) + harness.host.0.borrow().attempts_to("s7"), before);
+    assert!(harness.host.0.borrow().health_checks.is_empty(), "no health check without a trial");
+    for trial in 1..=4 {
+        set_zone_1_traffic(&mut harness, 0.0, Some(trial));
+        set_zone_1_traffic(&mut harness, 0.0, Some(trial));
+        harness.advance(ms(200));
+        assert_eq!(harness.host.0.borrow().health_checks.len(), 1, "one health check per trial");
+        harness.end_health_checks(Outcome::Ok);
+        harness.advance(ms(3000));
+        assert!(harness.host.0.borrow().health_checks.is_empty());
     }
-    play(&mut scene, 50);
-    assert_eq!(sent_to_zone_1(&scene), before, "that checks are answered is for the fleet to weigh");
-    told(&mut scene, 0.5, None);
-    play(&mut scene, 400);
-    assert!(sent_to_zone_1(&scene) > before, "it is used again");
+    run_requests(&mut harness, 50);
+    assert_eq!(attempts_to_zone_1(&harness), before, "answered health checks alone restore no traffic");
+    set_zone_1_traffic(&mut harness, 0.5, None);
+    run_requests(&mut harness, 400);
+    assert!(attempts_to_zone_1(&harness) > before, "the zone gets requests again");
 }
 
 #[test]
-fn where_health_checks_are_not_allowed_a_trial_is_one_idempotent_request() {
-    let mut scene = scene("PolicyLimits.Probes=false");
-    play(&mut scene, 60);
-    told(&mut scene, 0.0, None);
-    let before = sent_to_zone_1(&scene);
-    play(&mut scene, 60);
-    assert_eq!(sent_to_zone_1(&scene), before);
-    told(&mut scene, 0.0, Some(1));
-    // Others have no part in trials.
-    (0..40).for_each(|_| drop(scene.play(2, |_| Outcome::Ok)));
-    assert_eq!(sent_to_zone_1(&scene), before);
-    play(&mut scene, 200);
-    assert_eq!(sent_to_zone_1(&scene), before + 1);
+fn without_health_checks_a_trial_is_an_idempotent_request() {
+    let mut harness = harness("PolicyLimits.Probes=false");
+    run_requests(&mut harness, 60);
+    set_zone_1_traffic(&mut harness, 0.0, None);
+    let before = attempts_to_zone_1(&harness);
+    run_requests(&mut harness, 60);
+    assert_eq!(attempts_to_zone_1(&harness), before);
+    set_zone_1_traffic(&mut harness, 0.0, Some(1));
+    // Requests of a class that is not idempotent are no trials.
+    (0..40).for_each(|_| drop(harness.run_request(2, |_| Outcome::Ok)));
+    assert_eq!(attempts_to_zone_1(&harness), before);
+    run_requests(&mut harness, 200);
+    assert_eq!(attempts_to_zone_1(&harness), before + 1);
 }
 
 #[test]
-fn a_zones_observation_follows_from_the_attempts_sent_there() {
-    let mut scene = scene("");
-    play(&mut scene, 60);
-    let now = scene.now();
-    let seen = scene.policy.zone_observations(now);
-    let zone = |zone: u32| seen.iter().find(|seen| seen.zone == zone).copied().expect("it is told of");
+fn zone_observation_reflects_its_attempts() {
+    let mut harness = harness("");
+    run_requests(&mut harness, 60);
+    let now = harness.now();
+    let observations = harness.policy.zone_observations(now);
+    let zone = |zone: u32| {
+        observations
+            .iter()
+            .find(|observation| observation.zone == zone)
+            .copied()
+            .expect("the zone has an observation")
+    };
     assert_eq!((zone(0).ready, zone(1).ready), (3, 3));
     assert!(zone(1).answered.is_some() && zone(1).silent.is_none());
-    // Connections there are refused from now on.
-    let refused = |server: &str| match server {
+    // From now on, servers of zone 1 refuse connections.
+    let outcome_of = |server: &str| match server {
         "s1" | "s3" | "s5" => Outcome::ConnectFailed,
         _ => Outcome::Ok,
     };
-    (0..30).for_each(|_| drop(scene.play(0, refused)));
-    let now = scene.now();
-    let silent =
-        scene.policy.zone_observations(now).iter().find(|seen| seen.zone == 1).and_then(|seen| seen.silent);
+    (0..30).for_each(|_| drop(harness.run_request(0, outcome_of)));
+    let now = harness.now();
+    let silent = harness
+        .policy
+        .zone_observations(now)
+        .iter()
+        .find(|observation| observation.zone == 1)
+        .and_then(|observation| observation.silent);
     assert!(silent.is_some_and(|ago| ago < ms(1000)), "{silent:?}");
-    // An answer of any kind is one, and old losses say nothing of now.
-    scene.pass(ms(2500));
-    let now = scene.now();
-    let seen = scene.policy.zone_observations(now);
-    assert!(seen.iter().all(|seen| seen.silent.is_none()), "{seen:?}");
+    // Any answer counts as one, and failures older than the observation window do not count.
+    harness.advance(ms(2500));
+    let now = harness.now();
+    let observations = harness.policy.zone_observations(now);
+    assert!(observations.iter().all(|observation| observation.silent.is_none()), "{observations:?}");
 }
 
 #[test]
-fn a_zone_that_is_silent_to_others_is_checked_once_a_trial_and_a_failure_is_told() {
-    let mut scene = scene("");
-    let silent = |scene: &mut Scene| {
-        let now = scene.now();
-        let seen = scene.policy.zone_observations(now);
-        seen.iter().find(|seen| seen.zone == 1).and_then(|seen| seen.silent).is_some()
+fn each_trial_checks_once_and_a_failure_is_observed() {
+    let mut harness = harness("");
+    let silent = |harness: &mut Harness| {
+        let now = harness.now();
+        let observations = harness.policy.zone_observations(now);
+        observations
+            .iter()
+            .find(|observation| observation.zone == 1)
+            .and_then(|observation| observation.silent)
+            .is_some()
     };
-    for look in 1..=3 {
-        scene.script.0.borrow_mut().checks.clear();
-        told(&mut scene, 1.0, Some(look));
-        told(&mut scene, 1.0, Some(look));
-        assert_eq!(scene.script.0.borrow().checks.len(), 1, "one check a look");
-        scene.check_all(Outcome::Ok);
-        assert!(!silent(&mut scene));
+    for trial in 1..=3 {
+        harness.host.0.borrow_mut().health_checks.clear();
+        set_zone_1_traffic(&mut harness, 1.0, Some(trial));
+        set_zone_1_traffic(&mut harness, 1.0, Some(trial));
+        assert_eq!(harness.host.0.borrow().health_checks.len(), 1, "one health check per trial");
+        harness.end_health_checks(Outcome::Ok);
+        assert!(!silent(&mut harness));
     }
-    told(&mut scene, 1.0, Some(4));
-    scene.check_all(Outcome::ConnectFailed);
-    assert!(silent(&mut scene));
+    set_zone_1_traffic(&mut harness, 1.0, Some(4));
+    harness.end_health_checks(Outcome::ConnectFailed);
+    assert!(silent(&mut harness));
 }
 
 #[test]
-fn servers_of_a_drained_zone_are_no_part_of_those_that_may_be_ejected() {
-    let mut scene = scene("");
-    play(&mut scene, 30);
-    told(&mut scene, 0.0, None);
-    // One of three that are in use fails: more than half of all are not clear, and it is marked all the same.
+fn ejection_limit_ignores_servers_of_a_drained_zone() {
+    let mut harness = harness("");
+    run_requests(&mut harness, 30);
+    set_zone_1_traffic(&mut harness, 0.0, None);
+    // One of the three servers in use fails. With the drained zone counted, more than half of all servers would be out of
+    // use, and the ejection limit would prevent the ejection.
     (0..200).for_each(|_| {
-        drop(scene.play(0, |server| if server == "s0" { Outcome::Error } else { Outcome::Ok }));
+        drop(harness.run_request(0, |server| if server == "s0" { Outcome::Error } else { Outcome::Ok }));
     });
-    assert!(scene.noted("mark s0"));
+    assert!(harness.has_logged("mark s0"));
 }
