--- a/crates/lab/src/pickers/fleeted.rs
+++ b/crates/lab/src/pickers/fleeted.rs
@@ -162,7 +162,7 @@
     fn timer_fired(&mut self, now: Duration) {
         if self.tick_at <= now {
             self.tick_at = now + Membership::<Mail>::TICK_INTERVAL;
-            self.membership.set_traffic(self.policy.request_rate());
+            self.membership.set_request_rate(self.policy.request_rate());
             self.tick_zones(now);
             self.membership.tick(now);
             let size = self.membership.fleet_size();
@@ -170,7 +170,7 @@
                 count: size.members,
                 max_alive: size.possibly_live,
                 ordinal: size.ordinal().map(u32::from),
-                mean_request_rate: size.mean_traffic,
+                mean_request_rate: size.mean_request_rate,
             };
             self.policy.replicas_changed(now, &copies);
         }
--- a/crates/membership/src/fleet_size.rs
+++ b/crates/membership/src/fleet_size.rs
@@ -24,7 +24,7 @@
     pub possibly_live: f64,
     pub(crate) ordinal: u16,
     /// Commands a second of a member, on average; `None` while no other member has reported any.
-    pub mean_traffic: Option<f64>,
+    pub mean_request_rate: Option<f64>,
 }
 
 impl FleetSize {
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -27,7 +27,7 @@
     /// this epoch or an earlier one.
     pub affirmed_epoch: u64,
     /// Its traffic in tenths of a command a second.
-    pub traffic_tenths: u16,
+    pub request_rate_tenths: u16,
     /// Its ordinal, or `ordinals::UNASSIGNED`.
     pub ordinal: u16,
     /// It is the member's last announcement.
@@ -183,8 +183,8 @@
     }
 
     /// Commands a second, as it reports.
-    pub fn commands_per_s(&self) -> f64 {
-        f64::from(self.announcement.traffic_tenths) / 10.0
+    pub fn requests_per_s(&self) -> f64 {
+        f64::from(self.announcement.request_rate_tenths) / 10.0
     }
 
     /// Its newest payload, and when that was published, by the local clock.
--- a/crates/membership/src/member_tests.rs
+++ b/crates/membership/src/member_tests.rs
@@ -8,7 +8,7 @@
         incarnation,
         sequence,
         affirmed_epoch,
-        traffic_tenths: 0,
+        request_rate_tenths: 0,
         ordinal: 0,
         left: false,
         considered_dead: false,
--- a/crates/membership/src/membership/dissemination.rs
+++ b/crates/membership/src/membership/dissemination.rs
@@ -1,7 +1,7 @@
 //! Dissemination: what goes into a message, and to whom gossip is sent. Pending gossip comes first, then members in
 //! rotation, whose state the receiver may lack (anti-entropy), all within the send budget.
 
-use super::entries::{write_payload, write_state, write_state_in_full};
+use super::entries::{write_full_state, write_payload, write_state};
 use super::*;
 use crate::member::MemberState;
 use crate::wire::{Header, MessageWriter};
@@ -18,7 +18,7 @@
 }
 
 impl<H: Host> Membership<H> {
-    pub(super) fn send_plain(&mut self, to: Address, kind: MessageKind, probe_number: u32) {
+    pub(super) fn send_message(&mut self, to: Address, kind: MessageKind, probe_number: u32) {
         self.send(to, Outgoing { kind, probe_number, subject: None, all_names: false });
     }
 
@@ -27,7 +27,13 @@
         self.send(to, Outgoing { kind, probe_number, subject: None, all_names: true });
     }
 
-    pub(super) fn send_about(&mut self, to: Address, kind: MessageKind, probe_number: u32, subject: Address) {
+    pub(super) fn send_with_subject(
+        &mut self,
+        to: Address,
+        kind: MessageKind,
+        probe_number: u32,
+        subject: Address,
+    ) {
         self.send(to, Outgoing { kind, probe_number, subject: Some(subject), all_names: false });
     }
 
@@ -61,7 +67,7 @@
             self.payload_transmissions_left = self.payload_transmissions_left.saturating_sub(1);
             let spare = self.send_budget.can_spare_datagram(self.now);
             if spare && self.send_budget.gossip_allowance(self.now) >= MIN_GOSSIP_BYTES {
-                self.send_plain(to, MessageKind::Gossip, 0);
+                self.send_message(to, MessageKind::Gossip, 0);
             }
         }
     }
@@ -79,7 +85,7 @@
         let seeds: Vec<Address> = self.seeds.iter().filter(unknown).copied().collect();
         let seed_count = if isolated { INDIRECT_PROBES } else { 1 }.min(seeds.len());
         to.extend(sample(&mut self.rng, seeds.len(), seed_count).into_iter().map(|index| seeds[index]));
-        to.into_iter().for_each(|to| self.send_plain(to, MessageKind::Ping, 0));
+        to.into_iter().for_each(|to| self.send_message(to, MessageKind::Ping, 0));
     }
 
     /// Anti-entropy: sends the members of the partitions in which the receiver's view differs.
@@ -91,7 +97,7 @@
         }
         let from = self.rng.random_range(0..Digests::PARTITIONS);
         let mut writer = self.begin_message(MessageKind::Gossip, 0);
-        let write = |member: &Member| write_state_in_full(&mut writer, member, false);
+        let write = |member: &Member| write_full_state(&mut writer, member, false);
         self.members.for_each_in_partitions(differs, from, write);
         self.transmit(to, writer);
     }
@@ -172,15 +178,15 @@
         if views_differ && !all_names && self.rng.random_ratio(1, 2) {
             self.write_compact_states(writer);
         }
-        let names = all_names || self.rng.random_ratio(1, NAMES_ONE_IN);
-        let mut members_left = if views_differ { usize::MAX } else { ROTATION_MEMBERS };
+        let names = all_names || self.rng.random_ratio(1, MESSAGES_PER_NAMES);
+        let mut remaining_members = if views_differ { usize::MAX } else { ROTATION_MEMBERS };
         self.members.for_each_in_rotation(|member| {
             if !member.state.is_live() && !views_differ {
                 return true;
             }
-            members_left -= 1;
-            members_left > 0
-                && write_state_in_full(writer, member, names)
+            remaining_members -= 1;
+            remaining_members > 0
+                && write_full_state(writer, member, names)
                 && write_payload(writer, member, now)
         });
     }
--- a/crates/membership/src/membership/entries.rs
+++ b/crates/membership/src/membership/entries.rs
@@ -35,7 +35,7 @@
 
 /// What is known of a member, with its announcement, for a receiver that may never have heard of it. `false` where there is
 /// no room for it.
-pub(super) fn write_state_in_full(writer: &mut MessageWriter, member: &Member, names: bool) -> bool {
+pub(super) fn write_full_state(writer: &mut MessageWriter, member: &Member, names: bool) -> bool {
     let announced = match member.state {
         // `write_state` writes the announcement.
         MemberState::Alive | MemberState::Left => true,
--- a/crates/membership/src/membership/limits.rs
+++ b/crates/membership/src/membership/limits.rs
@@ -33,7 +33,7 @@
 /// How often the fleet size is recomputed.
 pub(super) const FLEET_SIZE_INTERVAL: Duration = Duration::from_millis(250);
 /// Older reports of traffic are ignored.
-pub(super) const TRAFFIC_REPORT_TTL: Duration = Duration::from_secs(60);
+pub(super) const REQUEST_RATE_TTL: Duration = Duration::from_secs(60);
 /// A dead member may be alive beyond a partition, and send to servers that are warming up, for this time.
 pub(super) const POSSIBLY_LIVE_FOR: Duration = Duration::from_secs(30);
 /// More probes a period while this member suspects others: up to so many,
@@ -61,7 +61,7 @@
 /// Members written in rotation into a message where views agree, plus one.
 pub(super) const ROTATION_MEMBERS: usize = 11;
 /// Rotation entries carry names in one message of so many.
-pub(super) const NAMES_ONE_IN: u32 = 8;
+pub(super) const MESSAGES_PER_NAMES: u32 = 8;
 /// States written in one compact entry.
 pub(super) const STATES_PER_ENTRY: usize = 24;
 /// Members looked through for one compact entry.
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -77,7 +77,7 @@
     fleet_size: FleetSize,
     counters: Counters,
     rejected_members: u64,
-    any_member_heard: bool,
+    other_member_seen: bool,
 }
 
 impl<H: Host> Membership<H> {
@@ -91,7 +91,7 @@
             incarnation: config.incarnation.min(MAX_INCARNATION),
             sequence: 0,
             affirmed_epoch: 1,
-            traffic_tenths: 0,
+            request_rate_tenths: 0,
             ordinal: ordinals::UNASSIGNED,
             left: false,
             considered_dead: false,
@@ -106,7 +106,7 @@
             members: config.configured_members,
             possibly_live: config.configured_members,
             ordinal: ordinals::UNASSIGNED,
-            mean_traffic: None,
+            mean_request_rate: None,
         };
         Membership {
             host,
@@ -138,7 +138,7 @@
             fleet_size,
             counters: Counters::default(),
             rejected_members: 0,
-            any_member_heard: false,
+            other_member_seen: false,
         }
     }
 
@@ -201,8 +201,8 @@
     }
 
     /// Sets the commands a second that this member reports.
-    pub fn set_traffic(&mut self, per_s: f64) {
-        self.own.traffic_tenths = (per_s * 10.0).clamp(0.0, 65535.0) as u16;
+    pub fn set_request_rate(&mut self, per_s: f64) {
+        self.own.request_rate_tenths = (per_s * 10.0).clamp(0.0, 65535.0) as u16;
     }
 
     /// Publishes a payload of at most `MAX_PAYLOAD_BYTES` in place of the previous one. It goes with every message, and
@@ -224,7 +224,7 @@
         self.now = now;
         self.own.left = true;
         for to in self.random_live(LEAVE_FANOUT, None) {
-            self.send_plain(to, MessageKind::Gossip, 0);
+            self.send_message(to, MessageKind::Gossip, 0);
         }
     }
 }
--- a/crates/membership/src/membership/probing.rs
+++ b/crates/membership/src/membership/probing.rs
@@ -15,13 +15,13 @@
         let suspicions = self.own_suspicions.len();
         let extra = suspicions.min(MAX_EXTRA_PROBES) + suspicions / SUSPICIONS_PER_EXTRA_PROBE;
         let probe_count = (1 + extra).min(self.probe_round.len());
-        let of_round: Vec<Address> = (0..probe_count)
+        let from_round: Vec<Address> = (0..probe_count)
             .map(|_| {
                 let index = self.rng.random_range(0..self.probe_round.len());
                 self.probe_round.swap_remove(index)
             })
             .collect();
-        let others = of_round.into_iter().filter(|target| Some(*target) != next_on_ring);
+        let others = from_round.into_iter().filter(|target| Some(*target) != next_on_ring);
         for target in next_on_ring.into_iter().chain(others) {
             let slot = self.members.slot(target);
             let is_live = slot.is_some_and(|slot| self.members.get(slot).state.is_live());
@@ -33,13 +33,13 @@
 
     pub(super) fn probe(&mut self, target: Address, requester: Option<Requester>) {
         if let Some(number) = self.probes.start(target, self.now, requester) {
-            self.send_plain(target, MessageKind::Ping, number);
+            self.send_message(target, MessageKind::Ping, number);
         }
     }
 
     pub(super) fn handle_ping_req(&mut self, requester: Requester, subject: Address) {
         if subject == self.own.address {
-            return self.send_plain(requester.address, MessageKind::Ack, requester.probe_number);
+            return self.send_message(requester.address, MessageKind::Ack, requester.probe_number);
         }
         if self.members.slot(subject).is_some() {
             self.probe(subject, Some(requester));
@@ -50,24 +50,24 @@
         let Some(probe) = self.probes.acknowledge(number, target, self.now) else { return };
         self.health_penalty = self.health_penalty.saturating_sub(1);
         if let Some(Requester { address, probe_number }) = probe.requester {
-            self.send_about(address, MessageKind::Ack, probe_number, target);
+            self.send_with_subject(address, MessageKind::Ack, probe_number, target);
         }
     }
 
     /// Ends the probes that failed, and sends what is due for the others.
-    pub(super) fn follow_probes(&mut self) {
-        let patience = 1 + self.health_penalty + self.probes.latency_factor();
-        for probe in self.probes.take_expired(self.now, patience) {
+    pub(super) fn advance_probes(&mut self) {
+        let timeout_factor = 1 + self.health_penalty + self.probes.latency_factor();
+        for probe in self.probes.take_expired(self.now, timeout_factor) {
             self.probe_failed(&probe);
         }
         let mut probes = std::mem::take(&mut self.probes);
-        probes.send_due(self.now, patience, self);
+        probes.send_due(self.now, timeout_factor, self);
         self.probes = probes;
     }
 
     fn probe_failed(&mut self, probe: &Probe) {
         if let Some(Requester { address, probe_number }) = probe.requester {
-            self.send_about(address, MessageKind::Nack, probe_number, probe.target);
+            self.send_with_subject(address, MessageKind::Nack, probe_number, probe.target);
         }
         let Some(slot) = self.members.slot(probe.target) else { return };
         let member = self.members.get(slot);
@@ -81,7 +81,7 @@
 
 impl<H: Host> ProbeSender for Membership<H> {
     fn send_ping(&mut self, target: Address, number: u32) {
-        self.send_plain(target, MessageKind::Ping, number);
+        self.send_message(target, MessageKind::Ping, number);
     }
 
     fn send_indirect(&mut self, target: Address, number: u32) {
@@ -91,7 +91,7 @@
             return;
         }
         for helper in self.random_live(INDIRECT_PROBES, Some(target)) {
-            self.send_about(helper, MessageKind::PingReq, number, target);
+            self.send_with_subject(helper, MessageKind::PingReq, number, target);
         }
     }
 }
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -46,7 +46,7 @@
         }
         let number = header.probe_number;
         match (header.kind, subject) {
-            (MessageKind::Ping, _) if known => self.send_plain(from, MessageKind::Ack, number),
+            (MessageKind::Ping, _) if known => self.send_message(from, MessageKind::Ack, number),
             (MessageKind::Ping, _) => self.send_with_names(from, MessageKind::Ack, number),
             (MessageKind::Ack, subject) => self.handle_ack(number, subject.unwrap_or(from)),
             (MessageKind::PingReq, Some(subject)) => {
@@ -82,7 +82,7 @@
             return;
         }
         self.epoch = self.epoch.max(announcement.affirmed_epoch);
-        self.any_member_heard = true;
+        self.other_member_seen = true;
         let Some(slot) = self.members.slot(address) else {
             return self.add_member(announcement, direct);
         };
@@ -177,7 +177,7 @@
         if target == own.address {
             // Every announcement from now on refutes it; the first one goes to the suspector.
             if incarnation == own.incarnation && epoch > own.affirmed_epoch {
-                membership.send_plain(suspector, MessageKind::Gossip, 0);
+                membership.send_message(suspector, MessageKind::Gossip, 0);
             }
             return;
         }
--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -39,19 +39,19 @@
             self.next_suspect_ping_at = self.now + SUSPECT_PING_INTERVAL;
         }
         let mut own_suspicions = std::mem::take(&mut self.own_suspicions);
-        self.drop_ended(&mut own_suspicions);
+        self.drop_ended_suspicions(&mut own_suspicions);
         self.advance_own_suspicions(&mut own_suspicions, ping_due);
         self.own_suspicions = own_suspicions;
         self.advance_suspects(ping_due);
     }
 
-    fn drop_ended(&mut self, own_suspicions: &mut Vec<OwnSuspicion>) {
-        let stands = |suspicion: &OwnSuspicion| {
+    fn drop_ended_suspicions(&mut self, own_suspicions: &mut Vec<OwnSuspicion>) {
+        let still_suspected = |suspicion: &OwnSuspicion| {
             let member = self.members.slot(suspicion.target).map(|slot| self.members.get(slot));
             member.is_some_and(|member| member.suspectors.contains_key(&self.own.address))
         };
         let before = own_suspicions.len();
-        own_suspicions.retain(stands);
+        own_suspicions.retain(still_suspected);
         if own_suspicions.len() < before {
             // A refuted suspicion speaks against this member's own failure detection.
             self.health_penalty = (self.health_penalty + 1).min(MAX_HEALTH_PENALTY);
@@ -74,14 +74,14 @@
         for suspicion in own_suspicions.iter() {
             let Some(slot) = self.members.slot(suspicion.target) else { continue };
             let agreed = self.members.get(slot).suspector_count() >= quorum;
-            let patience = 1 + self.health_penalty.min(1) + self.probes.latency_factor();
-            if reachable > 0 && agreed && suspicion.since + SUSPICION_TIMEOUT * patience <= now {
+            let timeout_factor = 1 + self.health_penalty.min(1) + self.probes.latency_factor();
+            if reachable > 0 && agreed && suspicion.since + SUSPICION_TIMEOUT * timeout_factor <= now {
                 self.declare_dead(slot, false);
             } else if reachable == 0 && suspicion.since + ISOLATED_SUSPICION_TIMEOUT <= now {
                 self.declare_dead(slot, true);
             } else if ping_due && pings < MAX_SUSPECT_PINGS {
                 pings += 1;
-                self.send_plain(suspicion.target, MessageKind::Ping, 0);
+                self.send_message(suspicion.target, MessageKind::Ping, 0);
             }
         }
     }
--- a/crates/membership/src/membership/tick.rs
+++ b/crates/membership/src/membership/tick.rs
@@ -6,11 +6,11 @@
 impl<H: Host> Membership<H> {
     /// Does what is due: to be called every `TICK_INTERVAL`.
     pub fn tick(&mut self, now: Duration) {
-        self.note_pause(now);
+        self.detect_pause(now);
         if self.own.left {
             return;
         }
-        self.follow_probes();
+        self.advance_probes();
         self.advance_suspicions();
         if self.next_probe_at <= now {
             self.next_probe_at = now + PROTOCOL_PERIOD;
@@ -31,7 +31,7 @@
     }
 
     /// A late tick means that the process was paused: others may have answered meanwhile without being heard.
-    fn note_pause(&mut self, now: Duration) {
+    fn detect_pause(&mut self, now: Duration) {
         let before = self.last_tick;
         let late = now.saturating_sub(before + Self::TICK_INTERVAL);
         self.now = now;
@@ -49,7 +49,7 @@
 
     /// The configured size holds until another member is heard.
     fn live_estimate(&self) -> f64 {
-        if self.any_member_heard { self.live_count() as f64 } else { self.fleet_size.members }
+        if self.other_member_seen { self.live_count() as f64 } else { self.fleet_size.members }
     }
 
     fn update_ordinal(&mut self) {
@@ -65,7 +65,7 @@
 
     fn update_fleet_size(&mut self) {
         let now = self.now;
-        if !self.any_member_heard {
+        if !self.other_member_seen {
             return;
         }
         let absent = self.members.absent().iter().map(|slot| self.members.get(*slot));
@@ -76,10 +76,10 @@
         let possibly_live = (self.live_count() + recently_dead.count()) as f64;
         self.fleet_size.possibly_live = possibly_live.max(self.configured_members);
         let reporting =
-            self.members.live_members().filter(|member| member.last_heard + TRAFFIC_REPORT_TTL > now);
+            self.members.live_members().filter(|member| member.last_heard + REQUEST_RATE_TTL > now);
         let (sum, count) =
-            reporting.fold((0.0, 0.0), |(sum, count), member| (sum + member.commands_per_s(), count + 1.0));
-        let own = f64::from(self.own.traffic_tenths) / 10.0;
-        self.fleet_size.mean_traffic = (count > 0.0).then(|| (sum + own) / (count + 1.0));
+            reporting.fold((0.0, 0.0), |(sum, count), member| (sum + member.requests_per_s(), count + 1.0));
+        let own = f64::from(self.own.request_rate_tenths) / 10.0;
+        self.fleet_size.mean_request_rate = (count > 0.0).then(|| (sum + own) / (count + 1.0));
     }
 }
--- a/crates/membership/src/probes.rs
+++ b/crates/membership/src/probes.rs
@@ -95,14 +95,14 @@
         ((self.round_trip.as_millis() / FAST_ROUND_TRIP.as_millis()) as u32).min(MAX_LATENCY_FACTOR)
     }
 
-    /// Sends pings again and asks others to probe, where that is due. `patience` multiplies the delay of indirect probes.
-    pub fn send_due(&mut self, now: Duration, patience: u32, sender: &mut impl ProbeSender) {
+    /// Sends pings again and asks others to probe, where that is due. `timeout_factor` multiplies the delay of indirect probes.
+    pub fn send_due(&mut self, now: Duration, timeout_factor: u32, sender: &mut impl ProbeSender) {
         for probe in &mut self.pending {
             if probe.resend_at <= now {
                 probe.resend_at = now + PROBE_RESEND_INTERVAL;
                 sender.send_ping(probe.target, probe.number);
             }
-            let indirect_at = probe.started_at + INDIRECT_PROBE_DELAY * patience;
+            let indirect_at = probe.started_at + INDIRECT_PROBE_DELAY * timeout_factor;
             let due = probe.requester.is_none() && indirect_at <= now;
             if due && !std::mem::replace(&mut probe.indirect_sent, true) {
                 sender.send_indirect(probe.target, probe.number);
@@ -110,9 +110,9 @@
         }
     }
 
-    /// Removes the probes that have failed. `patience` multiplies the timeout.
-    pub fn take_expired(&mut self, now: Duration, patience: u32) -> Vec<Probe> {
-        let expired = |probe: &Probe| probe.started_at + PROBE_TIMEOUT * patience <= now;
+    /// Removes the probes that have failed. `timeout_factor` multiplies the timeout.
+    pub fn take_expired(&mut self, now: Duration, timeout_factor: u32) -> Vec<Probe> {
+        let expired = |probe: &Probe| probe.started_at + PROBE_TIMEOUT * timeout_factor <= now;
         let (failed, pending) = std::mem::take(&mut self.pending).into_iter().partition(expired);
         self.pending = pending;
         failed
--- a/crates/membership/src/wire/decode.rs
+++ b/crates/membership/src/wire/decode.rs
@@ -57,7 +57,7 @@
             incarnation: self.uint(6)?,
             sequence: self.uint(4)? as u32,
             affirmed_epoch: self.uint(6)?,
-            traffic_tenths: self.uint(2)? as u16,
+            request_rate_tenths: self.uint(2)? as u16,
             ordinal: self.uint(2)? as u16,
             left: false,
             considered_dead: false,
--- a/crates/membership/src/wire/encode.rs
+++ b/crates/membership/src/wire/encode.rs
@@ -57,7 +57,7 @@
             put_u48(bytes, announcement.incarnation);
             bytes.extend(announcement.sequence.to_be_bytes());
             put_u48(bytes, announcement.affirmed_epoch);
-            bytes.extend(announcement.traffic_tenths.to_be_bytes());
+            bytes.extend(announcement.request_rate_tenths.to_be_bytes());
             bytes.extend(announcement.ordinal.to_be_bytes());
             bytes.push(left | considered_dead);
             if names {
--- a/crates/membership/src/wire/fixture_tests.rs
+++ b/crates/membership/src/wire/fixture_tests.rs
@@ -15,7 +15,7 @@
         incarnation,
         sequence,
         affirmed_epoch,
-        traffic_tenths,
+        request_rate_tenths,
         ordinal,
         left,
         considered_dead,
@@ -23,7 +23,7 @@
         zone,
     } = announcement;
     format!(
-        "{address} {incarnation} {sequence} {affirmed_epoch} {traffic_tenths} {ordinal} {left} {considered_dead} {name:?} {zone:?}"
+        "{address} {incarnation} {sequence} {affirmed_epoch} {request_rate_tenths} {ordinal} {left} {considered_dead} {name:?} {zone:?}"
     )
 }
 
@@ -62,7 +62,7 @@
         incarnation: 0x0102_0304_0506 + u64::from(number),
         sequence: 0xa1b2_c3d4,
         affirmed_epoch: 0x0a0b_0c0d_0e0f,
-        traffic_tenths: 0x1234,
+        request_rate_tenths: 0x1234,
         ordinal: 0xfffe - number,
         left: number % 2 == 1,
         considered_dead: number / 2 % 2 == 1,
--- a/crates/membership/src/wire/wire_tests.rs
+++ b/crates/membership/src/wire/wire_tests.rs
@@ -45,7 +45,7 @@
         incarnation: 1_800_000_000_000,
         sequence: 7,
         affirmed_epoch: 0x0102_0304_0506,
-        traffic_tenths: 125,
+        request_rate_tenths: 125,
         ordinal: 3,
         left: number % 2 == 1,
         considered_dead: number % 3 == 1,
--- a/crates/membership/tests/trace.rs
+++ b/crates/membership/tests/trace.rs
@@ -105,7 +105,7 @@
     );
     let (fleet_size, counters) = (copy.fleet_size(), copy.counters());
     let figures =
-        (fleet_size.members, fleet_size.possibly_live, fleet_size.ordinal(), fleet_size.mean_traffic);
+        (fleet_size.members, fleet_size.possibly_live, fleet_size.ordinal(), fleet_size.mean_request_rate);
     let sent = (
         counters.datagrams,
         counters.bytes,
@@ -119,7 +119,7 @@
         let (incarnation, affirmed_epoch, ordinal) =
             (member.incarnation(), member.affirmed_epoch(), member.ordinal());
         let said = member.payload().map(|(said, at)| (said.len(), at));
-        let names = (member.name(), member.zone(), member.commands_per_s());
+        let names = (member.name(), member.zone(), member.requests_per_s());
         let ip = member.address().ip().octets()[3];
         let _ = write!(
             text,
@@ -148,7 +148,7 @@
             _ => {}
         }
         for copy in copies.iter_mut().flatten() {
-            copy.set_traffic(f64::from(copy.address().ip().octets()[3]) * 1.5);
+            copy.set_request_rate(f64::from(copy.address().ip().octets()[3]) * 1.5);
         }
         // One is paused for a while.
         let still = |number: usize| number == 1 && (24_000..25_500).contains(&at);
--- a/crates/sidecar/src/fleet/decision_link.rs
+++ b/crates/sidecar/src/fleet/decision_link.rs
@@ -9,9 +9,9 @@
 
 /// The decision engine's traffic in commands a second, shared between threads.
 #[derive(Clone, Default)]
-pub struct SharedTraffic(Arc<AtomicU64>);
+pub struct SharedRequestRate(Arc<AtomicU64>);
 
-impl SharedTraffic {
+impl SharedRequestRate {
     /// The traffic that was set last.
     pub fn get(&self) -> f64 {
         f64::from_bits(self.0.load(Ordering::Relaxed))
@@ -45,14 +45,14 @@
     pub fleet_sizes: Receiver<ReplicaView>,
     /// Updates of the zones' traffic fractions; `None` where zone failover is off.
     pub zone_traffic: Option<Receiver<Vec<ZoneTraffic>>>,
-    pub(super) traffic: SharedTraffic,
+    pub(super) request_rate: SharedRequestRate,
     pub(super) observations: SharedObservations,
 }
 
 impl DecisionLink {
     /// Sets the commands a second that come to this process.
-    pub fn set_traffic(&self, per_s: f64) {
-        self.traffic.set(per_s);
+    pub fn set_request_rate(&self, per_s: f64) {
+        self.request_rate.set(per_s);
     }
 
     /// Sets how the zones look at that time.
--- a/crates/sidecar/src/fleet/members_page.rs
+++ b/crates/sidecar/src/fleet/members_page.rs
@@ -24,7 +24,8 @@
     affirmed_epoch: u64,
     #[serde(rename = "place")]
     ordinal: u16,
-    commands_per_s: f64,
+    #[serde(rename = "commands_per_s")]
+    requests_per_s: f64,
 }
 
 #[derive(Serialize)]
@@ -75,7 +76,7 @@
         incarnation: member.incarnation(),
         affirmed_epoch: member.affirmed_epoch(),
         ordinal: member.ordinal(),
-        commands_per_s: member.commands_per_s(),
+        requests_per_s: member.requests_per_s(),
     }
 }
 
@@ -132,7 +133,7 @@
             row.incarnation,
             row.affirmed_epoch,
             row.ordinal,
-            row.commands_per_s
+            row.requests_per_s
         );
     }
     text
--- a/crates/sidecar/src/fleet/members_page_tests.rs
+++ b/crates/sidecar/src/fleet/members_page_tests.rs
@@ -54,7 +54,7 @@
     };
     let mut copies = vec![copy(1, "c1", "a"), copy(2, "c2", "b"), copy(3, "", ""), copy(4, "c4", "a")];
     page(&copies[0], 0);
-    copies[1].set_traffic(31.26);
+    copies[1].set_request_rate(31.26);
     pass(&mut copies, 0, 4000);
     page(&copies[0], 4012);
     copies[3].leave(Duration::from_millis(4000));
--- a/crates/sidecar/src/fleet/mod.rs
+++ b/crates/sidecar/src/fleet/mod.rs
@@ -22,7 +22,7 @@
 use crate::configuration::FleetSettings;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
-use decision_link::{SharedObservations, SharedTraffic};
+use decision_link::{SharedObservations, SharedRequestRate};
 use landingspread_membership::{MemberConfig, Membership};
 use socket_host::SocketHost;
 use state::{FleetState, ReceivedCounters};
@@ -62,7 +62,7 @@
 ) -> io::Result<(FleetHandle, DecisionLink)> {
     let (handle, tasks) = handle::task_channel();
     let (size_updates, fleet_sizes) = async_channel::bounded(1);
-    let (traffic, observations) = (SharedTraffic::default(), SharedObservations::default());
+    let (request_rate, observations) = (SharedRequestRate::default(), SharedObservations::default());
     let listen = settings.listen;
     let config = member_config(settings, name);
     let (zones, zone_traffic) = match failover {
@@ -73,7 +73,7 @@
         }
         None => (None, None),
     };
-    let link = DecisionLink { fleet_sizes, zone_traffic, traffic: traffic.clone(), observations };
+    let link = DecisionLink { fleet_sizes, zone_traffic, request_rate: request_rate.clone(), observations };
     let run = async move || {
         let (own_socket, sending, forwarded) = match shared_socket {
             Some(SharedSocket { socket, datagrams }) => (None, socket.try_clone().ok(), Some(datagrams)),
@@ -85,7 +85,7 @@
         };
         let membership = Membership::start(SocketHost::new(sending), config, seed, clock.now());
         let state = FleetState { membership, zones, received: ReceivedCounters::default() };
-        Worker { state, clock, tasks, size_updates, traffic }.run(own_socket, forwarded).await;
+        Worker { state, clock, tasks, size_updates, request_rate }.run(own_socket, forwarded).await;
     };
     match executor {
         Some(executor) => executor.spawn(run()).detach(),
--- a/crates/sidecar/src/fleet/worker.rs
+++ b/crates/sidecar/src/fleet/worker.rs
@@ -1,6 +1,6 @@
 //! The loop of the fleet's thread: datagrams, tasks of other threads, and the protocol's ticks.
 
-use super::decision_link::SharedTraffic;
+use super::decision_link::SharedRequestRate;
 use super::handle::Task;
 use super::socket_host::SocketHost;
 use super::state::FleetState;
@@ -29,7 +29,7 @@
     pub tasks: Receiver<Task>,
     /// To the decision engine.
     pub size_updates: Sender<ReplicaView>,
-    pub traffic: SharedTraffic,
+    pub request_rate: SharedRequestRate,
 }
 
 /// What the thread waited for.
@@ -74,7 +74,7 @@
 
     fn tick(&mut self, now: Duration, last_update: &mut LastUpdate) {
         let FleetState { membership, zones, .. } = &mut self.state;
-        membership.set_traffic(self.traffic.get());
+        membership.set_request_rate(self.request_rate.get());
         if let Some(zones) = zones {
             zones.tick(now, membership);
         }
@@ -129,7 +129,7 @@
         count: size.members,
         max_alive: size.possibly_live,
         ordinal: size.ordinal().map(u32::from),
-        mean_request_rate: size.mean_traffic,
+        mean_request_rate: size.mean_request_rate,
     }
 }
 
--- a/crates/sidecar/src/fleet/zone_failover.rs
+++ b/crates/sidecar/src/fleet/zone_failover.rs
@@ -78,7 +78,7 @@
     logged: Vec<LoggedStatus>,
 }
 
-fn copy_id(address: Address) -> u64 {
+fn member_id(address: Address) -> u64 {
     u64::from(address.ip().to_bits()) << 16 | u64::from(address.port())
 }
 
@@ -95,7 +95,7 @@
 fn peer_report(member: &Member, now: Duration) -> PeerReport<'_> {
     let payload = member.payload();
     PeerReport {
-        id: copy_id(member.address()),
+        id: member_id(member.address()),
         name: member.name(),
         zone: member.zone(),
         report: payload.map(|(bytes, _)| bytes),
@@ -112,7 +112,7 @@
         updates: Sender<Vec<EngineTraffic>>,
     ) -> FleetZones {
         let config = FailoverConfig {
-            id: copy_id(member.address),
+            id: member_id(member.address),
             zone: member.zone.clone(),
             zones: settings.zones,
             timings: settings.timings,
--- a/crates/sidecar/src/net/owner/event_loop.rs
+++ b/crates/sidecar/src/net/owner/event_loop.rs
@@ -195,7 +195,7 @@
     fn fleet_size_changed(&mut self, replicas: &ReplicaView) {
         self.policy.replicas_changed(self.clock.now(), replicas);
         let request_rate = self.policy.request_rate();
-        self.fleet.iter().for_each(|fleet| fleet.set_traffic(request_rate));
+        self.fleet.iter().for_each(|fleet| fleet.set_request_rate(request_rate));
     }
 
     fn report_zones(&mut self, now: Duration) {
