--- a/crates/membership/src/budget.rs
+++ b/crates/membership/src/budget.rs
@@ -1,14 +1,14 @@
-//! The send budget: how many datagrams and bytes a second a member may send, whatever the size of the fleet. A token
-//! bucket, part of which is reserved for probes and acks.
+//! The send budget: a token bucket that limits the datagrams and bytes per second that a member sends, independently of
+//! the fleet size. Part of the bucket is reserved for probes and acks.
 
 use std::time::Duration;
 
-/// What one member may send. It does not grow with the fleet.
+/// The send rate limits of one member, which do not grow with the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
-    /// Datagrams a second.
+    /// Maximum number of datagrams per second.
     pub datagrams_per_s: u32,
-    /// Bytes of datagrams a second.
+    /// Maximum number of bytes in these datagrams per second.
     pub bytes_per_s: u32,
 }
 
@@ -18,9 +18,9 @@
     }
 }
 
-/// The bucket holds the budget of so many seconds.
+/// The bucket's capacity, in seconds of the budget.
 const BURST_SECONDS: f64 = 0.5;
-/// The part of a full bucket that gossip must leave to probes and acks: a member that cannot ack looks dead.
+/// The fraction of a full bucket reserved for probes and acks: a member that cannot send acks appears dead.
 const PROBE_RESERVE_FRACTION: f64 = 0.3;
 
 /// A token bucket for datagrams and bytes.
@@ -33,7 +33,7 @@
 }
 
 impl SendBudget {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(limits: Budget, now: Duration) -> SendBudget {
         let (datagrams, bytes) = (f64::from(limits.datagrams_per_s), f64::from(limits.bytes_per_s));
         SendBudget {
@@ -52,7 +52,7 @@
         self.refilled_at = now;
     }
 
-    /// Takes what one datagram of so many bytes costs; `false` where it must not be sent now.
+    /// Takes the tokens for one datagram of `bytes`. Returns `false`, and takes none, if the budget does not allow it now.
     pub fn try_spend(&mut self, now: Duration, bytes: usize) -> bool {
         self.refill(now);
         let affordable = self.datagrams >= 1.0 && self.bytes >= bytes as f64;
@@ -63,14 +63,14 @@
         affordable
     }
 
-    /// How many bytes of gossip may be sent without touching the reserve for probes and acks.
+    /// The number of gossip bytes that may be sent without using the reserve for probes and acks.
     pub fn gossip_allowance(&mut self, now: Duration) -> usize {
         self.refill(now);
         let reserve = f64::from(self.limits.bytes_per_s) * BURST_SECONDS * PROBE_RESERVE_FRACTION;
         (self.bytes - reserve).max(0.0) as usize
     }
 
-    /// Whether a datagram may be sent that is neither a probe nor an ack.
+    /// Whether a datagram that is neither a probe nor an ack may be sent without using the reserve.
     pub fn can_spare_datagram(&mut self, now: Duration) -> bool {
         self.refill(now);
         let reserve = f64::from(self.limits.datagrams_per_s) * BURST_SECONDS * PROBE_RESERVE_FRACTION;
--- a/crates/membership/src/digests.rs
+++ b/crates/membership/src/digests.rs
@@ -1,17 +1,17 @@
-//! Digests of the view. Members are ordered on a ring by a hash of their addresses; the ring has 64 partitions, each with a
-//! digest over its live members, so that two members whose views differ exchange only the partitions that differ.
+//! Digests of the view. Members are ordered on a ring by a hash of their addresses. The ring has 64 partitions, each with a
+//! digest over its live members, so that two members with different views exchange only the partitions that differ.
 
 use crate::member::{Address, Announcement};
 
-/// Distributes the bits of a value evenly (the finalizer of SplitMix64, Steele, Lea, Flood, OOPSLA 2014). Members compare
-/// digests made with it: it must be the same in every build.
+/// Mixes the bits of a value (the finalizer of SplitMix64, Steele, Lea, Flood, OOPSLA 2014). Members compare digests
+/// computed with this function, so it must be the same in every build.
 pub fn mix_bits(mut bits: u64) -> u64 {
     bits = (bits ^ (bits >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     bits = (bits ^ (bits >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     bits ^ (bits >> 31)
 }
 
-/// A member's position on the ring.
+/// The position on the ring of the member with this address.
 pub fn ring_position(address: Address) -> u64 {
     mix_bits(u64::from(address.ip().to_bits()) << 16 | u64::from(address.port()) | 1 << 62)
 }
@@ -32,28 +32,28 @@
 }
 
 impl Digests {
-    /// Partitions of the ring.
+    /// The number of partitions of the ring.
     pub const PARTITIONS: usize = 64;
     const PARTITION_SHIFT: u32 = 58;
 
-    /// The first and the last position of a partition.
+    /// The first and the last ring position of a partition, both inclusive.
     pub fn partition_bounds(partition: usize) -> (u64, u64) {
         let first = (partition as u64) << Digests::PARTITION_SHIFT;
         (first, first | ((1 << Digests::PARTITION_SHIFT) - 1))
     }
 
-    /// Adds a live member, or removes it where it is included.
+    /// Adds a live member to the digest of its partition, or removes it if the digest contains it.
     pub fn toggle(&mut self, announcement: &Announcement) {
         let partition = (ring_position(announcement.address) >> Digests::PARTITION_SHIFT) as usize;
         self.0[partition] ^= digest_contribution(announcement);
     }
 
-    /// One digest over all partitions.
+    /// The digest over all partitions.
     pub fn combined(&self) -> u64 {
         self.0.iter().fold(0, |combined, digest| combined ^ digest)
     }
 
-    /// The low bits of each partition's digest, as they are sent.
+    /// The low 16 bits of each partition's digest, as sent in messages.
     pub fn truncated(&self) -> [u16; Digests::PARTITIONS] {
         self.0.map(|digest| digest as u16)
     }
--- a/crates/membership/src/fleet_size.rs
+++ b/crates/membership/src/fleet_size.rs
@@ -1,53 +1,55 @@
-//! The fleet's size as the decision engine gets it: by how many members the servers are shared.
-//!
-//! A join counts at once: a smaller share harms no server. The share of members that died is taken over gradually, and only
-//! where at least half of the members are left: of two sides of a partition at most one is larger than that, and two halves
-//! each take over only after they agreed on the other's death. A minority waits until a partition is unlikely, and then takes
-//! over more slowly.
+//! The fleet size for the decision engine: the number of members that share the servers.
 
 use crate::ordinals;
 use std::time::Duration;
 
-/// Over how long a majority takes over the share of dead members.
+/// The time in which a majority takes over the share of dead members.
 const MAJORITY_DECAY: Duration = Duration::from_millis(800);
-/// How long a minority waits before it takes over anything.
+/// How long a minority waits before it starts to take over the share of dead members.
 const MINORITY_DECAY_DELAY: Duration = Duration::from_secs(10);
-/// Over how long a minority then takes over.
+/// The time in which a minority then takes over the share of dead members.
 const MINORITY_DECAY: Duration = Duration::from_secs(10);
 
-/// What the decision engine is told of the fleet.
+/// The fleet size and related figures for the decision engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetSize {
-    /// Members that share the servers, this one included; a fraction while the share of dead members is taken over.
+    /// The number of members that share the servers, including the local one; fractional while the share of dead members
+    /// is taken over.
     pub members: f64,
-    /// An upper bound of the members that may be alive and send to a server that is warming up, beyond a partition too.
+    /// An upper bound on the members that may send to a server that is warming up, including members that may be alive on
+    /// the other side of a partition.
     pub possibly_live: f64,
     pub(crate) ordinal: u16,
-    /// Commands a second of a member, on average; `None` while no other member has reported any.
+    /// The average request rate of a member, in requests per second; `None` while no other member has reported one.
     pub mean_request_rate: Option<f64>,
 }
 
 impl FleetSize {
-    /// This member's ordinal; `None` while it has none.
+    /// The local member's ordinal; `None` while it has none.
     pub fn ordinal(&self) -> Option<u16> {
         (self.ordinal != ordinals::UNASSIGNED).then_some(self.ordinal)
     }
 }
 
-/// Follows the number of live members over time.
+/// Estimates the fleet size from the number of live members over time.
+///
+/// A join counts immediately, as a smaller share per member overloads no server. The share of dead members is taken over
+/// gradually, and without a delay only if at least half of the members are left: at most one side of a partition is larger
+/// than half, and two equal halves take over only after each has agreed on the death of the other. A minority waits until
+/// a partition is unlikely, and then takes over more slowly.
 #[derive(Debug)]
 pub struct FleetSizeEstimator {
     members: f64,
-    /// The size that it decays from, and since when.
+    /// The size from which the estimate decays.
     decay_from: f64,
     decay_started: Duration,
-    /// The size of which at least half must be left for a majority; members that left on their own are not part of it.
+    /// The size of which at least half must be live for a majority, without the members that left voluntarily.
     baseline: f64,
     updated_at: Duration,
 }
 
 impl FleetSizeEstimator {
-    /// The configured size holds until another member is heard.
+    /// Starts with the configured size, which the caller reports as live until another member is seen.
     pub fn new(configured: f64, now: Duration) -> FleetSizeEstimator {
         FleetSizeEstimator {
             members: configured,
@@ -58,12 +60,12 @@
         }
     }
 
-    /// A member announced that it leaves, which no partition can imitate.
+    /// Removes a member that announced its leave from the baseline, as a partition cannot cause such an announcement.
     pub fn member_left(&mut self) {
         self.baseline = (self.baseline - 1.0).max(1.0);
     }
 
-    /// The estimate at this time, given the number of live members.
+    /// Advances the estimate to `now`, given the number of live members, and returns it.
     pub fn advance(&mut self, now: Duration, live: f64) -> f64 {
         let span = now.saturating_sub(self.updated_at).as_secs_f64();
         self.updated_at = now;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,9 +1,7 @@
-//! Group membership: which copies of a tier are alive, how they detect each other's joins, failures and returns, and the
-//! messages that they exchange. Nothing here reads a clock, a socket or a source of randomness of its own: a host passes in
-//! time, datagrams and a seed, so that the same code runs in the program and in virtual time.
-//!
-//! The protocol follows SWIM (Das, Gupta, Motivala, DSN 2002) and Lifeguard (Dadgar, Phillips, Currey, 2018);
-//! `docs/fleet-design.md` says where it departs from them, and why.
+//! Group membership: the detection of joins, failures and returns of replicas, and the messages that they exchange. The
+//! protocol follows SWIM (Das, Gupta, Motivala, DSN 2002) and Lifeguard (Dadgar, Phillips, Currey, 2018);
+//! `docs/fleet-design.md` describes the differences and their reasons. The crate reads no clock, socket or entropy source:
+//! a host passes in the time, datagrams and a seed, so that the same code runs in the sidecar and in virtual time.
 
 #![warn(missing_docs)]
 
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,42 +1,43 @@
-//! One member as another one knows it. Its own newest announcement and what others state about it are merged in such a way
-//! that order, loss and duplication of messages do no harm: each part only ever grows.
+//! A member as seen by another member. The member's own announcements and the statements of other members are merged so
+//! that reordered, lost and duplicated messages cause no errors: each merged value only grows.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// A member is identified by the address at which it is reached.
+/// The address at which a member receives messages, which identifies it.
 pub type Address = SocketAddrV4;
 
-/// The longest name of a member or a zone, in bytes.
+/// Maximum length of a member's or zone's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// Of one member so many suspectors are remembered.
+/// Maximum number of suspectors stored for one member.
 const MAX_SUSPECTORS: usize = 8;
 
-/// What a member says of itself. Only the member makes one; all others relay it.
+/// A member's statement about itself. Only the member creates it; other members relay it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Announcement {
-    /// Where the member is reached.
+    /// The address at which the member receives messages.
     pub address: Address,
-    /// Tells successive processes at the address apart: the time of the start, or more where a later one is known.
+    /// Distinguishes successive processes at the address: the start time in milliseconds since 1970, or a greater number
+    /// if a later incarnation is known.
     pub incarnation: u64,
-    /// Grows with each announcement of the incarnation.
+    /// Increases with each announcement of the incarnation.
     pub sequence: u32,
-    /// The highest epoch that the member had heard of. It was alive then, which refutes what was stated against it in
-    /// this epoch or an earlier one.
+    /// The highest epoch that the member has seen. It refutes suspicions and deaths of this epoch and of earlier ones,
+    /// as the member was alive in it.
     pub affirmed_epoch: u64,
-    /// Its traffic in tenths of a command a second.
+    /// The member's request rate in tenths of a request per second.
     pub request_rate_tenths: u16,
-    /// Its ordinal, or `ordinals::UNASSIGNED`.
+    /// The member's ordinal, or `ordinals::UNASSIGNED`.
     pub ordinal: u16,
-    /// It is the member's last announcement.
+    /// Whether the member has left the fleet; this is its last announcement.
     pub left: bool,
-    /// Whoever relays it considers the member dead; ignored by those who know the member.
+    /// Whether the relaying member considers this member dead. Receivers that already know the member ignore it.
     pub considered_dead: bool,
-    /// Empty in the short form that most messages carry.
+    /// The member's name; empty in the short form that most messages carry.
     pub name: Box<str>,
-    /// Empty in the short form.
+    /// The member's zone; empty in the short form.
     pub zone: Box<str>,
 }
 
@@ -46,37 +47,37 @@
     }
 }
 
-/// Bytes of the application that a member publishes with its announcements; this crate does not interpret them.
+/// Application data that a member publishes with its announcements; this crate does not interpret it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Payload {
-    /// Grows with each payload of the incarnation; 0 where none was published.
+    /// Increases with each payload of the incarnation; 0 before the first one is published.
     pub version: u32,
-    /// Receivers pass it on at once, as gossip.
+    /// Whether receivers gossip the payload immediately.
     pub urgent: bool,
-    /// At most `MAX_PAYLOAD_BYTES`.
+    /// The application data, of at most `MAX_PAYLOAD_BYTES`.
     pub bytes: Box<[u8]>,
 }
 
-/// A member's state in one view.
+/// A member's state in the view of another member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberState {
-    /// Nothing stands against it.
+    /// The member has no unrefuted suspicion or death.
     Alive,
-    /// Somebody got no ack from it, and it has not refuted that yet.
+    /// A probe of the member failed, and the member has not refuted the suspicion yet.
     Suspect,
-    /// It was declared dead.
+    /// The member was declared dead.
     Dead,
-    /// It announced that it leaves.
+    /// The member announced that it leaves the fleet.
     Left,
 }
 
 impl MemberState {
-    /// Whether the member still counts as one of the fleet.
+    /// Whether a member in this state counts towards the fleet size.
     pub fn is_live(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 
-    /// The state as text.
+    /// The state's name, as shown to operators.
     pub fn name(self) -> &'static str {
         match self {
             MemberState::Alive => "alive",
@@ -87,29 +88,29 @@
     }
 }
 
-/// All that is known of one member.
+/// Everything that the local member knows about another member.
 #[derive(Clone, Debug)]
 pub struct Member {
     pub(crate) announcement: Announcement,
-    /// The last epoch in which it was declared dead, in this incarnation; 0 for never.
+    /// The last epoch in which this incarnation was declared dead; 0 if it never was.
     pub(crate) dead_epoch: u64,
-    /// Declared dead by this member alone, which hears nobody: such a death is not gossiped.
+    /// Whether only the local member declared the death, while it was isolated. Such a death is not gossiped.
     pub(crate) local_only: bool,
-    /// Who suspects it, and since which epoch.
+    /// The members that suspect this one, each with the epoch of its suspicion.
     pub(crate) suspectors: BTreeMap<Address, u64>,
     pub(crate) state: MemberState,
     pub(crate) state_since: Duration,
-    /// When a new announcement or affirmation of it came last, by whatever path.
+    /// When a new announcement or affirmation of the member last arrived, directly or relayed.
     pub(crate) last_heard: Duration,
-    /// When a message came from the member itself.
+    /// When a message from the member itself last arrived.
     pub(crate) last_direct: Option<Duration>,
-    /// How many times its state is still to be gossiped.
+    /// The number of pending gossip transmissions of the member's state.
     pub(crate) transmissions_left: u32,
-    /// Its newest payload, and when that was published, by the local clock.
+    /// The member's newest payload, and when it was published, by the local clock.
     pub(crate) payload: Option<(Payload, Duration)>,
-    /// Only the payload is to be gossiped.
+    /// Whether only the payload is pending for gossip.
     pub(crate) payload_only: bool,
-    /// Its index in the table's list of live or of absent members.
+    /// The member's index in the table's list of live members or of absent members.
     pub(crate) list_index: Option<usize>,
 }
 
@@ -137,62 +138,62 @@
         }
     }
 
-    /// Where it is reached.
+    /// The address at which the member receives messages.
     pub fn address(&self) -> Address {
         self.announcement.address
     }
 
-    /// Its name; empty while only short announcements of it have come.
+    /// The member's name; empty while only short announcements of it have arrived.
     pub fn name(&self) -> &str {
         &self.announcement.name
     }
 
-    /// Its zone; empty while only short announcements of it have come.
+    /// The member's zone; empty while only short announcements of it have arrived.
     pub fn zone(&self) -> &str {
         &self.announcement.zone
     }
 
-    /// Its state in this view.
+    /// The member's state in the local view.
     pub fn state(&self) -> MemberState {
         self.state
     }
 
-    /// Since when it has been in that state.
+    /// When the member entered its current state.
     pub fn state_since(&self) -> Duration {
         self.state_since
     }
 
-    /// When a new announcement of it came last.
+    /// When a new announcement or affirmation of the member last arrived, directly or relayed.
     pub fn last_heard(&self) -> Duration {
         self.last_heard
     }
 
-    /// Which of the address's processes it is: a later one has a greater number.
+    /// The incarnation, which is greater for a later process at the same address.
     pub fn incarnation(&self) -> u64 {
         self.announcement.incarnation
     }
 
-    /// The epoch in which it last affirmed that it is alive.
+    /// The latest epoch in which the member affirmed that it is alive.
     pub fn affirmed_epoch(&self) -> u64 {
         self.announcement.affirmed_epoch
     }
 
-    /// Its ordinal, or `u16::MAX` while it has none.
+    /// The member's ordinal, or `u16::MAX` while it has none.
     pub fn ordinal(&self) -> u16 {
         self.announcement.ordinal
     }
 
-    /// Commands a second, as it reports.
+    /// The request rate that the member reports, in requests per second.
     pub fn requests_per_s(&self) -> f64 {
         f64::from(self.announcement.request_rate_tenths) / 10.0
     }
 
-    /// Its newest payload, and when that was published, by the local clock.
+    /// The member's newest payload, and when it was published, by the local clock.
     pub fn payload(&self) -> Option<(&[u8], Duration)> {
         self.payload.as_ref().map(|(payload, at)| (&*payload.bytes, *at))
     }
 
-    /// Merges a payload; `false` where it is not newer, or of another incarnation.
+    /// Merges a payload. Returns `false` if it is not newer or belongs to another incarnation.
     pub(crate) fn merge_payload(&mut self, incarnation_low: u16, payload: Payload, at: Duration) -> bool {
         let newer = self.payload.as_ref().is_none_or(|(known, _)| payload.version > known.version);
         let accepted = self.announcement.incarnation as u16 == incarnation_low && newer;
@@ -202,14 +203,14 @@
         accepted
     }
 
-    /// Merges an announcement; `false` where nothing in it is new.
+    /// Merges an announcement. Returns `false` if it contains nothing new.
     pub(crate) fn merge_announcement(&mut self, mut announcement: Announcement, now: Duration) -> bool {
         if !announcement.supersedes(&self.announcement) {
             return self.merge_names(announcement);
         }
         let known = &mut self.announcement;
         if announcement.incarnation > known.incarnation {
-            // Another process: nothing stated against the previous one applies to it.
+            // Suspicions and deaths of the previous process do not apply to the new one.
             self.dead_epoch = 0;
             self.local_only = false;
             self.payload = None;
@@ -219,7 +220,7 @@
                 announcement.name = std::mem::take(&mut known.name);
                 announcement.zone = std::mem::take(&mut known.zone);
             }
-            // A later affirmation may have come without its announcement.
+            // A later affirmation may have arrived without its announcement.
             if announcement.incarnation == known.incarnation {
                 announcement.affirmed_epoch = announcement.affirmed_epoch.max(known.affirmed_epoch);
             }
@@ -231,7 +232,7 @@
         true
     }
 
-    /// An announcement that is not newer may still carry the names, which short ones lack.
+    /// Merges the names, which short announcements lack, from an announcement that is not newer.
     fn merge_names(&mut self, announcement: Announcement) -> bool {
         let known = &mut self.announcement;
         let new = known.name.is_empty()
@@ -244,7 +245,7 @@
         new
     }
 
-    /// Merges that it affirmed this epoch; `false` where that is known.
+    /// Merges an affirmation of `epoch`. Returns `false` if it is already known or belongs to another incarnation.
     pub(crate) fn merge_affirmation(&mut self, incarnation_low: u16, epoch: u64, now: Duration) -> bool {
         let known = &mut self.announcement;
         if known.incarnation as u16 != incarnation_low || epoch <= known.affirmed_epoch {
@@ -261,7 +262,8 @@
         self.suspectors.retain(|_, epoch| *epoch > affirmed_epoch);
     }
 
-    /// Merges that somebody suspects it since this epoch; `false` where that is known, or refuted.
+    /// Merges a suspicion by `suspector` in `epoch`. Returns `false` if it is already known, refuted, of another
+    /// incarnation, or the suspector list is full.
     pub(crate) fn merge_suspicion(&mut self, incarnation: u64, epoch: u64, suspector: Address) -> bool {
         let known = self.suspectors.get(&suspector).is_some_and(|known| *known >= epoch);
         let full = self.suspectors.len() >= MAX_SUSPECTORS && !self.suspectors.contains_key(&suspector);
@@ -273,18 +275,18 @@
         true
     }
 
-    /// How many members suspect it, unrefuted.
+    /// The number of members whose suspicion of this one is not refuted.
     pub(crate) fn suspector_count(&self) -> usize {
         self.suspectors.len()
     }
 
-    /// Merges that it was declared dead in this epoch; `false` where that is known, or refuted.
+    /// Merges a death declared in `epoch`. Returns `false` if it is already known, refuted or of another incarnation.
     pub(crate) fn merge_death(&mut self, incarnation_low: u16, epoch: u64, local_only: bool) -> bool {
         let confirms_local = self.local_only && !local_only && epoch == self.dead_epoch;
         let new = epoch > self.dead_epoch || confirms_local;
-        let another = self.announcement.incarnation as u16 != incarnation_low;
+        let other_incarnation = self.announcement.incarnation as u16 != incarnation_low;
         let refuted = epoch <= self.announcement.affirmed_epoch || self.announcement.left;
-        if another || refuted || !new {
+        if other_incarnation || refuted || !new {
             return false;
         }
         self.dead_epoch = epoch;
@@ -292,8 +294,8 @@
         true
     }
 
-    /// The state that all statements come to. A declared death takes effect once the member has been suspect for `grace`:
-    /// its refutation may be on its way.
+    /// The state that follows from all merged statements. A declared death takes effect only after the member has been
+    /// suspect for `grace`, as its refutation may be in transit.
     pub(crate) fn evaluate_state(&self, now: Duration, grace: Duration) -> MemberState {
         let dead = self.dead_epoch > self.announcement.affirmed_epoch;
         let suspect_since = (self.state == MemberState::Suspect).then_some(self.state_since);
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -1,5 +1,5 @@
-//! The member table: all known members, with the indexes over them kept up to date (who is live, absent or suspect, the
-//! digests of the view) and the queue of members whose state is to be gossiped. It owns the bounds on what is remembered.
+//! The member table: all known members, the indexes over them (live, absent and suspect members, digests of the view) and
+//! the queue of members whose state is to be gossiped. It enforces the limits on how many members are kept and how long.
 
 use crate::digests::{Digests, ring_position};
 use crate::member::{Address, Announcement, Member, MemberState};
@@ -8,26 +8,27 @@
 use std::ops::Bound;
 use std::time::Duration;
 
-/// The most members that are known.
+/// Maximum number of members in the table.
 pub const MAX_MEMBERS: usize = 10_000;
-/// An absent member is remembered, and pinged now and then, for this time.
+/// How long an absent member is kept in the table and pinged occasionally.
 const FORGET_ABSENT_AFTER: Duration = Duration::from_secs(600);
-/// A change is transmitted so many times for each doubling of the fleet (SWIM's lambda log n).
+/// The number of transmissions of a change per doubling of the fleet size (lambda of SWIM's lambda log n).
 const TRANSMISSIONS_PER_DOUBLING: f64 = 2.0;
-/// With more members than this to gossip about, each is transmitted no more often than `MAX_TRANSMISSIONS_IN_BACKLOG`.
+/// If more members than this are pending for gossip, new changes get at most `MAX_TRANSMISSIONS_IN_BACKLOG`
+/// transmissions.
 const LARGE_BACKLOG: usize = 64;
 const MAX_TRANSMISSIONS_IN_BACKLOG: u32 = 4;
 
-/// A member's state before and after an update; both may be the same.
+/// A member's state before and after an update; the two may be equal.
 #[derive(Clone, Copy, Debug)]
 pub struct StateChange {
-    /// Before the update.
+    /// The state before the update.
     pub before: MemberState,
-    /// After the update.
+    /// The state after the update.
     pub after: MemberState,
 }
 
-/// All known members. A slot identifies one for as long as it is known.
+/// All known members, without the local one. A slot identifies a member until the member is forgotten.
 #[derive(Debug, Default)]
 pub struct MemberTable {
     members: Slab<Member>,
@@ -36,31 +37,32 @@
     live: Vec<usize>,
     absent: Vec<usize>,
     suspects: Vec<usize>,
-    /// Members whose state is to be gossiped, the least transmitted first.
+    /// Slots of members whose state is to be gossiped: new changes are added at the front, transmitted ones at the back.
     pending_gossip: VecDeque<usize>,
-    /// Where the rotation over all members goes on.
+    /// The position at which the rotation over all members continues.
     cursor: usize,
-    /// Over the live members; the local member's own part is not included.
+    /// Digests over the live members, without the local member.
     digests: Digests,
 }
 
 impl MemberTable {
-    /// The member in this slot.
+    /// The member in `slot`, which must be occupied.
     pub fn get(&self, slot: usize) -> &Member {
         &self.members[slot]
     }
 
-    /// The member in this slot, for changes that its state and incarnation do not depend on; others go through `update`.
+    /// The member in `slot`, for changes that affect neither its state nor its incarnation. All other changes must use
+    /// `update`, which keeps the indexes consistent.
     pub fn get_mut(&mut self, slot: usize) -> &mut Member {
         &mut self.members[slot]
     }
 
-    /// The slot of the member with this address.
+    /// The slot of the member with this address; `None` if it is unknown.
     pub fn slot(&self, address: Address) -> Option<usize> {
         self.ring.get(&ring_position(address)).copied()
     }
 
-    /// Slots of live members: alive or suspect.
+    /// Slots of live members, which are alive or suspect.
     pub fn live(&self) -> &[usize] {
         &self.live
     }
@@ -75,34 +77,36 @@
         &self.suspects
     }
 
-    /// The digests over the live members in the table.
+    /// The digests over the live members in the table, without the local member.
     pub fn digests(&self) -> &Digests {
         &self.digests
     }
 
-    /// All known members in the order of the ring.
+    /// All known members in ring order.
     pub fn all(&self) -> impl Iterator<Item = &Member> {
         self.ring.values().map(|slot| &self.members[*slot])
     }
 
-    /// The live members.
+    /// The members that are alive or suspect, in no particular order.
     pub fn live_members(&self) -> impl Iterator<Item = &Member> + Clone {
         self.live.iter().map(|slot| &self.members[*slot])
     }
 
-    /// The next member on the ring whose state is alive.
+    /// The slot of the next member after `address` on the ring whose state is alive.
     pub fn next_alive_after(&self, address: Address) -> Option<usize> {
         let position = ring_position(address);
         let following = self.ring.range((Bound::Excluded(position), Bound::Unbounded));
-        let mut around = following.chain(self.ring.range(..position)).map(|(_, slot)| *slot);
-        around.find(|slot| self.members[*slot].state == MemberState::Alive)
+        let mut candidates = following.chain(self.ring.range(..position)).map(|(_, slot)| *slot);
+        candidates.find(|slot| self.members[*slot].state == MemberState::Alive)
     }
 
-    /// Adds an unknown member, in place of the longest absent one where the table is full; `None` where there is no such.
+    /// Adds an unknown member. If the table is full, it replaces the member that has been absent longest; returns `None`
+    /// if no member is absent.
     pub fn add(&mut self, announcement: Announcement, now: Duration) -> Option<usize> {
         if self.members.len() >= MAX_MEMBERS {
-            let longest = self.absent.iter().copied().min_by_key(|slot| self.members[*slot].state_since)?;
-            self.forget(longest);
+            let longest_absent =
+                self.absent.iter().copied().min_by_key(|slot| self.members[*slot].state_since)?;
+            self.forget(longest_absent);
         }
         let position = ring_position(announcement.address);
         let is_live = !announcement.left && !announcement.considered_dead;
@@ -121,7 +125,7 @@
         }
     }
 
-    /// `incarnation` is the one under which the member was listed, which its digest was made with.
+    /// Removes the member from its list. `incarnation` is the one under which it was inserted, which the digest contains.
     fn remove_from_list(&mut self, slot: usize, was_live: bool, incarnation: u64) {
         let list = if was_live { &mut self.live } else { &mut self.absent };
         if let Some(index) = self.members[slot].list_index.take() {
@@ -138,8 +142,8 @@
         }
     }
 
-    /// Applies a change to a member, evaluates its state, and updates all indexes. `None` where
-    /// `apply` says that nothing changed.
+    /// Applies a change to a member, evaluates its state, and updates all indexes. Returns `None` if `apply` returns
+    /// `false`, which means that nothing changed.
     pub fn update(
         &mut self,
         slot: usize,
@@ -155,7 +159,7 @@
         let mut after = member.evaluate_state(now, grace);
         if after == MemberState::Suspect && before != MemberState::Suspect {
             (member.state, member.state_since) = (after, now);
-            // Without a grace period a declared death takes effect at once.
+            // Without a grace period a declared death takes effect immediately.
             after = member.evaluate_state(now, grace);
         }
         if after != before {
@@ -186,14 +190,14 @@
         self.members.remove(slot);
     }
 
-    /// Forgets members that have been absent for `FORGET_ABSENT_AFTER`.
+    /// Removes members that have been absent for `FORGET_ABSENT_AFTER`.
     pub fn forget_absent(&mut self, now: Duration) {
-        let is_old = |slot: &usize| self.members[*slot].state_since + FORGET_ABSENT_AFTER <= now;
-        let old: Vec<usize> = self.absent.iter().copied().filter(is_old).collect();
-        old.into_iter().for_each(|slot| self.forget(slot));
+        let is_expired = |slot: &usize| self.members[*slot].state_since + FORGET_ABSENT_AFTER <= now;
+        let expired: Vec<usize> = self.absent.iter().copied().filter(is_expired).collect();
+        expired.into_iter().for_each(|slot| self.forget(slot));
     }
 
-    /// Extends suspicions that were held by `before` by the time for which this process was paused.
+    /// Shifts the start of suspicions raised up to `before` by `pause`, during which this process did not run.
     pub fn exclude_pause(&mut self, before: Duration, pause: Duration) {
         for slot in &self.suspects {
             let since = &mut self.members[*slot].state_since;
@@ -201,17 +205,18 @@
         }
     }
 
-    /// How many times a change is transmitted.
+    /// The number of gossip transmissions of a change in a fleet of the current size.
     pub fn transmission_limit(&self) -> u32 {
         (TRANSMISSIONS_PER_DOUBLING * ((self.live.len() + 2) as f64).log2()).ceil() as u32
     }
 
-    /// Gossips the member's current state. A suspicion is transmitted fewer times: its epoch is in every message.
+    /// Queues the member's current state for gossip. A suspicion gets half the transmissions, as its epoch, which the
+    /// suspect needs to refute it, is in the header of every message.
     pub fn enqueue_gossip(&mut self, slot: usize) {
         let suspect = self.members[slot].state == MemberState::Suspect;
         let limit = self.transmission_limit();
         let times = if suspect { limit.div_ceil(2) } else { limit };
-        // A large backlog would exceed the send budget; anti-entropy repairs what is then missed.
+        // A large backlog would exceed the send budget; anti-entropy repairs the missed transmissions.
         let large_backlog = self.pending_gossip.len() > LARGE_BACKLOG;
         let times = if large_backlog { times.min(MAX_TRANSMISSIONS_IN_BACKLOG) } else { times };
         self.members[slot].payload_only = false;
@@ -220,19 +225,20 @@
         }
     }
 
-    /// Gossips the member's payload, and its state only where that is pending already.
+    /// Queues the member's payload for gossip; its state is included only if that is already pending.
     pub fn enqueue_payload(&mut self, slot: usize) {
         let payload_only = self.members[slot].transmissions_left == 0 || self.members[slot].payload_only;
         self.enqueue_gossip(slot);
         self.members[slot].payload_only = payload_only;
     }
 
-    /// Whether anything is to be gossiped.
+    /// Whether any member's state or payload is pending for gossip.
     pub fn has_pending_gossip(&self) -> bool {
         !self.pending_gossip.is_empty()
     }
 
-    /// Takes one transmission of each pending member for as long as `visit` says that it was written.
+    /// Passes each pending member to `visit` and counts one transmission of it, until `visit` returns `false` because the
+    /// member was not written.
     pub fn drain_gossip(&mut self, mut visit: impl FnMut(&Member) -> bool) {
         for _ in 0..self.pending_gossip.len() {
             let Some(slot) = self.pending_gossip.pop_front() else { return };
@@ -248,7 +254,7 @@
         }
     }
 
-    /// Visits members in rotation, each once at most, for as long as `visit` says so.
+    /// Visits members in rotation, each at most once, until `visit` returns `false`.
     pub fn for_each_in_rotation(&mut self, mut visit: impl FnMut(&Member) -> bool) {
         for _ in 0..self.members.capacity() {
             if self.cursor >= self.members.capacity() {
@@ -261,7 +267,7 @@
         }
     }
 
-    /// Visits the members of the selected partitions, beginning with partition `from`, for as long as `visit` says so.
+    /// Visits the members of the selected partitions, starting with partition `from`, until `visit` returns `false`.
     pub fn for_each_in_partitions(
         &self,
         selected: impl Fn(usize) -> bool,
@@ -279,12 +285,12 @@
         }
     }
 
-    /// Positions of the rotation, some of which may be vacant.
+    /// The number of positions in the rotation, some of which may be vacant.
     pub fn rotation_len(&self) -> usize {
         self.members.capacity()
     }
 
-    /// Continues the rotation at this position.
+    /// Sets the position at which the rotation continues.
     pub fn set_rotation(&mut self, position: usize) {
         self.cursor = position;
     }
--- a/crates/membership/src/membership/dissemination.rs
+++ b/crates/membership/src/membership/dissemination.rs
@@ -1,5 +1,5 @@
-//! Dissemination: what goes into a message, and to whom gossip is sent. Pending gossip comes first, then members in
-//! rotation, whose state the receiver may lack (anti-entropy), all within the send budget.
+//! Dissemination: the contents of messages and the receivers of gossip. A message carries pending gossip first, then the
+//! states of members in rotation, which the receiver may lack (anti-entropy), all within the send budget.
 
 use super::entries::{write_full_state, write_payload, write_state};
 use super::*;
@@ -7,13 +7,13 @@
 use crate::wire::{Header, MessageWriter};
 use rand::seq::index::sample;
 
-/// A message to be sent.
+/// The parameters of a message to be sent.
 struct Outgoing {
     kind: MessageKind,
     probe_number: u32,
-    /// The member that it is about, for messages of indirect probes.
+    /// For messages of indirect probes, the member that they are about.
     subject: Option<Address>,
-    /// Every announcement carries its names, for a receiver that joins.
+    /// Whether every announcement carries its names, for a receiver that joins.
     all_names: bool,
 }
 
@@ -22,7 +22,7 @@
         self.send(to, Outgoing { kind, probe_number, subject: None, all_names: false });
     }
 
-    /// For a receiver that has just joined.
+    /// Sends a message with the names of all members in it, for a receiver that has just joined.
     pub(super) fn send_with_names(&mut self, to: Address, kind: MessageKind, probe_number: u32) {
         self.send(to, Outgoing { kind, probe_number, subject: None, all_names: true });
     }
@@ -37,7 +37,7 @@
         self.send(to, Outgoing { kind, probe_number, subject: Some(subject), all_names: false });
     }
 
-    /// Up to `count` random live members.
+    /// The addresses of up to `count` random live members.
     pub(super) fn random_live(&mut self, count: usize, except: Option<Address>) -> Vec<Address> {
         let live = self.members.live();
         let mut chosen: Vec<Address> = Vec::new();
@@ -53,7 +53,7 @@
         chosen
     }
 
-    /// Sends pending gossip to random members.
+    /// Sends pending gossip to random live members, if it is due and the budget allows it.
     pub(super) fn send_gossip(&mut self) {
         if self.next_gossip_at > self.now {
             return;
@@ -65,14 +65,15 @@
         }
         for to in self.random_live(GOSSIP_FANOUT, None) {
             self.payload_transmissions_left = self.payload_transmissions_left.saturating_sub(1);
-            let spare = self.send_budget.can_spare_datagram(self.now);
-            if spare && self.send_budget.gossip_allowance(self.now) >= MIN_GOSSIP_BYTES {
+            let can_send = self.send_budget.can_spare_datagram(self.now);
+            if can_send && self.send_budget.gossip_allowance(self.now) >= MIN_GOSSIP_BYTES {
                 self.send_message(to, MessageKind::Gossip, 0);
             }
         }
     }
 
-    /// Pings some absent members, and a seed that is no member: after a partition nobody else would.
+    /// Pings some absent members, and a seed that is not a known member. Without these pings the sides of a partition
+    /// would not find each other after it heals, as all other messages go to live members.
     pub(super) fn reconnect(&mut self) {
         let absent = self.members.absent();
         let isolated = self.members.live().is_empty();
@@ -88,7 +89,7 @@
         to.into_iter().for_each(|to| self.send_message(to, MessageKind::Ping, 0));
     }
 
-    /// Anti-entropy: sends the members of the partitions in which the receiver's view differs.
+    /// Anti-entropy: sends the members of the ring partitions in which the receiver's view differs.
     pub(super) fn send_differing_partitions(&mut self, to: Address, digests: &[u16]) {
         let own = self.digests().truncated();
         let differs = |partition: usize| digests.get(partition).is_some_and(|other| *other != own[partition]);
@@ -137,7 +138,7 @@
             writer.subject(subject, slot.map(|slot| &self.members.get(slot).announcement));
         }
         if let Some(slot) = self.members.slot(to) {
-            // The receiver can refute what stands against it once it hears of that.
+            // The receiver can refute a suspicion or death only once it has received it.
             let member = self.members.get(slot);
             if member.state != MemberState::Alive {
                 write_state(&mut writer, member, false);
@@ -150,13 +151,13 @@
 
     fn write_pending_gossip(&mut self, writer: &mut MessageWriter, views_differ: bool, all_names: bool) {
         let now = self.now;
-        // A member that joined of late is sent with its names now and then: receivers can count it without.
+        // The names of a recent joiner are included in a third of the messages: receivers can count it without them.
         let some_names = self.rng.random_ratio(1, 3);
         let names =
             |member: &Member| all_names || (some_names && member.state_since + 4 * PROTOCOL_PERIOD > now);
         let available = writer.remaining_bytes();
         self.members.drain_gossip(|member| {
-            // Where views differ much, half of the message is left to the rotation.
+            // While views differ, half of the message is left to the rotation.
             if views_differ && 2 * writer.remaining_bytes() < available {
                 return false;
             }
@@ -171,14 +172,14 @@
     fn write_rotation(&mut self, writer: &mut MessageWriter, views_differ: bool, all_names: bool) {
         let now = self.now;
         if self.members.rotation_len() > 0 && self.rng.random_ratio(1, 4) {
-            // Members that all kept one order would send each other the same.
+            // If all members kept the same order, they would send each other the same entries.
             let position = self.rng.random_range(0..self.members.rotation_len());
             self.members.set_rotation(position);
         }
         if views_differ && !all_names && self.rng.random_ratio(1, 2) {
             self.write_compact_states(writer);
         }
-        let names = all_names || self.rng.random_ratio(1, MESSAGES_PER_NAMES);
+        let names = all_names || self.rng.random_ratio(1, MESSAGES_PER_NAMED_ROTATION);
         let mut remaining_members = if views_differ { usize::MAX } else { ROTATION_MEMBERS };
         self.members.for_each_in_rotation(|member| {
             if !member.state.is_live() && !views_differ {
--- a/crates/membership/src/membership/entries.rs
+++ b/crates/membership/src/membership/entries.rs
@@ -1,11 +1,11 @@
-//! Which entries state what is known of a member.
+//! Selection of the message entries that describe the state of a member.
 
 use super::*;
 use crate::member::MemberState;
 use crate::wire::MessageWriter;
 
 impl<H: Host> Membership<H> {
-    /// States of many members in a few bytes each: they are what views differ in after a partition.
+    /// Writes the states of many members in a few bytes each. After a partition, views differ mostly in these states.
     pub(super) fn write_compact_states(&mut self, writer: &mut MessageWriter) {
         let epoch = self.last_death_epoch;
         while epoch > 0 && writer.remaining_compact_entries() > 0 {
@@ -33,8 +33,8 @@
     }
 }
 
-/// What is known of a member, with its announcement, for a receiver that may never have heard of it. `false` where there is
-/// no room for it.
+/// Writes a member's state with its announcement, for receivers that may not know the member. Returns `false` if it does
+/// not fit.
 pub(super) fn write_full_state(writer: &mut MessageWriter, member: &Member, names: bool) -> bool {
     let announced = match member.state {
         // `write_state` writes the announcement.
@@ -48,8 +48,8 @@
     announced && write_state(writer, member, names)
 }
 
-/// What is known of a member, for receivers that know it: its death, the suspicions, or its announcement. `false` where there
-/// is no room for it.
+/// Writes a member's state for receivers that know the member: its death, the suspicions, or its announcement. Returns
+/// `false` if it does not fit.
 pub(super) fn write_state(writer: &mut MessageWriter, member: &Member, names: bool) -> bool {
     let (address, incarnation) = (member.address(), member.incarnation());
     if member.dead_epoch > member.announcement.affirmed_epoch && !member.local_only {
@@ -63,7 +63,7 @@
     writer.announcement(&member.announcement, names)
 }
 
-/// A live member's payload. `false` where there is no room for it.
+/// Writes a live member's payload, if it has one. Returns `false` if it does not fit.
 pub(super) fn write_payload(writer: &mut MessageWriter, member: &Member, now: Duration) -> bool {
     match &member.payload {
         Some((payload, published_at)) if member.state.is_live() => {
--- a/crates/membership/src/membership/mod.rs
+++ b/crates/membership/src/membership/mod.rs
@@ -1,11 +1,4 @@
-//! The protocol: what a member does when a message comes and when time passes. It acts through its host; whoever needs the
-//! view reads it here.
-//!
-//! In each period a member probes two others: the next on the ring, so that each member is probed by somebody in each
-//! period, and one of a shuffled round. Who does not ack is probed through three others. Who is not reached by them either
-//! is suspected, under a new epoch; every announcement that the suspect makes once it has heard of that epoch, from anyone,
-//! refutes the suspicion. A suspector declares it dead once three suspect it (or all who are reachable, where they are
-//! fewer) and half a second has brought no refutation. A member that hears nobody gossips none of its conclusions.
+//! The membership protocol: a member's reactions to messages and to the passage of time, and its view of the fleet.
 
 mod dissemination;
 mod entries;
@@ -31,28 +24,35 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// A suspicion that this member raised.
+/// A suspicion that the local member raised.
 #[derive(Clone, Copy, Debug)]
 struct OwnSuspicion {
     target: Address,
     since: Duration,
 }
 
-/// One member's side of the protocol, and its view of the fleet.
+/// The local member's protocol state and its view of the fleet.
+///
+/// In each protocol period a member probes two others: the next on the ring, so that every member is probed in each period,
+/// and one from a shuffled round. A member that does not ack is probed indirectly through three others, and suspected under
+/// a new epoch if that fails too. Any announcement that the suspect makes after it has seen that epoch refutes the
+/// suspicion. A suspector declares the suspect dead once three members suspect it (or all reachable ones, if they are
+/// fewer) and at least 0.5 s has passed without a refutation. A member that receives no messages does not gossip the deaths
+/// that it declares.
 pub struct Membership<H: Host> {
     host: H,
     fleet: Box<str>,
-    /// The announcement that it makes of itself.
+    /// The local member's announcement of itself.
     own: Announcement,
     payload: Payload,
-    /// How many times an urgent payload is still to be gossiped at once.
+    /// The number of immediate gossip messages still to be sent for an urgent payload.
     payload_transmissions_left: u32,
     seeds: Vec<Address>,
     members: MemberTable,
     rng: ChaCha8Rng,
     send_budget: SendBudget,
     probes: ProbeTracker,
-    /// The highest epoch that it has heard of; each suspicion is a new one.
+    /// The highest epoch seen; each suspicion starts a new one.
     epoch: u64,
     started_at: Duration,
     now: Duration,
@@ -62,15 +62,16 @@
     next_gossip_at: Duration,
     next_reconnect_at: Duration,
     next_size_update_at: Duration,
-    /// Anti-entropy goes on until then.
+    /// The time until which anti-entropy continues.
     views_differ_until: Duration,
-    /// The last epoch in which any member was declared dead: who affirmed a later one is alive, whatever was declared.
+    /// The last epoch in which any member was declared dead. An affirmation of this epoch or a later one refutes every
+    /// declared death.
     last_death_epoch: u64,
     /// Members not probed yet in this shuffled round.
     probe_round: Vec<Address>,
-    /// The suspicions that this member itself has raised.
+    /// The suspicions raised by the local member itself.
     own_suspicions: Vec<OwnSuspicion>,
-    /// Lifeguard's local health: it grows where the process was paused, or suspected a member that was alive.
+    /// Lifeguard's local health: it increases after a pause of the process, and after a suspicion that was refuted.
     health_penalty: u32,
     size_estimator: FleetSizeEstimator,
     configured_members: f64,
@@ -81,10 +82,10 @@
 }
 
 impl<H: Host> Membership<H> {
-    /// How often `tick` is to be called.
+    /// The interval at which `tick` must be called.
     pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-    /// Starts a member. All random choices are drawn from `seed`.
+    /// Starts a member. All random choices derive from `seed`.
     pub fn start(host: H, config: MemberConfig, seed: u64, now: Duration) -> Membership<H> {
         let own = Announcement {
             address: config.address,
@@ -100,7 +101,7 @@
         };
         let seeds = config.seeds.into_iter().filter(|seed| *seed != config.address).collect();
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        // Members that start together must not probe in step for ever.
+        // A random phase keeps members that start together from probing at the same times.
         let first_probe = PROTOCOL_PERIOD.mul_f64(rng.random());
         let fleet_size = FleetSize {
             members: config.configured_members,
@@ -142,27 +143,27 @@
         }
     }
 
-    /// The highest epoch that this member has heard of.
+    /// The highest epoch that this member has seen.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// The address at which others reach this member.
+    /// The address at which other members reach this one.
     pub fn address(&self) -> Address {
         self.own.address
     }
 
-    /// All other members that are known, absent ones included.
+    /// All other known members, including absent ones.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.all()
     }
 
-    /// How many members are live, this one included.
+    /// The number of live members, including this one.
     pub fn live_count(&self) -> usize {
         self.members.live().len() + usize::from(!self.own.left)
     }
 
-    /// The digest of the view: equal where two members hold the same members live.
+    /// The digest of the view, which is equal for two members that consider the same members live.
     pub fn digest(&self) -> u64 {
         self.digests().combined()
     }
@@ -175,38 +176,39 @@
         digests
     }
 
-    /// The fleet's size for the decision engine.
+    /// The fleet size for the decision engine.
     pub fn fleet_size(&self) -> FleetSize {
         self.fleet_size
     }
 
-    /// Counters since the start.
+    /// The message counters since the start.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// How much this member distrusts its own failure detection, from 0 to 4.
+    /// The penalty by which this member extends its timeouts, from 0 (healthy) to 4.
     pub fn health_penalty(&self) -> u32 {
         self.health_penalty
     }
 
-    /// Whether some live member was heard directly of late.
+    /// Whether a message from an alive member has arrived directly within `CONTACT_TIMEOUT`.
     pub fn has_recent_contact(&self) -> bool {
         self.members.live_members().any(|member| self.is_reachable(member))
     }
 
-    /// The host that it acts through.
+    /// The host through which this member sends messages and reports events.
     pub fn host(&mut self) -> &mut H {
         &mut self.host
     }
 
-    /// Sets the commands a second that this member reports.
+    /// Sets the request rate that this member reports, in requests per second.
     pub fn set_request_rate(&mut self, per_s: f64) {
         self.own.request_rate_tenths = (per_s * 10.0).clamp(0.0, 65535.0) as u16;
     }
 
-    /// Publishes a payload of at most `MAX_PAYLOAD_BYTES` in place of the previous one. It goes with every message, and
-    /// receivers relay it; at once where it is urgent. An empty payload is not sent.
+    /// Publishes a payload in place of the previous one, truncated to `MAX_PAYLOAD_BYTES`. Every message carries it, and
+    /// receivers relay it, immediately if it is urgent. A payload equal to the previous one is published again only if it
+    /// is urgent; the initial payload is empty and not sent.
     pub fn set_payload(&mut self, bytes: &[u8], urgent: bool) {
         let bytes = &bytes[..bytes.len().min(wire::MAX_PAYLOAD_BYTES)];
         if *self.payload.bytes == *bytes && !urgent {
@@ -219,7 +221,7 @@
         }
     }
 
-    /// Announces to some members, who gossip it, that this one leaves; nothing is waited for.
+    /// Announces to `LEAVE_FANOUT` members, which gossip it, that this one leaves, without waiting for acks.
     pub fn leave(&mut self, now: Duration) {
         self.now = now;
         self.own.left = true;
--- a/crates/membership/src/membership/probing.rs
+++ b/crates/membership/src/membership/probing.rs
@@ -1,11 +1,11 @@
-//! Failure detection: whom this member probes, and what becomes of a probe (SWIM 3.1, 4.3).
+//! Failure detection: the choice of members to probe, and the handling of probe results (SWIM 3.1, 4.3).
 
 use super::*;
 use crate::probes::{Probe, ProbeSender, Requester};
 
 impl<H: Host> Membership<H> {
-    /// Probes the next member on the ring and one of the shuffled round; more of the round while members are suspect, as
-    /// several may have failed at once.
+    /// Probes the next member on the ring and one of the shuffled round. While this member suspects others, it probes more
+    /// of the round, as several members may have failed together.
     pub(super) fn probe_members(&mut self) {
         let next_on_ring =
             self.members.next_alive_after(self.own.address).map(|slot| self.members.get(slot).address());
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Ends the probes that failed, and sends what is due for the others.
+    /// Handles failed probes, and sends the due messages of the other probes.
     pub(super) fn advance_probes(&mut self) {
         let timeout_factor = 1 + self.health_penalty + self.probes.latency_factor();
         for probe in self.probes.take_expired(self.now, timeout_factor) {
@@ -85,7 +85,7 @@
     }
 
     fn send_indirect(&mut self, target: Address, number: u32) {
-        // Others that suspect it already do not reach it either.
+        // The other suspectors do not reach the target either.
         let member = self.members.slot(target).map(|slot| self.members.get(slot));
         if member.is_some_and(|member| member.suspector_count() >= DEATH_QUORUM) {
             return;
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -1,4 +1,4 @@
-//! Receiving a message: its header and announcement, then its entries.
+//! Processing of received messages: the header and the sender's announcement, then the entries.
 
 use super::*;
 use crate::member::MemberState;
@@ -7,7 +7,7 @@
 use crate::wire::{EntryVisitor, Header, MessageError};
 
 impl<H: Host> Membership<H> {
-    /// Takes in a datagram.
+    /// Processes a received datagram. Datagrams that cannot be decoded are counted and dropped.
     pub fn receive(&mut self, now: Duration, bytes: &[u8]) {
         self.now = now;
         let (header, entries) = match wire::decode_header(bytes, &self.fleet) {
@@ -19,7 +19,7 @@
             return self.counters.unrecognized += 1;
         };
         if announcement.address == self.own.address {
-            // A message of its own that came back, or one of another process at its address.
+            // The message was sent by this member and came back, or was sent by another process at the same address.
             return self.receive_own_announcement(&announcement);
         }
         if !self.accepts_epoch(header.epoch) || !self.accepts_epoch(announcement.affirmed_epoch) {
@@ -34,7 +34,7 @@
         if header.digest != self.digest() {
             self.views_differ_until = self.now + ANTI_ENTROPY_DURATION;
         }
-        let known = self.members.slot(from).is_some_and(|slot| self.members.get(slot).state.is_live());
+        let was_live = self.members.slot(from).is_some_and(|slot| self.members.get(slot).state.is_live());
         self.receive_announcement(announcement, true);
         let mut handler = EntryHandler { membership: self, subject: None, partition_digests: Vec::new() };
         if wire::decode_entries(entries, &mut handler).is_none() {
@@ -46,19 +46,19 @@
         }
         let number = header.probe_number;
         match (header.kind, subject) {
-            (MessageKind::Ping, _) if known => self.send_message(from, MessageKind::Ack, number),
+            (MessageKind::Ping, _) if was_live => self.send_message(from, MessageKind::Ack, number),
             (MessageKind::Ping, _) => self.send_with_names(from, MessageKind::Ack, number),
             (MessageKind::Ack, subject) => self.handle_ack(number, subject.unwrap_or(from)),
             (MessageKind::PingReq, Some(subject)) => {
                 self.handle_ping_req(Requester { address: from, probe_number: number }, subject);
             }
-            // The helper acks to this member but does not reach the subject: the fault is not this member's own.
+            // The nack shows that this member reaches the helper, so its own network is not the cause of the failed probe.
             (MessageKind::Nack, _) => self.health_penalty = self.health_penalty.saturating_sub(1),
             (MessageKind::PingReq, None) | (MessageKind::Gossip, _) => {}
         }
     }
 
-    /// Whether an epoch may be genuine.
+    /// Whether an epoch is plausible: at most `MAX_EPOCH_ADVANCE` ahead of the local epoch.
     fn accepts_epoch(&self, epoch: u64) -> bool {
         epoch <= self.epoch + MAX_EPOCH_ADVANCE
     }
@@ -67,7 +67,7 @@
         if (announcement.incarnation, announcement.sequence) <= (self.own.incarnation, self.own.sequence) {
             return;
         }
-        // Another process had the address, with a clock ahead of this one's.
+        // A previous process at this address had a clock ahead of this one's, so its incarnation is greater.
         self.own.incarnation = (announcement.incarnation + 1).min(MAX_INCARNATION);
         self.own.sequence = 0;
         self.host.presumed_dead();
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Applies a change to a member, and gossips and reports the new state if that changed too. `false`: nothing changed.
+    /// Applies a change to a member, and gossips and reports a changed state. Returns `false` if nothing changed.
     pub(super) fn update_member(&mut self, slot: usize, apply: impl FnOnce(&mut Member) -> bool) -> bool {
         let Some(change) = self.members.update(slot, self.now, REFUTATION_GRACE, apply) else {
             return false;
@@ -175,7 +175,7 @@
         membership.epoch = membership.epoch.max(epoch);
         let own = &membership.own;
         if target == own.address {
-            // Every announcement from now on refutes it; the first one goes to the suspector.
+            // Every announcement from now on refutes the suspicion; the first one goes to the suspector.
             if incarnation == own.incarnation && epoch > own.affirmed_epoch {
                 membership.send_message(suspector, MessageKind::Gossip, 0);
             }
@@ -184,7 +184,7 @@
         let Some(slot) = membership.members.slot(target) else { return };
         let member = membership.members.get(slot);
         if member.affirmed_epoch() >= epoch {
-            // The suspector has not heard the refutation.
+            // The suspector has not received the refutation yet.
             membership.members.enqueue_gossip(slot);
         } else if member.incarnation() == incarnation {
             membership.record_suspicion(slot, epoch, suspector);
--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -1,4 +1,4 @@
-//! Suspicion: from a failed probe to a declared death, or to a refutation (SWIM 4.2, Lifeguard).
+//! Suspicions, from a failed probe to a declared death or a refutation (SWIM 4.2, Lifeguard).
 
 use super::*;
 use crate::member::MemberState;
@@ -8,7 +8,7 @@
         self.own_suspicions.iter().any(|suspicion| suspicion.target == target)
     }
 
-    /// Raises a suspicion, under a new epoch: later than all that the member is known to have affirmed.
+    /// Raises a suspicion under a new epoch, which is later than any epoch that the member has affirmed.
     pub(super) fn suspect(&mut self, slot: usize) {
         self.epoch += 1;
         let target = self.members.get(slot).address();
@@ -23,7 +23,8 @@
         }
     }
 
-    /// Probes a member that somebody else suspects, by chance: some who might have confirmed it may have failed too.
+    /// Probes a member that another member suspects, with `verification_chance`. Members are chosen at random, as fixed
+    /// ones may have failed too.
     pub(super) fn verify_suspicion(&mut self, slot: usize, target: Address) {
         let chance = self.verification_chance();
         let confirmed = self.members.get(slot).suspector_count() >= DEATH_QUORUM;
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Advances all suspicions: declares members dead, pings suspects again, and lets grace periods end.
+    /// Advances all suspicions: removes ended ones, declares members dead, pings suspects again, and ends grace periods.
     pub(super) fn advance_suspicions(&mut self) {
         let ping_due = self.next_suspect_ping_at <= self.now;
         if ping_due {
@@ -53,7 +54,7 @@
         let before = own_suspicions.len();
         own_suspicions.retain(still_suspected);
         if own_suspicions.len() < before {
-            // A refuted suspicion speaks against this member's own failure detection.
+            // A refuted suspicion indicates that this member's own failure detection is unreliable.
             self.health_penalty = (self.health_penalty + 1).min(MAX_HEALTH_PENALTY);
         }
         own_suspicions.retain(|suspicion| {
@@ -68,7 +69,7 @@
         let quorum = DEATH_QUORUM.min(1 + reachable);
         let mut pings = 0;
         if ping_due && own_suspicions.len() > MAX_SUSPECT_PINGS {
-            // All suspects are pinged in turn.
+            // The rotation ensures that every suspect is pinged.
             own_suspicions.rotate_left(MAX_SUSPECT_PINGS);
         }
         for suspicion in own_suspicions.iter() {
@@ -108,18 +109,19 @@
         self.update_member(slot, |member| member.merge_death(incarnation_low, epoch, local_only));
     }
 
-    /// Whether a member can be counted on to answer.
+    /// Whether a member is alive, and a message from it has arrived directly within `CONTACT_TIMEOUT`.
     pub(super) fn is_reachable(&self, member: &Member) -> bool {
         let recently_heard = member.last_direct.is_some_and(|at| at + CONTACT_TIMEOUT > self.now);
         recently_heard && member.state == MemberState::Alive
     }
 
-    /// How many members can be counted on, up to the quorum.
+    /// The number of reachable members, counted up to `DEATH_QUORUM`.
     fn reachable_count(&self) -> usize {
         self.members.live_members().filter(|member| self.is_reachable(member)).take(DEATH_QUORUM).count()
     }
 
-    /// The chance with which a member that hears of a suspicion probes for itself: where few are left, all have to.
+    /// The probability with which a member that receives a suspicion probes the suspect itself; 1 if fewer members than
+    /// the quorum are reachable, as all of them are needed then.
     fn verification_chance(&self) -> f64 {
         if self.reachable_count() < DEATH_QUORUM {
             1.0
--- a/crates/membership/src/membership/tick.rs
+++ b/crates/membership/src/membership/tick.rs
@@ -1,10 +1,10 @@
-//! What a member does as time passes.
+//! Periodic work of a member.
 
 use super::*;
 use crate::member::MemberState;
 
 impl<H: Host> Membership<H> {
-    /// Does what is due: to be called every `TICK_INTERVAL`.
+    /// Performs all due work; must be called every `TICK_INTERVAL`.
     pub fn tick(&mut self, now: Duration) {
         self.detect_pause(now);
         if self.own.left {
@@ -30,7 +30,8 @@
         self.fleet_size.members = self.size_estimator.advance(now, self.live_estimate());
     }
 
-    /// A late tick means that the process was paused: others may have answered meanwhile without being heard.
+    /// Detects by a late tick that the process was paused, and extends probes and suspicions by the pause, as answers of
+    /// other members may not have been read yet.
     fn detect_pause(&mut self, now: Duration) {
         let before = self.last_tick;
         let late = now.saturating_sub(before + Self::TICK_INTERVAL);
@@ -47,13 +48,13 @@
         self.health_penalty = (self.health_penalty + 1).min(MAX_HEALTH_PENALTY);
     }
 
-    /// The configured size holds until another member is heard.
+    /// The number of live members; the current estimate until another member is seen, so that the configured size holds.
     fn live_estimate(&self) -> f64 {
         if self.other_member_seen { self.live_count() as f64 } else { self.fleet_size.members }
     }
 
     fn update_ordinal(&mut self) {
-        // Before the view has filled, the own rank would be another member's.
+        // While other members are still unknown, the local rank by age would be too low and belong to another member.
         if self.started_at + ORDINAL_DELAY > self.now {
             return;
         }
@@ -72,7 +73,7 @@
         let recently_dead = absent.filter(|member| {
             member.state == MemberState::Dead && member.state_since + POSSIBLY_LIVE_FOR > now
         });
-        // A member that hears nobody is no fleet of its own: others may be cut off as it is.
+        // An isolated member must not assume that it is the whole fleet: other members may be live but unreachable.
         let possibly_live = (self.live_count() + recently_dead.count()) as f64;
         self.fleet_size.possibly_live = possibly_live.max(self.configured_members);
         let reporting =
--- a/crates/membership/src/ordinals.rs
+++ b/crates/membership/src/ordinals.rs
@@ -1,6 +1,6 @@
-//! Ordinals: small numbers, unique among the live members, each kept for as long as its member lives. A joining member
-//! takes a free one and nobody else's changes. Of two members with the same ordinal, as after a partition heals, the younger
-//! one chooses again.
+//! Ordinals: small numbers, unique among the live members, which each member keeps while it is alive. A joining member
+//! takes a free ordinal; the ordinals of other members do not change. If two members have the same ordinal, for example
+//! after a partition heals, the younger one chooses again.
 
 use crate::member::{Address, Member};
 use std::collections::BTreeSet;
@@ -8,11 +8,13 @@
 /// The ordinal of a member that has not chosen one yet.
 pub const UNASSIGNED: u16 = u16::MAX;
 
-/// Members that choose at the same time each take one of this many free ordinals at random.
+/// The number of lowest free ordinals from which a member chooses at random, so that members that choose at the same time
+/// rarely choose the same one.
 pub const ORDINAL_CANDIDATES: usize = 8;
 
-/// The ordinal to use: the current one where no older member has it; else the own rank by age where that is free; else one
-/// of the lowest that are free, selected by `random`. `own` is the own incarnation and address.
+/// Chooses the local member's ordinal: the current one if no older member has it; otherwise, for a member without an
+/// ordinal, its rank by age if no older member has that; otherwise one of the lowest free ordinals, selected by `random`.
+/// `own` is the local member's incarnation and address.
 pub fn choose<'a>(
     own: (u64, Address),
     current: u16,
--- a/crates/membership/src/probes.rs
+++ b/crates/membership/src/probes.rs
@@ -1,32 +1,32 @@
-//! Probes in flight: whom this member has asked for an ack, when it asks again, asks others to probe too (SWIM's indirect
-//! probe), and gives up. It sends through a `ProbeSender` and decides nothing about the members.
+//! Probes in flight: when a ping is sent again, when indirect probes are requested (SWIM's ping-req), and when a probe has
+//! failed. Messages are sent through a `ProbeSender`; the caller decides what a failed probe means for the member.
 
 use crate::member::Address;
 use std::time::Duration;
 
-/// Past this number the oldest probe is dropped without a result.
+/// Maximum number of probes in flight; starting another one drops the oldest without a result.
 const MAX_PENDING_PROBES: usize = 64;
-/// A ping without an ack is sent again this often.
+/// How often a ping without an ack is sent again.
 const PROBE_RESEND_INTERVAL: Duration = Duration::from_millis(100);
-/// Others are asked to probe after this time without an ack.
+/// The time without an ack after which other members are asked for indirect probes.
 const INDIRECT_PROBE_DELAY: Duration = Duration::from_millis(100);
-/// A probe has failed after this time without an ack.
+/// The time without an ack after which a probe has failed.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Round trips up to this need no longer timeouts.
+/// Average round-trip times below this do not extend timeouts; each multiple of it adds 1 to the timeout factor.
 const FAST_ROUND_TRIP: Duration = Duration::from_millis(80);
-/// By how much slow round trips extend the timeouts at most.
+/// Maximum that slow round trips add to the timeout factor.
 const MAX_LATENCY_FACTOR: u32 = 4;
 
-/// Who asked this member for an indirect probe.
+/// The member that asked this one for an indirect probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Requester {
-    /// The member that gets the ack or nack.
+    /// The requester's address, to which the ack or nack is sent.
     pub address: Address,
-    /// The number of its own probe.
+    /// The requester's number of the probe.
     pub probe_number: u32,
 }
 
-/// One probe in flight.
+/// A probe in flight.
 #[derive(Clone, Debug)]
 pub struct Probe {
     /// The member that should ack.
@@ -36,11 +36,11 @@
     started_at: Duration,
     resend_at: Duration,
     indirect_sent: bool,
-    /// On whose behalf, for an indirect probe.
+    /// For an indirect probe, the member that asked for it.
     pub requester: Option<Requester>,
 }
 
-/// All probes in flight.
+/// The probes in flight, and the average round-trip time.
 #[derive(Debug, Default)]
 pub struct ProbeTracker {
     pending: Vec<Probe>,
@@ -49,16 +49,16 @@
     round_trip: Duration,
 }
 
-/// Sends the messages of probes.
+/// Sends pings and requests for indirect probes.
 pub trait ProbeSender {
-    /// Sends a ping to the target.
+    /// Sends a ping of probe `number` to the target.
     fn send_ping(&mut self, target: Address, number: u32);
-    /// Asks others to probe the target.
+    /// Asks other members to probe the target for probe `number`.
     fn send_indirect(&mut self, target: Address, number: u32);
 }
 
 impl ProbeTracker {
-    /// The number of a new probe; `None` where one of the same target and requester is in flight.
+    /// Starts a probe and returns its number; `None` if a probe of the same target for the same requester is in flight.
     pub fn start(&mut self, target: Address, now: Duration, requester: Option<Requester>) -> Option<u32> {
         let duplicate = |probe: &Probe| probe.target == target && probe.requester == requester;
         if self.pending.iter().any(duplicate) {
@@ -81,7 +81,7 @@
         Some(number)
     }
 
-    /// Ends the probe that this ack belongs to, if there is one.
+    /// Ends and returns the probe that this ack belongs to, if it is still in flight.
     pub fn acknowledge(&mut self, number: u32, target: Address, now: Duration) -> Option<Probe> {
         let matches = |probe: &Probe| probe.number == number && probe.target == target;
         let index = self.pending.iter().position(matches)?;
@@ -90,12 +90,12 @@
         Some(probe)
     }
 
-    /// By how much timeouts are to be extended on slow paths: acks of indirect probes take two round trips.
+    /// The amount that slow round trips add to the timeout factor, as the ack of an indirect probe takes two round trips.
     pub fn latency_factor(&self) -> u32 {
         ((self.round_trip.as_millis() / FAST_ROUND_TRIP.as_millis()) as u32).min(MAX_LATENCY_FACTOR)
     }
 
-    /// Sends pings again and asks others to probe, where that is due. `timeout_factor` multiplies the delay of indirect probes.
+    /// Sends due pings again and requests due indirect probes. `timeout_factor` multiplies the delay of indirect probes.
     pub fn send_due(&mut self, now: Duration, timeout_factor: u32, sender: &mut impl ProbeSender) {
         for probe in &mut self.pending {
             if probe.resend_at <= now {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Removes the probes that have failed. `timeout_factor` multiplies the timeout.
+    /// Removes and returns the probes that have failed. `timeout_factor` multiplies the timeout.
     pub fn take_expired(&mut self, now: Duration, timeout_factor: u32) -> Vec<Probe> {
         let expired = |probe: &Probe| probe.started_at + PROBE_TIMEOUT * timeout_factor <= now;
         let (failed, pending) = std::mem::take(&mut self.pending).into_iter().partition(expired);
@@ -118,8 +118,8 @@
         failed
     }
 
-    /// Extends probes that were started by `before` by the time for which this process was paused: acks may have come
-    /// meanwhile without being read.
+    /// Shifts probes started up to `before` by `pause`, during which this process did not run: acks may have arrived that
+    /// were not read yet.
     pub fn exclude_pause(&mut self, before: Duration, pause: Duration) {
         for probe in self.pending.iter_mut().filter(|probe| probe.started_at <= before) {
             probe.started_at += pause;
--- a/crates/membership/src/wire/compatibility.rs
+++ b/crates/membership/src/wire/compatibility.rs
@@ -1,4 +1,4 @@
-//! Helpers for tests of the decoder and of fleets that mix versions.
+//! Helpers for tests of the decoder and of fleets with mixed protocol versions.
 
 use super::decode::{EntryVisitor, decode_entries, decode_sender};
 use super::error::MessageError;
@@ -7,8 +7,8 @@
 use crate::member::{Address, Announcement, Payload};
 use std::time::Duration;
 
-/// The same message as a newer version would send it: with that version's number, and with an entry of an unknown type.
-/// `None` where the bytes are no message of the fleet.
+/// Converts a message to the form that the next protocol version might send: with that version's number and, if it fits,
+/// with an entry of an unknown type. Returns `None` if the bytes are not a message of the fleet.
 pub fn as_newer_version(bytes: &[u8], fleet: &str) -> Option<Vec<u8>> {
     const UNKNOWN_ENTRY: [u8; 5] = [200, 3, 1, 2, 3];
     decode_header(bytes, fleet).ok()?;
@@ -22,7 +22,7 @@
     Some(newer)
 }
 
-/// Whether all entries of this message of the fleet can be decoded.
+/// Whether all entries of the message can be decoded; an error if the header is not that of a message of the fleet.
 pub fn is_well_formed(bytes: &[u8], fleet: &str) -> Result<bool, MessageError> {
     struct Ignore;
     impl EntryVisitor for Ignore {
--- a/crates/membership/src/wire/decode.rs
+++ b/crates/membership/src/wire/decode.rs
@@ -1,29 +1,29 @@
-//! Decoding of a message's entries. Any bytes may come: whatever is cut short or out of bounds ends the decoding.
+//! Decoding of message entries. The input is untrusted: decoding ends at the first truncated or out-of-range value.
 
 use super::format::*;
 use crate::member::{Address, Announcement, MAX_NAME_BYTES, Payload};
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// Receives the entries of a message in their order.
+/// Receives the entries of a message in message order.
 pub trait EntryVisitor {
-    /// A member's announcement.
+    /// Called with a member's announcement.
     fn announcement(&mut self, announcement: Announcement);
-    /// `suspector` suspects the target, since `epoch`.
+    /// Called with the suspicion of `target` that `suspector` raised in `epoch`.
     fn suspicion(&mut self, target: Address, incarnation: u64, epoch: u64, suspector: Address);
-    /// The target was declared dead in `epoch`; of its incarnation only the low 16 bits are sent.
+    /// Called with the death of `target`, declared in `epoch`. Only the low 16 bits of the incarnation are sent.
     fn death(&mut self, target: Address, incarnation_low: u16, epoch: u64);
-    /// The member that a probe message is about.
+    /// Called with the member that a probe message is about.
     fn subject(&mut self, subject: Address);
-    /// The sender's digests by partition; a newer version may send more of them.
+    /// Called with the sender's digests by partition. A newer version may send more of them.
     fn partition_digests(&mut self, digests: Vec<u16>);
-    /// The target affirmed that it is alive, in `epoch` or later.
+    /// Called if `target` affirmed in `epoch` or later that it is alive.
     fn affirmation(&mut self, target: Address, incarnation_low: u16, epoch: u64);
-    /// The target's application payload, published `age` ago.
+    /// Called with the application payload of `target`, published `age` ago.
     fn payload(&mut self, target: Address, incarnation_low: u16, payload: Payload, age: Duration);
 }
 
-/// The bytes of an entry not read yet; reads are `None` where too few are left.
+/// The unread bytes of an entry. A read returns `None` if too few bytes are left.
 pub(super) struct ByteReader<'a>(pub(super) &'a [u8]);
 
 impl<'a> ByteReader<'a> {
@@ -33,7 +33,7 @@
         Some(taken)
     }
 
-    /// A big-endian unsigned integer of `count` bytes.
+    /// Reads a big-endian unsigned integer of `count` bytes.
     pub(super) fn uint(&mut self, count: usize) -> Option<u64> {
         Some(self.take(count)?.iter().fold(0, |value, byte| value << 8 | u64::from(*byte)))
     }
@@ -43,7 +43,7 @@
         Some(Address::new(ip, self.uint(2)? as u16))
     }
 
-    /// A name: control characters would corrupt logs and pages.
+    /// Reads a name. Names with control characters are rejected, as they would corrupt logs and console pages.
     fn name(&mut self) -> Option<Box<str>> {
         let length = self.uint(1)? as usize;
         let text = std::str::from_utf8(self.take(length)?).ok()?;
@@ -85,7 +85,7 @@
         Some(())
     }
 
-    /// One epoch, then addresses and incarnations to the end of the entry.
+    /// Reads one epoch, then addresses and incarnations up to the end of the entry.
     fn compact_entries(&mut self, mut visit: impl FnMut(Address, u16, u64)) -> Option<()> {
         let epoch = self.uint(6)?;
         while !self.0.is_empty() {
@@ -103,7 +103,7 @@
     }
 }
 
-/// The first entry, which is the sender's own announcement, and the bytes after it.
+/// Decodes the first entry, which must be the sender's own announcement, and returns it with the bytes after it.
 pub fn decode_sender(entries: &[u8]) -> Option<(Announcement, &[u8])> {
     let mut rest = ByteReader(entries);
     let (tag, length) = (rest.uint(1)?, rest.uint(1)? as usize);
@@ -111,8 +111,7 @@
     Some((entry.announcement()?, rest.0))
 }
 
-/// Passes entries to the visitor up to the end, or to the first one that is malformed: then it is `None`, and the rest of
-/// the message is lost.
+/// Passes the entries to the visitor. Returns `None` at the first malformed entry; the entries after it are not decoded.
 pub fn decode_entries(bytes: &[u8], visitor: &mut impl EntryVisitor) -> Option<()> {
     let mut rest = ByteReader(bytes);
     while !rest.0.is_empty() {
--- a/crates/membership/src/wire/encode.rs
+++ b/crates/membership/src/wire/encode.rs
@@ -1,14 +1,14 @@
-//! Encoding of messages.
+//! Encoding of a message: its header, its entries and its checksum.
 
 use super::format::*;
 use super::header::Header;
 use crate::member::{Address, Announcement, MAX_NAME_BYTES, Payload};
 use std::time::Duration;
 
-/// A message under construction. An entry that no longer fits is left out.
+/// A message under construction. Entries that do not fit are omitted.
 pub struct MessageWriter {
     bytes: Vec<u8>,
-    /// The message grows to no more than this.
+    /// The current maximum length of the message, in bytes.
     limit: usize,
 }
 
@@ -22,7 +22,7 @@
 }
 
 impl MessageWriter {
-    /// Starts a message with the sender's own announcement; up to `gossip_bytes` of entries may follow.
+    /// Starts a message with the sender's own announcement. Entries of up to `gossip_bytes` may follow.
     pub fn new(header: Header, own: &Announcement, gossip_bytes: usize) -> MessageWriter {
         let mut bytes = Vec::with_capacity(MAX_MESSAGE_BYTES);
         bytes.extend([MAGIC, PROTOCOL_VERSION, PROTOCOL_VERSION, header.kind as u8, 0, 0, 0, 0]);
@@ -35,7 +35,7 @@
         writer
     }
 
-    /// Writes one entry; `false` where there is no room for it.
+    /// Writes one entry. Returns `false` if it does not fit.
     pub(super) fn entry(&mut self, tag: u8, length: usize, put: impl FnOnce(&mut Vec<u8>)) -> bool {
         let fits = self.bytes.len() + 2 + length <= self.limit;
         if fits {
@@ -45,7 +45,7 @@
         fits
     }
 
-    /// Writes a member's announcement, with its name and zone if `names`; `false` where there is no room for it.
+    /// Writes a member's announcement, with its name and zone if `names`. Returns `false` if it does not fit.
     pub fn announcement(&mut self, announcement: &Announcement, names: bool) -> bool {
         let (name, zone) = (truncated_name(&announcement.name), truncated_name(&announcement.zone));
         let names = names && !name.is_empty();
@@ -69,7 +69,7 @@
         })
     }
 
-    /// Writes that `suspector` suspects `target` since `epoch`; `false` where there is no room for it.
+    /// Writes the suspicion of `target` that `suspector` raised in `epoch`. Returns `false` if it does not fit.
     pub fn suspicion(&mut self, target: Address, incarnation: u64, epoch: u64, suspector: Address) -> bool {
         self.entry(TAG_SUSPICION, 24, |bytes| {
             put_address(bytes, target);
@@ -79,13 +79,13 @@
         })
     }
 
-    /// Writes the sender's own payload, which is not counted against the gossip allowance.
+    /// Writes the sender's own payload, which does not count against the gossip allowance.
     pub fn own_payload(&mut self, own: &Announcement, payload: &Payload) {
         self.limit = (self.limit + 2 + PAYLOAD_FIXED_BYTES + payload.bytes.len()).min(MAX_MESSAGE_BYTES);
         self.payload(own.address, own.incarnation, payload, Duration::ZERO);
     }
 
-    /// Writes a member's payload and its age; `false` where there is no room for it.
+    /// Writes a member's payload and its age. Returns `false` if it does not fit.
     pub fn payload(&mut self, target: Address, incarnation: u64, payload: &Payload, age: Duration) -> bool {
         let bytes = &payload.bytes[..payload.bytes.len().min(MAX_PAYLOAD_BYTES)];
         let age_units = (age.as_millis() as u64 / AGE_UNIT_MS).min(u64::from(u16::MAX)) as u16;
@@ -99,7 +99,7 @@
         })
     }
 
-    /// Writes the digests of all partitions, which are not counted against the gossip allowance.
+    /// Writes the digests of all partitions, which do not count against the gossip allowance.
     pub fn partition_digests(&mut self, digests: &[u16]) {
         self.limit = (self.limit + 2 + 2 * digests.len()).min(MAX_MESSAGE_BYTES);
         self.entry(TAG_PARTITION_DIGESTS, 2 * digests.len(), |bytes| {
@@ -107,23 +107,24 @@
         });
     }
 
-    /// Bytes left for entries.
+    /// The number of bytes left for entries.
     pub fn remaining_bytes(&self) -> usize {
         self.limit.saturating_sub(self.bytes.len())
     }
 
-    /// How many members still fit into one further `deaths` or `affirmations` entry.
+    /// The number of members that fit into one further `deaths` or `affirmations` entry.
     pub fn remaining_compact_entries(&self) -> usize {
-        let free = self.limit.saturating_sub(self.bytes.len() + 2 + 6);
-        (free / COMPACT_ENTRY_BYTES).min(MAX_COMPACT_ENTRIES)
+        let remaining = self.limit.saturating_sub(self.bytes.len() + 2 + 6);
+        (remaining / COMPACT_ENTRY_BYTES).min(MAX_COMPACT_ENTRIES)
     }
 
-    /// Writes that these members, each with its incarnation, are dead up to `epoch`; `false` where there is no room.
+    /// Writes that these members, each with its incarnation, were declared dead up to `epoch`. Returns `false` if the entry
+    /// does not fit.
     pub fn deaths(&mut self, epoch: u64, members: &[(Address, u64)]) -> bool {
         self.compact_entries(TAG_DEATHS, epoch, members)
     }
 
-    /// Writes that these members, each with its incarnation, affirmed `epoch`; `false` where there is no room.
+    /// Writes that these members, each with its incarnation, affirmed `epoch`. Returns `false` if the entry does not fit.
     pub fn affirmations(&mut self, epoch: u64, members: &[(Address, u64)]) -> bool {
         self.compact_entries(TAG_AFFIRMATIONS, epoch, members)
     }
@@ -141,8 +142,8 @@
         })
     }
 
-    /// Writes the member that a probe message is about, with its announcement where one is known. They are not counted
-    /// against the gossip allowance.
+    /// Writes the member that a probe message is about, with its announcement if known. Neither counts against the gossip
+    /// allowance.
     pub fn subject(&mut self, subject: Address, announcement: Option<&Announcement>) {
         self.limit += 8 + 2 + ANNOUNCEMENT_FIXED_BYTES;
         self.entry(TAG_SUBJECT, 6, |bytes| put_address(bytes, subject));
@@ -152,7 +153,7 @@
         self.limit = self.limit.min(MAX_MESSAGE_BYTES);
     }
 
-    /// The message, with its checksum for the fleet.
+    /// Writes the checksum, which covers the fleet's name, and returns the message.
     pub fn finish(mut self, fleet: &str) -> Vec<u8> {
         let sum = checksum(fleet, &self.bytes);
         self.bytes[4..8].copy_from_slice(&sum);
@@ -160,7 +161,7 @@
     }
 }
 
-/// The longest prefix of whole characters that a name field holds.
+/// The longest prefix of whole characters that fits into `MAX_NAME_BYTES`.
 pub fn truncated_name(text: &str) -> &str {
     let mut end = text.len().min(MAX_NAME_BYTES);
     while !text.is_char_boundary(end) {
--- a/crates/membership/src/wire/error.rs
+++ b/crates/membership/src/wire/error.rs
@@ -1,13 +1,14 @@
-//! Why a datagram is not accepted as a message.
+//! The error of decoding a datagram.
 
 use std::fmt;
 
-/// Why a datagram is not accepted as a message.
+/// The reason why a datagram is not accepted as a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageError {
-    /// It is too short or too long, damaged, of another fleet, or no message at all: the checksum does not tell which.
+    /// The datagram has an invalid length, is damaged, comes from another fleet, or is not a message at all. The checksum
+    /// does not distinguish these cases.
     Unrecognized,
-    /// It is intact, but its sender requires a newer protocol version.
+    /// The message is intact but requires a newer protocol version.
     NewerVersion,
 }
 
--- a/crates/membership/src/wire/header.rs
+++ b/crates/membership/src/wire/header.rs
@@ -1,22 +1,22 @@
-//! The message header.
+//! The message header: kind, probe number, epoch and view digest.
 
 use super::decode::ByteReader;
 use super::error::MessageError;
 use super::format::{HEADER_BYTES, MAGIC, MAX_MESSAGE_BYTES, PROTOCOL_VERSION, checksum};
 
-/// What a message is for.
+/// The purpose of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum MessageKind {
     /// A direct probe of the receiver.
     Ping = 1,
-    /// The sender, or the subject that it was asked to probe, is alive.
+    /// Confirms that the sender, or the subject that it was asked to probe, is alive.
     Ack = 2,
     /// Asks the receiver to probe the subject (SWIM's ping-req).
     PingReq = 3,
-    /// Carries gossip only; no answer is expected.
+    /// Carries gossip only; no ack is expected.
     Gossip = 4,
-    /// The subject did not answer the sender of an indirect probe either (Lifeguard).
+    /// Reports that the subject did not ack an indirect probe by the sender (Lifeguard).
     Nack = 5,
 }
 
@@ -36,17 +36,18 @@
 /// The fixed part of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// What the message is for.
+    /// The purpose of the message.
     pub kind: MessageKind,
-    /// The probe that it belongs to, by the prober's numbering; 0 where it belongs to none.
+    /// The prober's number of the probe that the message belongs to; 0 if it belongs to none.
     pub probe_number: u32,
-    /// The highest epoch that the sender has heard of.
+    /// The highest epoch that the sender has seen.
     pub epoch: u64,
     /// The digest of the sender's view.
     pub digest: u64,
 }
 
-/// The header, and the bytes of the entries. The checksum is verified before anything is interpreted.
+/// Decodes the header and returns it with the bytes of the entries. The checksum is verified before any field except the
+/// magic byte is interpreted.
 pub fn decode_header<'a>(bytes: &'a [u8], fleet: &str) -> Result<(Header, &'a [u8]), MessageError> {
     if !(HEADER_BYTES..=MAX_MESSAGE_BYTES).contains(&bytes.len()) || bytes[0] != MAGIC {
         return Err(MessageError::Unrecognized);
--- a/crates/membership/src/wire/mod.rs
+++ b/crates/membership/src/wire/mod.rs
@@ -1,16 +1,16 @@
-//! The wire format: one header, then entries that each carry their length, so that a decoder skips entry types that it
-//! does not know. This module makes no protocol decision.
+//! The wire format: a header, then entries with a length each, so that a decoder can skip unknown entry types. This module
+//! makes no protocol decisions.
 //!
-//! | bytes | what |
+//! | bytes | contents |
 //! | --- | --- |
 //! | 0 | 0xC5; no message between decision engines begins with this byte |
 //! | 1, 2 | the sender's protocol version, and the oldest version that can decode the message |
 //! | 3 | the message kind |
-//! | 4 to 7 | CRC-32 of the fleet's name and of all other bytes |
+//! | 4 to 7 | the CRC-32 of the fleet's name and of all other bytes |
 //! | 8 to 11 | the number of the probe that the message belongs to |
 //! | 12 to 17 | the sender's epoch |
 //! | 18 to 25 | the digest of the sender's view |
-//! | then | entries: a tag, a length, so many bytes; the first is the sender's own announcement |
+//! | from 26 | entries: a tag byte, a length byte, and data of that length; the first is the sender's own announcement |
 
 mod compatibility;
 mod decode;
