--- a/crates/membership/src/member_tests.rs
+++ b/crates/membership/src/member_tests.rs
@@ -1,4 +1,4 @@
-//! How statements about one member are merged, and what it takes in memory.
+//! Merging of statements about one member, and the memory that a member occupies.
 
 use super::*;
 
@@ -21,36 +21,46 @@
 const REFUTATION_GRACE: Duration = Duration::from_millis(400);
 
 #[test]
-fn an_announcement_of_a_later_epoch_refutes_suspicion_and_death() {
+fn announcement_of_later_epoch_refutes_suspicion_and_death() {
     let mut member = Member::new(announcement(5, 1, 3), NOW);
     let suspector = Address::new(std::net::Ipv4Addr::LOCALHOST, 2);
     assert!(member.merge_suspicion(5, 4, suspector) && !member.merge_suspicion(5, 4, suspector));
     assert!(member.merge_death(5, 4, false));
-    assert!(member.merge_announcement(announcement(5, 2, 3), NOW), "newer, but made before the suspicion");
+    assert!(
+        member.merge_announcement(announcement(5, 2, 3), NOW),
+        "a newer announcement of an epoch before the suspicion is merged"
+    );
     assert_eq!(member.evaluate_state(NOW, Duration::ZERO), MemberState::Suspect);
     member.state = MemberState::Suspect;
     assert_eq!(
         member.evaluate_state(NOW, REFUTATION_GRACE),
         MemberState::Suspect,
-        "a refutation may be on its way"
+        "a death must not take effect before the refutation grace has passed"
     );
     assert_eq!(member.evaluate_state(NOW + REFUTATION_GRACE, REFUTATION_GRACE), MemberState::Dead);
     assert!(member.merge_announcement(announcement(5, 3, 4), NOW));
     assert_eq!(member.evaluate_state(NOW + REFUTATION_GRACE, REFUTATION_GRACE), MemberState::Alive);
-    assert!(!member.merge_death(5, 4, false), "refuted already");
-    // Nothing stated against one incarnation applies to the next, and an older incarnation supersedes none.
+    assert!(!member.merge_death(5, 4, false), "a refuted death must not be merged again");
+    // A death of one incarnation does not apply to the next, and an older incarnation does not supersede a newer one.
     assert!(member.merge_death(5, 9, false) && member.merge_announcement(announcement(6, 0, 1), NOW));
     assert_eq!(member.evaluate_state(NOW, Duration::ZERO), MemberState::Alive);
     assert!(!member.merge_announcement(announcement(5, 99, 99), NOW));
 }
 
-/// A thousand members take less than 1 MB, with the longest names and all suspectors.
+/// 1000 members with the longest names, the largest payloads and all suspectors take less than 1 MiB.
 #[test]
-fn a_member_takes_little_memory() {
+fn member_with_longest_fields_takes_less_than_1048_bytes() {
     let suspectors = MAX_SUSPECTORS * (size_of::<Address>() + size_of::<u64>()) + 256;
-    // Its entries on the ring and in a list, and its slot of the slab.
-    let listed = 64;
-    let most =
-        size_of::<Member>() + 2 * MAX_NAME_BYTES + crate::wire::MAX_PAYLOAD_BYTES + suspectors + listed;
-    assert!(most < 1048, "{most} bytes, {} of them plain", size_of::<Member>());
+    // The entries in the ring and in a list, and the overhead of the slab slot.
+    let index_entries = 64;
+    let max_bytes = size_of::<Member>()
+        + 2 * MAX_NAME_BYTES
+        + crate::wire::MAX_PAYLOAD_BYTES
+        + suspectors
+        + index_entries;
+    assert!(
+        max_bytes < 1048,
+        "a member takes {max_bytes} bytes, {} of them in the struct itself",
+        size_of::<Member>()
+    );
 }
--- a/crates/membership/src/wire/fixture_tests.rs
+++ b/crates/membership/src/wire/fixture_tests.rs
@@ -1,4 +1,4 @@
-//! Messages as bytes, compared with `tests/fixtures/messages.txt`; LANDINGSPREAD_WRITE_FIXTURES=1 writes that file anew.
+//! Encoded messages, compared with `tests/fixtures/messages.txt`. LANDINGSPREAD_WRITE_FIXTURES=1 rewrites the file.
 
 use super::format::*;
 use super::*;
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 #[derive(Default)]
-struct Entries(Vec<String>);
+struct EntryTexts(Vec<String>);
 
 fn announcement_text(announcement: &Announcement) -> String {
     let Announcement {
@@ -27,7 +27,7 @@
     )
 }
 
-impl EntryVisitor for Entries {
+impl EntryVisitor for EntryTexts {
     fn announcement(&mut self, announcement: Announcement) {
         self.0.push(format!("1 {}", announcement_text(&announcement)));
     }
@@ -71,20 +71,23 @@
     }
 }
 
-/// Every entry, in every form, each in a message of every kind.
+/// Labelled messages with every entry in every form, for every message kind, and one message that is full.
 fn messages() -> Vec<(String, Vec<u8>)> {
     let payload = Payload { version: 0x0708_090a, urgent: true, bytes: b"beside".as_slice().into() };
-    let quiet = Payload { urgent: false, bytes: vec![9; 250].into(), ..payload.clone() };
+    let not_urgent = Payload { urgent: false, bytes: vec![9; 250].into(), ..payload.clone() };
     let second = Duration::from_secs(1);
-    let long = "\u{e9}".repeat(60);
-    type Put<'a> = (&'a str, Box<dyn Fn(&mut MessageWriter) + 'a>);
-    let puts: [Put; 14] = [
+    let long_name = "\u{e9}".repeat(60);
+    type LabelledWrite<'a> = (&'a str, Box<dyn Fn(&mut MessageWriter) + 'a>);
+    let writes: [LabelledWrite; 14] = [
         ("nothing", Box::new(|_| ())),
         ("own-said", Box::new(|writer| writer.own_payload(&announcement(0, "", ""), &payload))),
         ("word-named", Box::new(|writer| assert!(writer.announcement(&announcement(1, "c1", ""), true)))),
         ("word-short", Box::new(|writer| assert!(writer.announcement(&announcement(2, "c2", "b"), false)))),
         ("word-nameless", Box::new(|writer| assert!(writer.announcement(&announcement(3, "", "b"), true)))),
-        ("word-long", Box::new(|writer| assert!(writer.announcement(&announcement(4, &long, &long), true)))),
+        (
+            "word-long",
+            Box::new(|writer| assert!(writer.announcement(&announcement(4, &long_name, &long_name), true))),
+        ),
         ("accused", Box::new(|writer| assert!(writer.suspicion(address(1), 5, 6, address(2))))),
         ("dead", Box::new(|writer| assert!(writer.deaths(8, &[(address(9), 0x1_0002), (address(10), 4)])))),
         ("affirmed", Box::new(|writer| assert!(writer.affirmations(11, &[(address(12), 0xf_fff0)])))),
@@ -96,65 +99,66 @@
             "said",
             Box::new(|writer| {
                 assert!(writer.payload(address(6), 0x1_0007, &payload, second / 8));
-                assert!(writer.payload(address(6), 7, &quiet, second * 700));
+                assert!(writer.payload(address(6), 7, &not_urgent, second * 700));
             }),
         ),
     ];
     let kinds =
         [MessageKind::Ping, MessageKind::Ack, MessageKind::PingReq, MessageKind::Gossip, MessageKind::Nack];
-    let mut all = Vec::new();
+    let mut messages = Vec::new();
     for kind in kinds {
-        for (what, put) in &puts {
-            let head = Header {
+        for (label, write) in &writes {
+            let header = Header {
                 kind,
                 probe_number: 0xfedc_ba98,
                 epoch: 0x1122_3344_5566,
                 digest: 0xfeed_beef_0123_4567,
             };
-            let mut writer = MessageWriter::new(head, &announcement(0, "own", "zone-a"), 700);
-            put(&mut writer);
+            let mut writer = MessageWriter::new(header, &announcement(0, "own", "zone-a"), 700);
+            write(&mut writer);
             let bytes = writer.finish("fleet");
-            all.push((
-                format!("{} {what} later", kind as u8),
-                as_newer_version(&bytes, "fleet").expect("a message"),
+            messages.push((
+                format!("{} {label} later", kind as u8),
+                as_newer_version(&bytes, "fleet").expect("the encoded message has a valid header"),
             ));
-            all.push((format!("{} {what}", kind as u8), bytes));
+            messages.push((format!("{} {label}", kind as u8), bytes));
         }
     }
-    let head = Header { kind: MessageKind::Gossip, probe_number: 0, epoch: 1, digest: 0 };
-    let mut full = MessageWriter::new(head, &announcement(0, "own", "a"), usize::MAX - MAX_MESSAGE_BYTES);
+    let header = Header { kind: MessageKind::Gossip, probe_number: 0, epoch: 1, digest: 0 };
+    let mut full = MessageWriter::new(header, &announcement(0, "own", "a"), usize::MAX - MAX_MESSAGE_BYTES);
     while full.announcement(&announcement(4, "many", "b"), true) {}
-    let room = full.remaining_compact_entries();
-    assert!(full.deaths(3, &vec![(address(1), 1); room]));
-    all.push((format!("full, room for {room}, then {}", full.remaining_bytes()), full.finish("fleet")));
-    all
+    let remaining = full.remaining_compact_entries();
+    assert!(full.deaths(3, &vec![(address(1), 1); remaining]));
+    messages
+        .push((format!("full, room for {remaining}, then {}", full.remaining_bytes()), full.finish("fleet")));
+    messages
 }
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn read_text(bytes: &[u8]) -> String {
-    let (read, rest) = decode_header(bytes, "fleet").expect("a message");
-    let (own, rest) = decode_sender(rest).expect("an announcement");
-    let mut heard = Entries::default();
-    let all = decode_entries(rest, &mut heard).is_some();
-    let Header { kind, probe_number, epoch, digest } = read;
-    let head = format!("{} {probe_number} {epoch} {digest} of {}", kind as u8, announcement_text(&own));
-    format!("{head}; {}; whole {all}", heard.0.join("; "))
+fn decoded_text(bytes: &[u8]) -> String {
+    let (header, rest) = decode_header(bytes, "fleet").expect("the header is valid");
+    let (sender, rest) = decode_sender(rest).expect("the first entry is the sender's announcement");
+    let mut entries = EntryTexts::default();
+    let complete = decode_entries(rest, &mut entries).is_some();
+    let Header { kind, probe_number, epoch, digest } = header;
+    let start = format!("{} {probe_number} {epoch} {digest} of {}", kind as u8, announcement_text(&sender));
+    format!("{start}; {}; whole {complete}", entries.0.join("; "))
 }
 
 #[test]
-fn messages_are_the_bytes_of_the_fixture_and_decode_to_the_same_values() {
+fn message_bytes_and_decoded_values_match_the_fixture() {
     let mut text = String::new();
-    for (what, bytes) in messages() {
-        text += &format!("{what}\n  {}\n  {}\n", hex(&bytes), read_text(&bytes));
+    for (label, bytes) in messages() {
+        text += &format!("{label}\n  {}\n  {}\n", hex(&bytes), decoded_text(&bytes));
     }
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/messages.txt");
     if std::env::var_os("LANDINGSPREAD_WRITE_FIXTURES").is_some() {
-        std::fs::write(path, &text).expect("the fixture is written");
+        std::fs::write(path, &text).expect("the fixture file is writable");
     }
-    let fixture = std::fs::read_to_string(path).expect("the fixture");
+    let fixture = std::fs::read_to_string(path).expect("the fixture file is readable");
     assert_eq!(text.lines().count(), fixture.lines().count());
-    text.lines().zip(fixture.lines()).for_each(|(now, then)| assert_eq!(now, then));
+    text.lines().zip(fixture.lines()).for_each(|(actual, expected)| assert_eq!(actual, expected));
 }
--- a/crates/membership/tests/small_fleets.rs
+++ b/crates/membership/tests/small_fleets.rs
@@ -1,4 +1,4 @@
-//! What a few members do, message by message, in virtual time.
+//! Fleets of up to three members, and the member limit, in virtual time.
 
 use landingspread_membership::{Address, Budget, Host, Member, MemberConfig, MemberState, Membership};
 use std::net::Ipv4Addr;
@@ -21,16 +21,16 @@
         self.events.push(format!("died {} {agreed}", member.name()));
     }
     fn returned(&mut self, member: &Member) {
-        self.events.push(format!("back {}", member.name()));
+        self.events.push(format!("returned {}", member.name()));
     }
-    fn duplicate_name(&mut self, one: &Member, _: &Member) {
-        self.events.push(format!("twins {}", one.name()));
+    fn duplicate_name(&mut self, known: &Member, _: &Member) {
+        self.events.push(format!("duplicate name {}", known.name()));
     }
     fn presumed_dead(&mut self) {
-        self.events.push("taken for dead".into());
+        self.events.push("presumed dead".into());
     }
-    fn table_full(&mut self, refused: usize) {
-        self.events.push(format!("full {refused}"));
+    fn table_full(&mut self, rejected: usize) {
+        self.events.push(format!("table full {rejected}"));
     }
 }
 
@@ -42,8 +42,8 @@
     Address::new(Ipv4Addr::from(0x0a00_0000 + number), 7000)
 }
 
-fn copy(number: u32, name: &str, incarnation: u64, fleet: &str) -> Membership<TestHost> {
-    let about = MemberConfig {
+fn start_member(number: u32, name: &str, incarnation: u64, fleet: &str) -> Membership<TestHost> {
+    let config = MemberConfig {
         address: address(number),
         name: name.into(),
         zone: "a".into(),
@@ -53,138 +53,159 @@
         budget: Budget::default(),
         configured_members: 3.0,
     };
-    Membership::start(TestHost::default(), about, incarnation ^ u64::from(number), ms(0))
-}
-
-/// Lets time pass, and carries all datagrams but those that `lost` says.
-fn pass(copies: &mut [Membership<TestHost>], from: u64, to: u64, lost: impl Fn(Address, Address) -> bool) {
-    for at in (from..to).step_by(50) {
-        copies.iter_mut().for_each(|copy| copy.tick(ms(at)));
+    Membership::start(TestHost::default(), config, incarnation ^ u64::from(number), ms(0))
+}
+
+/// Runs the members from `from_ms` to `to_ms` and delivers all datagrams except those for which `is_lost` returns `true`
+/// for the sender and the receiver.
+fn run(
+    members: &mut [Membership<TestHost>],
+    from_ms: u64,
+    to_ms: u64,
+    is_lost: impl Fn(Address, Address) -> bool,
+) {
+    for at in (from_ms..to_ms).step_by(50) {
+        members.iter_mut().for_each(|member| member.tick(ms(at)));
         for _ in 0..4 {
-            for number in 0..copies.len() {
-                let sender = copies[number].address();
-                for (to, bytes) in std::mem::take(&mut copies[number].host().out) {
-                    let heard = |copy: &&mut Membership<TestHost>| copy.address() == to && !lost(sender, to);
-                    copies.iter_mut().filter(heard).for_each(|copy| copy.receive(ms(at), &bytes));
+            for index in 0..members.len() {
+                let sender = members[index].address();
+                for (to, bytes) in std::mem::take(&mut members[index].host().out) {
+                    let receives =
+                        |member: &&mut Membership<TestHost>| member.address() == to && !is_lost(sender, to);
+                    members.iter_mut().filter(receives).for_each(|member| member.receive(ms(at), &bytes));
                 }
             }
         }
     }
 }
 
-fn never(_: Address, _: Address) -> bool {
+fn lossless(_: Address, _: Address) -> bool {
     false
 }
 
-fn state(copy: &Membership<TestHost>, number: u32) -> Option<MemberState> {
-    copy.members().find(|member| member.address() == address(number)).map(Member::state)
+fn state_in_view(viewer: &Membership<TestHost>, number: u32) -> Option<MemberState> {
+    viewer.members().find(|member| member.address() == address(number)).map(Member::state)
 }
 
 #[test]
-fn a_fleet_of_one_uses_the_configured_size() {
-    let mut alone = [copy(1, "c1", 10, "f")];
-    pass(&mut alone, 0, 5000, never);
-    assert_eq!((alone[0].live_count(), alone[0].fleet_size().members), (1, 3.0));
-    assert!(!alone[0].has_recent_contact());
+fn single_member_uses_the_configured_size() {
+    let mut members = [start_member(1, "c1", 10, "f")];
+    run(&mut members, 0, 5000, lossless);
+    assert_eq!((members[0].live_count(), members[0].fleet_size().members), (1, 3.0));
+    assert!(!members[0].has_recent_contact());
 }
 
 #[test]
-fn strangers_and_members_of_another_fleet_are_ignored() {
-    let mut copies = [copy(1, "c1", 10, "f"), copy(2, "c2", 11, "another")];
-    pass(&mut copies, 0, 3000, never);
-    assert_eq!((copies[0].live_count(), copies[1].live_count()), (1, 1));
-    let before = (copies[0].counters(), copies[0].host().out.len());
+fn invalid_datagrams_and_other_fleets_are_ignored() {
+    let mut members = [start_member(1, "c1", 10, "f"), start_member(2, "c2", 11, "another")];
+    run(&mut members, 0, 3000, lossless);
+    assert_eq!((members[0].live_count(), members[1].live_count()), (1, 1));
+    let before = (members[0].counters(), members[0].host().out.len());
     for number in 0..10_000u32 {
         let bytes: Vec<u8> = (0..number % 300).map(|at| (at * 7 + number) as u8).collect();
-        copies[0].receive(ms(3000), &bytes);
+        members[0].receive(ms(3000), &bytes);
     }
-    let after = (copies[0].counters(), copies[0].host().out.len());
+    let after = (members[0].counters(), members[0].host().out.len());
     assert_eq!(after.0.unrecognized, before.0.unrecognized + 10_000);
-    assert_eq!((after.0.datagrams, after.1), (before.0.datagrams, before.1), "no datagram is answered");
+    assert_eq!(
+        (after.0.datagrams, after.1),
+        (before.0.datagrams, before.1),
+        "invalid datagrams must not be answered"
+    );
 }
 
 #[test]
-fn of_two_members_the_survivor_declares_the_other_dead_for_itself_alone() {
-    let mut copies = [copy(1, "c1", 10, "f"), copy(2, "c2", 11, "f")];
-    pass(&mut copies, 0, 3000, never);
-    assert_eq!((copies[0].live_count(), copies[1].live_count()), (2, 2));
-    pass(&mut copies, 3000, 9000, |_, _| true);
-    assert_eq!(state(&copies[0], 2), Some(MemberState::Dead));
-    assert!(copies[0].host().events.contains(&"died c2 false".to_string()));
-    pass(&mut copies, 9000, 12_000, never);
-    assert_eq!((copies[0].live_count(), copies[1].live_count()), (2, 2));
-    assert!(copies[0].host().events.contains(&"back c2".to_string()));
+fn isolated_member_declares_its_peer_dead_locally_only() {
+    let mut members = [start_member(1, "c1", 10, "f"), start_member(2, "c2", 11, "f")];
+    run(&mut members, 0, 3000, lossless);
+    assert_eq!((members[0].live_count(), members[1].live_count()), (2, 2));
+    run(&mut members, 3000, 9000, |_, _| true);
+    assert_eq!(state_in_view(&members[0], 2), Some(MemberState::Dead));
+    assert!(members[0].host().events.contains(&"died c2 false".to_string()));
+    run(&mut members, 9000, 12_000, lossless);
+    assert_eq!((members[0].live_count(), members[1].live_count()), (2, 2));
+    assert!(members[0].host().events.contains(&"returned c2".to_string()));
 }
 
 #[test]
-fn an_address_taken_over_by_another_process_is_one_member_under_the_new_name() {
-    let mut copies = [copy(1, "c1", 10, "f"), copy(2, "c2", 11, "f"), copy(3, "old", 12, "f")];
-    pass(&mut copies, 0, 3000, never);
-    // Its clock is behind the start of the previous process.
-    copies[2] = copy(3, "new", 5, "f");
-    pass(&mut copies, 3000, 8000, never);
-    for other in &copies[..2] {
+fn new_process_at_an_address_replaces_the_old_member() {
+    let mut members =
+        [start_member(1, "c1", 10, "f"), start_member(2, "c2", 11, "f"), start_member(3, "old", 12, "f")];
+    run(&mut members, 0, 3000, lossless);
+    // The clock of the new process is behind the start time of the previous one.
+    members[2] = start_member(3, "new", 5, "f");
+    run(&mut members, 3000, 8000, lossless);
+    for other in &members[..2] {
         let names: Vec<&str> = other.members().map(Member::name).collect();
-        assert!(names.contains(&"new") && !names.contains(&"old"), "{names:?}");
+        assert!(
+            names.contains(&"new") && !names.contains(&"old"),
+            "expected \"new\" in place of \"old\" in {names:?}"
+        );
         assert_eq!(other.live_count(), 3);
     }
-    assert_eq!(copies[2].live_count(), 3);
-    assert!(copies[2].host().events.contains(&"taken for dead".to_string()));
+    assert_eq!(members[2].live_count(), 3);
+    assert!(members[2].host().events.contains(&"presumed dead".to_string()));
 }
 
 #[test]
-fn two_members_with_one_name_are_two_and_it_is_reported() {
-    let mut copies = [copy(1, "c1", 10, "f"), copy(2, "same", 11, "f"), copy(3, "same", 12, "f")];
-    pass(&mut copies, 0, 4000, never);
-    assert!(copies.iter().all(|copy| copy.live_count() == 3));
-    assert!(copies[0].host().events.contains(&"twins same".to_string()));
+fn members_with_the_same_name_are_distinct_and_reported() {
+    let mut members =
+        [start_member(1, "c1", 10, "f"), start_member(2, "same", 11, "f"), start_member(3, "same", 12, "f")];
+    run(&mut members, 0, 4000, lossless);
+    assert!(members.iter().all(|member| member.live_count() == 3));
+    assert!(members[0].host().events.contains(&"duplicate name same".to_string()));
 }
 
 #[test]
-fn no_more_members_are_known_than_the_bound() {
-    let mut first = copy(1, "c1", 10, "f");
+fn member_table_is_limited_to_10000_members() {
+    let mut first = start_member(1, "c1", 10, "f");
     for number in 2..=10_100u32 {
-        let mut other = copy(number, "c", u64::from(number), "f");
+        let mut other = start_member(number, "c", u64::from(number), "f");
         other.tick(ms(0));
         for (_, bytes) in std::mem::take(&mut other.host().out) {
             first.receive(ms(0), &bytes);
         }
     }
     assert_eq!(first.members().count(), 10_000);
-    assert!(first.host().events.contains(&"full 64".to_string()));
+    assert!(first.host().events.contains(&"table full 64".to_string()));
 }
 
-fn said(copy: &Membership<TestHost>, number: u32) -> Option<Vec<u8>> {
-    let member = copy.members().find(|member| member.address() == address(number))?;
-    member.payload().map(|(said, _)| said.to_vec())
+fn payload_in_view(viewer: &Membership<TestHost>, number: u32) -> Option<Vec<u8>> {
+    let member = viewer.members().find(|member| member.address() == address(number))?;
+    member.payload().map(|(payload, _)| payload.to_vec())
 }
 
 #[test]
-fn payloads_reach_all_members_and_only_the_newest_counts() {
-    let mut copies: Vec<_> =
-        (1..=3).map(|at| copy(at, &format!("c{at}"), 100 + u64::from(at), "f")).collect();
-    pass(&mut copies, 0, 2000, never);
-    assert_eq!(said(&copies[1], 1), None, "nothing was published yet");
-    copies[0].set_payload(b"one", false);
-    pass(&mut copies, 2000, 3000, never);
-    assert_eq!(said(&copies[2], 1).as_deref(), Some(&b"one"[..]));
-    // The third member receives it by way of the second alone, at once where it is urgent.
-    let apart = |from: Address, to: Address| [from, to] == [address(1), address(3)];
-    let before = copies[0].counters().datagrams;
-    copies[0].set_payload(b"two", true);
-    pass(&mut copies, 3000, 3200, apart);
-    assert!(copies[0].counters().datagrams > before);
-    assert_eq!(said(&copies[2], 1).as_deref(), Some(&b"two"[..]));
-    // Its age is relayed with it.
-    copies[0].set_payload(b"three", true);
-    pass(&mut copies, 3200, 3300, apart);
-    pass(&mut copies, 3300, 3800, |from, _| from == address(1));
-    let member = copies[2].members().find(|member| member.address() == address(1)).expect("a member");
-    let (words, at) = member.payload().expect("words");
-    assert!(words == b"three" && (ms(3190)..=ms(3310)).contains(&at), "{at:?}");
-    // Another process at the address has published nothing yet.
-    copies[0] = copy(1, "c1", 900, "f");
-    pass(&mut copies, 3800, 4800, never);
-    assert_eq!(said(&copies[2], 1), None);
-    assert_eq!(said(&copies[1], 1), None);
+fn newest_payload_reaches_all_members_directly_or_relayed() {
+    let mut members: Vec<_> = (1..=3)
+        .map(|number| start_member(number, &format!("c{number}"), 100 + u64::from(number), "f"))
+        .collect();
+    run(&mut members, 0, 2000, lossless);
+    assert_eq!(payload_in_view(&members[1], 1), None, "no payload was published yet");
+    members[0].set_payload(b"one", false);
+    run(&mut members, 2000, 3000, lossless);
+    assert_eq!(payload_in_view(&members[2], 1).as_deref(), Some(&b"one"[..]));
+    // The third member receives an urgent payload immediately, relayed by the second one only.
+    let direct_path = |from: Address, to: Address| [from, to] == [address(1), address(3)];
+    let before = members[0].counters().datagrams;
+    members[0].set_payload(b"two", true);
+    run(&mut members, 3000, 3200, direct_path);
+    assert!(members[0].counters().datagrams > before);
+    assert_eq!(payload_in_view(&members[2], 1).as_deref(), Some(&b"two"[..]));
+    // The payload's age is relayed with it.
+    members[0].set_payload(b"three", true);
+    run(&mut members, 3200, 3300, direct_path);
+    run(&mut members, 3300, 3800, |from, _| from == address(1));
+    let member =
+        members[2].members().find(|member| member.address() == address(1)).expect("member 1 is known");
+    let (payload, published_at) = member.payload().expect("the payload of member 1 is known");
+    assert!(
+        payload == b"three" && (ms(3190)..=ms(3310)).contains(&published_at),
+        "payload {payload:?} published at {published_at:?}, expected \"three\" between 3.19 s and 3.31 s"
+    );
+    // A new process at the address has not published a payload yet.
+    members[0] = start_member(1, "c1", 900, "f");
+    run(&mut members, 3800, 4800, lossless);
+    assert_eq!(payload_in_view(&members[2], 1), None);
+    assert_eq!(payload_in_view(&members[1], 1), None);
 }
