--- a/crates/sidecar/src/fleet/decision_link.rs
+++ b/crates/sidecar/src/fleet/decision_link.rs
@@ -1,4 +1,4 @@
-//! What passes between the fleet's thread and the decision engine's.
+//! The channels and shared values between the fleet's thread and the decision engine's thread.
 
 use async_channel::Receiver;
 use landingspread_decisions::host::ReplicaView;
@@ -7,12 +7,12 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// The decision engine's traffic in commands a second, shared between threads.
+/// The decision engine's request rate in requests per second, shared between threads.
 #[derive(Clone, Default)]
 pub struct SharedRequestRate(Arc<AtomicU64>);
 
 impl SharedRequestRate {
-    /// The traffic that was set last.
+    /// The request rate that was set last, in requests per second.
     pub fn get(&self) -> f64 {
         f64::from_bits(self.0.load(Ordering::Relaxed))
     }
@@ -22,40 +22,40 @@
     }
 }
 
-/// How the zones looked to the decision engine, and when, shared between threads.
+/// The decision engine's latest observations of the zones and their time, shared between threads.
 #[derive(Clone, Default)]
 pub struct SharedObservations(Arc<Mutex<(Duration, Vec<ZoneObservation>)>>);
 
 impl SharedObservations {
-    /// Calls `read` with the observations that were set last, and when they were made.
+    /// Calls `read` with the time of the latest observations, and the observations.
     pub fn read<T>(&self, read: impl FnOnce(Duration, &[ZoneObservation]) -> T) -> T {
         let observations = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         read(observations.0, &observations.1)
     }
 
-    /// Replaces the observations.
+    /// Replaces the observations by those made at time `at`.
     pub fn set(&self, at: Duration, observations: Vec<ZoneObservation>) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = (at, observations);
     }
 }
 
-/// The decision engine's side of the fleet.
+/// The decision engine's connection to the fleet's thread.
 pub struct DecisionLink {
-    /// Updates of the fleet's size.
+    /// Updates of the fleet size.
     pub fleet_sizes: Receiver<ReplicaView>,
-    /// Updates of the zones' traffic fractions; `None` where zone failover is off.
+    /// Updates of the zones' traffic fractions; `None` if zone failover is off.
     pub zone_traffic: Option<Receiver<Vec<ZoneTraffic>>>,
     pub(super) request_rate: SharedRequestRate,
     pub(super) observations: SharedObservations,
 }
 
 impl DecisionLink {
-    /// Sets the commands a second that come to this process.
+    /// Sets the rate of requests that this process receives, in requests per second.
     pub fn set_request_rate(&self, per_s: f64) {
         self.request_rate.set(per_s);
     }
 
-    /// Sets how the zones look at that time.
+    /// Sets the observations of the zones made at time `at`.
     pub fn set_observations(&self, at: Duration, observations: Vec<ZoneObservation>) {
         self.observations.set(at, observations);
     }
--- a/crates/sidecar/src/fleet/handle.rs
+++ b/crates/sidecar/src/fleet/handle.rs
@@ -1,4 +1,4 @@
-//! How other threads reach the fleet's thread.
+//! The handle by which other threads run tasks on the fleet's thread.
 
 use super::members_page;
 use super::state::FleetState;
@@ -7,28 +7,28 @@
 use landingspread_localities::OperatorCommand;
 use std::time::Duration;
 
-/// Tasks of other threads that wait for the fleet's thread at most.
+/// Maximum number of queued tasks; further ones are refused.
 const MAX_QUEUED_TASKS: usize = 64;
-/// How long a process that ends waits until its leaving has been sent.
+/// How long a terminating process waits until its leave messages have been sent.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Runs on the fleet's thread.
+/// A closure that runs on the fleet's thread, given its state and the current time.
 pub(super) type Task = Box<dyn FnOnce(&mut FleetState, Duration) + Send>;
 
-/// A handle on the fleet's thread.
+/// A handle to the fleet's thread.
 #[derive(Clone)]
 pub struct FleetHandle(Sender<Task>);
 
-/// What became of an operator's command for a zone.
+/// The result of an operator's command for a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneCommandReply {
-    /// The fleet carries it out.
+    /// The command was accepted for the whole fleet.
     Accepted,
     /// No zone has this name.
     UnknownZone,
     /// Zone failover is off.
     FailoverOff,
-    /// The fleet's thread does not answer.
+    /// The fleet's thread did not reply in time, or its task queue is full.
     Unavailable,
 }
 
@@ -38,44 +38,46 @@
 }
 
 impl FleetHandle {
-    /// Runs `read` on the fleet's thread; `None` where that does not answer within the time.
+    /// Runs `operation` on the fleet's thread and returns its result; `None` if the task queue is full or there is no reply
+    /// within `time_limit`.
     async fn call<T: Send + 'static>(
         &self,
-        within: Duration,
-        read: impl FnOnce(&mut FleetState, Duration) -> T + Send + 'static,
+        time_limit: Duration,
+        operation: impl FnOnce(&mut FleetState, Duration) -> T + Send + 'static,
     ) -> Option<T> {
-        let (reply, replied) = async_channel::bounded(1);
+        let (reply, replies) = async_channel::bounded(1);
         let task: Task = Box::new(move |state, now| {
-            // Whoever asked may have given up.
-            let _ = reply.try_send(read(state, now));
+            // The caller may have timed out and dropped its receiver.
+            let _ = reply.try_send(operation(state, now));
         });
         self.0.try_send(task).ok()?;
-        timeout(within, replied.recv()).await?.ok()
+        timeout(time_limit, replies.recv()).await?.ok()
     }
 
-    /// The members as text, or as JSON; `None` where the fleet's thread does not answer.
-    pub async fn members(&self, json: bool, within: Duration) -> Option<String> {
+    /// The page `/fleet` as text or as JSON; `None` if the fleet's thread does not reply within `time_limit`.
+    pub async fn members(&self, json: bool, time_limit: Duration) -> Option<String> {
         let page = move |state: &mut FleetState, now: Duration| match json {
             true => members_page::json(&state.membership, state.received, now),
             false => members_page::text(&state.membership, now),
         };
-        self.call(within, page).await
+        self.call(time_limit, page).await
     }
 
-    /// The zones as text, or as JSON; `None` where the fleet's thread does not answer, empty where zone failover is off.
-    pub async fn zones(&self, json: bool, within: Duration) -> Option<String> {
+    /// The page `/zones` as text or as JSON, empty if zone failover is off; `None` if the fleet's thread does not reply
+    /// within `time_limit`.
+    pub async fn zones(&self, json: bool, time_limit: Duration) -> Option<String> {
         let page = move |state: &mut FleetState, now: Duration| {
             state.zones.as_ref().map(|zones| zones.page(json, now)).unwrap_or_default()
         };
-        self.call(within, page).await
+        self.call(time_limit, page).await
     }
 
-    /// An operator's command for a zone, for the whole fleet.
+    /// Executes an operator's command for a zone, for the whole fleet.
     pub async fn zone_command(
         &self,
         zone: String,
         command: OperatorCommand,
-        within: Duration,
+        time_limit: Duration,
     ) -> ZoneCommandReply {
         let execute = move |state: &mut FleetState, now: Duration| match &mut state.zones {
             None => ZoneCommandReply::FailoverOff,
@@ -84,10 +86,10 @@
                 false => ZoneCommandReply::UnknownZone,
             },
         };
-        self.call(within, execute).await.unwrap_or(ZoneCommandReply::Unavailable)
+        self.call(time_limit, execute).await.unwrap_or(ZoneCommandReply::Unavailable)
     }
 
-    /// The process ends: announced to other members, whose acks are not waited for.
+    /// Announces to other members that this process leaves the fleet, without waiting for their acks.
     pub async fn leave(&self) {
         let leave = |state: &mut FleetState, now: Duration| state.membership.leave(now);
         self.call(LEAVE_TIMEOUT, leave).await;
--- a/crates/sidecar/src/fleet/members_page.rs
+++ b/crates/sidecar/src/fleet/members_page.rs
@@ -1,4 +1,4 @@
-//! The page `/fleet`: the members as operators read them, one a line, or as JSON. The JSON keys are an interface.
+//! The page `/fleet`: the members as text for operators, one per line, or as JSON. The JSON keys are a public interface.
 
 use super::state::ReceivedCounters;
 use landingspread_membership::{Host, Member, Membership};
@@ -6,7 +6,7 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Spans are in seconds.
+/// One member on the page. Fields that end in `_s`, except `requests_per_s`, are durations in seconds.
 #[derive(Serialize)]
 struct MemberRow<'a> {
     name: &'a str,
@@ -28,6 +28,7 @@
     requests_per_s: f64,
 }
 
+/// The contents of the page.
 #[derive(Serialize)]
 struct FleetPage<'a> {
     own: String,
@@ -60,9 +61,9 @@
     members: Vec<MemberRow<'a>>,
 }
 
-/// Rounded to milliseconds.
-fn seconds(from: Duration, now: Duration) -> f64 {
-    (now.saturating_sub(from).as_secs_f64() * 1000.0).round() / 1000.0
+/// The time from `since` to `now` in seconds, rounded to milliseconds.
+fn elapsed_s(since: Duration, now: Duration) -> f64 {
+    (now.saturating_sub(since).as_secs_f64() * 1000.0).round() / 1000.0
 }
 
 fn member_row(member: &Member, now: Duration) -> MemberRow<'_> {
@@ -71,8 +72,8 @@
         address: member.address().to_string(),
         zone: member.zone(),
         state: member.state().name(),
-        in_state_s: seconds(member.state_since(), now),
-        last_heard_s: seconds(member.last_heard(), now),
+        in_state_s: elapsed_s(member.state_since(), now),
+        last_heard_s: elapsed_s(member.last_heard(), now),
         incarnation: member.incarnation(),
         affirmed_epoch: member.affirmed_epoch(),
         ordinal: member.ordinal(),
@@ -107,17 +108,17 @@
     }
 }
 
-/// The page as JSON.
+/// The page as one line of JSON.
 pub fn json<H: Host>(membership: &Membership<H>, received: ReceivedCounters, now: Duration) -> String {
     serde_json::to_string(&fleet_page(membership, received, now)).unwrap_or_default() + "\n"
 }
 
-/// The page as text.
+/// The page as text: a line about the local member, then one line per other member.
 pub fn text<H: Host>(membership: &Membership<H>, now: Duration) -> String {
     let page = fleet_page(membership, ReceivedCounters::default(), now);
-    let place = page.ordinal.map_or("none yet".to_string(), |ordinal| ordinal.to_string());
+    let ordinal = page.ordinal.map_or("none yet".to_string(), |ordinal| ordinal.to_string());
     let mut text = format!(
-        "this copy {}, place {place}; {} live, parts by {:.2}; epoch {}, digest {}, doubt {}\n",
+        "this copy {}, place {ordinal}; {} live, parts by {:.2}; epoch {}, digest {}, doubt {}\n",
         page.own, page.live_count, page.members_sharing, page.epoch, page.digest, page.health_penalty
     );
     for row in &page.members {
--- a/crates/sidecar/src/fleet/mod.rs
+++ b/crates/sidecar/src/fleet/mod.rs
@@ -1,7 +1,7 @@
-//! The fleet: the thread on which this process takes part in its fleet's membership and zone failover. It has a thread of
-//! its own so that a busy data path does not look like a dead member. It owns the address at which members reach this
-//! process, and the log of what becomes of them; the protocol itself is `landingspread_membership`, and what the numbers
-//! mean for a command is up to the decision engine.
+//! The thread on which this process takes part in the fleet's membership and zone failover. It is a separate thread so that
+//! a busy data path does not make this process appear dead to other members. It binds the address at which members reach
+//! this process and logs membership events. `landingspread_membership` implements the protocol, and the decision engine
+//! uses the resulting fleet size and traffic fractions for its requests.
 
 mod decision_link;
 #[cfg(test)]
@@ -32,25 +32,26 @@
 use worker::Worker;
 use zone_failover::FleetZones;
 
-/// Datagrams received on the peers' socket that wait for the fleet's thread; others are dropped.
+/// Maximum number of datagrams received on the peers' socket that are queued for the fleet's thread; further ones are
+/// dropped.
 const MAX_FORWARDED_DATAGRAMS: usize = 256;
 
-/// The peers' socket, where the fleet has none of its own: the fleet sends by it, and gets the fleet's datagrams from
-/// whoever reads it.
+/// The peers' socket, for a fleet without a socket of its own. The fleet sends on it; the task that reads the socket
+/// forwards the fleet's datagrams.
 pub struct SharedSocket {
-    /// To send by.
+    /// The socket on which the fleet sends.
     pub socket: UdpSocket,
-    /// The fleet's datagrams.
+    /// The fleet's datagrams that were received on the socket.
     pub datagrams: Receiver<Vec<u8>>,
 }
 
-/// The channel of a `SharedSocket`'s datagrams.
+/// Creates the channel for the datagrams of a `SharedSocket`.
 pub fn datagram_channel() -> (Sender<Vec<u8>>, Receiver<Vec<u8>>) {
     async_channel::bounded(MAX_FORWARDED_DATAGRAMS)
 }
 
-/// Starts to take part in the fleet, on a thread of its own, or as a task where an executor is given. It fails only where a
-/// thread cannot be started: binding an address in use is retried.
+/// Starts to take part in the fleet, as a task on `executor` if given, otherwise on a thread of its own. Fails only if the
+/// thread cannot be started; binding the address is retried until it succeeds.
 pub fn start(
     settings: FleetSettings,
     name: &str,
@@ -75,15 +76,15 @@
     };
     let link = DecisionLink { fleet_sizes, zone_traffic, request_rate: request_rate.clone(), observations };
     let run = async move || {
-        let (own_socket, sending, forwarded) = match shared_socket {
+        let (own_socket, send_socket, forwarded) = match shared_socket {
             Some(SharedSocket { socket, datagrams }) => (None, socket.try_clone().ok(), Some(datagrams)),
             None => {
                 let socket = worker::bind(listen).await;
-                let sending = socket.get_ref().try_clone().ok();
-                (Some(socket), sending, None)
+                let send_socket = socket.get_ref().try_clone().ok();
+                (Some(socket), send_socket, None)
             }
         };
-        let membership = Membership::start(SocketHost::new(sending), config, seed, clock.now());
+        let membership = Membership::start(SocketHost::new(send_socket), config, seed, clock.now());
         let state = FleetState { membership, zones, received: ReceivedCounters::default() };
         Worker { state, clock, tasks, size_updates, request_rate }.run(own_socket, forwarded).await;
     };
--- a/crates/sidecar/src/fleet/socket_host.rs
+++ b/crates/sidecar/src/fleet/socket_host.rs
@@ -1,15 +1,15 @@
-//! The membership's host in this process: it sends on a UDP socket and logs events.
+//! The membership protocol's host in this process.
 
 use landingspread_membership::{Address, Host, Member};
 use std::net::UdpSocket;
 
-/// Sends the membership's datagrams, and logs what becomes of the members.
+/// Sends the membership protocol's datagrams on a UDP socket and logs its events.
 pub struct SocketHost {
     socket: Option<UdpSocket>,
 }
 
 impl SocketHost {
-    /// Without a socket nothing is sent.
+    /// Creates a host that sends on `socket`; without a socket it drops all datagrams.
     pub fn new(socket: Option<UdpSocket>) -> SocketHost {
         SocketHost { socket }
     }
@@ -17,7 +17,7 @@
 
 impl Host for SocketHost {
     fn send(&mut self, to: Address, bytes: &[u8]) {
-        // The protocol tolerates loss: what cannot be sent at once is dropped.
+        // The protocol tolerates loss, so a datagram that cannot be sent immediately is dropped.
         if let Some(socket) = &self.socket {
             let _ = socket.send_to(bytes, to);
         }
@@ -53,9 +53,9 @@
         tracing::info!(member = member.name(), %address, "fleet: member left");
     }
 
-    fn duplicate_name(&mut self, one: &Member, other: &Member) {
-        let (first, second) = (one.address(), other.address());
-        tracing::warn!(name = one.name(), %first, %second, "fleet: two members have the same name");
+    fn duplicate_name(&mut self, known: &Member, joined: &Member) {
+        let (first, second) = (known.address(), joined.address());
+        tracing::warn!(name = known.name(), %first, %second, "fleet: two members have the same name");
     }
 
     fn presumed_dead(&mut self) {
--- a/crates/sidecar/src/fleet/worker.rs
+++ b/crates/sidecar/src/fleet/worker.rs
@@ -1,4 +1,4 @@
-//! The loop of the fleet's thread: datagrams, tasks of other threads, and the protocol's ticks.
+//! The event loop of the fleet's thread, which handles datagrams, tasks of other threads and the protocol's ticks.
 
 use super::decision_link::SharedRequestRate;
 use super::handle::Task;
@@ -13,36 +13,36 @@
 use std::net::UdpSocket;
 use std::time::Duration;
 
-/// How often binding an address in use is retried.
+/// The interval at which a failed bind is retried.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// A socket that fails at each read must not take all of the thread's time.
+/// The delay after a failed read, so that a socket that fails on each read does not keep the thread busy.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// The decision engine hears of an unchanged fleet size this often, as the traffic in it is followed.
+/// The interval at which an unchanged fleet size is sent to the decision engine, which tracks the mean request rate in it.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(500);
-/// One byte more than a message holds, so that a longer datagram is recognized.
+/// The size of the receive buffer: one byte more than the longest message, so that longer datagrams are detected.
 const RECEIVE_BYTES: usize = MAX_MESSAGE_BYTES + 1;
 
-/// The fleet's thread.
+/// The event loop of the fleet's thread and its inputs and outputs.
 pub(super) struct Worker {
     pub state: FleetState,
     pub clock: Clock,
     pub tasks: Receiver<Task>,
-    /// To the decision engine.
+    /// Updates of the fleet size for the decision engine.
     pub size_updates: Sender<ReplicaView>,
     pub request_rate: SharedRequestRate,
 }
 
-/// What the thread waited for.
+/// An event that the event loop handles.
 enum Event {
-    /// So many bytes are in the receive buffer.
+    /// A datagram of this length is in the receive buffer.
     Datagram(usize),
-    /// A datagram that came by the peers' socket.
+    /// A datagram was received on the peers' socket.
     Forwarded(Vec<u8>),
     Task(Task),
     TickDue,
 }
 
-/// The fleet size that the decision engine was sent last.
+/// The fleet size that was last sent to the decision engine, and when.
 #[derive(Default)]
 struct LastUpdate {
     size: Option<ReplicaView>,
@@ -50,7 +50,7 @@
 }
 
 impl Worker {
-    /// Serves the fleet: datagrams, tasks and ticks, one after the other. Never returns.
+    /// Handles datagrams, tasks and ticks, one at a time. Never returns.
     pub async fn run(mut self, socket: Option<Async<UdpSocket>>, forwarded: Option<Receiver<Vec<u8>>>) {
         let mut buffer = [0; RECEIVE_BYTES];
         let mut tick_at = self.clock.now();
@@ -64,7 +64,7 @@
                 Event::Task(task) => task(&mut self.state, now),
                 Event::TickDue => {}
             }
-            // Under a flood of datagrams the event is never the tick: time goes on all the same.
+            // Under a flood of datagrams the tick may never be the next event, so its deadline is checked after every event.
             if tick_at <= now {
                 tick_at = now + Membership::<SocketHost>::TICK_INTERVAL;
                 self.tick(now, &mut last_update);
@@ -81,7 +81,7 @@
         membership.tick(now);
         let size = replica_view(&membership.fleet_size());
         let due = last_update.size != Some(size) || last_update.at + UPDATE_INTERVAL <= now;
-        // Where an older update still waits, the next tick sends the newer one.
+        // If the channel still holds an older update, the next tick sends the newer one.
         if due && self.size_updates.try_send(size).is_ok() {
             *last_update = LastUpdate { size: Some(size), at: now };
         }
@@ -133,7 +133,8 @@
     }
 }
 
-/// Binds the fleet's address. The process that this one replaces may still hold it: that is logged once, and retried.
+/// Binds the fleet's address. The process that this one replaces may still have it bound: a failure is retried, and logged
+/// only once.
 pub(super) async fn bind(address: Address) -> Async<UdpSocket> {
     let mut logged = false;
     loop {
--- a/crates/sidecar/src/fleet/zone_failover.rs
+++ b/crates/sidecar/src/fleet/zone_failover.rs
@@ -1,6 +1,6 @@
-//! Zone failover in the fleet's thread: the decision engine's observations go into the report that this member publishes
-//! with its membership messages, and the traffic fractions that come of all reports go back. It logs verdicts and decides
-//! nothing itself.
+//! Zone failover on the fleet's thread. The decision engine's observations of the zones become the report that this member
+//! publishes in its membership messages, and the traffic fractions that follow from all members' reports are sent back to
+//! the decision engine. `landingspread_localities` makes the decisions; this module logs its verdicts.
 
 use super::decision_link::SharedObservations;
 use super::socket_host::SocketHost;
@@ -15,19 +15,20 @@
 use std::mem::{Discriminant, discriminant};
 use std::time::Duration;
 
-/// The decision engine hears of unchanged traffic fractions this often.
+/// The interval at which unchanged traffic fractions are sent to the decision engine.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(500);
-/// How often the decision engine sets its observations while commands come.
+/// The interval at which the decision engine sets its observations while requests arrive.
 pub const OBSERVATION_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The zones that the fleet may evacuate, and how fast it takes them back.
+/// The zones that the fleet may evacuate, and the timings of their recovery.
 pub struct FailoverSettings {
-    /// How fast evacuated zones are taken back.
+    /// The timings with which evacuated zones get their traffic back.
     pub timings: RecoveryTimings,
-    /// All zones by name.
+    /// The names of all zones.
     pub zones: Vec<String>,
 }
 
+/// Logs the verdicts of the zone failover.
 struct VerdictLog;
 
 impl Host for VerdictLog {
@@ -63,15 +64,15 @@
     }
 }
 
-/// What of a zone's status is logged where it changes: the kind of its health, and how many copies of the own zone find
-/// it silent and answering.
+/// The parts of a zone's status whose changes are logged: the variant of its health, and the numbers of members in the
+/// local zone that observe it as silent and as answering.
 type LoggedStatus = (Discriminant<ZoneHealth>, u32, u32);
 
-/// The zone failover of this member.
+/// The zone failover of this member, and its connection to the decision engine.
 pub struct FleetZones {
     failover: ZoneFailover<VerdictLog>,
     observations: SharedObservations,
-    /// To the decision engine.
+    /// Updates of the traffic fractions for the decision engine.
     updates: Sender<Vec<EngineTraffic>>,
     last_update: Vec<EngineTraffic>,
     last_update_at: Option<Duration>,
@@ -82,7 +83,7 @@
     u64::from(address.ip().to_bits()) << 16 | u64::from(address.port())
 }
 
-/// `elapsed` is added to the ages in an observation that was made some time ago.
+/// Converts an observation of the decision engine; `elapsed`, the time since the observation, is added to its ages.
 fn own_observation(observation: &EngineObservation, elapsed: Duration) -> OwnObservation {
     let health = match (observation.silent, observation.answered) {
         (Some(since), _) => ZoneHealth::Silent { since: since + elapsed },
@@ -104,7 +105,7 @@
 }
 
 impl FleetZones {
-    /// Starts with all zones in service.
+    /// Starts the zone failover with all zones in service.
     pub fn start(
         settings: FailoverSettings,
         member: &MemberConfig,
@@ -130,7 +131,7 @@
     /// Evaluates the zones, publishes the report, and updates the decision engine.
     pub fn tick(&mut self, now: Duration, membership: &mut Membership<SocketHost>) {
         let own: Vec<OwnObservation> = self.observations.read(|at, observations| {
-            // While commands come, observations are at most this old without having aged.
+            // While requests arrive, observations are renewed at this interval; they age only after it has passed.
             let elapsed = now.saturating_sub(at + OBSERVATION_INTERVAL);
             observations.iter().map(|observation| own_observation(observation, elapsed)).collect()
         });
@@ -172,19 +173,19 @@
         };
         let update: Vec<EngineTraffic> = self.failover.traffic().into_iter().map(engine_traffic).collect();
         let due = self.last_update_at.is_none_or(|at| at + UPDATE_INTERVAL <= now);
-        // Where an older update still waits, the next tick sends the newer one.
+        // If the channel still holds an older update, the next tick sends the newer one.
         if (due || update != self.last_update) && self.updates.try_send(update.clone()).is_ok() {
             self.last_update = update;
             self.last_update_at = Some(now);
         }
     }
 
-    /// An operator's command; `false` where there is no such zone.
+    /// Executes an operator's command for a zone. Returns `false` if no zone has this name.
     pub fn operator_command(&mut self, now: Duration, zone: &str, command: OperatorCommand) -> bool {
         self.failover.operator_command(now, zone, command)
     }
 
-    /// The page `/zones`.
+    /// The page `/zones` as JSON or as text.
     pub fn page(&self, json: bool, now: Duration) -> String {
         zones_page::page(self.failover.statuses(), self.failover.isolated(), json, now)
     }
--- a/crates/sidecar/src/fleet/zones_page.rs
+++ b/crates/sidecar/src/fleet/zones_page.rs
@@ -1,10 +1,11 @@
-//! The page `/zones`: the zones as operators read them, one a line, or as JSON. The JSON keys are an interface.
+//! The page `/zones`: the zones as text for operators, one per line, or as JSON. The JSON keys are a public interface.
 
 use landingspread_localities::{Evidence, ZoneHealth, ZoneStatus};
 use serde::Serialize;
 use std::fmt::{self, Write};
 use std::time::Duration;
 
+/// The contents of the page.
 #[derive(Serialize)]
 struct ZonesPage<'a> {
     #[serde(rename = "cut_off")]
@@ -12,6 +13,7 @@
     zones: Vec<ZoneRow<'a>>,
 }
 
+/// One zone on the page.
 #[derive(Serialize)]
 struct ZoneRow<'a> {
     zone: &'a str,
@@ -24,7 +26,7 @@
     by_operator: bool,
     #[serde(rename = "departures")]
     evacuations: u8,
-    /// The age of the verdict in seconds.
+    /// The age of the verdict in seconds; `None` before the first verdict.
     since_s: Option<f64>,
     trial: bool,
     ready: usize,
@@ -38,7 +40,7 @@
     all_answered: u32,
 }
 
-/// The page as JSON, or as text.
+/// The page as one line of JSON, or as text.
 pub fn page<'a>(
     statuses: impl Iterator<Item = ZoneStatus<'a>>,
     isolated: bool,
