--- a/crates/membership/src/membership/dissemination.rs
+++ b/crates/membership/src/membership/dissemination.rs
@@ -1,37 +1,43 @@
-//! Dissemination: what goes into a message, and to whom gossip is sent. Pending gossip comes first, then members in
-//! rotation, whose state the receiver may lack (anti-entropy), all within the send budget.
+//! Dissemination: the contents of messages and the receivers of gossip. A message carries pending gossip first, then the
+//! states of members in rotation, which the receiver may lack (anti-entropy), all within the send budget.
 
-use super::entries::{write_payload, write_state, write_state_in_full};
+use super::entries::{write_full_state, write_payload, write_state};
 use super::*;
 use crate::member::MemberState;
 use crate::wire::{Header, MessageWriter};
 use rand::seq::index::sample;
 
-/// A message to be sent.
+/// The parameters of a message to be sent.
 struct Outgoing {
     kind: MessageKind,
     probe_number: u32,
-    /// The member that it is about, for messages of indirect probes.
+    /// For messages of indirect probes, the member that they are about.
     subject: Option<Address>,
-    /// Every announcement carries its names, for a receiver that joins.
+    /// Whether every announcement carries its names, for a receiver that joins.
     all_names: bool,
 }
 
 impl<H: Host> Membership<H> {
-    pub(super) fn send_plain(&mut self, to: Address, kind: MessageKind, probe_number: u32) {
+    pub(super) fn send_message(&mut self, to: Address, kind: MessageKind, probe_number: u32) {
         self.send(to, Outgoing { kind, probe_number, subject: None, all_names: false });
     }
 
-    /// For a receiver that has just joined.
+    /// Sends a message with the names of all members in it, for a receiver that has just joined.
     pub(super) fn send_with_names(&mut self, to: Address, kind: MessageKind, probe_number: u32) {
         self.send(to, Outgoing { kind, probe_number, subject: None, all_names: true });
     }
 
-    pub(super) fn send_about(&mut self, to: Address, kind: MessageKind, probe_number: u32, subject: Address) {
+    pub(super) fn send_with_subject(
+        &mut self,
+        to: Address,
+        kind: MessageKind,
+        probe_number: u32,
+        subject: Address,
+    ) {
         self.send(to, Outgoing { kind, probe_number, subject: Some(subject), all_names: false });
     }
 
-    /// Up to `count` random live members.
+    /// The addresses of up to `count` random live members.
     pub(super) fn random_live(&mut self, count: usize, except: Option<Address>) -> Vec<Address> {
         let live = self.members.live();
         let mut chosen: Vec<Address> = Vec::new();
@@ -47,7 +53,7 @@
         chosen
     }
 
-    /// Sends pending gossip to random members.
+    /// Sends pending gossip to random live members, if it is due and the budget allows it.
     pub(super) fn send_gossip(&mut self) {
         if self.next_gossip_at > self.now {
             return;
@@ -59,14 +65,15 @@
         }
         for to in self.random_live(GOSSIP_FANOUT, None) {
             self.payload_transmissions_left = self.payload_transmissions_left.saturating_sub(1);
-            let spare = self.send_budget.can_spare_datagram(self.now);
-            if spare && self.send_budget.gossip_allowance(self.now) >= MIN_GOSSIP_BYTES {
-                self.send_plain(to, MessageKind::Gossip, 0);
+            let can_send = self.send_budget.can_spare_datagram(self.now);
+            if can_send && self.send_budget.gossip_allowance(self.now) >= MIN_GOSSIP_BYTES {
+                self.send_message(to, MessageKind::Gossip, 0);
             }
         }
     }
 
-    /// Pings some absent members, and a seed that is no member: after a partition nobody else would.
+    /// Pings some absent members, and a seed that is not a known member. Without these pings the sides of a partition
+    /// would not find each other after it heals, as all other messages go to live members.
     pub(super) fn reconnect(&mut self) {
         let absent = self.members.absent();
         let isolated = self.members.live().is_empty();
@@ -79,10 +86,10 @@
         let seeds: Vec<Address> = self.seeds.iter().filter(unknown).copied().collect();
         let seed_count = if isolated { INDIRECT_PROBES } else { 1 }.min(seeds.len());
         to.extend(sample(&mut self.rng, seeds.len(), seed_count).into_iter().map(|index| seeds[index]));
-        to.into_iter().for_each(|to| self.send_plain(to, MessageKind::Ping, 0));
+        to.into_iter().for_each(|to| self.send_message(to, MessageKind::Ping, 0));
     }
 
-    /// Anti-entropy: sends the members of the partitions in which the receiver's view differs.
+    /// Anti-entropy: sends the members of the ring partitions in which the receiver's view differs.
     pub(super) fn send_differing_partitions(&mut self, to: Address, digests: &[u16]) {
         let own = self.digests().truncated();
         let differs = |partition: usize| digests.get(partition).is_some_and(|other| *other != own[partition]);
@@ -91,7 +98,7 @@
         }
         let from = self.rng.random_range(0..Digests::PARTITIONS);
         let mut writer = self.begin_message(MessageKind::Gossip, 0);
-        let write = |member: &Member| write_state_in_full(&mut writer, member, false);
+        let write = |member: &Member| write_full_state(&mut writer, member, false);
         self.members.for_each_in_partitions(differs, from, write);
         self.transmit(to, writer);
     }
@@ -131,7 +138,7 @@
             writer.subject(subject, slot.map(|slot| &self.members.get(slot).announcement));
         }
         if let Some(slot) = self.members.slot(to) {
-            // The receiver can refute what stands against it once it hears of that.
+            // The receiver can refute a suspicion or death only once it has received it.
             let member = self.members.get(slot);
             if member.state != MemberState::Alive {
                 write_state(&mut writer, member, false);
@@ -144,13 +151,13 @@
 
     fn write_pending_gossip(&mut self, writer: &mut MessageWriter, views_differ: bool, all_names: bool) {
         let now = self.now;
-        // A member that joined of late is sent with its names now and then: receivers can count it without.
+        // The names of a recent joiner are included in a third of the messages: receivers can count it without them.
         let some_names = self.rng.random_ratio(1, 3);
         let names =
             |member: &Member| all_names || (some_names && member.state_since + 4 * PROTOCOL_PERIOD > now);
         let available = writer.remaining_bytes();
         self.members.drain_gossip(|member| {
-            // Where views differ much, half of the message is left to the rotation.
+            // While views differ, half of the message is left to the rotation.
             if views_differ && 2 * writer.remaining_bytes() < available {
                 return false;
             }
@@ -165,22 +172,22 @@
     fn write_rotation(&mut self, writer: &mut MessageWriter, views_differ: bool, all_names: bool) {
         let now = self.now;
         if self.members.rotation_len() > 0 && self.rng.random_ratio(1, 4) {
-            // Members that all kept one order would send each other the same.
+            // If all members kept the same order, they would send each other the same entries.
             let position = self.rng.random_range(0..self.members.rotation_len());
             self.members.set_rotation(position);
         }
         if views_differ && !all_names && self.rng.random_ratio(1, 2) {
             self.write_compact_states(writer);
         }
-        let names = all_names || self.rng.random_ratio(1, NAMES_ONE_IN);
-        let mut members_left = if views_differ { usize::MAX } else { ROTATION_MEMBERS };
+        let names = all_names || self.rng.random_ratio(1, MESSAGES_PER_NAMED_ROTATION);
+        let mut remaining_members = if views_differ { usize::MAX } else { ROTATION_MEMBERS };
         self.members.for_each_in_rotation(|member| {
             if !member.state.is_live() && !views_differ {
                 return true;
             }
-            members_left -= 1;
-            members_left > 0
-                && write_state_in_full(writer, member, names)
+            remaining_members -= 1;
+            remaining_members > 0
+                && write_full_state(writer, member, names)
                 && write_payload(writer, member, now)
         });
     }
--- a/crates/membership/src/membership/suspicion.rs
+++ b/crates/membership/src/membership/suspicion.rs
@@ -1,4 +1,4 @@
-//! Suspicion: from a failed probe to a declared death, or to a refutation (SWIM 4.2, Lifeguard).
+//! Suspicions, from a failed probe to a declared death or a refutation (SWIM 4.2, Lifeguard).
 
 use super::*;
 use crate::member::MemberState;
@@ -8,7 +8,7 @@
         self.own_suspicions.iter().any(|suspicion| suspicion.target == target)
     }
 
-    /// Raises a suspicion, under a new epoch: later than all that the member is known to have affirmed.
+    /// Raises a suspicion under a new epoch, which is later than any epoch that the member has affirmed.
     pub(super) fn suspect(&mut self, slot: usize) {
         self.epoch += 1;
         let target = self.members.get(slot).address();
@@ -23,7 +23,8 @@
         }
     }
 
-    /// Probes a member that somebody else suspects, by chance: some who might have confirmed it may have failed too.
+    /// Probes a member that another member suspects, with `verification_chance`. Members are chosen at random, as fixed
+    /// ones may have failed too.
     pub(super) fn verify_suspicion(&mut self, slot: usize, target: Address) {
         let chance = self.verification_chance();
         let confirmed = self.members.get(slot).suspector_count() >= DEATH_QUORUM;
@@ -32,28 +33,28 @@
         }
     }
 
-    /// Advances all suspicions: declares members dead, pings suspects again, and lets grace periods end.
+    /// Advances all suspicions: removes ended ones, declares members dead, pings suspects again, and ends grace periods.
     pub(super) fn advance_suspicions(&mut self) {
         let ping_due = self.next_suspect_ping_at <= self.now;
         if ping_due {
             self.next_suspect_ping_at = self.now + SUSPECT_PING_INTERVAL;
         }
         let mut own_suspicions = std::mem::take(&mut self.own_suspicions);
-        self.drop_ended(&mut own_suspicions);
+        self.drop_ended_suspicions(&mut own_suspicions);
         self.advance_own_suspicions(&mut own_suspicions, ping_due);
         self.own_suspicions = own_suspicions;
         self.advance_suspects(ping_due);
     }
 
-    fn drop_ended(&mut self, own_suspicions: &mut Vec<OwnSuspicion>) {
-        let stands = |suspicion: &OwnSuspicion| {
+    fn drop_ended_suspicions(&mut self, own_suspicions: &mut Vec<OwnSuspicion>) {
+        let still_suspected = |suspicion: &OwnSuspicion| {
             let member = self.members.slot(suspicion.target).map(|slot| self.members.get(slot));
             member.is_some_and(|member| member.suspectors.contains_key(&self.own.address))
         };
         let before = own_suspicions.len();
-        own_suspicions.retain(stands);
+        own_suspicions.retain(still_suspected);
         if own_suspicions.len() < before {
-            // A refuted suspicion speaks against this member's own failure detection.
+            // A refuted suspicion indicates that this member's own failure detection is unreliable.
             self.health_penalty = (self.health_penalty + 1).min(MAX_HEALTH_PENALTY);
         }
         own_suspicions.retain(|suspicion| {
@@ -68,20 +69,20 @@
         let quorum = DEATH_QUORUM.min(1 + reachable);
         let mut pings = 0;
         if ping_due && own_suspicions.len() > MAX_SUSPECT_PINGS {
-            // All suspects are pinged in turn.
+            // The rotation ensures that every suspect is pinged.
             own_suspicions.rotate_left(MAX_SUSPECT_PINGS);
         }
         for suspicion in own_suspicions.iter() {
             let Some(slot) = self.members.slot(suspicion.target) else { continue };
             let agreed = self.members.get(slot).suspector_count() >= quorum;
-            let patience = 1 + self.health_penalty.min(1) + self.probes.latency_factor();
-            if reachable > 0 && agreed && suspicion.since + SUSPICION_TIMEOUT * patience <= now {
+            let timeout_factor = 1 + self.health_penalty.min(1) + self.probes.latency_factor();
+            if reachable > 0 && agreed && suspicion.since + SUSPICION_TIMEOUT * timeout_factor <= now {
                 self.declare_dead(slot, false);
             } else if reachable == 0 && suspicion.since + ISOLATED_SUSPICION_TIMEOUT <= now {
                 self.declare_dead(slot, true);
             } else if ping_due && pings < MAX_SUSPECT_PINGS {
                 pings += 1;
-                self.send_plain(suspicion.target, MessageKind::Ping, 0);
+                self.send_message(suspicion.target, MessageKind::Ping, 0);
             }
         }
     }
@@ -108,18 +109,19 @@
         self.update_member(slot, |member| member.merge_death(incarnation_low, epoch, local_only));
     }
 
-    /// Whether a member can be counted on to answer.
+    /// Whether a member is alive, and a message from it has arrived directly within `CONTACT_TIMEOUT`.
     pub(super) fn is_reachable(&self, member: &Member) -> bool {
         let recently_heard = member.last_direct.is_some_and(|at| at + CONTACT_TIMEOUT > self.now);
         recently_heard && member.state == MemberState::Alive
     }
 
-    /// How many members can be counted on, up to the quorum.
+    /// The number of reachable members, counted up to `DEATH_QUORUM`.
     fn reachable_count(&self) -> usize {
         self.members.live_members().filter(|member| self.is_reachable(member)).take(DEATH_QUORUM).count()
     }
 
-    /// The chance with which a member that hears of a suspicion probes for itself: where few are left, all have to.
+    /// The probability with which a member that receives a suspicion probes the suspect itself; 1 if fewer members than
+    /// the quorum are reachable, as all of them are needed then.
     fn verification_chance(&self) -> f64 {
         if self.reachable_count() < DEATH_QUORUM {
             1.0
--- a/crates/membership/src/membership/tick.rs
+++ b/crates/membership/src/membership/tick.rs
@@ -1,16 +1,16 @@
-//! What a member does as time passes.
+//! Periodic work of a member.
 
 use super::*;
 use crate::member::MemberState;
 
 impl<H: Host> Membership<H> {
-    /// Does what is due: to be called every `TICK_INTERVAL`.
+    /// Performs all due work; must be called every `TICK_INTERVAL`.
     pub fn tick(&mut self, now: Duration) {
-        self.note_pause(now);
+        self.detect_pause(now);
         if self.own.left {
             return;
         }
-        self.follow_probes();
+        self.advance_probes();
         self.advance_suspicions();
         if self.next_probe_at <= now {
             self.next_probe_at = now + PROTOCOL_PERIOD;
@@ -30,8 +30,9 @@
         self.fleet_size.members = self.size_estimator.advance(now, self.live_estimate());
     }
 
-    /// A late tick means that the process was paused: others may have answered meanwhile without being heard.
-    fn note_pause(&mut self, now: Duration) {
+    /// Detects by a late tick that the process was paused, and extends probes and suspicions by the pause, as answers of
+    /// other members may not have been read yet.
+    fn detect_pause(&mut self, now: Duration) {
         let before = self.last_tick;
         let late = now.saturating_sub(before + Self::TICK_INTERVAL);
         self.now = now;
@@ -47,13 +48,13 @@
         self.health_penalty = (self.health_penalty + 1).min(MAX_HEALTH_PENALTY);
     }
 
-    /// The configured size holds until another member is heard.
+    /// The number of live members; the current estimate until another member is seen, so that the configured size holds.
     fn live_estimate(&self) -> f64 {
-        if self.any_member_heard { self.live_count() as f64 } else { self.fleet_size.members }
+        if self.other_member_seen { self.live_count() as f64 } else { self.fleet_size.members }
     }
 
     fn update_ordinal(&mut self) {
-        // Before the view has filled, the own rank would be another member's.
+        // While other members are still unknown, the local rank by age would be too low and belong to another member.
         if self.started_at + ORDINAL_DELAY > self.now {
             return;
         }
@@ -65,21 +66,21 @@
 
     fn update_fleet_size(&mut self) {
         let now = self.now;
-        if !self.any_member_heard {
+        if !self.other_member_seen {
             return;
         }
         let absent = self.members.absent().iter().map(|slot| self.members.get(*slot));
         let recently_dead = absent.filter(|member| {
             member.state == MemberState::Dead && member.state_since + POSSIBLY_LIVE_FOR > now
         });
-        // A member that hears nobody is no fleet of its own: others may be cut off as it is.
+        // An isolated member must not assume that it is the whole fleet: other members may be live but unreachable.
         let possibly_live = (self.live_count() + recently_dead.count()) as f64;
         self.fleet_size.possibly_live = possibly_live.max(self.configured_members);
         let reporting =
-            self.members.live_members().filter(|member| member.last_heard + TRAFFIC_REPORT_TTL > now);
+            self.members.live_members().filter(|member| member.last_heard + REQUEST_RATE_TTL > now);
         let (sum, count) =
-            reporting.fold((0.0, 0.0), |(sum, count), member| (sum + member.commands_per_s(), count + 1.0));
-        let own = f64::from(self.own.traffic_tenths) / 10.0;
-        self.fleet_size.mean_traffic = (count > 0.0).then(|| (sum + own) / (count + 1.0));
+            reporting.fold((0.0, 0.0), |(sum, count), member| (sum + member.requests_per_s(), count + 1.0));
+        let own = f64::from(self.own.request_rate_tenths) / 10.0;
+        self.fleet_size.mean_request_rate = (count > 0.0).then(|| (sum + own) / (count + 1.0));
     }
 }
