--- a/crates/sidecar/src/console/request.rs
+++ b/crates/sidecar/src/console/request.rs
@@ -31,7 +31,7 @@
 impl Request {
     /// Parses a message; the error is the answer to it.
     pub fn parse(head: &[u8], body: &[u8]) -> Result<Request, Reply> {
-        let mut headers = http::no_headers();
+        let mut headers = http::empty_headers();
         let mut parsed = httparse::Request::new(&mut headers);
         if parsed.parse(head).is_err() {
             return Err(Reply::error(400, "this is no HTTP/1.1 message"));
--- a/crates/sidecar/src/control/machine/connections.rs
+++ b/crates/sidecar/src/control/machine/connections.rs
@@ -91,7 +91,7 @@
     }
 
     async fn read_request(&self, stream: &Async<TcpStream>) -> Result<IncomingMessage, http::HttpError> {
-        let buffer = self.resources.buffer_in_turn().await;
+        let buffer = self.resources.wait_for_buffer().await;
         let mut request = IncomingMessage::read_request(stream, buffer, &|| ()).await?;
         request.read_to_end(stream, &self.resources, MAX_DELTA_BYTES).await?;
         Ok(request)
--- a/crates/sidecar/src/control/machine/routes.rs
+++ b/crates/sidecar/src/control/machine/routes.rs
@@ -99,7 +99,7 @@
 impl Server {
     /// Handles one call; none where the client left meanwhile.
     pub(super) async fn handle(&self, stream: &Async<TcpStream>, head: &[u8], body: &[u8]) -> Option<Reply> {
-        let mut headers = http::no_headers();
+        let mut headers = http::empty_headers();
         let mut parsed = httparse::Request::new(&mut headers);
         if parsed.parse(head).is_err() {
             return Some(Reply::error(400, "this is no HTTP/1.1 message"));
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -254,7 +254,7 @@
     let zones = zones.split(',').map(str::to_string).collect();
     let numbers =
         hollow::CopyRange { first: *first, count: *count, base: *base, fleet_size: *fleet_size, zones };
-    net::hollow(numbers.configurations(template)?)?;
+    net::serve_without_clients(numbers.configurations(template)?)?;
     Ok(())
 }
 
--- a/crates/sidecar/src/net/attempts.rs
+++ b/crates/sidecar/src/net/attempts.rs
@@ -24,7 +24,7 @@
 }
 
 struct StartedAttempt {
-    at: Instant,
+    started_at: Instant,
     location: Location,
     state: AttemptState,
 }
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptDenied {
     /// The request has its final response, or its client has left.
-    RequestOver,
+    RequestClosed,
     /// The servers may no longer deduplicate the retry.
     DedupWindowElapsed,
 }
@@ -52,7 +52,7 @@
 /// The guard of one request.
 pub struct AttemptGuard {
     rule: RetryRule,
-    over: Cell<bool>,
+    closed: Cell<bool>,
     /// Attempts whose first byte was sent, by number, without those that are known never to have run.
     started: RefCell<BTreeMap<u32, StartedAttempt>>,
 }
@@ -60,52 +60,55 @@
 impl AttemptGuard {
     /// A guard that has seen no attempt.
     pub fn new(rule: RetryRule) -> AttemptGuard {
-        AttemptGuard { rule, over: Cell::new(false), started: RefCell::default() }
+        AttemptGuard { rule, closed: Cell::new(false), started: RefCell::default() }
     }
 
     /// The request has its final response, or nobody waits for it any more.
-    pub fn request_over(&self) {
-        self.over.set(true);
+    pub fn close(&self) {
+        self.closed.set(true);
     }
 
     /// Whether this attempt's first byte may be sent now; it counts as sent then. `request` is for the log.
-    pub fn begin(&self, request: &str, attempt: u32, to: Location) -> Result<(), AttemptDenied> {
-        if self.over.get() {
-            return Err(AttemptDenied::RequestOver);
+    pub fn begin(&self, request: &str, attempt: u32, location: Location) -> Result<(), AttemptDenied> {
+        if self.closed.get() {
+            return Err(AttemptDenied::RequestClosed);
         }
         let now = Instant::now();
         let mut started = self.started.borrow_mut();
         if let RetrySafety::IdempotencyKeyed(group) = self.rule.safety {
-            let in_window =
-                |earlier: &StartedAttempt| now.saturating_duration_since(earlier.at) < self.rule.dedup_window;
+            let in_window = |earlier: &StartedAttempt| {
+                now.saturating_duration_since(earlier.started_at) < self.rule.dedup_window
+            };
             if !started.values().all(in_window) {
                 return Err(AttemptDenied::DedupWindowElapsed);
             }
-            let place = |location: Location| (location.zone, location.cell);
-            let within = started.values().all(|earlier| group.covers(place(earlier.location), place(to)));
+            let zone_and_cell = |location: Location| (location.zone, location.cell);
+            let in_group = started
+                .values()
+                .all(|earlier| group.covers(zone_and_cell(earlier.location), zone_and_cell(location)));
             must_hold!(
                 Retrying,
-                within,
+                in_group,
                 "attempt {attempt} of {request} outside the group that deduplicates retries"
             );
-            if !within {
-                return Err(AttemptDenied::RequestOver);
+            if !in_group {
+                return Err(AttemptDenied::RequestClosed);
             }
         }
         let in_flight = started.values().any(|earlier| earlier.state == AttemptState::InFlight);
-        let alone = self.rule.hedging || !in_flight;
-        must_hold!(Retrying, alone, "attempt {attempt} of {request} beside another in flight");
+        let overlap_allowed = self.rule.hedging || !in_flight;
+        must_hold!(Retrying, overlap_allowed, "attempt {attempt} of {request} beside another in flight");
         let unsafe_retry = self.rule.safety == RetrySafety::NonIdempotent && !started.is_empty();
         must_hold!(Retrying, !unsafe_retry, "attempt {attempt} of {request} after one that may have run");
-        if !alone || unsafe_retry {
-            return Err(AttemptDenied::RequestOver);
+        if !overlap_allowed || unsafe_retry {
+            return Err(AttemptDenied::RequestClosed);
         }
-        started.insert(attempt, StartedAttempt { at: now, location: to, state: AttemptState::InFlight });
+        started.insert(attempt, StartedAttempt { started_at: now, location, state: AttemptState::InFlight });
         Ok(())
     }
 
     /// An attempt has ended, by a response, a failure or because it was cancelled.
-    pub fn ended(&self, attempt: u32, outcome: Outcome) {
+    pub fn record_end(&self, attempt: u32, outcome: Outcome) {
         let mut started = self.started.borrow_mut();
         if outcome.never_ran() {
             started.remove(&attempt);
--- a/crates/sidecar/src/net/buffers.rs
+++ b/crates/sidecar/src/net/buffers.rs
@@ -25,9 +25,9 @@
 /// The least number of socket permits, whatever limit is set.
 const MIN_SOCKETS: usize = 16;
 /// Permits that are kept for clients who come when all others are taken, so that they get an answer at least: this many, but
-/// no more than one part of `SPARE_FRACTION` of all.
-const MAX_SPARE: usize = 16;
-const SPARE_FRACTION: usize = 8;
+/// no more than one part of `SPARE_DIVISOR` of all.
+const MAX_SPARE_PERMITS: usize = 16;
+const SPARE_DIVISOR: usize = 8;
 const BYTES_PER_MB: usize = 1024 * 1024;
 
 /// The buffers and socket permits of this process.
@@ -36,15 +36,15 @@
     buffers_in_use: Cell<usize>,
     max_buffers: Cell<usize>,
     total: TotalResources,
-    pub for_clients: Rc<SocketBudget>,
-    pub for_endpoints: Rc<SocketBudget>,
+    pub client_sockets: Rc<SocketBudget>,
+    pub endpoint_sockets: Rc<SocketBudget>,
 }
 
 /// What the whole sidecar has. Two processes may each have a part of it for a while.
 struct TotalResources {
     sockets: usize,
     buffers: usize,
-    process_sockets: Rc<SocketCount>,
+    process_sockets: Rc<ProcessSockets>,
 }
 
 impl ResourcePool {
@@ -62,22 +62,22 @@
     pub fn with_limits(descriptors: usize, memory_mb: usize) -> Rc<ResourcePool> {
         let sockets = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_SOCKETS);
         // The other half of the memory is for everything else.
-        ResourcePool::of(sockets, memory_mb * BYTES_PER_MB / 2 / BUFFER_SIZE)
+        ResourcePool::with_counts(sockets, memory_mb * BYTES_PER_MB / 2 / BUFFER_SIZE)
     }
 
     /// Buffers without sockets, for a part that has sockets of its own.
     pub fn buffers_only(buffers: usize) -> Rc<ResourcePool> {
-        ResourcePool::of(0, buffers)
+        ResourcePool::with_counts(0, buffers)
     }
 
-    fn of(sockets: usize, buffers: usize) -> Rc<ResourcePool> {
-        let process_sockets = Rc::new(SocketCount::default());
+    fn with_counts(sockets: usize, buffers: usize) -> Rc<ResourcePool> {
+        let process_sockets = Rc::new(ProcessSockets::default());
         let pool = ResourcePool {
             free_buffers: RefCell::default(),
             buffers_in_use: Cell::new(0),
             max_buffers: Cell::new(buffers),
-            for_clients: SocketBudget::new(&process_sockets),
-            for_endpoints: SocketBudget::new(&process_sockets),
+            client_sockets: SocketBudget::new(&process_sockets),
+            endpoint_sockets: SocketBudget::new(&process_sockets),
             total: TotalResources { sockets, buffers, process_sockets },
         };
         pool.share_among(1);
@@ -89,12 +89,12 @@
         let sockets = self.total.sockets / processes;
         self.max_buffers.set((self.total.buffers / processes).max(1));
         // The other process may need the memory now.
-        let still_free = self.max_buffers.get().saturating_sub(self.buffers_in_use.get());
-        self.free_buffers.borrow_mut().truncate(still_free);
+        let max_free = self.max_buffers.get().saturating_sub(self.buffers_in_use.get());
+        self.free_buffers.borrow_mut().truncate(max_free);
         self.total.process_sockets.max.set(sockets);
         // Neither side can take the last two fifths from the other, nor leave them unused.
-        self.for_clients.max.set(sockets * 3 / 5);
-        self.for_endpoints.max.set(sockets * 3 / 5);
+        self.client_sockets.max.set(sockets * 3 / 5);
+        self.endpoint_sockets.max.set(sockets * 3 / 5);
     }
 
     /// Whether more sockets are open than this process's share.
@@ -109,7 +109,7 @@
     }
 
     /// Waits until a buffer is free, for a message that has begun already.
-    pub async fn buffer_in_turn(self: &Rc<Self>) -> Buffer {
+    pub async fn wait_for_buffer(self: &Rc<Self>) -> Buffer {
         loop {
             match self.buffer() {
                 Some(buffer) => return buffer,
@@ -139,7 +139,7 @@
 
 impl Buffer {
     /// An empty stand-in for a buffer that was taken.
-    pub fn none(pool: &Rc<ResourcePool>) -> Buffer {
+    pub fn placeholder(pool: &Rc<ResourcePool>) -> Buffer {
         Buffer { bytes: Box::default(), filled: 0, pool: pool.clone() }
     }
 
@@ -165,9 +165,9 @@
     }
 
     /// Removes a range of filled bytes: those behind it move up.
-    pub fn close_gap(&mut self, gap: Range<usize>) {
-        self.bytes.copy_within(gap.end..self.filled, gap.start);
-        self.filled -= gap.len();
+    pub fn remove_range(&mut self, range: Range<usize>) {
+        self.bytes.copy_within(range.end..self.filled, range.start);
+        self.filled -= range.len();
     }
 
     /// Keeps the first `count` filled bytes.
@@ -196,7 +196,7 @@
 
 /// Sockets of all kinds.
 #[derive(Default)]
-struct SocketCount {
+struct ProcessSockets {
     max: Cell<usize>,
     taken: Cell<usize>,
 }
@@ -205,22 +205,22 @@
 pub struct SocketBudget {
     max: Cell<usize>,
     taken: Cell<usize>,
-    all: Rc<SocketCount>,
+    process: Rc<ProcessSockets>,
 }
 
 impl SocketBudget {
-    fn new(all: &Rc<SocketCount>) -> Rc<SocketBudget> {
-        Rc::new(SocketBudget { max: Cell::new(0), taken: Cell::new(0), all: all.clone() })
+    fn new(process: &Rc<ProcessSockets>) -> Rc<SocketBudget> {
+        Rc::new(SocketBudget { max: Cell::new(0), taken: Cell::new(0), process: process.clone() })
     }
 
     fn available(&self) -> usize {
-        let free = self.all.max.get().saturating_sub(self.all.taken.get());
+        let free = self.process.max.get().saturating_sub(self.process.taken.get());
         self.max.get().saturating_sub(self.taken.get()).min(free)
     }
 
     /// Whether no permits are left but the spare ones.
     pub fn only_spare_left(&self) -> bool {
-        self.available() < MAX_SPARE.min(self.max.get() / SPARE_FRACTION)
+        self.available() < MAX_SPARE_PERMITS.min(self.max.get() / SPARE_DIVISOR)
     }
 
     /// How many sockets of this kind are open.
@@ -234,7 +234,7 @@
             return None;
         }
         self.taken.set(self.taken.get() + 1);
-        self.all.taken.set(self.all.taken.get() + 1);
+        self.process.taken.set(self.process.taken.get() + 1);
         Some(SocketPermit(self.clone()))
     }
 }
@@ -245,6 +245,6 @@
 impl Drop for SocketPermit {
     fn drop(&mut self) {
         self.0.taken.set(self.0.taken.get() - 1);
-        self.0.all.taken.set(self.0.all.taken.get() - 1);
+        self.0.process.taken.set(self.0.process.taken.get() - 1);
     }
 }
--- a/crates/sidecar/src/net/clients/accept.rs
+++ b/crates/sidecar/src/net/clients/accept.rs
@@ -1,7 +1,7 @@
 //! Taking connections, and closing others where there is no room for a new one.
 
-use super::state::{ClientSide, IdleKey, ROOM_POLL_INTERVAL};
-use crate::net::local_failure::{FailureCause, cause};
+use super::state::{ClientSide, IdleKey, PERMIT_POLL_INTERVAL};
+use crate::net::local_failure::{FailureCause, failure_cause};
 use async_io::{Async, Timer};
 use futures_lite::future::{or, yield_now};
 use std::io;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// This many connections at once that have said nothing yet are a crowd.
-const CROWD: usize = 8;
+const CROWD_SIZE: usize = 8;
 /// The pause after a connection was closed for its descriptor: it is free by then.
 const DESCRIPTOR_WAIT: Duration = Duration::from_millis(1);
 
@@ -19,9 +19,9 @@
     /// by then is taken too, as its clients may have written their requests already.
     pub async fn accept(self: Rc<Self>, listener: Async<TcpListener>) {
         loop {
-            let Some(permit) = self.resources.for_clients.take() else {
-                let _ = self.close_new_clients() || self.close_least_useful();
-                Timer::after(ROOM_POLL_INTERVAL).await;
+            let Some(permit) = self.resources.client_sockets.take() else {
+                let _ = self.close_idle_without_request() || self.close_idle_or_stalled();
+                Timer::after(PERMIT_POLL_INTERVAL).await;
                 continue;
             };
             let stopped = async {
@@ -32,9 +32,11 @@
                 Some(Ok((stream, _))) => {
                     // Whoever comes when only spare permits are left, and all others are busy, is heard all the same and
                     // rejected with an answer: a connection that is not accepted would lose what its client has written.
-                    let crowded = self.no_room_left().await;
-                    self.just_connected.set(self.just_connected.get() + 1);
-                    self.executor.spawn(self.clone().serve_connection(stream, permit, crowded)).detach();
+                    let on_spare_permit = self.only_spare_permits_left().await;
+                    self.silent_new_connections.set(self.silent_new_connections.get() + 1);
+                    self.executor
+                        .spawn(self.clone().serve_connection(stream, permit, on_spare_permit))
+                        .detach();
                 }
                 Some(Err(error)) => self.accept_failed(&error).await,
                 None => return,
@@ -44,17 +46,18 @@
 
     /// Whoever waits at the listener has most likely written a request that nobody has yet: idle connections make room.
     async fn accept_failed(&self, error: &io::Error) {
-        self.failed_accepts.add("accept", error);
-        match cause(error) {
+        self.failed_accepts.record("accept", error);
+        match failure_cause(error) {
             FailureCause::Transient => yield_now().await,
             FailureCause::Descriptors => {
                 // Who is in the middle of a request is no more to blame than who waits.
-                let closed =
-                    self.pool.close_longest_idle() || self.close_new_clients() || self.close_longest_idle();
-                Timer::after(if closed { DESCRIPTOR_WAIT } else { ROOM_POLL_INTERVAL }).await;
+                let closed = self.pool.close_longest_idle()
+                    || self.close_idle_without_request()
+                    || self.close_longest_idle();
+                Timer::after(if closed { DESCRIPTOR_WAIT } else { PERMIT_POLL_INTERVAL }).await;
             }
             FailureCause::LocalResources | FailureCause::Remote => {
-                Timer::after(ROOM_POLL_INTERVAL).await;
+                Timer::after(PERMIT_POLL_INTERVAL).await;
             }
         }
     }
@@ -67,20 +70,20 @@
     /// Makes room where only spare permits are left; returns whether there is none. In a crowd that has just connected it
     /// waits for those who say nothing, rather than close clients that had requests; for a few it must not wait, or
     /// nobody would be accepted.
-    async fn no_room_left(&self) -> bool {
-        while self.resources.for_clients.only_spare_left() {
-            let crowd = self.close_new_clients() || self.just_connected.get() >= CROWD;
+    async fn only_spare_permits_left(&self) -> bool {
+        while self.resources.client_sockets.only_spare_left() {
+            let crowd = self.close_idle_without_request() || self.silent_new_connections.get() >= CROWD_SIZE;
             if !crowd || self.accepting.is_closed() {
-                return !self.close_least_useful();
+                return !self.close_idle_or_stalled();
             }
-            Timer::after(ROOM_POLL_INTERVAL).await;
+            Timer::after(PERMIT_POLL_INTERVAL).await;
         }
         false
     }
 
     /// Closes the older half of the idle connections that had no request: a crowd connects faster than one could be closed
     /// for each that is taken.
-    fn close_new_clients(&self) -> bool {
+    fn close_idle_without_request(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let first_with_request = IdleKey { had_request: true, number: 0 };
         let new: Vec<_> = idle.range(..first_with_request).map(|(key, _)| *key).collect();
@@ -94,7 +97,7 @@
 
     /// Closes an idle connection, which loses nothing, or else the partial request of which nothing came for longest: its
     /// client has most likely stopped.
-    fn close_least_useful(&self) -> bool {
+    fn close_idle_or_stalled(&self) -> bool {
         self.close_longest_idle() || self.close_stalled_request()
     }
 
--- a/crates/sidecar/src/net/clients/close.rs
+++ b/crates/sidecar/src/net/clients/close.rs
@@ -1,6 +1,6 @@
 //! Closing connections: lingering behind an answer, and the shutdown of the whole client side.
 
-use super::state::{ClientSide, ROOM_POLL_INTERVAL};
+use super::state::{ClientSide, PERMIT_POLL_INTERVAL};
 use crate::net::owner::Event;
 use crate::net::timeout::timeout;
 use async_io::{Async, Timer};
@@ -32,12 +32,12 @@
     /// requests have their final response, those that have arrived only in part are no longer waited for.
     pub async fn finish_shutdown(&self) {
         self.close_after_responses();
-        while self.resources.for_clients.taken() > 0 {
+        while self.resources.client_sockets.taken() > 0 {
             while self.close_longest_idle() {}
             if self.time_to_shutdown() == Some(Duration::ZERO) {
                 self.reading.close();
             }
-            Timer::after(ROOM_POLL_INTERVAL).await;
+            Timer::after(PERMIT_POLL_INTERVAL).await;
         }
     }
 
--- a/crates/sidecar/src/net/clients/connection.rs
+++ b/crates/sidecar/src/net/clients/connection.rs
@@ -34,24 +34,25 @@
         self: Rc<Self>,
         stream: Async<TcpStream>,
         _permit: SocketPermit,
-        crowded: bool,
+        on_spare_permit: bool,
     ) {
         let _ = stream.get_ref().set_nodelay(true);
         let stream = Rc::new(stream);
         let mut connected_at = Some(self.clock.now());
-        let ahead = ReadAhead::new(&self.resources, &self.clock);
+        let read_ahead = ReadAhead::new(&self.resources, &self.clock);
         let reason = loop {
-            if ahead.is_empty()
+            if read_ahead.is_empty()
                 && let Err(reason) = self.wait_for_request(&stream, connected_at).await
             {
                 break reason;
             }
-            if let Err(reason) = self.serve_message(&stream, connected_at, crowded, &ahead).await {
+            if let Err(reason) = self.serve_message(&stream, connected_at, on_spare_permit, &read_ahead).await
+            {
                 break reason;
             }
             connected_at = None;
             // A client that writes ahead and reads as fast is never waited for: all others would wait instead.
-            if !ahead.is_empty() {
+            if !read_ahead.is_empty() {
                 yield_now().await;
             }
         };
@@ -65,7 +66,7 @@
         );
         must_hold!(
             Closing,
-            !(answer_owed && ahead.has_complete_request()),
+            !(answer_owed && read_ahead.has_complete_request()),
             "closed as {} over a request",
             reason.name()
         );
@@ -77,44 +78,44 @@
         &self,
         stream: &Rc<Async<TcpStream>>,
         connected_at: Option<Duration>,
-        crowded: bool,
-        ahead: &ReadAhead,
+        on_spare_permit: bool,
+        read_ahead: &ReadAhead,
     ) -> Result<(), CloseReason> {
-        let Some(buffer) = ahead.take().or_else(|| self.resources.buffer()) else {
+        let Some(buffer) = read_ahead.take().or_else(|| self.resources.buffer()) else {
             let _ = self.reject(stream, &rejection(503, "no buffer is free"), false).await;
             counters::refused("", RefusalReason::NoBuffer);
             return Err(CloseReason::Crowded);
         };
         let (mut message, parsed) = self.read_or_reject(stream, buffer, connected_at).await?;
         let surplus = if message.is_complete() { message.surplus().len() } else { 0 };
-        let arrived_at = ahead.message_arrived(message.take_bytes_read(), surplus);
+        let arrived_at = read_ahead.record_message(message.take_bytes_read(), surplus);
         if message.is_complete() {
-            ahead.add(message.surplus());
+            read_ahead.store(message.surplus());
             message.drop_surplus();
         }
-        let keep = self.may_keep_alive(&message, crowded, ahead);
+        let keep_alive = self.may_keep_alive(&message, on_spare_permit, read_ahead);
         let outcome = match parsed {
             ParsedMessage::Health if self.shutdown_deadline.get().is_some() => {
                 let _ = self.reject(stream, &rejection(503, "ending"), false).await;
                 Err(CloseReason::Shutdown)
             }
             ParsedMessage::Health => {
-                let written = self.write_short(stream, 200, b"", b"ready\n", keep.is_ok()).await;
+                let written = self.write_short(stream, 200, b"", b"ready\n", keep_alive.is_ok()).await;
                 self.start.health_check_answered();
-                written.and(keep)
+                written.and(keep_alive)
             }
             ParsedMessage::Request(request)
-                if crowded || self.open_requests.get() >= self.max_open_requests =>
+                if on_spare_permit || self.open_requests.get() >= self.max_open_requests =>
             {
                 counters::refused(&request.id, RefusalReason::Crowded);
                 let too_many = rejection(503, "too many commands are open");
-                self.reject(stream, &too_many, keep.is_ok()).await.and(keep)
+                self.reject(stream, &too_many, keep_alive.is_ok()).await.and(keep_alive)
             }
             ParsedMessage::Request(request) => {
                 let _open = OpenRequestGuard::new(&self.open_requests);
-                self.serve_request(stream, request, message, arrived_at, crowded, ahead).await
+                self.serve_request(stream, request, message, arrived_at, on_spare_permit, read_ahead).await
             }
         };
-        if ahead.is_lost() { outcome.and(Err(CloseReason::Crowded)) } else { outcome }
+        if read_ahead.has_overflowed() { outcome.and(Err(CloseReason::Crowded)) } else { outcome }
     }
 }
--- a/crates/sidecar/src/net/clients/exchange.rs
+++ b/crates/sidecar/src/net/clients/exchange.rs
@@ -9,7 +9,7 @@
 use crate::net::leaving::{self, ClientPresence};
 use crate::net::owner::{Event, FinalResponse, IncomingRequest};
 use crate::net::read_ahead::ReadAhead;
-use crate::net::request::{Request, rejection_of};
+use crate::net::request::{Request, rejection_for};
 use crate::net::timeout::timeout;
 use crate::net::upstream::{BodyEvent, OutgoingRequest, StreamedBody};
 use async_channel::{Receiver, Sender};
@@ -42,8 +42,8 @@
         request: Request,
         mut message: IncomingMessage,
         arrived_at: Duration,
-        crowded: bool,
-        ahead: &ReadAhead,
+        on_spare_permit: bool,
+        read_ahead: &ReadAhead,
     ) -> Result<(), CloseReason> {
         counters::request_taken();
         let (complete, number) = (message.is_complete(), self.next_number());
@@ -69,14 +69,14 @@
         self.queue.push(Event::RequestArrived(Box::new(incoming)));
         let upload = BodyUpload { id: id.clone(), number, time_limit, events };
         let response = async { response.recv().await.map_err(|_| HttpError::Closed) };
-        let client_left = self.until_client_left(stream, &mut message, complete, &upload, ahead);
+        let client_left = self.until_client_left(stream, &mut message, complete, &upload, read_ahead);
         let response = match or(response, client_left).await {
             Ok(response) => response,
             Err(error) => return Err(self.request_aborted(stream, id, number, error).await),
         };
-        let keep = self.may_keep_alive(&message, crowded, ahead);
-        let written = self.write_final(stream, response, class, keep, message.http_minor).await;
-        let outcome = written.and(keep);
+        let keep_alive = self.may_keep_alive(&message, on_spare_permit, read_ahead);
+        let written = self.write_final(stream, response, class, keep_alive, message.http_minor).await;
+        let outcome = written.and(keep_alive);
         // Behind a part of a response, or with nobody there, there is nothing that a reset could discard.
         if !matches!(outcome, Ok(()) | Err(CloseReason::ResponseBroken | CloseReason::ClientLeft)) {
             self.linger(stream).await;
@@ -127,15 +127,15 @@
         message: &mut IncomingMessage,
         complete: bool,
         upload: &BodyUpload,
-        ahead: &ReadAhead,
+        read_ahead: &ReadAhead,
     ) -> Result<FinalResponse, HttpError> {
         if !complete {
-            let too_late = async {
+            let reading_closed = async {
                 self.reading.closed().await;
                 Err(HttpError::TimedOut)
             };
-            let rest = self.pass_on_body(stream, message, &upload.events, ahead);
-            let arrived_at = or(rest, too_late).await?;
+            let rest = self.pass_on_body(stream, message, &upload.events, read_ahead);
+            let arrived_at = or(rest, reading_closed).await?;
             let deadline = self.deadline(arrived_at, upload.time_limit);
             self.queue.push(Event::BodyComplete(upload.id.clone(), upload.number, deadline));
             let end = async {
@@ -146,7 +146,7 @@
             or(end, client_disconnected(stream)).await?;
         }
         // During a shutdown, whatever is read would have to be answered too.
-        ahead.until_disconnected(stream, || !self.closing_connections.get()).await;
+        read_ahead.until_disconnected(stream, || !self.closing_connections.get()).await;
         Err(HttpError::Closed)
     }
 
@@ -159,7 +159,7 @@
         error: HttpError,
     ) -> CloseReason {
         self.queue.push(Event::ClientLeft(id.clone(), number));
-        let Some(rejected) = rejection_of(error) else { return CloseReason::ClientLeft };
+        let Some(rejected) = rejection_for(error) else { return CloseReason::ClientLeft };
         counters::refused(&id, RefusalReason::BadRequest);
         let _ = self.reject(stream, &rejected, false).await;
         CloseReason::BadRequest
@@ -171,16 +171,16 @@
         stream: &Async<TcpStream>,
         message: &mut IncomingMessage,
         events: &Sender<BodyEvent>,
-        ahead: &ReadAhead,
+        read_ahead: &ReadAhead,
     ) -> Result<Duration, HttpError> {
         let mut arrived_at = self.clock.now();
         while !message.is_complete() {
             let read = timeout(STALL_TIMEOUT, message.read_more(stream)).await;
             read.unwrap_or(Err(HttpError::TimedOut))?;
             let surplus = if message.is_complete() { message.surplus().len() } else { 0 };
-            arrived_at = ahead.message_arrived(message.take_bytes_read(), surplus);
+            arrived_at = read_ahead.record_message(message.take_bytes_read(), surplus);
             if message.is_complete() {
-                ahead.add(message.surplus());
+                read_ahead.store(message.surplus());
                 message.drop_surplus();
             }
             let pass_on = async {
@@ -201,6 +201,6 @@
 
 /// Ends with the client's connection, as seen without reading from it.
 async fn client_disconnected(stream: &Async<TcpStream>) -> Result<(), HttpError> {
-    leaving::until_ended(stream).await;
+    leaving::until_disconnected(stream).await;
     Err(HttpError::Closed)
 }
--- a/crates/sidecar/src/net/clients/read.rs
+++ b/crates/sidecar/src/net/clients/read.rs
@@ -5,7 +5,7 @@
 use crate::net::buffers::{BUFFER_SIZE, Buffer, MAX_BUFFERED_BODY};
 use crate::net::http::{self, HttpError, IncomingMessage};
 use crate::net::read_ahead::ReadAhead;
-use crate::net::request::{ParsedMessage, Rejection, rejection, rejection_of};
+use crate::net::request::{ParsedMessage, Rejection, rejection, rejection_for};
 use crate::net::timeout::timeout;
 use async_channel::Receiver;
 use async_io::{Async, Timer};
@@ -31,7 +31,7 @@
 
 impl From<HttpError> for ReadError {
     fn from(error: HttpError) -> ReadError {
-        rejection_of(error).map_or(ReadError::NoResponse(CloseReason::ClientLeft), ReadError::Rejected)
+        rejection_for(error).map_or(ReadError::NoResponse(CloseReason::ClientLeft), ReadError::Rejected)
     }
 }
 
@@ -73,11 +73,11 @@
                 None => self.read_request(stream, buffer, None, &Cell::new(self.clock.now())).await,
             }
         };
-        let too_late = async {
+        let reading_closed = async {
             self.reading.closed().await;
             Err(ReadError::Rejected(rejection(503, "ending")))
         };
-        match or(read, too_late).await {
+        match or(read, reading_closed).await {
             Ok(read) => Ok(read),
             Err(ReadError::NoResponse(reason)) => Err(reason),
             Err(ReadError::Rejected(rejected)) => {
@@ -165,7 +165,7 @@
         }
         let long = message.length().is_some_and(|length| length > MAX_BUFFERED_BODY as u64);
         let max = if long { BUFFER_SIZE } else { MAX_BUFFERED_BODY };
-        while !message.is_complete() && message.ensure_room(&self.resources, max) {
+        while !message.is_complete() && message.ensure_space(&self.resources, max) {
             message.read_more(stream).await?;
             on_read();
         }
@@ -177,15 +177,15 @@
     pub(super) fn may_keep_alive(
         &self,
         message: &IncomingMessage,
-        crowded: bool,
-        ahead: &ReadAhead,
+        on_spare_permit: bool,
+        read_ahead: &ReadAhead,
     ) -> Result<(), CloseReason> {
         match () {
             () if !message.is_complete() => Err(CloseReason::BadRequest),
             () if !message.keep_alive => Err(CloseReason::ClientAsked),
-            () if ahead.has_complete_request() => Ok(()),
+            () if read_ahead.has_complete_request() => Ok(()),
             () if self.closing_connections.get() => Err(CloseReason::Shutdown),
-            () if crowded || ahead.is_lost() => Err(CloseReason::Crowded),
+            () if on_spare_permit || read_ahead.has_overflowed() => Err(CloseReason::Crowded),
             () => Ok(()),
         }
     }
--- a/crates/sidecar/src/net/clients/state.rs
+++ b/crates/sidecar/src/net/clients/state.rs
@@ -21,7 +21,7 @@
 /// How long a new client has from connecting until its first request is complete.
 pub(super) const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2300);
 /// The pause before it is looked again whether there is room for a connection.
-pub(super) const ROOM_POLL_INTERVAL: Duration = Duration::from_millis(5);
+pub(super) const PERMIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// A client that reads nothing for this long has gone.
 pub(super) const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
 
@@ -47,7 +47,7 @@
     /// New clients that have sent a part of their first request.
     pub(super) partial_requests: RefCell<BTreeMap<u64, PartialRequest>>,
     /// How many connections have come just now and said nothing yet.
-    pub(super) just_connected: Cell<usize>,
+    pub(super) silent_new_connections: Cell<usize>,
     /// The last number given to a connection that waits, or to a request.
     pub(super) last_number: Cell<u64>,
     pub(super) resources: Rc<ResourcePool>,
@@ -109,7 +109,7 @@
             reading: Latch::open(),
             idle: RefCell::default(),
             partial_requests: RefCell::default(),
-            just_connected: Cell::new(0),
+            silent_new_connections: Cell::new(0),
             last_number: Cell::new(0),
             resources,
             queue,
--- a/crates/sidecar/src/net/clients/wait.rs
+++ b/crates/sidecar/src/net/clients/wait.rs
@@ -49,7 +49,7 @@
         if connected_at.is_some() {
             // A client repeats no request that a new connection has lost, so this one does not count as idle yet.
             let readable = timeout(FIRST_BYTE_WAIT, stream.readable()).await;
-            self.just_connected.set(self.just_connected.get() - 1);
+            self.silent_new_connections.set(self.silent_new_connections.get() - 1);
             if let Some(readable) = readable {
                 return readable.map_err(|_| CloseReason::ClientLeft);
             }
--- a/crates/sidecar/src/net/clients/write.rs
+++ b/crates/sidecar/src/net/clients/write.rs
@@ -19,19 +19,21 @@
         stream: &Async<TcpStream>,
         response: FinalResponse,
         class: usize,
-        keep: Result<(), CloseReason>,
+        keep_alive: Result<(), CloseReason>,
         http_minor: u8,
     ) -> Result<(), CloseReason> {
         match response {
             FinalResponse::Response(response) => {
-                self.pass_on_response(stream, *response, class, keep, http_minor).await
+                self.pass_on_response(stream, *response, class, keep_alive, http_minor).await
             }
             FinalResponse::Rejected(retry_after) => {
                 let header = retry_after.map(|span| format!("Retry-After: {:.3}\r\n", span.as_secs_f64()));
                 let header = header.as_deref().unwrap_or("").as_bytes();
-                self.write_short(stream, 503, header, b"declined\n", keep.is_ok()).await
+                self.write_short(stream, 503, header, b"declined\n", keep_alive.is_ok()).await
+            }
+            FinalResponse::Failed => {
+                self.write_short(stream, 502, b"", b"terminated\n", keep_alive.is_ok()).await
             }
-            FinalResponse::Failed => self.write_short(stream, 502, b"", b"terminated\n", keep.is_ok()).await,
         }
     }
 
@@ -41,7 +43,7 @@
         stream: &Async<TcpStream>,
         mut response: UpstreamResponse,
         class: usize,
-        keep: Result<(), CloseReason>,
+        keep_alive: Result<(), CloseReason>,
         http_minor: u8,
     ) -> Result<(), CloseReason> {
         let length = response.message.length();
@@ -52,12 +54,12 @@
             None => (BodyEncoding::Identity, String::new()),
         };
         let ends_connection = length.is_none() && encoding == BodyEncoding::Identity;
-        let head = response_head(&response.message.head, &framing, keep.is_ok() && !ends_connection);
+        let head = response_head(&response.message.head, &framing, keep_alive.is_ok() && !ends_connection);
         let mut written = self.write_buffered(stream, &head, &response, encoding).await;
         while written && !response.message.is_complete() {
             response.message.discard_buffered();
             if response.read_more().await.is_err() {
-                self.queue.push(Event::ResponseBroke(response.server().clone(), class));
+                self.queue.push(Event::ResponseInterrupted(response.server().clone(), class));
                 if ends_connection {
                     // Only a reset tells the client that this is not the end of the response.
                     let _ = rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO));
@@ -93,12 +95,13 @@
         &self,
         stream: &Async<TcpStream>,
         rejected: &Rejection,
-        keep: bool,
+        keep_alive: bool,
     ) -> Result<(), CloseReason> {
-        let Rejection { status, why } = rejected;
-        tracing::debug!(status, why, "request rejected");
-        let written = self.write_short(stream, *status, b"", format!("{why}\n").as_bytes(), keep).await;
-        if !keep {
+        let Rejection { status, reason } = rejected;
+        tracing::debug!(status, why = reason, "request rejected");
+        let written =
+            self.write_short(stream, *status, b"", format!("{reason}\n").as_bytes(), keep_alive).await;
+        if !keep_alive {
             self.linger(stream).await;
         }
         written
@@ -111,9 +114,9 @@
         status: u16,
         headers: &[u8],
         body: &[u8],
-        keep: bool,
+        keep_alive: bool,
     ) -> Result<(), CloseReason> {
-        let close = if keep { "" } else { "Connection: close\r\n" };
+        let close = if keep_alive { "" } else { "Connection: close\r\n" };
         let length = body.len();
         let mut head = format!("HTTP/1.1 {status} {}\r\n{close}", http::reason_phrase(status)).into_bytes();
         head.extend_from_slice(headers);
--- a/crates/sidecar/src/net/discovery.rs
+++ b/crates/sidecar/src/net/discovery.rs
@@ -31,7 +31,7 @@
 /// A poll that is refused after this time stood in discovery's queue: discovery has more polls than it can serve, from an
 /// unknown number of replicas. Each poll then waits twice as long, up to `MAX_OVERLOADED_WAIT`, and less again by
 /// `WAIT_DECAY` with each list.
-const QUEUED: Duration = Duration::from_millis(500);
+const MIN_QUEUED_TIME: Duration = Duration::from_millis(500);
 const MAX_OVERLOADED_WAIT: Duration = Duration::from_secs(8);
 const WAIT_DECAY: f64 = 0.75;
 /// How much later than its wait a poll's response may arrive, as discovery serves polls in turn.
@@ -106,26 +106,26 @@
         // A process that takes over asks for the complete list at once, instead of waiting for a change.
         let generation = Some(configuration.initial_catalog.generation)
             .filter(|_| configuration.inherited_listener.is_none());
-        let fair_wait = Duration::from_secs_f64(configuration.policy.replicas / MAX_POLLS_PER_SECOND);
-        let wait = fair_wait.clamp(MIN_WAIT, MAX_WAIT);
+        let wait_at_max_rate = Duration::from_secs_f64(configuration.policy.replicas / MAX_POLLS_PER_SECOND);
+        let wait = wait_at_max_rate.clamp(MIN_WAIT, MAX_WAIT);
         Some(Discovery { address, generation, min_wait: wait, wait, zones, clock, resources, queue, start })
     }
 
     /// Polls another discovery from now on. It may count its generations from elsewhere, and may know of drains that the old
     /// one never had.
-    pub fn move_to(&mut self, address: SocketAddr) {
+    pub fn set_address(&mut self, address: SocketAddr) {
         (self.address, self.generation, self.wait) = (address, None, self.min_wait);
     }
 
     /// Starts a watch whenever the decisions ask for one; it lasts until a poll fails.
-    pub async fn follow(mut self, asked: Receiver<()>) {
-        while asked.recv().await.is_ok() {
+    pub async fn follow(mut self, poll_requests: Receiver<()>) {
+        while poll_requests.recv().await.is_ok() {
             let error = match self.watch().await {
                 Err(error) => error,
                 Ok(never) => match never {},
             };
             // What was asked for while the watch stood is answered by the event that it has ended.
-            while asked.try_recv().is_ok() {}
+            while poll_requests.try_recv().is_ok() {}
             tracing::warn!(discovery = %self.address, "endpoint list watch ended: {error}");
             match error {
                 DiscoveryError::Overloaded => {
@@ -154,22 +154,22 @@
     /// One poll, on the connection that is kept if there is one.
     async fn poll(&self, idle_connection: &mut Option<Async<TcpStream>>) -> Result<Catalog, DiscoveryError> {
         // The time of a slow connect is taken off the poll's wait.
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let connection = match idle_connection.take() {
             Some(connection) => connection,
-            None => in_time(CONNECT_TIMEOUT, Async::<TcpStream>::connect(self.address)).await?,
+            None => with_timeout(CONNECT_TIMEOUT, Async::<TcpStream>::connect(self.address)).await?,
         };
         let _ = connection.get_ref().set_nodelay(true);
-        let wait = self.wait.saturating_sub(begun.elapsed());
+        let wait = self.wait.saturating_sub(started_at.elapsed());
         let head = self.poll_head(wait);
-        in_time(CONNECT_TIMEOUT, http::write(&connection, head.as_bytes(), b"")).await?;
+        with_timeout(CONNECT_TIMEOUT, http::write(&connection, head.as_bytes(), b"")).await?;
         self.start.discovery_polled();
         // Buffers of its own, freed with the list: requests that arrive slowly may hold all others.
         let max_buffers = self.resources.endpoint_list_buffers();
         let buffers = ResourcePool::buffers_only(max_buffers + 1);
         let response = http::read_buffered_response(&connection, &buffers, max_buffers);
-        let (status, keep_alive, mut body) = in_time(wait + RESPONSE_SLACK, response).await?;
-        if status == Some(503) && begun.elapsed() >= QUEUED {
+        let (status, keep_alive, mut body) = with_timeout(wait + RESPONSE_SLACK, response).await?;
+        if status == Some(503) && started_at.elapsed() >= MIN_QUEUED_TIME {
             return Err(DiscoveryError::Overloaded);
         }
         if status != Some(200) {
@@ -190,7 +190,7 @@
     }
 }
 
-async fn in_time<T, E: Into<DiscoveryError>>(
+async fn with_timeout<T, E: Into<DiscoveryError>>(
     limit: Duration,
     work: impl Future<Output = Result<T, E>>,
 ) -> Result<T, DiscoveryError> {
--- a/crates/sidecar/src/net/discovery_watch.rs
+++ b/crates/sidecar/src/net/discovery_watch.rs
@@ -11,9 +11,9 @@
     client: Option<Discovery>,
     task: Option<Task<()>>,
     /// The address in the configuration file.
-    in_file: Option<SocketAddr>,
+    file_address: Option<SocketAddr>,
     /// The address that the control machines give; it goes before the file's.
-    from_control: Option<SocketAddr>,
+    control_address: Option<SocketAddr>,
     control_moves: Receiver<Option<SocketAddr>>,
     poll: Sender<()>,
     poll_requests: Receiver<()>,
@@ -30,15 +30,23 @@
     /// A watch that is not started. What the control machines gave before the restart is in force from the first poll on.
     pub(super) fn new(
         mut client: Option<Discovery>,
-        in_file: Option<SocketAddr>,
+        file_address: Option<SocketAddr>,
         channels: WatchChannels,
     ) -> DiscoveryWatch {
         let WatchChannels { poll, poll_requests, control_moves } = channels;
-        let from_control = control_moves.try_recv().ok().flatten();
-        if let (Some(address), Some(client)) = (from_control, &mut client) {
-            client.move_to(address);
+        let control_address = control_moves.try_recv().ok().flatten();
+        if let (Some(address), Some(client)) = (control_address, &mut client) {
+            client.set_address(address);
+        }
+        DiscoveryWatch {
+            client,
+            task: None,
+            file_address,
+            control_address,
+            control_moves,
+            poll,
+            poll_requests,
         }
-        DiscoveryWatch { client, task: None, in_file, from_control, control_moves, poll, poll_requests }
     }
 
     /// Starts to poll, where there is a discovery.
@@ -61,29 +69,29 @@
     }
 
     /// The file gives this address now.
-    pub(super) fn set_in_file(&mut self, address: SocketAddr) {
-        self.in_file = Some(address);
+    pub(super) fn set_file_address(&mut self, address: SocketAddr) {
+        self.file_address = Some(address);
     }
 
     /// The control machines give this address now. `false`: they gave it before.
-    pub(super) fn set_from_control(&mut self, address: Option<SocketAddr>) -> bool {
-        let changed = address != self.from_control;
-        self.from_control = address;
+    pub(super) fn set_control_address(&mut self, address: Option<SocketAddr>) -> bool {
+        let changed = address != self.control_address;
+        self.control_address = address;
         changed
     }
 
     /// Moves the watch to the discovery that is in force.
     pub(super) async fn apply_move(&mut self, executor: &LocalExecutor<'static>) {
-        let address = self.from_control.or(self.in_file);
+        let address = self.control_address.or(self.file_address);
         let (Some(address), true) = (address, self.client.is_some()) else { return };
-        if self.from_control.is_some() {
+        if self.control_address.is_some() {
             tracing::info!(discovery = %address, "control: discovery moved to this address");
         }
         // Cancelled, a poll that waits closes its connection.
         if let Some(task) = self.task.take() {
             task.cancel().await;
         }
-        self.client.iter_mut().for_each(|client| client.move_to(address));
+        self.client.iter_mut().for_each(|client| client.set_address(address));
         let _ = self.poll.try_send(());
         self.start(executor);
     }
--- a/crates/sidecar/src/net/http/body.rs
+++ b/crates/sidecar/src/net/http/body.rs
@@ -32,7 +32,7 @@
 impl BodyPart {
     /// This many zero bytes, in as many parts as they need.
     #[cfg(test)]
-    pub fn filled(pool: &Rc<ResourcePool>, count: usize) -> Vec<BodyPart> {
+    pub fn zeroed(pool: &Rc<ResourcePool>, count: usize) -> Vec<BodyPart> {
         let sizes = (0..count).step_by(BUFFER_SIZE).map(|from| BUFFER_SIZE.min(count - from));
         let part = |size: usize| {
             let mut buffer = pool.buffer().expect("a buffer");
@@ -123,7 +123,7 @@
                 let mut read = self.end;
                 let complete = self.decode_chunks(buffer.filled_mut(), &mut read);
                 // Framing that was decoded is dropped: many small chunks must not fill the buffer with it.
-                buffer.close_gap(self.end..read);
+                buffer.remove_range(self.end..read);
                 complete
             }
         }
--- a/crates/sidecar/src/net/http/head.rs
+++ b/crates/sidecar/src/net/http/head.rs
@@ -7,7 +7,7 @@
 const MAX_HEADERS: usize = 96;
 
 /// Space for the headers of one head, as httparse needs it.
-pub fn no_headers<'a>() -> [httparse::Header<'a>; MAX_HEADERS] {
+pub fn empty_headers<'a>() -> [httparse::Header<'a>; MAX_HEADERS] {
     [httparse::EMPTY_HEADER; MAX_HEADERS]
 }
 
@@ -47,7 +47,7 @@
 
 /// The status code of a response's head.
 pub fn status(head: &[u8]) -> Option<u16> {
-    let mut headers = no_headers();
+    let mut headers = empty_headers();
     let mut response = httparse::Response::new(&mut headers);
     response.parse(head).ok()?;
     response.code
@@ -73,7 +73,7 @@
 
 /// Whether these bytes begin with a request that is complete to its last byte.
 pub fn is_complete_request(bytes: &[u8]) -> bool {
-    let Ok(Some(head)) = ParsedHead::of_request(bytes) else { return false };
+    let Ok(Some(head)) = ParsedHead::parse_request(bytes) else { return false };
     let body = &bytes[head.length..];
     match head.framing {
         Framing::Length(length) => body.len() >= length,
@@ -99,11 +99,11 @@
 }
 
 impl ParsedHead {
-    fn of(
+    fn from_headers(
         length: usize,
         minor: u8,
         headers: &[httparse::Header<'_>],
-        unframed: Framing,
+        default_framing: Framing,
     ) -> Result<ParsedHead, HttpError> {
         let values = |name: &'static str| {
             headers.iter().filter(move |header| header.name.eq_ignore_ascii_case(name)).map(value_text)
@@ -116,7 +116,7 @@
         // Two lengths, a length beside a transfer coding, or a coding that another parser may read differently would
         // allow request smuggling.
         let framing = match (codings.as_slice(), lengths.as_slice()) {
-            ([], []) => unframed,
+            ([], []) => default_framing,
             ([coding], []) if minor == 1 && coding.eq_ignore_ascii_case("chunked") => Framing::Chunked,
             ([], [length]) if !length.is_empty() && length.bytes().all(|byte| byte.is_ascii_digit()) => {
                 Framing::Length(length.parse().map_err(|_| HttpError::TooLarge)?)
@@ -130,12 +130,13 @@
     }
 
     /// Parses a request's head; None while it is incomplete.
-    pub(super) fn of_request(bytes: &[u8]) -> Result<Option<ParsedHead>, HttpError> {
-        let mut headers = no_headers();
+    pub(super) fn parse_request(bytes: &[u8]) -> Result<Option<ParsedHead>, HttpError> {
+        let mut headers = empty_headers();
         let mut head = httparse::Request::new(&mut headers);
         match head.parse(bytes) {
             Ok(httparse::Status::Complete(length)) => {
-                Self::of(length, head.version.unwrap_or(1), head.headers, Framing::Length(0)).map(Some)
+                Self::from_headers(length, head.version.unwrap_or(1), head.headers, Framing::Length(0))
+                    .map(Some)
             }
             Ok(httparse::Status::Partial) => Ok(None),
             Err(httparse::Error::TooManyHeaders) => Err(HttpError::TooLarge),
@@ -144,17 +145,18 @@
     }
 
     /// Parses a response's head; None while it is incomplete.
-    pub(super) fn of_response(bytes: &[u8]) -> Result<Option<ParsedHead>, HttpError> {
-        let mut headers = no_headers();
+    pub(super) fn parse_response(bytes: &[u8]) -> Result<Option<ParsedHead>, HttpError> {
+        let mut headers = empty_headers();
         let mut head = httparse::Response::new(&mut headers);
         match head.parse(bytes) {
             Ok(httparse::Status::Complete(length)) => {
                 let interim = matches!(head.code, Some(100..200));
-                let unframed = match head.code {
+                let default_framing = match head.code {
                     Some(100..200 | 204 | 304) => Framing::Length(0),
                     _ => Framing::UntilClose,
                 };
-                let parsed = Self::of(length, head.version.unwrap_or(1), head.headers, unframed)?;
+                let parsed =
+                    Self::from_headers(length, head.version.unwrap_or(1), head.headers, default_framing)?;
                 Ok(Some(ParsedHead { interim, ..parsed }))
             }
             Ok(httparse::Status::Partial) => Ok(None),
--- a/crates/sidecar/src/net/http/message.rs
+++ b/crates/sidecar/src/net/http/message.rs
@@ -60,7 +60,7 @@
         buffer: Buffer,
         on_read: &dyn Fn(),
     ) -> Result<IncomingMessage, HttpError> {
-        Self::read_message(stream, buffer, ParsedHead::of_request, on_read).await
+        Self::read_message(stream, buffer, ParsedHead::parse_request, on_read).await
     }
 
     /// Reads a response's head; interim responses are skipped.
@@ -68,7 +68,7 @@
         stream: &Async<TcpStream>,
         buffer: Buffer,
     ) -> Result<IncomingMessage, HttpError> {
-        Self::read_message(stream, buffer, ParsedHead::of_response, &|| ()).await
+        Self::read_message(stream, buffer, ParsedHead::parse_response, &|| ()).await
     }
 
     pub(super) async fn read_message(
@@ -142,7 +142,7 @@
     }
 
     /// Makes sure that more can be read into a buffer. `false`: no buffer is free, or `max` bytes are buffered already.
-    pub fn ensure_room(&mut self, pool: &Rc<ResourcePool>, max: usize) -> bool {
+    pub fn ensure_space(&mut self, pool: &Rc<ResourcePool>, max: usize) -> bool {
         if !self.buffer.spare().is_empty() {
             return true;
         }
@@ -150,13 +150,13 @@
             return false;
         }
         let Some(replacement) = pool.buffer() else { return false };
-        let part = self.swap_buffer(replacement);
+        let part = self.replace_buffer(replacement);
         self.full_parts.push(part);
         true
     }
 
     /// Takes the decoded bytes of the current buffer and goes on with another one.
-    fn swap_buffer(&mut self, mut replacement: Buffer) -> BodyPart {
+    fn replace_buffer(&mut self, mut replacement: Buffer) -> BodyPart {
         // The end of the buffer may cut a chunk size: bytes that are not decoded move to the new buffer.
         let rest = &self.buffer.filled()[self.decoder.end..];
         replacement.spare()[..rest.len()].copy_from_slice(rest);
@@ -165,7 +165,7 @@
         BodyPart { buffer: std::mem::replace(&mut self.buffer, replacement), range }
     }
 
-    /// Reads what the connection has. There must be room, see `ensure_room`.
+    /// Reads what the connection has. There must be room, see `ensure_space`.
     pub async fn read_more(&mut self, stream: &Async<TcpStream>) -> Result<(), HttpError> {
         self.bytes_read += self.decoder.read_more(stream, &mut self.buffer).await?;
         self.decode()
@@ -177,10 +177,13 @@
         if self.decoder.end > 0 && self.complete {
             // Nothing more is read into this message, so it needs no other buffer.
             let range = 0..std::mem::take(&mut self.decoder.end);
-            taken.push(BodyPart { buffer: std::mem::replace(&mut self.buffer, Buffer::none(pool)), range });
+            taken.push(BodyPart {
+                buffer: std::mem::replace(&mut self.buffer, Buffer::placeholder(pool)),
+                range,
+            });
         } else if self.decoder.end > 0 {
-            let replacement = pool.buffer_in_turn().await;
-            taken.push(self.swap_buffer(replacement));
+            let replacement = pool.wait_for_buffer().await;
+            taken.push(self.replace_buffer(replacement));
         }
         taken
     }
@@ -204,7 +207,7 @@
         max: usize,
     ) -> Result<(), HttpError> {
         while !self.complete {
-            if !self.ensure_room(pool, max) {
+            if !self.ensure_space(pool, max) {
                 return Err(HttpError::TooLarge);
             }
             self.read_more(stream).await?;
--- a/crates/sidecar/src/net/http/mod.rs
+++ b/crates/sidecar/src/net/http/mod.rs
@@ -12,7 +12,7 @@
 pub use body::BodyPart;
 pub use error::HttpError;
 pub use head::{
-    header, is_complete_request, is_end_to_end, no_headers, path_of_target, reason_phrase, status,
+    empty_headers, header, is_complete_request, is_end_to_end, path_of_target, reason_phrase, status,
 };
 pub use message::{IncomingMessage, read_buffered_response};
 pub use write::{BodyEncoding, write, write_body_end, write_body_part};
--- a/crates/sidecar/src/net/leaving.rs
+++ b/crates/sidecar/src/net/leaving.rs
@@ -14,7 +14,7 @@
 
 /// Whether the other side has closed the connection, also behind bytes that are not read yet. Bytes that wait at the other
 /// side, as there is no room for them here, hide the end until they have come.
-pub fn has_ended(stream: &Async<TcpStream>) -> bool {
+pub fn is_disconnected(stream: &Async<TcpStream>) -> bool {
     match stream.get_ref().peek(&mut [0]) {
         Ok(0) => true,
         Ok(_) => {
@@ -40,8 +40,8 @@
 }
 
 /// Returns when the connection has ended; checks it every `CHECK_INTERVAL`.
-pub async fn until_ended(stream: &Async<TcpStream>) {
-    while !has_ended(stream) {
+pub async fn until_disconnected(stream: &Async<TcpStream>) {
+    while !is_disconnected(stream) {
         Timer::after(CHECK_INTERVAL).await;
     }
 }
@@ -49,20 +49,20 @@
 /// The client of a request, as the request's attempts see it.
 pub struct ClientPresence {
     stream: Weak<Async<TcpStream>>,
-    since: Instant,
+    created_at: Instant,
 }
 
 impl ClientPresence {
     /// The client on this connection.
     pub fn of(stream: &Rc<Async<TcpStream>>) -> ClientPresence {
-        ClientPresence { stream: Rc::downgrade(stream), since: Instant::now() }
+        ClientPresence { stream: Rc::downgrade(stream), created_at: Instant::now() }
     }
 
     /// Whether it has left. The end of its connection may show before the event for it has come through the queue.
     pub fn has_left(&self) -> bool {
         match self.stream.upgrade() {
             None => true,
-            Some(stream) => self.since.elapsed() > RECENTLY_CHECKED && has_ended(&stream),
+            Some(stream) => self.created_at.elapsed() > RECENTLY_CHECKED && is_disconnected(&stream),
         }
     }
 }
--- a/crates/sidecar/src/net/listener.rs
+++ b/crates/sidecar/src/net/listener.rs
@@ -1,6 +1,6 @@
 //! The listener for clients: inherited, or bound at the configured address.
 
-use super::local_failure::{FailureCause, FailureLog, cause};
+use super::local_failure::{FailureCause, FailureLog, failure_cause};
 use crate::configuration::Configuration;
 use crate::handover;
 use async_io::{Async, Timer};
@@ -13,7 +13,7 @@
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The listener that whoever holds it for all processes passes on, or this process's own.
-pub(super) async fn listener(configuration: &Configuration) -> io::Result<Async<TcpListener>> {
+pub(super) async fn open(configuration: &Configuration) -> io::Result<Async<TcpListener>> {
     match handover::inherited_listener(configuration.inherited_listener, configuration.listen) {
         Some(listener) => Async::new(listener),
         None => bind(configuration.listen).await,
@@ -23,18 +23,19 @@
 /// An earlier process may not have ended yet, and a shortage on this machine may pass: only an address that cannot be had
 /// for longer ends the start.
 async fn bind(address: SocketAddr) -> io::Result<Async<TcpListener>> {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let failures = FailureLog::default();
     loop {
         let error = match Async::<TcpListener>::bind(address) {
             Ok(listener) => return Ok(listener),
             Err(error) => error,
         };
-        let may_pass = error.kind() == io::ErrorKind::AddrInUse || cause(&error) != FailureCause::Remote;
-        if !may_pass || begun.elapsed() >= BIND_TIMEOUT {
+        let may_pass =
+            error.kind() == io::ErrorKind::AddrInUse || failure_cause(&error) != FailureCause::Remote;
+        if !may_pass || started_at.elapsed() >= BIND_TIMEOUT {
             return Err(io::Error::new(error.kind(), format!("{address}: {error}")));
         }
-        failures.add("listen", &error);
+        failures.record("listen", &error);
         Timer::after(BIND_RETRY_INTERVAL).await;
     }
 }
--- a/crates/sidecar/src/net/local_failure.rs
+++ b/crates/sidecar/src/net/local_failure.rs
@@ -23,7 +23,7 @@
 }
 
 /// The cause of an error of a system call.
-pub fn cause(error: &io::Error) -> FailureCause {
+pub fn failure_cause(error: &io::Error) -> FailureCause {
     match Errno::from_io_error(error) {
         Some(Errno::MFILE | Errno::NFILE) => FailureCause::Descriptors,
         Some(Errno::NOBUFS | Errno::NOMEM | Errno::ADDRNOTAVAIL | Errno::ACCESS | Errno::PERM) => {
@@ -43,7 +43,7 @@
 
 impl FailureLog {
     /// `operation` failed with this error.
-    pub fn add(&self, operation: &str, error: &io::Error) {
+    pub fn record(&self, operation: &str, error: &io::Error) {
         self.unlogged.set(self.unlogged.get() + 1);
         if self.logged_at.get().is_none_or(|at| at.elapsed() >= LOG_INTERVAL) {
             self.logged_at.set(Some(Instant::now()));
--- a/crates/sidecar/src/net/mod.rs
+++ b/crates/sidecar/src/net/mod.rs
@@ -26,4 +26,4 @@
 pub mod timeout;
 pub mod upstream;
 
-pub use serve::{hollow, serve};
+pub use serve::{serve, serve_without_clients};
--- a/crates/sidecar/src/net/owner/decision_host.rs
+++ b/crates/sidecar/src/net/owner/decision_host.rs
@@ -60,7 +60,7 @@
     }
 
     fn close_idle_connections(&mut self, server: &Id) {
-        self.0.borrow().services.pool.forget(server);
+        self.0.borrow().services.pool.close_idle_to(server);
     }
 
     fn send_to_peers(&mut self, peer: Option<u32>, message: &[u8]) {
--- a/crates/sidecar/src/net/owner/event.rs
+++ b/crates/sidecar/src/net/owner/event.rs
@@ -45,7 +45,7 @@
     BodyComplete(Id, u64, Duration),
     ClientLeft(Id, u64),
     /// A response of this server, to this verb, broke off while it was passed on.
-    ResponseBroke(Id, usize),
+    ResponseInterrupted(Id, usize),
     AttemptEnded(Id, u32, Box<AttemptResult>),
     HealthCheckEnded(Id, Outcome, LoadReport),
     /// A datagram of another copy.
--- a/crates/sidecar/src/net/owner/event_loop.rs
+++ b/crates/sidecar/src/net/owner/event_loop.rs
@@ -58,10 +58,10 @@
     /// When this copy's view of the zones is next reported to the fleet.
     zones_reported_at: Duration,
     /// The decisions' next sweep that may do anything; those before it are skipped unless something happens.
-    idle_until: Option<Duration>,
+    sweeps_skipped_until: Option<Duration>,
     save_to: Option<PathBuf>,
     save_at: Duration,
-    saving: StatisticsWriter,
+    statistics_writer: StatisticsWriter,
 }
 
 /// Owns the decisions for as long as the process runs.
@@ -95,14 +95,14 @@
         operators,
         fleet,
         zones_reported_at: clock.now(),
-        idle_until: None,
+        sweeps_skipped_until: None,
         save_to,
         save_at,
-        saving: StatisticsWriter::new(deployment),
+        statistics_writer: StatisticsWriter::new(deployment),
         clock,
     };
     event_loop.restore_operator_orders();
-    event_loop.begin_with_list(configuration.initial_catalog);
+    event_loop.apply_initial_list(configuration.initial_catalog);
     event_loop.run(events).await;
 }
 
@@ -121,7 +121,7 @@
     }
 
     /// Begins with the servers of the configuration, and with what an earlier process learned of them.
-    fn begin_with_list(&mut self, list: Catalog) {
+    fn apply_initial_list(&mut self, list: Catalog) {
         let known = self.table.borrow_mut().update_servers(list);
         let now = self.clock.now();
         self.policy.endpoint_list_cached(now, &known);
@@ -157,11 +157,12 @@
             };
             Input::WakeTime
         };
-        let order = received(Some(&self.operators.orders), Input::Order);
-        let event = received(Some(events), Input::Event);
+        let order = next_message(Some(&self.operators.orders), Input::Order);
+        let event = next_message(Some(events), Input::Event);
         let fleet = self.fleet.as_ref();
-        let fleet_size = received(fleet.map(|fleet| &fleet.fleet_sizes), Input::FleetSize);
-        let zone_traffic = received(fleet.and_then(|fleet| fleet.zone_traffic.as_ref()), Input::ZoneTraffic);
+        let fleet_size = next_message(fleet.map(|fleet| &fleet.fleet_sizes), Input::FleetSize);
+        let zone_traffic =
+            next_message(fleet.and_then(|fleet| fleet.zone_traffic.as_ref()), Input::ZoneTraffic);
         or(order, or(or(fleet_size, zone_traffic), or(event, wake_time))).await
     }
 
@@ -188,7 +189,7 @@
             self.table.borrow_mut().cancel_unwritten_to(&id);
         }
         // Connections to a server that is restarted are of no more use.
-        self.table.borrow().services.pool.forget(&id);
+        self.table.borrow().services.pool.close_idle_to(&id);
         let _ = order.responder.try_send(known);
     }
 
@@ -210,19 +211,19 @@
         if let Some(path) = self.save_to.clone().filter(|_| self.save_at <= now) {
             self.save_at = now + SAVE_INTERVAL;
             let known = self.policy.known_servers().map(|id| id.to_string()).collect();
-            self.saving.save(path, &self.policy.server_statistics(), known, &self.clock);
+            self.statistics_writer.save(path, &self.policy.server_statistics(), known, &self.clock);
         }
     }
 
     /// Skips the sweeps that would do nothing: an idle sidecar would be woken fifty times a second otherwise.
     fn skip_idle_sweeps(&mut self) {
         let (next, wake) = (self.policy.next_sweep(), self.next_wake());
-        self.idle_until = Some(next).filter(|next| wake.is_some_and(|wake| wake < *next));
+        self.sweeps_skipped_until = Some(next).filter(|next| wake.is_some_and(|wake| wake < *next));
     }
 
     /// Sweeps go on as if none had been skipped. `interrupted`: something came before the next one was due.
     fn resume_sweeps(&mut self, interrupted: bool) {
-        let Some(until) = self.idle_until.take() else { return };
+        let Some(until) = self.sweeps_skipped_until.take() else { return };
         let now = self.clock.now();
         let next = self.policy.skip_sweeps(if interrupted { now.min(until) } else { until });
         let wake_times = &mut self.table.borrow_mut().wake_times;
@@ -231,8 +232,8 @@
     }
 
     fn next_wake(&self) -> Option<Duration> {
-        if self.idle_until.is_some() {
-            return self.idle_until;
+        if self.sweeps_skipped_until.is_some() {
+            return self.sweeps_skipped_until;
         }
         self.table.borrow().wake_times.peek().map(|Reverse(at)| *at)
     }
@@ -243,7 +244,9 @@
             Event::RequestArrived(request) => self.request_arrived(now, *request),
             Event::BodyComplete(id, number, deadline) => self.body_complete(now, &id, number, deadline),
             Event::ClientLeft(id, number) => self.client_left(now, &id, number),
-            Event::ResponseBroke(server, verb) => self.policy.response_interrupted(now, &server, verb),
+            Event::ResponseInterrupted(server, class) => {
+                self.policy.response_interrupted(now, &server, class)
+            }
             Event::AttemptEnded(id, number, result) => self.attempt_ended(now, id, number, *result),
             Event::HealthCheckEnded(server, outcome, load) => {
                 self.policy.health_check_ended(now, outcome, &server, load);
@@ -323,7 +326,7 @@
         open.deadline = deadline;
         // A server begins when the last byte has arrived.
         let in_flight = open.attempts.iter_mut().filter(|attempt| !attempt.has_ended());
-        in_flight.for_each(|attempt| attempt.sent = now);
+        in_flight.for_each(|attempt| attempt.sent_at = now);
         drop(table);
         self.policy.body_completed(now, id, deadline);
     }
@@ -335,11 +338,11 @@
         let waiting = |open: &&mut OpenRequest| open.number == number && !open.finished;
         let Some(open) = table.requests.get_mut(id).filter(waiting) else { return };
         open.finished = true;
-        open.outgoing.guard.request_over();
+        open.outgoing.guard.close();
         table.cancel_unwritten(id);
         drop(table);
         self.policy.client_disconnected(now, id);
-        self.table.borrow_mut().remove_if_over(id);
+        self.table.borrow_mut().remove_if_finished(id);
     }
 
     fn attempt_ended(&mut self, now: Duration, id: Id, number: u32, result: AttemptResult) {
@@ -353,9 +356,9 @@
         must_hold!(OneFinalResponse, !attempt.has_ended(), "attempt {number} of {id} ends once");
         attempt.outcome = Some(outcome);
         attempt.task = None;
-        open.outgoing.guard.ended(number, outcome);
+        open.outgoing.guard.record_end(number, outcome);
         counters::attempt_ended(outcome);
-        let (server, latency) = (attempt.server.clone(), now.saturating_sub(attempt.sent));
+        let (server, latency) = (attempt.server.clone(), now.saturating_sub(attempt.sent_at));
         if let Some(response) = response
             && !open.finished
         {
@@ -375,12 +378,12 @@
             load,
         };
         self.policy.attempt_ended(now, ended);
-        self.table.borrow_mut().remove_if_over(&id);
+        self.table.borrow_mut().remove_if_finished(&id);
     }
 }
 
 /// The next message of a channel as an input; waits for ever where there is no channel or it is closed.
-async fn received<T>(channel: Option<&Receiver<T>>, as_input: fn(T) -> Input) -> Input {
+async fn next_message<T>(channel: Option<&Receiver<T>>, as_input: fn(T) -> Input) -> Input {
     match channel {
         Some(channel) => match channel.recv().await {
             Ok(message) => as_input(message),
--- a/crates/sidecar/src/net/owner/request_table.rs
+++ b/crates/sidecar/src/net/owner/request_table.rs
@@ -39,7 +39,7 @@
 pub(super) struct Attempt {
     pub(super) server: Id,
     /// When it was started, or when the last byte of a streamed body arrived.
-    pub(super) sent: Duration,
+    pub(super) sent_at: Duration,
     stage: Rc<Cell<AttemptStage>>,
     /// Dropped, it stops the attempt and closes its connection. None for one that was never sent.
     pub(super) task: Option<Task<()>>,
@@ -142,13 +142,13 @@
         tracing::debug!("request {request} is {}", response.name());
         must_hold!(OneFinalResponse, !open.finished, "one final response for request {request}");
         open.refusal_reason(&response).into_iter().for_each(|reason| counters::refused(request, reason));
-        open.outgoing.guard.request_over();
+        open.outgoing.guard.close();
         if !std::mem::replace(&mut open.finished, true) {
             // A client that has just left receives nothing more.
             let _ = open.responder.try_send(response);
         }
         self.cancel_unwritten(request);
-        self.remove_if_over(request);
+        self.remove_if_finished(request);
     }
 
     /// Cancels the attempts of a finished request that are not written to their last byte, also where attempts may not be
@@ -174,18 +174,18 @@
         waiting.into_iter().for_each(|(request, number)| self.cancel(&request, number));
     }
 
-    fn attempts_where(&self, wanted: impl Fn(&OpenRequest, &Attempt) -> bool) -> Vec<(Id, u32)> {
-        let of_request = |(request, open): (&Id, &OpenRequest)| {
-            let attempts = (0u32..).zip(&open.attempts).filter(|(_, attempt)| wanted(open, attempt));
+    fn attempts_where(&self, predicate: impl Fn(&OpenRequest, &Attempt) -> bool) -> Vec<(Id, u32)> {
+        let matching_attempts = |(request, open): (&Id, &OpenRequest)| {
+            let attempts = (0u32..).zip(&open.attempts).filter(|(_, attempt)| predicate(open, attempt));
             attempts.map(|(number, _)| (request.clone(), number)).collect::<Vec<_>>()
         };
-        self.requests.iter().flat_map(of_request).collect()
+        self.requests.iter().flat_map(matching_attempts).collect()
     }
 
     /// Forgets a finished request once all of its attempts have ended.
-    pub(super) fn remove_if_over(&mut self, request: &Id) {
-        let over = |open: &OpenRequest| open.finished && open.attempts.iter().all(Attempt::has_ended);
-        if self.requests.get(request).is_some_and(over) {
+    pub(super) fn remove_if_finished(&mut self, request: &Id) {
+        let is_finished = |open: &OpenRequest| open.finished && open.attempts.iter().all(Attempt::has_ended);
+        if self.requests.get(request).is_some_and(is_finished) {
             self.requests.remove(request);
         }
     }
@@ -202,15 +202,15 @@
         let deadline = if deadline.is_zero() { open.deadline } else { deadline.min(open.deadline) };
         let deadline = deadline.min(self.shutdown_by);
         let stage = Rc::new(Cell::new(AttemptStage::Unwritten));
-        let last = open.attempts.last().and_then(|attempt| attempt.outcome);
-        last.into_iter().for_each(|last| counters::retried(request, number, last));
+        let last_outcome = open.attempts.last().and_then(|attempt| attempt.outcome);
+        last_outcome.into_iter().for_each(|outcome| counters::retried(request, number, outcome));
         let known = self.servers.get(server);
         // The decisions use no server once it drains, and nothing of its grace period.
         let draining = known.is_some_and(|known| known.draining);
         must_hold!(Sending, !draining, "attempt {number} of {request} to {server}, which drains");
         let target = known.filter(|_| !draining).map(|known| known.target(server));
         let may_start = !open.finished && now < deadline && open.attempts.len() < self.max_attempts;
-        let mut attempt = Attempt { server: server.clone(), sent: now, stage, task: None, outcome: None };
+        let mut attempt = Attempt { server: server.clone(), sent_at: now, stage, task: None, outcome: None };
         match target.filter(|_| may_start) {
             Some(target) => {
                 let (upstream, queue) = (self.services.upstream.clone(), self.queue.clone());
@@ -218,15 +218,15 @@
                     (open.outgoing.clone(), attempt.stage.clone(), request.clone());
                 let deadline = self.clock.instant(deadline);
                 attempt.task = Some(self.executor.spawn(async move {
-                    let end = upstream.attempt(&target, &outgoing, number, deadline, &stage).await;
+                    let result = upstream.attempt(&target, &outgoing, number, deadline, &stage).await;
                     stage.set(AttemptStage::Ended);
-                    queue.push(Event::AttemptEnded(request, number, Box::new(end)));
+                    queue.push(Event::AttemptEnded(request, number, Box::new(result)));
                 }));
             }
             None => {
                 attempt.stage.set(AttemptStage::Ended);
-                let end = Box::new(AttemptResult::without_response(Outcome::NotSent));
-                self.queue.push(Event::AttemptEnded(request.clone(), number, end));
+                let result = Box::new(AttemptResult::without_response(Outcome::NotSent));
+                self.queue.push(Event::AttemptEnded(request.clone(), number, result));
             }
         }
         open.attempts.push(attempt);
@@ -245,20 +245,20 @@
     }
 
     /// Stops an attempt here; its outcome is this one if it may have run.
-    fn stop(&mut self, request: &Id, number: u32, if_written: Outcome) {
+    fn stop(&mut self, request: &Id, number: u32, outcome_if_written: Outcome) {
         let Some(open) = self.requests.get_mut(request) else { return };
         let Some(attempt) = open.attempts.get_mut(number as usize) else { return };
         // Where another outcome is on the queue already, that one counts.
         let outcome = match attempt.stage.replace(AttemptStage::Ended) {
             AttemptStage::Ended => return,
-            AttemptStage::Written => if_written,
+            AttemptStage::Written => outcome_if_written,
             AttemptStage::Unwritten | AttemptStage::Started => Outcome::NotSent,
         };
         attempt.task = None;
-        open.outgoing.guard.ended(number, outcome);
+        open.outgoing.guard.record_end(number, outcome);
         let consumed = !open.outgoing.can_be_sent_again();
-        let end = AttemptResult { consumed, ..AttemptResult::without_response(outcome) };
-        self.queue.push(Event::AttemptEnded(request.clone(), number, Box::new(end)));
+        let result = AttemptResult { consumed, ..AttemptResult::without_response(outcome) };
+        self.queue.push(Event::AttemptEnded(request.clone(), number, Box::new(result)));
     }
 
     /// Takes in an endpoint list, whole or changed entries. A server that is gone is forgotten, as new ones come under new
@@ -271,7 +271,7 @@
             let server = &entry.listed.server;
             let lifecycle = entry.listed.lifecycle;
             if lifecycle == Lifecycle::Removed {
-                pool.forget(server);
+                pool.close_idle_to(server);
             }
             let previous = servers.remove(server);
             let previous = previous.as_ref().or(old.get(server));
@@ -289,7 +289,7 @@
             }
         }
         for server in old.into_keys().filter(|server| !servers.contains_key(server)) {
-            pool.forget(&server);
+            pool.close_idle_to(&server);
             unusable.push(server);
         }
         unusable.iter().for_each(|server| self.cancel_unwritten_to(server));
--- a/crates/sidecar/src/net/peers_tests.rs
+++ b/crates/sidecar/src/net/peers_tests.rs
@@ -6,46 +6,49 @@
 use futures_lite::future::or;
 
 #[test]
-fn peers_receive_from_each_other_by_number_and_from_nobody_else() {
+fn only_valid_datagrams_of_known_peers_are_queued() {
     // All three are bound until their ports are known: the system could hand out one port twice.
-    let held: Vec<UdpSocket> = (0..3).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a free port")).collect();
-    let all: Vec<SocketAddr> = held.iter().map(|socket| socket.local_addr().expect("an address")).collect();
-    drop(held);
-    let bind = |at: u32| Peers::bind(&all, at, None).expect("it binds").expect("there are peers");
+    let sockets: Vec<UdpSocket> =
+        (0..3).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a free port")).collect();
+    let addresses: Vec<SocketAddr> =
+        sockets.iter().map(|socket| socket.local_addr().expect("an address")).collect();
+    drop(sockets);
+    let bind =
+        |ordinal: u32| Peers::bind(&addresses, ordinal, None).expect("it binds").expect("there are peers");
     let (first, second, third) = (bind(0), bind(1), bind(2));
     assert!(Peers::bind(&[], 0, None).expect("nothing to bind").is_none());
     let stranger = UdpSocket::bind("127.0.0.1:0").expect("a free port");
-    stranger.send_to(b"strange", all[1]).expect("it goes out");
+    stranger.send_to(b"strange", addresses[1]).expect("it goes out");
     first.send(None, b"one");
     third.send(Some(0), b"not for the second");
     third.send(Some(1), &[7; 300]);
     third.send(Some(1), b"two");
-    let (queue, words) = owner::queue();
+    let (queue, events) = owner::queue();
     let executor = LocalExecutor::new();
     executor.spawn(second.clone().receive(queue)).detach();
     let received = async {
         let mut received = Vec::new();
         while received.len() < 2 {
-            if let Ok(Event::PeerMessage(peer, message)) = words.recv().await {
+            if let Ok(Event::PeerMessage(peer, message)) = events.recv().await {
                 received.push((peer, message));
             }
         }
         received
     };
-    let late = async {
+    let timed_out = async {
         async_io::Timer::after(std::time::Duration::from_secs(5)).await;
         panic!("not both were received");
     };
-    let received = async_io::block_on(executor.run(or(received, late)));
+    let received = async_io::block_on(executor.run(or(received, timed_out)));
     assert_eq!(received, [(0, b"one".to_vec()), (2, b"two".to_vec())]);
-    assert!(words.is_empty());
+    assert!(events.is_empty());
     assert_eq!(second.dropped.get(), 2, "the stranger's and the long one are counted");
     // Nothing takes them off the queue: it stays within its bound.
     for _ in 0..2 * MAX_QUEUED_EVENTS {
         first.send(Some(1), b"again");
         async_io::block_on(executor.run(futures_lite::future::yield_now()));
     }
-    let soon = async_io::Timer::after(std::time::Duration::from_millis(200));
-    async_io::block_on(executor.run(soon));
-    assert_eq!(words.len(), MAX_QUEUED_EVENTS);
+    let pause = async_io::Timer::after(std::time::Duration::from_millis(200));
+    async_io::block_on(executor.run(pause));
+    assert_eq!(events.len(), MAX_QUEUED_EVENTS);
 }
--- a/crates/sidecar/src/net/read_ahead.rs
+++ b/crates/sidecar/src/net/read_ahead.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// How many arrival times are told apart on one connection.
-const MAX_ARRIVALS: usize = 64;
+const MAX_RECORDED_ARRIVALS: usize = 64;
 /// How many bytes are read at a time.
 const READ_SIZE: usize = 1024;
 
@@ -30,32 +30,32 @@
 /// When the bytes of one connection arrived, by their offset in the stream.
 struct Arrivals {
     /// How many bytes were read.
-    read: u64,
+    bytes_read: u64,
     /// By rising offset and time.
     recorded: VecDeque<Arrival>,
 }
 
 impl Arrivals {
     fn new() -> Arrivals {
-        Arrivals { read: 0, recorded: VecDeque::new() }
+        Arrivals { bytes_read: 0, recorded: VecDeque::new() }
     }
 
     /// `count` bytes were read just now.
-    fn read_now(&mut self, count: usize, now: Duration) {
-        self.read += count as u64;
-        self.record(self.read, now);
+    fn record_read(&mut self, count: usize, now: Duration) {
+        self.bytes_read += count as u64;
+        self.record_offset(self.bytes_read, now);
     }
 
     /// The system has `count` bytes that are not read yet.
-    fn unread_now(&mut self, count: u64, now: Duration) {
-        self.record(self.read + count, now);
+    fn record_unread(&mut self, count: u64, now: Duration) {
+        self.record_offset(self.bytes_read + count, now);
     }
 
-    fn record(&mut self, offset: u64, now: Duration) {
+    fn record_offset(&mut self, offset: u64, now: Duration) {
         if self.recorded.back().is_some_and(|last| last.offset >= offset) {
             return;
         }
-        let full = self.recorded.len() >= MAX_ARRIVALS;
+        let full = self.recorded.len() >= MAX_RECORDED_ARRIVALS;
         match self.recorded.back_mut().filter(|_| full) {
             // Too many to tell apart: bytes count as older than they are, never as younger.
             Some(last) => last.offset = offset,
@@ -64,8 +64,8 @@
     }
 
     /// When the last byte arrived behind which `surplus` bytes were read. Earlier arrivals are forgotten.
-    fn arrival_before(&mut self, surplus: usize, now: Duration) -> Duration {
-        let offset = self.read.saturating_sub(surplus as u64);
+    fn arrival_time(&mut self, surplus: usize, now: Duration) -> Duration {
+        let offset = self.bytes_read.saturating_sub(surplus as u64);
         while self.recorded.len() > 1 && self.recorded.front().is_some_and(|first| first.offset < offset) {
             self.recorded.pop_front();
         }
@@ -79,7 +79,7 @@
     clock: Clock,
     bytes: RefCell<Option<Buffer>>,
     /// No buffer was free for some bytes.
-    lost: Cell<bool>,
+    overflowed: Cell<bool>,
     arrivals: RefCell<Arrivals>,
 }
 
@@ -90,24 +90,24 @@
             resources: resources.clone(),
             clock: clock.clone(),
             bytes: RefCell::default(),
-            lost: Cell::new(false),
+            overflowed: Cell::new(false),
             arrivals: RefCell::new(Arrivals::new()),
         }
     }
 
     /// A message has just arrived completely, or as far as it is buffered: `read` bytes were read for it, `surplus` of them
     /// lie behind it. Returns when its last byte arrived.
-    pub fn message_arrived(&self, read: usize, surplus: usize) -> Duration {
+    pub fn record_message(&self, read: usize, surplus: usize) -> Duration {
         let now = self.clock.now();
         let mut arrivals = self.arrivals.borrow_mut();
         if read > 0 {
-            arrivals.read_now(read, now);
+            arrivals.record_read(read, now);
         }
-        arrivals.arrival_before(surplus, now)
+        arrivals.arrival_time(surplus, now)
     }
 
     /// Stores what was read behind a message.
-    pub fn add(&self, bytes: &[u8]) {
+    pub fn store(&self, bytes: &[u8]) {
         if bytes.is_empty() {
             return;
         }
@@ -118,7 +118,7 @@
         let space = stored.as_mut().and_then(|buffer| buffer.spare().get_mut(..bytes.len()));
         match space {
             Some(space) => space.copy_from_slice(bytes),
-            None => return self.lost.set(true),
+            None => return self.overflowed.set(true),
         }
         stored.iter_mut().for_each(|buffer| buffer.fill(bytes.len()));
     }
@@ -134,13 +134,13 @@
     }
 
     /// Bytes were read that could not be stored: the connection cannot go on.
-    pub fn is_lost(&self) -> bool {
-        self.lost.get()
+    pub fn has_overflowed(&self) -> bool {
+        self.overflowed.get()
     }
 
     /// Whether what is stored begins with a complete request.
     pub fn has_complete_request(&self) -> bool {
-        !self.lost.get()
+        !self.overflowed.get()
             && self.bytes.borrow().as_ref().is_some_and(|bytes| http::is_complete_request(bytes.filled()))
     }
 
@@ -150,7 +150,7 @@
         if stored.is_none() {
             *stored = self.resources.buffer();
         }
-        stored.as_mut().filter(|_| !self.lost.get()).map_or(0, |stored| stored.spare().len())
+        stored.as_mut().filter(|_| !self.overflowed.get()).map_or(0, |stored| stored.spare().len())
     }
 
     /// Returns when the client has left. What it writes ahead would hide that, so it is read as far as there is room and
@@ -160,17 +160,17 @@
         while matches!(stream.peek(&mut [0]).await, Ok(1..)) {
             let max = if may_read() { self.free_space().min(bytes.len()) } else { 0 };
             if max == 0 {
-                if leaving::has_ended(stream) {
+                if leaving::is_disconnected(stream) {
                     return;
                 }
-                self.note_unread(stream);
+                self.record_unread(stream);
                 Timer::after(leaving::CHECK_INTERVAL).await;
                 continue;
             }
             match stream.read(&mut bytes[..max]).await {
                 Ok(count @ 1..) => {
-                    self.arrivals.borrow_mut().read_now(count, self.clock.now());
-                    self.add(&bytes[..count]);
+                    self.arrivals.borrow_mut().record_read(count, self.clock.now());
+                    self.store(&bytes[..count]);
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 _ => return,
@@ -178,10 +178,10 @@
         }
     }
 
-    fn note_unread(&self, stream: &Async<TcpStream>) {
+    fn record_unread(&self, stream: &Async<TcpStream>) {
         // Where the system does not tell, bytes count from when they are read.
         if let Ok(count) = rustix::io::ioctl_fionread(stream) {
-            self.arrivals.borrow_mut().unread_now(count, self.clock.now());
+            self.arrivals.borrow_mut().record_unread(count, self.clock.now());
         }
     }
 }
--- a/crates/sidecar/src/net/request.rs
+++ b/crates/sidecar/src/net/request.rs
@@ -16,12 +16,12 @@
 /// An answer to a message that the decisions do not get.
 pub struct Rejection {
     pub status: u16,
-    pub why: &'static str,
+    pub reason: &'static str,
 }
 
 /// A rejection with this status and this text.
-pub fn rejection(status: u16, why: &'static str) -> Rejection {
-    Rejection { status, why }
+pub fn rejection(status: u16, reason: &'static str) -> Rejection {
+    Rejection { status, reason }
 }
 
 /// A request as its head gives it.
@@ -56,7 +56,7 @@
 impl RequestParser {
     /// Parses a head. `time_limits` are the verbs' current ones, for requests that give none of their own.
     pub fn parse(&self, bytes: &[u8], time_limits: &[Duration]) -> Result<ParsedMessage, Rejection> {
-        let mut headers = http::no_headers();
+        let mut headers = http::empty_headers();
         let mut head = httparse::Request::new(&mut headers);
         if head.parse(bytes).is_err() {
             return Err(rejection(400, "this is no HTTP/1.1 message"));
@@ -65,7 +65,7 @@
         if method == "GET" && path == "/_health" {
             return Ok(ParsedMessage::Health);
         }
-        let (number, class) = self.class(method, path)?;
+        let (number, class) = self.find_class(method, path)?;
         let header = |name: &str| http::header(head.headers, name);
         if class.idempotency_keyed && header("idempotency-key").is_none_or(str::is_empty) {
             return Err(rejection(400, "a receipted verb needs an Idempotency-Key"));
@@ -89,7 +89,7 @@
         Ok(ParsedMessage::Request(Request { id, class: number, tenant, time_limit, declared_work, head }))
     }
 
-    fn class(&self, method: &str, path: &str) -> Result<(usize, &RequestClass), Rejection> {
+    fn find_class(&self, method: &str, path: &str) -> Result<(usize, &RequestClass), Rejection> {
         let name = path.trim_start_matches('/').split(['/', '?']).next().unwrap_or("");
         let class = self.classes.iter().enumerate().find(|(_, class)| class.name == name);
         let (number, class) = class.ok_or(rejection(404, "no such verb"))?;
@@ -108,7 +108,7 @@
 }
 
 /// How a message that could not be read is answered; None where its sender has gone.
-pub fn rejection_of(error: HttpError) -> Option<Rejection> {
+pub fn rejection_for(error: HttpError) -> Option<Rejection> {
     match error {
         HttpError::Malformed => Some(rejection(400, "this is no HTTP/1.1 message")),
         HttpError::TooLarge => Some(rejection(413, "a head is too large")),
@@ -138,7 +138,7 @@
 pub fn response_head(from_server: &[u8], framing: &str, keep_alive: bool) -> Vec<u8> {
     let close = if keep_alive { "" } else { "Connection: close\r\n" };
     let mut head = format!("HTTP/1.1 200 OK\r\n{close}").into_bytes();
-    let mut headers = http::no_headers();
+    let mut headers = http::empty_headers();
     let mut response = httparse::Response::new(&mut headers);
     // It was parsed before, when the end of the head was looked for.
     if response.parse(from_server).is_ok() {
--- a/crates/sidecar/src/net/serve.rs
+++ b/crates/sidecar/src/net/serve.rs
@@ -2,7 +2,7 @@
 
 use super::clients::ClientSide;
 use super::discovery_watch::DiscoveryWatch;
-use super::listener::listener;
+use super::listener;
 use super::service::{self, Service};
 use super::timeout::timeout;
 use crate::configuration::{self, Configuration};
@@ -30,7 +30,7 @@
 /// answered here while another sidecar, which was stopped before this one, is not back yet.
 const FINISH_TIME: Duration = Duration::from_millis(1500);
 /// New connections arrive for up to 0.4 s after SIGTERM.
-const MIN_TAKING_TIME: Duration = Duration::from_millis(600);
+const MIN_ACCEPT_TIME: Duration = Duration::from_millis(600);
 /// How long it may take to accept those that have connected by then.
 const LAST_ACCEPT_TIMEOUT: Duration = Duration::from_millis(200);
 /// How long a process that takes over waits for a list before it uses the one that it was started with.
@@ -53,14 +53,14 @@
 ) -> io::Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Hup])?;
     let mut reload_due = false;
-    let bound = async { Some(listener(&configuration).await) };
+    let bind = async { Some(listener::open(&configuration).await) };
     let terminated = async {
         while let Some(Ok(Signal::Hup)) = signals.next().await {
             reload_due = true;
         }
         None
     };
-    let Some(listener) = or(bound, terminated).await else {
+    let Some(listener) = or(bind, terminated).await else {
         tracing::info!("SIGTERM before the listen address was free: nothing was served");
         return Ok(());
     };
@@ -85,17 +85,21 @@
     let (clients, serving) = (service.clients.clone(), service.serving.clone());
     let (list_received, servers_known) = (service.list_received.clone(), service.servers_known);
     executor.spawn(async move {
-        let listed =
+        let has_list =
             if takes_over { timeout(LIST_TIMEOUT, list_received.recv()).await.is_some() } else { true };
-        serving.store(listed || servers_known, Ordering::Release);
-        let once_listed = serve_once_listed(listed || servers_known, &list_received, &serving);
-        or(clients.accept(listener), once_listed).await;
+        serving.store(has_list || servers_known, Ordering::Release);
+        let mark_serving = mark_serving_once_listed(has_list || servers_known, &list_received, &serving);
+        or(clients.accept(listener), mark_serving).await;
     })
 }
 
 /// Reports the sidecar as serving once a list has arrived, and never returns.
-async fn serve_once_listed(serves_already: bool, list_received: &Receiver<()>, serving: &Arc<AtomicBool>) {
-    if !serves_already && list_received.recv().await.is_ok() {
+async fn mark_serving_once_listed(
+    already_serving: bool,
+    list_received: &Receiver<()>,
+    serving: &Arc<AtomicBool>,
+) {
+    if !already_serving && list_received.recv().await.is_ok() {
         serving.store(true, Ordering::Release);
     }
     pending::<()>().await;
@@ -118,7 +122,7 @@
     executor: &LocalExecutor<'static>,
 ) {
     loop {
-        let signaled = async {
+        let next_signal = async {
             if std::mem::take(&mut reload_due) {
                 return Change::Reload;
             }
@@ -127,10 +131,10 @@
                 _ => Change::Terminate,
             }
         };
-        let moved = async { Change::ControlMove(watch.next_control_move().await) };
-        let moves_watch = match or(signaled, moved).await {
+        let next_move = async { Change::ControlMove(watch.next_control_move().await) };
+        let moves_watch = match or(next_signal, next_move).await {
             Change::Reload => reload(file, watch),
-            Change::ControlMove(address) => watch.set_from_control(address),
+            Change::ControlMove(address) => watch.set_control_address(address),
             Change::Terminate => return,
         };
         if moves_watch {
@@ -143,8 +147,8 @@
 fn reload(file: Option<&Path>, watch: &mut DiscoveryWatch) -> bool {
     let discovery = match configuration::read_again(file) {
         Ok(configuration) => configuration.discovery,
-        Err(fault) => {
-            tracing::error!("SIGHUP: configuration not reloaded, the old one stays in force: {fault}");
+        Err(error) => {
+            tracing::error!("SIGHUP: configuration not reloaded, the old one stays in force: {error}");
             return false;
         }
     };
@@ -155,7 +159,7 @@
         return false;
     };
     tracing::info!(discovery = %address, "SIGHUP: the configuration is read again");
-    watch.set_in_file(address);
+    watch.set_file_address(address);
     true
 }
 
@@ -167,16 +171,16 @@
     if let Some(fleet) = &fleet {
         fleet.leave().await;
     }
-    let until_killed = longest_request + KILL_DELAY;
-    clients.begin_shutdown(until_killed - FINAL_RESPONSE_MARGIN);
-    let taking = until_killed.saturating_sub(FINISH_TIME).max(MIN_TAKING_TIME);
+    let time_to_kill = longest_request + KILL_DELAY;
+    clients.begin_shutdown(time_to_kill - FINAL_RESPONSE_MARGIN);
+    let accept_time = time_to_kill.saturating_sub(FINISH_TIME).max(MIN_ACCEPT_TIME);
     if presence.is_some_and(|presence| presence.borrow_mut().another_process()) {
         // The other process has the listener too, and accepts those who come.
         stop_accepting(&clients, accepting).await;
         clients.close_after_responses();
-        Timer::after(taking).await;
+        Timer::after(accept_time).await;
     } else {
-        Timer::after(taking).await;
+        Timer::after(accept_time).await;
         stop_accepting(&clients, accepting).await;
     }
     clients.finish_shutdown().await;
@@ -200,9 +204,9 @@
 ///
 /// # Errors
 /// A socket of one of them cannot be had.
-pub fn hollow(configurations: Vec<Configuration>) -> io::Result<()> {
+pub fn serve_without_clients(configurations: Vec<Configuration>) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
-    let all = async {
+    let run_all = async {
         let mut signals = Signals::new([Signal::Term])?;
         let start = |configuration| {
             service::start(configuration, Rc::new(Start::begin()), &executor, Some(&executor))
@@ -215,5 +219,5 @@
         }
         Ok(())
     };
-    async_io::block_on(executor.run(all))
+    async_io::block_on(executor.run(run_all))
 }
--- a/crates/sidecar/src/net/service.rs
+++ b/crates/sidecar/src/net/service.rs
@@ -27,7 +27,7 @@
 /// At most this much of the longest time limit is waited for at a shutdown.
 const MAX_SHUTDOWN_LIMIT: Duration = Duration::from_secs(3);
 /// How many orders of operators wait at most.
-const MAX_WAITING_ORDERS: usize = 64;
+const MAX_PENDING_ORDERS: usize = 64;
 
 /// The parts of a sidecar, but for the clients' listener and the signals.
 pub(super) struct Service {
@@ -54,14 +54,14 @@
 }
 
 /// This copy's links to others.
-struct Neighbors {
+struct ReplicaLinks {
     peers: Option<Rc<Peers>>,
     fleet: Option<fleet::FleetHandle>,
     fleet_link: Option<fleet::DecisionLink>,
 }
 
 /// The files of the state folder, where there is one that can be used: without it nothing is handed over.
-fn presence(configuration: &Configuration) -> Option<Presence> {
+fn open_presence(configuration: &Configuration) -> Option<Presence> {
     let folder = configuration.state_folder.as_deref();
     let folder = folder.filter(|_| configuration.inherited_listener.is_some())?;
     let entered = Presence::enter(folder, &configuration.name);
@@ -77,16 +77,16 @@
     clients: Rc<ClientSide>,
     pool: Rc<ConnectionPool>,
 ) {
-    let mut shared = None;
+    let mut was_sharing = None;
     loop {
         let another = presence.borrow_mut().another_process();
-        if shared.replace(another) != Some(another) {
-            let (processes, sharing) = if another {
+        if was_sharing.replace(another) != Some(another) {
+            let (processes, message) = if another {
                 (2, "another process of this sidecar is running: resources are shared with it")
             } else {
                 (1, "no other process of this sidecar is running: all resources are its own")
             };
-            tracing::info!("{sharing}");
+            tracing::info!("{message}");
             resources.share_among(processes);
         }
         clients.shrink_to_share();
@@ -103,14 +103,14 @@
     executor: Option<&LocalExecutor<'static>>,
 ) -> io::Result<Option<(fleet::FleetHandle, fleet::DecisionLink)>> {
     let Some(settings) = configuration.fleet.take() else { return Ok(None) };
-    let passed = match peers.filter(|_| settings.uses_peer_socket) {
+    let shared_socket = match peers.filter(|_| settings.uses_peer_socket) {
         Some(peers) => Some(fleet::SharedSocket { socket: peers.try_clone_socket()?, datagrams }),
         None => None,
     };
     let zones = configuration.zones.clone();
     let failover = configuration.localities.map(|timings| fleet::FailoverSettings { timings, zones });
     let (name, clock) = (&configuration.name, configuration.clock.clone());
-    fleet::start(settings, name, configuration.seed, clock, passed, failover, executor).map(Some)
+    fleet::start(settings, name, configuration.seed, clock, shared_socket, failover, executor).map(Some)
 }
 
 /// Opens the peers' socket and the fleet's part.
@@ -119,10 +119,11 @@
     queue: &owner::EventQueue,
     executor: &LocalExecutor<'static>,
     fleet_executor: Option<&LocalExecutor<'static>>,
-) -> io::Result<Neighbors> {
-    let (pass, passed) = fleet::datagram_channel();
-    let pass = configuration.fleet.as_ref().filter(|fleet| fleet.uses_peer_socket).map(|_| pass);
-    let peers = match Peers::bind(&configuration.peers, configuration.policy.ordinal, pass) {
+) -> io::Result<ReplicaLinks> {
+    let (datagram_sender, datagrams) = fleet::datagram_channel();
+    let datagram_sender =
+        configuration.fleet.as_ref().filter(|fleet| fleet.uses_peer_socket).map(|_| datagram_sender);
+    let peers = match Peers::bind(&configuration.peers, configuration.policy.ordinal, datagram_sender) {
         // The process that this one takes over from still has the address; nothing that peers send is needed.
         Err(error) if configuration.inherited_listener.is_some() => {
             tracing::warn!("no messages are exchanged with peers: {error}");
@@ -133,8 +134,8 @@
     if let Some(peers) = &peers {
         executor.spawn(peers.clone().receive(queue.clone())).detach();
     }
-    let (fleet, fleet_link) = join_fleet(configuration, peers.as_deref(), passed, fleet_executor)?.unzip();
-    Ok(Neighbors { peers, fleet, fleet_link })
+    let (fleet, fleet_link) = join_fleet(configuration, peers.as_deref(), datagrams, fleet_executor)?.unzip();
+    Ok(ReplicaLinks { peers, fleet, fleet_link })
 }
 
 /// Starts to follow the control machines, where the configuration names any, and prepares the watch of the endpoint list.
@@ -167,24 +168,24 @@
     control: Option<control::status::ControlStatus>,
 ) -> io::Result<ConsoleLink> {
     let serving = Arc::new(AtomicBool::new(false));
-    let (orders, ordered) = async_channel::bounded(MAX_WAITING_ORDERS);
+    let (order_sender, orders) = async_channel::bounded(MAX_PENDING_ORDERS);
     let (notify_list, list_received) = async_channel::bounded(1);
     let record = configuration.state_folder.as_ref().filter(|_| configuration.console.is_some());
     let record = record.map(|folder| MaintenanceRecord::open(folder, &configuration.name));
     let recorded = record.as_ref().map(|record| record.entries.clone()).unwrap_or_default();
     if let Some(address) = configuration.console {
         let serving = serving.clone();
-        Console { serving, orders, record, fleet, control }.open(address)?;
+        Console { serving, orders: order_sender, record, fleet, control }.open(address)?;
     }
-    let operators = OperatorChannels { orders: ordered, recorded, list_received: notify_list };
+    let operators = OperatorChannels { orders, recorded, list_received: notify_list };
     Ok(ConsoleLink { serving, operators, list_received })
 }
 
 /// The statistics file of a process that takes over, where the configuration names none.
 fn choose_statistics_file(configuration: &mut Configuration) {
     let takes_over = configuration.inherited_listener.is_some();
-    let wanted = takes_over && configuration.statistics_file.is_none();
-    if let Some(folder) = configuration.state_folder.as_ref().filter(|_| wanted) {
+    let needs_default = takes_over && configuration.statistics_file.is_none();
+    if let Some(folder) = configuration.state_folder.as_ref().filter(|_| needs_default) {
         let file = format!("{}.learnt", crate::storage::file_name_of(&configuration.name));
         configuration.statistics_file = Some(folder.join(file));
     }
@@ -214,7 +215,7 @@
         pool.clone(),
         executor.clone(),
     ));
-    let presence = presence(&configuration).map(|presence| Rc::new(RefCell::new(presence)));
+    let presence = open_presence(&configuration).map(|presence| Rc::new(RefCell::new(presence)));
     if let Some(presence) = presence.clone() {
         executor.spawn(share_resources(presence, resources, clients.clone(), pool.clone())).detach();
     }
@@ -226,7 +227,7 @@
     let channels = (poll.clone(), poll_requests);
     let (watch, control) = start_control(&configuration, discovery, channels, &queue, &clients, executor);
     executor.spawn(pool.clone().reap()).detach();
-    let Neighbors { peers, fleet, fleet_link } =
+    let ReplicaLinks { peers, fleet, fleet_link } =
         open_peers_and_fleet(&mut configuration, &queue, executor, fleet_executor)?;
     let ConsoleLink { serving, operators, list_received } =
         open_console(&configuration, fleet.clone(), control)?;
--- a/crates/sidecar/src/net/settings_fingerprint.rs
+++ b/crates/sidecar/src/net/settings_fingerprint.rs
@@ -16,28 +16,28 @@
     let (mut text, policy) = (SettingsText::default(), &configuration.policy);
     text.number("tier", policy.tier);
     text.number("verbs", configuration.classes.len());
-    for (front, class) in configuration.classes.iter().zip(&policy.classes) {
-        write_class(&mut text, &front.name, class);
+    for (named, class) in configuration.classes.iter().zip(&policy.classes) {
+        write_class(&mut text, &named.name, class);
     }
     text.number("tenants", configuration.tenants.len());
     for (name, quota) in configuration.tenants.iter().zip(&policy.quotas) {
         text.name("tenants.name", name);
-        text.real("tenants.quota", *quota);
+        text.float("tenants.quota", *quota);
     }
     text.flag("rules.checks", policy.capabilities.health_checks);
     text.flag("rules.cancel", policy.capabilities.cancellation);
     text.flag("rules.parallel", policy.capabilities.hedging);
     text.flag("peers", policy.capabilities.peer_messages);
     text.number("rules.relays", policy.capabilities.max_attempts);
-    text.span("rules.come_back", policy.capabilities.max_retry_after.unwrap_or(Duration::ZERO));
-    text.real("rules.cold_share", policy.slow_start.initial_fraction);
-    text.span("rules.warm_after", policy.slow_start.duration);
-    text.real("rules.tip_multiple", policy.slow_start.overload_multiple);
-    text.span("rules.fall", policy.slow_start.overload_window);
-    text.real("rules.crossing", policy.costs.cross_zone);
-    text.real("rules.check", policy.costs.health_check);
-    text.real("rules.peer", policy.costs.peer_message);
-    text.real("rules.connection", policy.costs.connection);
+    text.duration("rules.come_back", policy.capabilities.max_retry_after.unwrap_or(Duration::ZERO));
+    text.float("rules.cold_share", policy.slow_start.initial_fraction);
+    text.duration("rules.warm_after", policy.slow_start.duration);
+    text.float("rules.tip_multiple", policy.slow_start.overload_multiple);
+    text.duration("rules.fall", policy.slow_start.overload_window);
+    text.float("rules.crossing", policy.costs.cross_zone);
+    text.float("rules.check", policy.costs.health_check);
+    text.float("rules.peer", policy.costs.peer_message);
+    text.float("rules.connection", policy.costs.connection);
     format!("{:016x}", fnv1a(text.0.as_bytes()))
 }
 
@@ -52,11 +52,11 @@
     text.name("verbs.name", name);
     text.name("verbs.repeats", repeats);
     text.name("verbs.group", group);
-    text.span("verbs.memory", class.dedup_window);
-    text.span("verbs.goal", class.latency_objective);
-    text.span("verbs.limit", class.time_limit);
-    text.real("verbs.utility", class.value);
-    text.real("verbs.overdue_utility", class.late_value);
+    text.duration("verbs.memory", class.dedup_window);
+    text.duration("verbs.goal", class.latency_objective);
+    text.duration("verbs.limit", class.time_limit);
+    text.float("verbs.utility", class.value);
+    text.float("verbs.overdue_utility", class.late_value);
 }
 
 /// The settings as lines of `key=value`, each value in a form that only equal settings share.
@@ -84,12 +84,12 @@
         self.line(key, if value { "true" } else { "false" });
     }
 
-    fn span(&mut self, key: &str, value: Duration) {
+    fn duration(&mut self, key: &str, value: Duration) {
         self.line(key, &format!("{}ns", value.as_nanos()));
     }
 
     /// By its bits: the text of a float may change with the compiler's library.
-    fn real(&mut self, key: &str, value: f64) {
+    fn float(&mut self, key: &str, value: f64) {
         self.line(key, &format!("{:016x}", value.to_bits()));
     }
 }
--- a/crates/sidecar/src/net/statistics_file.rs
+++ b/crates/sidecar/src/net/statistics_file.rs
@@ -25,7 +25,7 @@
 /// The version of the file's form.
 const VERSION: u32 = 2;
 /// Some 60,000 servers; a longer file is none of this program's.
-const MAXIMUM_BYTES: u64 = 8 << 20;
+const MAX_FILE_BYTES: u64 = 8 << 20;
 
 /// The form of the file.
 #[derive(Serialize, Deserialize)]
@@ -78,7 +78,7 @@
     }
 
     /// A file of an earlier release has no fingerprint of named settings: there the legacy one decides.
-    fn wrote(&self, file: &StatisticsFile) -> bool {
+    fn matches(&self, file: &StatisticsFile) -> bool {
         match &file.settings {
             Some(settings) => *settings == self.settings,
             None => file.deployment == self.legacy,
@@ -88,7 +88,7 @@
 
 /// Why a file is passed over.
 #[derive(Debug)]
-enum Unusable {
+enum UnusableFile {
     Storage(StorageError),
     NotJson(serde_json::Error),
     Version(u32),
@@ -96,32 +96,32 @@
     Stale { saved_unix_ms: u64 },
 }
 
-impl fmt::Display for Unusable {
+impl fmt::Display for UnusableFile {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unusable::Storage(error) => error.fmt(f),
-            Unusable::NotJson(error) => error.fmt(f),
-            Unusable::Version(version) => write!(f, "version: {version} is not {VERSION}"),
-            Unusable::OtherDeployment { found, own } => write!(f, "deployment: {found:?} is not {own:?}"),
-            Unusable::Stale { saved_unix_ms } => {
+            UnusableFile::Storage(error) => error.fmt(f),
+            UnusableFile::NotJson(error) => error.fmt(f),
+            UnusableFile::Version(version) => write!(f, "version: {version} is not {VERSION}"),
+            UnusableFile::OtherDeployment { found, own } => write!(f, "deployment: {found:?} is not {own:?}"),
+            UnusableFile::Stale { saved_unix_ms } => {
                 write!(f, "saved_unix_ms: {saved_unix_ms} lies more than {MAX_STATISTICS_AGE:?} away")
             }
         }
     }
 }
 
-fn read_usable(path: &Path, deployment: &Deployment) -> Result<StatisticsFile, Unusable> {
-    let bytes = storage::read_within(path, MAXIMUM_BYTES).map_err(Unusable::Storage)?;
-    let file: StatisticsFile = serde_json::from_slice(&bytes).map_err(Unusable::NotJson)?;
+fn read_usable(path: &Path, deployment: &Deployment) -> Result<StatisticsFile, UnusableFile> {
+    let bytes = storage::read_within(path, MAX_FILE_BYTES).map_err(UnusableFile::Storage)?;
+    let file: StatisticsFile = serde_json::from_slice(&bytes).map_err(UnusableFile::NotJson)?;
     if file.version != VERSION {
-        return Err(Unusable::Version(file.version));
+        return Err(UnusableFile::Version(file.version));
     }
-    if !deployment.wrote(&file) {
-        return Err(Unusable::OtherDeployment { found: file.deployment, own: deployment.legacy.clone() });
+    if !deployment.matches(&file) {
+        return Err(UnusableFile::OtherDeployment { found: file.deployment, own: deployment.legacy.clone() });
     }
     // A file from the future was written by another clock.
     if unix_ms().abs_diff(file.saved_unix_ms) > MAX_STATISTICS_AGE.as_millis() as u64 {
-        return Err(Unusable::Stale { saved_unix_ms: file.saved_unix_ms });
+        return Err(UnusableFile::Stale { saved_unix_ms: file.saved_unix_ms });
     }
     Ok(file)
 }
@@ -168,7 +168,7 @@
         clock: &Clock,
     ) {
         let Some(permit) = self.writer.permit() else { return };
-        let file = file_of(&self.deployment, statistics, known_ids, clock);
+        let file = build_file(&self.deployment, statistics, known_ids, clock);
         permit.spawn(move || {
             let written = serde_json::to_vec(&file).map_err(std::io::Error::other);
             let written = written.and_then(|text| storage::replace(&path, TemporaryName::Extension, &text));
@@ -179,17 +179,17 @@
     }
 }
 
-fn file_of(
+fn build_file(
     deployment: &Deployment,
     statistics: &[ServerStatistics],
     known_ids: Vec<String>,
     clock: &Clock,
 ) -> StatisticsFile {
-    let server = |one: &ServerStatistics| StoredServer {
-        id: one.server.to_string(),
-        started_unix_ms: one.started_at.map_or(0, |at| clock.unix_ms(at)),
-        slowness: one.slowness,
-        ejected: one.ejected,
+    let server = |statistics: &ServerStatistics| StoredServer {
+        id: statistics.server.to_string(),
+        started_unix_ms: statistics.started_at.map_or(0, |at| clock.unix_ms(at)),
+        slowness: statistics.slowness,
+        ejected: statistics.ejected,
     };
     StatisticsFile {
         version: VERSION,
--- a/crates/sidecar/src/net/statistics_file_tests.rs
+++ b/crates/sidecar/src/net/statistics_file_tests.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn fingerprints_of_earlier_releases_are_reproduced() {
+fn legacy_fingerprints_match_earlier_releases() {
     for (name, configuration) in DEPLOYMENTS {
         let written = earlier_file(name)["deployment"].clone();
         assert_eq!(Deployment::of(&configuration_of(configuration)).legacy, written, "{name}");
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn fingerprints_of_named_settings_are_stable() {
+fn settings_fingerprints_are_stable() {
     let fingerprints =
         DEPLOYMENTS.map(|(_, configuration)| Deployment::of(&configuration_of(configuration)).settings);
     assert_eq!(fingerprints, ["a9ce1ea9c1782c22", "16680f64c24d927e", "fbe98b271861532a"]);
@@ -51,15 +51,15 @@
 #[test]
 fn files_of_earlier_releases_are_read() {
     let servers = |restored: &RestoredState| {
-        restored.statistics.iter().map(|one| one.server.to_string()).collect::<Vec<_>>()
+        restored.statistics.iter().map(|statistics| statistics.server.to_string()).collect::<Vec<_>>()
     };
     for (name, configuration) in DEPLOYMENTS {
         let deployment = Deployment::of(&configuration_of(configuration));
         let restored = read_back(&earlier_file(name), name, &deployment);
-        let wanted: &[&str] = if name == "every_kind" { &["s1", "s\"2\" é"] } else { &["s1"] };
-        assert_eq!(servers(&restored), wanted, "{name}");
+        let expected: &[&str] = if name == "every_kind" { &["s1", "s\"2\" é"] } else { &["s1"] };
+        assert_eq!(servers(&restored), expected, "{name}");
         let named: Vec<String> = restored.known_ids.iter().map(ToString::to_string).collect();
-        assert_eq!(named, wanted, "{name}");
+        assert_eq!(named, expected, "{name}");
         let first = &restored.statistics[0];
         assert_eq!((first.started_at, first.slowness, first.ejected), (None, 1.0, false), "{name}");
         for (_, other) in DEPLOYMENTS.iter().filter(|(other, _)| *other != name) {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn the_fingerprint_of_named_settings_decides_where_a_file_bears_one() {
+fn settings_fingerprint_overrides_legacy_fingerprint() {
     let deployment = Deployment::of(&configuration_of("plain.toml"));
     let mut file = earlier_file("plain");
     file["settings"] = deployment.settings.clone().into();
@@ -84,39 +84,39 @@
 }
 
 #[test]
-fn a_written_file_bears_both_fingerprints_and_keeps_what_earlier_releases_read() {
+fn written_file_has_both_fingerprints() {
     let deployment = Deployment::of(&configuration_of("plain.toml"));
-    let mut wanted = earlier_file("plain");
-    wanted["settings"] = deployment.settings.clone().into();
+    let mut expected = earlier_file("plain");
+    expected["settings"] = deployment.settings.clone().into();
     let (path, clock) = (temporary_file("written"), Clock::start());
     let statistics =
         [ServerStatistics { server: "s1".into(), started_at: None, slowness: 1.0, ejected: false }];
-    let saving = StatisticsWriter::new(deployment);
-    saving.save(path.clone(), &statistics, vec!["s1".into()], &clock);
-    while saving.writer.is_busy() {
+    let statistics_writer = StatisticsWriter::new(deployment);
+    statistics_writer.save(path.clone(), &statistics, vec!["s1".into()], &clock);
+    while statistics_writer.writer.is_busy() {
         std::thread::sleep(Duration::from_millis(1));
     }
     let mut written: serde_json::Value =
         serde_json::from_slice(&std::fs::read(&path).expect("a file")).expect("JSON");
     let _ = std::fs::remove_file(path);
-    written["saved_unix_ms"] = wanted["saved_unix_ms"].clone();
-    assert_eq!(written.to_string(), wanted.to_string());
+    written["saved_unix_ms"] = expected["saved_unix_ms"].clone();
+    assert_eq!(written.to_string(), expected.to_string());
 }
 
 #[test]
-fn the_file_aside_ends_in_new_and_longer_files_than_the_bound_are_passed_over() {
+fn temporary_file_is_dot_new_and_file_size_is_limited() {
     let deployment = Deployment::of(&configuration_of("plain.toml"));
     let (path, clock) = (temporary_file("aside").with_extension("json"), Clock::start());
     std::fs::create_dir(path.with_extension("new")).expect("a folder");
-    let saving = StatisticsWriter::new(deployment.clone());
-    saving.save(path.clone(), &[], Vec::new(), &clock);
-    while saving.writer.is_busy() {
+    let statistics_writer = StatisticsWriter::new(deployment.clone());
+    statistics_writer.save(path.clone(), &[], Vec::new(), &clock);
+    while statistics_writer.writer.is_busy() {
         std::thread::sleep(Duration::from_millis(1));
     }
     assert!(!path.exists());
     std::fs::remove_dir(path.with_extension("new")).expect("removed");
     let padded = |length: usize| earlier_file("plain").to_string() + &" ".repeat(length);
-    let fill = MAXIMUM_BYTES as usize - padded(0).len();
+    let fill = MAX_FILE_BYTES as usize - padded(0).len();
     for (spaces, servers) in [(fill, 1), (fill + 1, 0)] {
         std::fs::write(&path, padded(spaces)).expect("written");
         assert_eq!(restore(&path, &deployment, &clock).statistics.len(), servers, "{spaces}");
--- a/crates/sidecar/src/net/timeout.rs
+++ b/crates/sidecar/src/net/timeout.rs
@@ -6,9 +6,9 @@
 
 /// What the work returns, or None if it takes longer than `limit`.
 pub async fn timeout<T>(limit: Duration, work: impl Future<Output = T>) -> Option<T> {
-    let late = async {
+    let timed_out = async {
         Timer::after(limit).await;
         None
     };
-    or(async { Some(work.await) }, late).await
+    or(async { Some(work.await) }, timed_out).await
 }
--- a/crates/sidecar/src/net/upstream/exchange.rs
+++ b/crates/sidecar/src/net/upstream/exchange.rs
@@ -31,7 +31,7 @@
 ) -> Result<(IncomingMessage, UpstreamConnection), Outcome> {
     let (connection, idle) = pool.connection(to, run_once).await?;
     if !may_start() {
-        pool.keep(to, connection);
+        pool.put_back(to, connection);
         return Err(Outcome::NotSent);
     }
     let buffer = resources.buffer().ok_or(Outcome::NotSent)?;
@@ -49,7 +49,7 @@
     let response = or(writes, reads).await?;
     if let Some(idle) = idle {
         let broke = matches!(response, Err(HttpError::Closed | HttpError::Broken));
-        pool.used_after(idle, broke);
+        pool.record_reuse(idle, broke);
     }
     match response {
         // It began before there was anything to respond to: a late duplicate of another request's response.
--- a/crates/sidecar/src/net/upstream/idle_breaks.rs
+++ b/crates/sidecar/src/net/upstream/idle_breaks.rs
@@ -20,9 +20,9 @@
     /// The idle time in milliseconds up to which the first bin reaches.
     const FIRST_BIN_MS: u64 = 25;
     /// A bin with this many uses is halved, so that old ones fade.
-    const FULL: u32 = 128;
+    const MAX_BIN_USES: u32 = 128;
     /// More than one break in this many uses is too often.
-    const TOLERATED_RATIO: u32 = 24;
+    const MIN_USES_PER_BREAK: u32 = 24;
 
     fn bin(idle: Duration) -> usize {
         let steps = idle.as_millis() as u64 / Self::FIRST_BIN_MS;
@@ -30,17 +30,17 @@
     }
 
     /// Records a use after this idle time.
-    pub(super) fn add(&mut self, idle: Duration, broke: bool) {
+    pub(super) fn record(&mut self, idle: Duration, broke: bool) {
         let bin = &mut self.bins[Self::bin(idle)];
         (bin.reused, bin.broken) = (bin.reused + 1, bin.broken + u32::from(broke));
-        if bin.reused >= Self::FULL {
+        if bin.reused >= Self::MAX_BIN_USES {
             (bin.reused, bin.broken) = (bin.reused / 2, bin.broken / 2);
         }
     }
 
     /// Whether connections break too often after this idle time: what does so after a shorter time does so after this.
     pub(super) fn breaks_often_after(&self, idle: Duration) -> bool {
-        let too_often = |bin: &Bin| bin.broken >= 2 && bin.broken * Self::TOLERATED_RATIO > bin.reused;
+        let too_often = |bin: &Bin| bin.broken >= 2 && bin.broken * Self::MIN_USES_PER_BREAK > bin.reused;
         self.bins[..=Self::bin(idle)].iter().any(too_often)
     }
 }
--- a/crates/sidecar/src/net/upstream/mod.rs
+++ b/crates/sidecar/src/net/upstream/mod.rs
@@ -59,13 +59,13 @@
         stage: &Cell<AttemptStage>,
     ) -> AttemptResult {
         let response_due = Cell::new(deadline);
-        let late = async {
+        let timed_out = async {
             Timer::at(deadline).await;
             let written = stage.get() == AttemptStage::Written;
             AttemptResult::without_response(if written { Outcome::Timeout } else { Outcome::ConnectFailed })
         };
         let exchange = self.exchange(to, request, number, &response_due, stage);
-        let end = if request.rest.is_none() { or(exchange, late).await } else { exchange.await };
+        let end = if request.rest.is_none() { or(exchange, timed_out).await } else { exchange.await };
         AttemptResult { consumed: !request.can_be_sent_again(), ..end }
     }
 
@@ -115,22 +115,22 @@
         connection: UpstreamConnection,
     ) -> AttemptResult {
         let (outcome, load) = read_outcome(&message.head);
-        let wanted = outcome == Outcome::Ok;
-        let too_late = async {
+        let is_ok = outcome == Outcome::Ok;
+        let timed_out = async {
             streamed_body_late(request, response_due).await;
             Err(HttpError::Broken)
         };
-        match or(self.buffer_response(to, &mut message, connection, wanted), too_late).await {
+        match or(self.buffer_response(to, &mut message, connection, is_ok), timed_out).await {
             Ok(connection) => {
                 let pool = self.pool.clone();
                 let response = || UpstreamResponse { message, connection, from: to.clone(), pool };
-                let response = wanted.then(response);
+                let response = is_ok.then(response);
                 AttemptResult { load, response, ..AttemptResult::without_response(outcome) }
             }
             Err(error) => {
                 tracing::debug!("no response from server {}: {error}", to.server);
                 // A server that has said what came of the request has said so, complete or not.
-                AttemptResult::without_response(if wanted { Outcome::Reset } else { outcome })
+                AttemptResult::without_response(if is_ok { Outcome::Reset } else { outcome })
             }
         }
     }
@@ -142,7 +142,7 @@
         to: &Target,
         message: &mut IncomingMessage,
         connection: UpstreamConnection,
-        wanted: bool,
+        forwarded: bool,
     ) -> Result<Option<UpstreamConnection>, HttpError> {
         let long = message.length().is_some_and(|length| length > MAX_BUFFERED_BODY as u64);
         let buffered = match message.length() {
@@ -158,13 +158,13 @@
         match buffered {
             Some(Ok(())) => {
                 if is_connection_reusable(message) {
-                    self.pool.keep(to, connection);
+                    self.pool.put_back(to, connection);
                 } else if !message.surplus().is_empty() {
-                    self.pool.surplus_received(&to.server);
+                    self.pool.record_surplus(&to.server);
                 }
                 Ok(None)
             }
-            Some(Err(HttpError::TooLarge)) | None if wanted => Ok(Some(connection)),
+            Some(Err(HttpError::TooLarge)) | None if forwarded => Ok(Some(connection)),
             Some(Err(error)) => Err(error),
             None => Ok(None),
         }
@@ -172,8 +172,8 @@
 
     /// Checks a server's health, and reads its load where the check asks for it.
     pub async fn check_health(&self, to: &Target) -> (Outcome, LoadReport) {
-        let late = (Outcome::Timeout, LoadReport::default());
-        timeout(HEALTH_CHECK_TIMEOUT, self.request_health(to)).await.unwrap_or(late)
+        let timed_out = (Outcome::Timeout, LoadReport::default());
+        timeout(HEALTH_CHECK_TIMEOUT, self.request_health(to)).await.unwrap_or(timed_out)
     }
 
     async fn request_health(&self, to: &Target) -> (Outcome, LoadReport) {
--- a/crates/sidecar/src/net/upstream/pool.rs
+++ b/crates/sidecar/src/net/upstream/pool.rs
@@ -5,7 +5,7 @@
 use crate::configuration::Configuration;
 use crate::net::attempts::Location;
 use crate::net::buffers::{ResourcePool, SocketPermit};
-use crate::net::local_failure::{FailureCause, FailureLog, cause};
+use crate::net::local_failure::{FailureCause, FailureLog, failure_cause};
 use crate::net::timeout::timeout;
 use async_io::{Async, Timer};
 use landingspread_decisions::host::{Id, Outcome};
@@ -31,7 +31,7 @@
 /// The quiet time after any server has sent more than its response.
 const QUIET_AFTER_SURPLUS: Duration = Duration::from_millis(60);
 /// For how long such a surplus is remembered.
-const SURPLUS_MEMORY: Duration = Duration::from_secs(60);
+const SURPLUS_COOLDOWN: Duration = Duration::from_secs(60);
 /// With this many idle connections to a server, the longest idle one is used again after the shortest quiet time.
 const MANY_IDLE: usize = 8;
 /// The pause between dials after one that failed for a reason on this side.
@@ -80,9 +80,9 @@
 /// The idle connections to all servers, and the dialing of new ones.
 pub struct ConnectionPool {
     idle: RefCell<BTreeMap<Id, Vec<IdleConnection>>>,
-    breaks: RefCell<IdleBreakStats>,
+    idle_breaks: RefCell<IdleBreakStats>,
     /// When a server last sent more than its response.
-    surplus_seen: Cell<Option<Instant>>,
+    last_surplus_at: Cell<Option<Instant>>,
     failed_dials: FailureLog,
     resources: Rc<ResourcePool>,
     idle_timeout: Duration,
@@ -104,8 +104,8 @@
     ) -> ConnectionPool {
         ConnectionPool {
             idle: RefCell::default(),
-            breaks: RefCell::default(),
-            surplus_seen: Cell::default(),
+            idle_breaks: RefCell::default(),
+            last_surplus_at: Cell::default(),
             failed_dials: FailureLog::default(),
             resources,
             idle_timeout,
@@ -114,8 +114,8 @@
     }
 
     /// Records whether a connection that had been idle for so long broke when it was used again.
-    pub fn used_after(&self, idle: Duration, broke: bool) {
-        self.breaks.borrow_mut().add(idle, broke);
+    pub fn record_reuse(&self, idle: Duration, broke: bool) {
+        self.idle_breaks.borrow_mut().record(idle, broke);
     }
 
     /// An idle connection or a new one, and for how long it had been idle. `run_once`: the request must not run twice, so
@@ -129,7 +129,7 @@
             return Ok((idle.connection, Some(idle.idle_since.elapsed())));
         }
         let permit = loop {
-            match self.resources.for_endpoints.take() {
+            match self.resources.endpoint_sockets.take() {
                 Some(permit) => break permit,
                 None if self.close_longest_idle() => {}
                 None => return Err(ConnectError::LocalResources),
@@ -152,11 +152,11 @@
                 Ok(stream) => return Ok(stream),
                 Err(error) => error,
             };
-            let cause = cause(&error);
+            let cause = failure_cause(&error);
             if cause == FailureCause::Remote {
                 return Err(ConnectError::Unreachable);
             }
-            self.failed_dials.add("dial", &error);
+            self.failed_dials.record("dial", &error);
             if Instant::now() + REDIAL_INTERVAL >= deadline {
                 return Err(ConnectError::LocalResources);
             }
@@ -177,35 +177,36 @@
                 continue;
             }
             // Those before it have been idle for longer still.
-            if run_once && self.breaks.borrow().breaks_often_after(idle_for) {
+            if run_once && self.idle_breaks.borrow().breaks_often_after(idle_for) {
                 return None;
             }
             let candidate = connections.remove(index);
-            if self.fits(to, &candidate) {
+            if self.is_usable_for(to, &candidate) {
                 return Some(candidate);
             }
         }
         let reuse_early = !run_once && connections.len() >= MANY_IDLE && self.required_quiet() == QUIET;
         let quiet = connections.first().is_some_and(|first| first.idle_since.elapsed() >= MIN_QUIET);
         let longest_idle = (reuse_early && quiet).then(|| connections.remove(0));
-        longest_idle.filter(|candidate| self.fits(to, candidate))
+        longest_idle.filter(|candidate| self.is_usable_for(to, candidate))
     }
 
-    fn fits(&self, to: &Target, candidate: &IdleConnection) -> bool {
+    fn is_usable_for(&self, to: &Target, candidate: &IdleConnection) -> bool {
         candidate.address == to.address && self.is_usable(&to.server, candidate)
     }
 
     /// How long a connection must have been quiet before it is used again, where another one may be dialed.
     fn required_quiet(&self) -> Duration {
-        match self.surplus_seen.get() {
-            Some(at) if at.elapsed() < SURPLUS_MEMORY => QUIET_AFTER_SURPLUS,
+        match self.last_surplus_at.get() {
+            Some(at) if at.elapsed() < SURPLUS_COOLDOWN => QUIET_AFTER_SURPLUS,
             _ => QUIET,
         }
     }
 
     /// A server has sent bytes that no request asked for.
-    pub fn surplus_received(&self, server: &Id) {
-        if self.surplus_seen.replace(Some(Instant::now())).is_none_or(|at| at.elapsed() > SURPLUS_MEMORY) {
+    pub fn record_surplus(&self, server: &Id) {
+        if self.last_surplus_at.replace(Some(Instant::now())).is_none_or(|at| at.elapsed() > SURPLUS_COOLDOWN)
+        {
             tracing::warn!(
                 "server {server} sent more than its response; connections are reused only after {QUIET_AFTER_SURPLUS:?} idle"
             );
@@ -213,7 +214,7 @@
     }
 
     /// Closes the idle connections to a server that is gone; its id never comes back.
-    pub fn forget(&self, server: &Id) {
+    pub fn close_idle_to(&self, server: &Id) {
         self.idle.borrow_mut().remove(server);
     }
 
@@ -222,7 +223,7 @@
     fn is_usable(&self, server: &Id, idle: &IdleConnection) -> bool {
         match idle.connection.stream.get_ref().peek(&mut [0]) {
             Ok(1..) => {
-                self.surplus_received(server);
+                self.record_surplus(server);
                 false
             }
             Err(error) => {
@@ -233,7 +234,7 @@
     }
 
     /// Returns a connection whose last response was complete.
-    pub fn keep(&self, to: &Target, connection: UpstreamConnection) {
+    pub fn put_back(&self, to: &Target, connection: UpstreamConnection) {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(to.server.clone()).or_default();
         if connections.len() >= MAX_IDLE_PER_SERVER {
--- a/crates/sidecar/src/net/upstream/response.rs
+++ b/crates/sidecar/src/net/upstream/response.rs
@@ -35,7 +35,7 @@
     pub fn finish(self) {
         let reusable = self.message.is_complete() && is_connection_reusable(&self.message);
         if let Some(connection) = self.connection.filter(|_| reusable) {
-            self.pool.keep(&self.from, connection);
+            self.pool.put_back(&self.from, connection);
         }
     }
 }
@@ -63,7 +63,7 @@
 
 /// The outcome that a response's head tells, and its load report.
 pub(super) fn read_outcome(head: &[u8]) -> (Outcome, LoadReport) {
-    let mut headers = http::no_headers();
+    let mut headers = http::empty_headers();
     let mut response = httparse::Response::new(&mut headers);
     // It was parsed before, when the end of the head was looked for.
     if response.parse(head).is_err() {
--- a/crates/sidecar/src/net/upstream/upstream_tests.rs
+++ b/crates/sidecar/src/net/upstream/upstream_tests.rs
@@ -9,10 +9,10 @@
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 
-const BODY: usize = 100_000;
+const BODY_LENGTH: usize = 100_000;
 
 /// Reads a whole request of this size and answers it at once.
-fn answers_at_once(listener: &TcpListener, size: usize) {
+fn respond_to_request(listener: &TcpListener, size: usize) {
     let (mut stream, _) = listener.accept().expect("a connection");
     let mut bytes = vec![0; size];
     stream.read_exact(&mut bytes).expect("a whole request");
@@ -22,7 +22,7 @@
 /// The caller's side has handed on the last byte of a long body and has not said yet that it was the last, when the answer
 /// comes.
 #[test]
-fn an_answer_right_behind_the_last_byte_of_a_long_body_is_its_answer() {
+fn response_right_after_last_body_byte_is_ok() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
     let client = Rc::new(Async::new(TcpStream::connect(address).expect("a client")).expect("a socket"));
@@ -30,16 +30,16 @@
     let resources = ResourcePool::with_limits(64, 16);
     let head = b"POST /confirm HTTP/1.1\r\nContent-Length: 100000\r\n".to_vec();
     let time_limit = "X-Expires-In-Ms: 1000\r\n\r\n";
-    let size = head.len() + time_limit.len() + BODY;
-    let server = std::thread::spawn(move || answers_at_once(&listener, size));
-    let (give, next) = async_channel::unbounded();
-    for piece in BodyPart::filled(&resources, BODY) {
-        assert!(give.try_send(BodyEvent::Part(piece)).is_ok(), "room for it");
+    let size = head.len() + time_limit.len() + BODY_LENGTH;
+    let server = std::thread::spawn(move || respond_to_request(&listener, size));
+    let (event_sender, events) = async_channel::unbounded();
+    for part in BodyPart::zeroed(&resources, BODY_LENGTH) {
+        assert!(event_sender.try_send(BodyEvent::Part(part)).is_ok(), "room for it");
     }
     let rest = StreamedBody {
-        events: next,
+        events,
         encoding: BodyEncoding::Identity,
-        length: Some(BODY as u64),
+        length: Some(BODY_LENGTH as u64),
         time_limit: Duration::from_secs(1),
         consumed: Cell::new(false),
     };
@@ -68,5 +68,5 @@
     let outcome = async_io::block_on(attempt);
     server.join().expect("the server answered");
     assert_eq!(outcome, Outcome::Ok);
-    drop(give);
+    drop(event_sender);
 }
