--- a/crates/sidecar/src/net/attempts.rs
+++ b/crates/sidecar/src/net/attempts.rs
@@ -1,6 +1,7 @@
-//! The guard that every attempt passes right before its first byte. It keeps, for one request, the state of each attempt, and
-//! says whether another may start. The decisions choose when and where to send; a connection may come up much later, and
-//! here the rules on sending and retrying are checked again.
+//! Checks the rules on sending and retrying right before each attempt's first byte.
+//!
+//! The decision engine chooses when and where to send, but the connection may be established much later. The guard
+//! records the state of a request's attempts, and checks again at that time whether another may start.
 
 use crate::invariants::must_hold;
 use landingspread_decisions::host::Outcome;
@@ -9,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Where a server is, for the groups of servers that deduplicate retries together.
+/// The location of a server, which determines the group of servers that deduplicate retries together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Location {
     pub zone: u32,
@@ -29,46 +30,49 @@
     state: AttemptState,
 }
 
-/// Why an attempt may not start. None of these is a violation of a rule: the connection came up too late.
+/// Why an attempt may not start. Usually the connection was established too late; an attempt that would violate a retry
+/// rule is reported as a violated invariant and denied as `RequestClosed`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptDenied {
-    /// The request has its final response, or its client has left.
+    /// The request has its final response, its client has left, or the attempt would violate a retry rule.
     RequestClosed,
-    /// The servers may no longer deduplicate the retry.
+    /// The deduplication window of an earlier attempt has elapsed, so the servers may execute the retry again.
     DedupWindowElapsed,
 }
 
-/// What the settings say about a request's further attempts.
+/// The settings that govern retries of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryRule {
     pub safety: RetrySafety,
-    /// For how long retries with the same idempotency key are deduplicated, from the first byte of each attempt that may have
-    /// run.
+    /// How long the servers deduplicate retries with the same idempotency key, from the first byte of each attempt that
+    /// may have run.
     pub dedup_window: Duration,
-    /// Two attempts may be in flight at once.
+    /// Whether an attempt may start while another is in flight.
     pub hedging: bool,
 }
 
-/// The guard of one request.
+/// Records the attempts of one request and checks whether another may start.
 pub struct AttemptGuard {
     rule: RetryRule,
     closed: Cell<bool>,
-    /// Attempts whose first byte was sent, by number, without those that are known never to have run.
+    /// The attempts whose first byte was sent, by attempt number. Attempts that are known never to have run are
+    /// removed.
     started: RefCell<BTreeMap<u32, StartedAttempt>>,
 }
 
 impl AttemptGuard {
-    /// A guard that has seen no attempt.
+    /// Creates the guard of a request without attempts.
     pub fn new(rule: RetryRule) -> AttemptGuard {
         AttemptGuard { rule, closed: Cell::new(false), started: RefCell::default() }
     }
 
-    /// The request has its final response, or nobody waits for it any more.
+    /// Denies all further attempts, as the request has its final response or its client has left.
     pub fn close(&self) {
         self.closed.set(true);
     }
 
-    /// Whether this attempt's first byte may be sent now; it counts as sent then. `request` is for the log.
+    /// Checks whether an attempt's first byte may be sent now, and if so records the attempt as in flight. `request` is
+    /// the id for log lines.
     pub fn begin(&self, request: &str, attempt: u32, location: Location) -> Result<(), AttemptDenied> {
         if self.closed.get() {
             return Err(AttemptDenied::RequestClosed);
@@ -97,9 +101,13 @@
         }
         let in_flight = started.values().any(|earlier| earlier.state == AttemptState::InFlight);
         let overlap_allowed = self.rule.hedging || !in_flight;
-        must_hold!(Retrying, overlap_allowed, "attempt {attempt} of {request} beside another in flight");
+        must_hold!(Retrying, overlap_allowed, "attempt {attempt} of {request} while another is in flight");
         let unsafe_retry = self.rule.safety == RetrySafety::NonIdempotent && !started.is_empty();
-        must_hold!(Retrying, !unsafe_retry, "attempt {attempt} of {request} after one that may have run");
+        must_hold!(
+            Retrying,
+            !unsafe_retry,
+            "attempt {attempt} of {request} after an attempt that may have run"
+        );
         if !overlap_allowed || unsafe_retry {
             return Err(AttemptDenied::RequestClosed);
         }
@@ -107,7 +115,7 @@
         Ok(())
     }
 
-    /// An attempt has ended, by a response, a failure or because it was cancelled.
+    /// Records the end of an attempt by a response, a failure or a cancellation.
     pub fn record_end(&self, attempt: u32, outcome: Outcome) {
         let mut started = self.started.borrow_mut();
         if outcome.never_ran() {
--- a/crates/sidecar/src/net/buffers.rs
+++ b/crates/sidecar/src/net/buffers.rs
@@ -1,5 +1,6 @@
-//! The scarce resources of a sidecar: buffers, all of one size and used again, and permits for sockets. It owns how many of
-//! each there may be. Whoever gets none can say so at once, or wait in turn where a part of a message is under way already.
+//! The limited resources of a sidecar: buffers of one size, which are reused, and permits for sockets. This module owns
+//! the limits of both. Where no buffer is free, a task rejects its message at once, or waits if a part of the message
+//! has already arrived.
 
 use crate::configuration::Configuration;
 use async_io::Timer;
@@ -8,24 +9,24 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The size of each buffer in bytes: the longest head, or a part of a body.
+/// The size of each buffer in bytes: it holds a complete head, or a part of a body.
 pub const BUFFER_SIZE: usize = 16 * 1024;
-/// The longest body in bytes that is buffered as a whole, so that its request can be retried. Longer ones are passed on in
-/// parts as they come.
+/// The longest body in bytes that is buffered as a whole, so that its request can be retried. Longer bodies are passed
+/// on in parts as they arrive.
 pub const MAX_BUFFERED_BODY: usize = 64 * 1024;
-/// How often a task that waits for a buffer looks again.
+/// The interval at which a task that waits for a buffer checks for a free one.
 const BUFFER_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// Descriptors that are neither clients' nor servers': standard streams, the reactor's own, the signal pipe, the listener,
-/// discovery.
+/// Descriptors that are used neither for clients nor for servers: standard streams, the reactor, the signal pipe, the
+/// listener and discovery.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Descriptors that the console takes besides: its listener, its clients, its thread's own.
+/// Additional descriptors of the console: its listener, its clients and its thread.
 const CONSOLE_DESCRIPTORS: usize = 24;
-/// Descriptors that a process which takes over opens before this one has made room.
+/// Descriptors that a process which takes over opens before this process has reduced its own use.
 const HANDOVER_DESCRIPTORS: usize = 24;
-/// The least number of socket permits, whatever limit is set.
+/// The minimum number of socket permits, even if the configured limit is lower.
 const MIN_SOCKETS: usize = 16;
-/// Permits that are kept for clients who come when all others are taken, so that they get an answer at least: this many, but
-/// no more than one part of `SPARE_DIVISOR` of all.
+/// Client permits that are kept spare, so that clients which connect when all others are in use still get a response:
+/// at most this many, and at most 1 / `SPARE_DIVISOR` of all client permits.
 const MAX_SPARE_PERMITS: usize = 16;
 const SPARE_DIVISOR: usize = 8;
 const BYTES_PER_MB: usize = 1024 * 1024;
@@ -40,7 +41,7 @@
     pub endpoint_sockets: Rc<SocketBudget>,
 }
 
-/// What the whole sidecar has. Two processes may each have a part of it for a while.
+/// The limits of the whole sidecar, which two of its processes may share for a while.
 struct TotalResources {
     sockets: usize,
     buffers: usize,
@@ -48,7 +49,7 @@
 }
 
 impl ResourcePool {
-    /// The resources that the configuration allows.
+    /// Creates a pool within the configured limits.
     pub fn new(configuration: &Configuration) -> Rc<ResourcePool> {
         let console = if configuration.console.is_some() { CONSOLE_DESCRIPTORS } else { 0 };
         let handover = if configuration.inherited_listener.is_some() { HANDOVER_DESCRIPTORS } else { 0 };
@@ -58,14 +59,14 @@
         )
     }
 
-    /// Resources within these limits: descriptors of the process, and memory in MB.
+    /// Creates a pool within these limits: descriptors of the process, and memory in MB.
     pub fn with_limits(descriptors: usize, memory_mb: usize) -> Rc<ResourcePool> {
         let sockets = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_SOCKETS);
-        // The other half of the memory is for everything else.
+        // Buffers may use half of the memory; the other half is for everything else.
         ResourcePool::with_counts(sockets, memory_mb * BYTES_PER_MB / 2 / BUFFER_SIZE)
     }
 
-    /// Buffers without sockets, for a part that has sockets of its own.
+    /// Creates a pool of buffers without socket permits, for a component that limits its sockets itself.
     pub fn buffers_only(buffers: usize) -> Rc<ResourcePool> {
         ResourcePool::with_counts(0, buffers)
     }
@@ -84,31 +85,33 @@
         Rc::new(pool)
     }
 
-    /// Takes one process's share where this many share everything. What is in use beyond the share comes back as it ends.
+    /// Limits this process to its share if `processes` processes divide the resources equally. Resources in use beyond
+    /// the share are returned as their use ends.
     pub fn share_among(&self, processes: usize) {
         let sockets = self.total.sockets / processes;
         self.max_buffers.set((self.total.buffers / processes).max(1));
-        // The other process may need the memory now.
+        // Frees unused buffers beyond the share, since the other process may need the memory now.
         let max_free = self.max_buffers.get().saturating_sub(self.buffers_in_use.get());
         self.free_buffers.borrow_mut().truncate(max_free);
         self.total.process_sockets.max.set(sockets);
-        // Neither side can take the last two fifths from the other, nor leave them unused.
+        // Each kind may use up to three fifths: two fifths always remain for the other kind, and either may use the
+        // last fifth.
         self.client_sockets.max.set(sockets * 3 / 5);
         self.endpoint_sockets.max.set(sockets * 3 / 5);
     }
 
-    /// Whether more sockets are open than this process's share.
+    /// Whether more sockets are open than this process's share allows.
     pub fn exceeds_share(&self) -> bool {
         self.total.process_sockets.taken.get() > self.total.process_sockets.max.get()
     }
 
-    /// How many buffers an endpoint list may take. Parsed, it takes several times the memory of its text: at 32 MB there is
-    /// room for some 5,000 servers.
+    /// The most buffers that the text of an endpoint list may fill. The parsed list takes several times the memory of
+    /// its text: a memory limit of 32 MB is enough for about 5,000 servers.
     pub fn endpoint_list_buffers(&self) -> usize {
         (self.max_buffers.get() / 16).max(1)
     }
 
-    /// Waits until a buffer is free, for a message that has begun already.
+    /// Waits until a buffer is free; for messages of which a part has already arrived.
     pub async fn wait_for_buffer(self: &Rc<Self>) -> Buffer {
         loop {
             match self.buffer() {
@@ -118,7 +121,7 @@
         }
     }
 
-    /// A buffer, if one is free.
+    /// Takes a buffer, if one is free.
     pub fn buffer(self: &Rc<Self>) -> Option<Buffer> {
         if self.buffers_in_use.get() >= self.max_buffers.get() {
             return None;
@@ -130,7 +133,7 @@
     }
 }
 
-/// A buffer with some bytes filled from its start; dropped, it goes back to its pool.
+/// A buffer whose first bytes are filled. When dropped, it returns to its pool.
 pub struct Buffer {
     bytes: Box<[u8]>,
     filled: usize,
@@ -138,22 +141,22 @@
 }
 
 impl Buffer {
-    /// An empty stand-in for a buffer that was taken.
+    /// Creates an empty placeholder for a buffer that was moved elsewhere.
     pub fn placeholder(pool: &Rc<ResourcePool>) -> Buffer {
         Buffer { bytes: Box::default(), filled: 0, pool: pool.clone() }
     }
 
-    /// The bytes that are filled.
+    /// The filled bytes at the start of the buffer.
     pub fn filled(&self) -> &[u8] {
         &self.bytes[..self.filled]
     }
 
-    /// The bytes that are filled.
+    /// The filled bytes, to be decoded in place.
     pub fn filled_mut(&mut self) -> &mut [u8] {
         &mut self.bytes[..self.filled]
     }
 
-    /// The bytes that are not filled.
+    /// The unfilled bytes, which follow the filled ones.
     pub fn spare(&mut self) -> &mut [u8] {
         &mut self.bytes[self.filled..]
     }
@@ -164,18 +167,18 @@
         self.filled -= count;
     }
 
-    /// Removes a range of filled bytes: those behind it move up.
+    /// Removes a range of filled bytes; the bytes after it move up.
     pub fn remove_range(&mut self, range: Range<usize>) {
         self.bytes.copy_within(range.end..self.filled, range.start);
         self.filled -= range.len();
     }
 
-    /// Keeps the first `count` filled bytes.
+    /// Keeps at most the first `count` filled bytes.
     pub fn truncate(&mut self, count: usize) {
         self.filled = self.filled.min(count);
     }
 
-    /// Marks `count` more bytes as filled.
+    /// Marks the next `count` bytes as filled.
     pub fn fill(&mut self, count: usize) {
         self.filled += count;
     }
@@ -194,14 +197,14 @@
     }
 }
 
-/// Sockets of all kinds.
+/// The limit and the number of open sockets of all kinds in this process.
 #[derive(Default)]
 struct ProcessSockets {
     max: Cell<usize>,
     taken: Cell<usize>,
 }
 
-/// The permits for sockets of one kind.
+/// The permits for sockets of one kind: to clients, or to endpoints.
 pub struct SocketBudget {
     max: Cell<usize>,
     taken: Cell<usize>,
@@ -218,7 +221,7 @@
         self.max.get().saturating_sub(self.taken.get()).min(free)
     }
 
-    /// Whether no permits are left but the spare ones.
+    /// Whether no permits are left except the spare ones.
     pub fn only_spare_left(&self) -> bool {
         self.available() < MAX_SPARE_PERMITS.min(self.max.get() / SPARE_DIVISOR)
     }
@@ -228,7 +231,7 @@
         self.taken.get()
     }
 
-    /// A permit for one socket, if any is left.
+    /// Takes a permit for one socket, if any is left.
     pub fn take(self: &Rc<Self>) -> Option<SocketPermit> {
         if self.available() == 0 {
             return None;
@@ -239,7 +242,7 @@
     }
 }
 
-/// The permit for one socket; kept beside the socket and dropped with it.
+/// The permit for one open socket. It is stored with the socket and returned when dropped.
 pub struct SocketPermit(Rc<SocketBudget>);
 
 impl Drop for SocketPermit {
--- a/crates/sidecar/src/net/clients/accept.rs
+++ b/crates/sidecar/src/net/clients/accept.rs
@@ -1,4 +1,4 @@
-//! Taking connections, and closing others where there is no room for a new one.
+//! Accepts connections, and closes others if no socket is free for a new one.
 
 use super::state::{ClientSide, IdleKey, PERMIT_POLL_INTERVAL};
 use crate::net::local_failure::{FailureCause, failure_cause};
@@ -9,14 +9,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// This many connections at once that have said nothing yet are a crowd.
+/// From this number on, new connections that have sent nothing yet count as a crowd.
 const CROWD_SIZE: usize = 8;
-/// The pause after a connection was closed for its descriptor: it is free by then.
+/// The pause after a connection was closed to free its descriptor, which is free by then.
 const DESCRIPTOR_WAIT: Duration = Duration::from_millis(1);
 
 impl ClientSide {
-    /// Takes connections until it is told to stop. One that is taken is never dropped unheard, and what the system has taken
-    /// by then is taken too, as its clients may have written their requests already.
+    /// Accepts connections until `stop_accepting` is called. An accepted connection is always read, and connections
+    /// that the kernel has queued by then are accepted too, as their clients may have written their requests already.
     pub async fn accept(self: Rc<Self>, listener: Async<TcpListener>) {
         loop {
             let Some(permit) = self.resources.client_sockets.take() else {
@@ -30,8 +30,9 @@
             };
             match or(async { Some(listener.accept().await) }, stopped).await {
                 Some(Ok((stream, _))) => {
-                    // Whoever comes when only spare permits are left, and all others are busy, is heard all the same and
-                    // rejected with an answer: a connection that is not accepted would lose what its client has written.
+                    // A client that connects when only spare permits are left, and all other connections are busy, is
+                    // still read and gets a rejection: a connection that is not accepted would lose what its client has
+                    // written.
                     let on_spare_permit = self.only_spare_permits_left().await;
                     self.silent_new_connections.set(self.silent_new_connections.get() + 1);
                     self.executor
@@ -44,13 +45,14 @@
         }
     }
 
-    /// Whoever waits at the listener has most likely written a request that nobody has yet: idle connections make room.
+    /// Handles a failed accept. If no descriptor is left, idle connections are closed, as a client queued at the
+    /// listener has most likely written a request already.
     async fn accept_failed(&self, error: &io::Error) {
         self.failed_accepts.record("accept", error);
         match failure_cause(error) {
             FailureCause::Transient => yield_now().await,
             FailureCause::Descriptors => {
-                // Who is in the middle of a request is no more to blame than who waits.
+                // Partial requests are not closed: their clients have the same claim to a response as the queued ones.
                 let closed = self.pool.close_longest_idle()
                     || self.close_idle_without_request()
                     || self.close_longest_idle();
@@ -62,14 +64,14 @@
         }
     }
 
-    /// Ends `accept` once nobody waits to be taken.
+    /// Ends `accept` once no connection is queued at the listener.
     pub fn stop_accepting(&self) {
         self.accepting.close();
     }
 
-    /// Makes room where only spare permits are left; returns whether there is none. In a crowd that has just connected it
-    /// waits for those who say nothing, rather than close clients that had requests; for a few it must not wait, or
-    /// nobody would be accepted.
+    /// Frees permits while only spare ones are left; returns whether that failed. If a crowd has just connected, waits
+    /// for its silent connections to be closed, rather than close clients that had requests. For a few new connections
+    /// it must not wait, or no client would be accepted.
     async fn only_spare_permits_left(&self) -> bool {
         while self.resources.client_sockets.only_spare_left() {
             let crowd = self.close_idle_without_request() || self.silent_new_connections.get() >= CROWD_SIZE;
@@ -81,8 +83,8 @@
         false
     }
 
-    /// Closes the older half of the idle connections that had no request: a crowd connects faster than one could be closed
-    /// for each that is taken.
+    /// Closes the older half of the idle connections that have had no request; returns whether there were any. A crowd
+    /// connects faster than permits could be freed by closing one connection for each that is accepted.
     fn close_idle_without_request(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let first_with_request = IdleKey { had_request: true, number: 0 };
@@ -95,8 +97,8 @@
         !new.is_empty()
     }
 
-    /// Closes an idle connection, which loses nothing, or else the partial request of which nothing came for longest: its
-    /// client has most likely stopped.
+    /// Closes the longest idle connection, which loses nothing, or otherwise the partial request that has received no
+    /// bytes for longest, as its client has most likely stopped.
     fn close_idle_or_stalled(&self) -> bool {
         self.close_longest_idle() || self.close_stalled_request()
     }
@@ -114,7 +116,8 @@
         longest.is_some_and(|(_, close)| close.try_send(()).is_ok())
     }
 
-    /// Closes idle connections while this process uses more than its share, as another process of this sidecar needs it.
+    /// Closes idle connections while this process uses more than its share, which another process of this sidecar
+    /// needs.
     pub fn shrink_to_share(&self) {
         while self.resources.exceeds_share() && self.close_longest_idle() {}
     }
--- a/crates/sidecar/src/net/clients/close.rs
+++ b/crates/sidecar/src/net/clients/close.rs
@@ -1,4 +1,4 @@
-//! Closing connections: lingering behind an answer, and the shutdown of the whole client side.
+//! Closes connections: lingers after a response, and shuts down the client side.
 
 use super::state::{ClientSide, PERMIT_POLL_INTERVAL};
 use crate::net::owner::Event;
@@ -8,28 +8,28 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
 
-/// For how long, and for how many bytes, what a client still sends is read before its connection is closed.
+/// How long, and up to how many bytes, a client's remaining input is read before its connection is closed.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 const MAX_LINGER_BYTES: usize = 1024 * 1024;
-/// How long lingering may go on past the shutdown's deadline: the process ends before it is killed.
+/// How long lingering may continue after the shutdown deadline, so that the process ends before it is killed.
 const SHUTDOWN_LINGER: Duration = Duration::from_millis(50);
 const LINGER_READ_SIZE: usize = 4096;
 
 impl ClientSide {
-    /// Each response is its connection's last from now on.
+    /// Makes each response from now on the last one of its connection.
     pub fn close_after_responses(&self) {
         self.closing_connections.set(true);
     }
 
-    /// Requests are taken as before, but each is due within this time.
+    /// Continues to accept requests, but each is due within this time.
     pub fn begin_shutdown(&self, within: Duration) {
         let at = self.clock.now() + within;
         self.shutdown_deadline.set(Some(at));
         self.queue.push(Event::ShutdownBy(at));
     }
 
-    /// Closes idle connections, makes each response its connection's last, and returns when no client is left. Once all
-    /// requests have their final response, those that have arrived only in part are no longer waited for.
+    /// Closes idle connections, makes each response the last one of its connection, and returns when no client is left.
+    /// From the shutdown deadline on, requests that have arrived only in part are rejected.
     pub async fn finish_shutdown(&self) {
         self.close_after_responses();
         while self.resources.client_sockets.taken() > 0 {
@@ -41,13 +41,13 @@
         }
     }
 
-    /// None unless the process is shutting down.
+    /// The time until the shutdown deadline; None unless the process is shutting down.
     fn time_to_shutdown(&self) -> Option<Duration> {
         self.shutdown_deadline.get().map(|deadline| deadline.saturating_sub(self.clock.now()))
     }
 
-    /// Reads what the client still sends: closing on bytes that nobody has read resets the connection, and with it the
-    /// response on its way.
+    /// Reads and discards what the client still sends. Closing a connection with unread bytes resets it, and a response
+    /// on its way would be lost.
     pub(super) async fn linger(&self, mut stream: &Async<TcpStream>) {
         let _ = stream.get_ref().shutdown(Shutdown::Write);
         let discard = async {
@@ -59,7 +59,7 @@
                 }
             }
         };
-        let limit = self.time_to_shutdown().map_or(LINGER_TIMEOUT, |left| left + SHUTDOWN_LINGER);
+        let limit = self.time_to_shutdown().map_or(LINGER_TIMEOUT, |remaining| remaining + SHUTDOWN_LINGER);
         timeout(LINGER_TIMEOUT.min(limit), discard).await;
     }
 }
--- a/crates/sidecar/src/net/clients/connection.rs
+++ b/crates/sidecar/src/net/clients/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection: it waits for a request, answers it, and waits for the next one, until there is a reason to close.
+//! One client's connection: waits for a request, answers it, and repeats this until there is a reason to close.
 
 use super::state::ClientSide;
 use crate::counters::{self, CloseReason, RefusalReason};
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Counts an open request until it is dropped.
+/// Counts a request as open until the guard is dropped.
 struct OpenRequestGuard<'a>(&'a Cell<usize>);
 
 impl<'a> OpenRequestGuard<'a> {
@@ -51,12 +51,14 @@
                 break reason;
             }
             connected_at = None;
-            // A client that writes ahead and reads as fast is never waited for: all others would wait instead.
+            // If a client pipelines requests and reads responses fast enough, this loop never waits and would starve
+            // all other tasks.
             if !read_ahead.is_empty() {
                 yield_now().await;
             }
         };
-        // A client that has left or asked for the end wants no answer; behind a part of a response there cannot be one.
+        // A client that has left or asked to close expects no response, and none can follow an invalid request or an
+        // incomplete response.
         let answer_owed = !matches!(
             reason,
             CloseReason::ClientLeft
@@ -67,13 +69,14 @@
         must_hold!(
             Closing,
             !(answer_owed && read_ahead.has_complete_request()),
-            "closed as {} over a request",
+            "connection closed as {} with a complete request unanswered",
             reason.name()
         );
         counters::connection_closed(reason);
     }
 
-    /// Answers the next message. `connected_at` is set for a new client's first one. An error is why the connection ends.
+    /// Answers the next message. `connected_at` is set for the first message of a new client. The error is the reason
+    /// to close the connection.
     async fn serve_message(
         &self,
         stream: &Rc<Async<TcpStream>>,
--- a/crates/sidecar/src/net/clients/exchange.rs
+++ b/crates/sidecar/src/net/clients/exchange.rs
@@ -1,5 +1,5 @@
-//! A request on its way: it is handed to the owner, the rest of a long body is passed on as it arrives, and the final
-//! response is awaited and written.
+//! Serves one request: passes it to the owner and the rest of a long body as it arrives, then awaits and writes the
+//! final response.
 
 use super::read::STALL_TIMEOUT;
 use super::state::ClientSide;
@@ -21,21 +21,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A body that takes longer than this belongs to no request.
+/// The time limit for a streamed body to arrive; the request has no other deadline until then.
 const BODY_TIMEOUT: Duration = Duration::from_secs(900);
 
-/// The rest of a long body while it is passed on.
+/// A long body while the rest of it is passed on.
 struct BodyUpload {
     id: Id,
     number: u64,
-    /// How long the client waits once the last byte has arrived.
+    /// How long the client waits for the response after the last byte has arrived.
     time_limit: Duration,
     events: Sender<BodyEvent>,
 }
 
 impl ClientSide {
-    /// Answers a request. `message` is complete, or too long to be buffered: then the rest of it is passed on as it arrives.
-    /// `arrived_at` is when the last byte of what was read arrived. An error is why the connection ends.
+    /// Answers a request. `message` is complete, or too long to be buffered; then the rest of it is passed on as it
+    /// arrives. `arrived_at` is the arrival time of the last byte that was read. The error is the reason to close the
+    /// connection.
     pub(super) async fn serve_request(
         &self,
         stream: &Rc<Async<TcpStream>>,
@@ -47,7 +48,7 @@
     ) -> Result<(), CloseReason> {
         counters::request_taken();
         let (complete, number) = (message.is_complete(), self.next_number());
-        // A request's time counts from its last byte.
+        // The time limit of a request counts from its last byte.
         let deadline = if complete {
             self.deadline(arrived_at, request.time_limit)
         } else {
@@ -77,20 +78,21 @@
         let keep_alive = self.may_keep_alive(&message, on_spare_permit, read_ahead);
         let written = self.write_final(stream, response, class, keep_alive, message.http_minor).await;
         let outcome = written.and(keep_alive);
-        // Behind a part of a response, or with nobody there, there is nothing that a reset could discard.
+        // After an incomplete response, or with the client gone, there is no response that a reset could discard.
         if !matches!(outcome, Ok(()) | Err(CloseReason::ResponseBroken | CloseReason::ClientLeft)) {
             self.linger(stream).await;
         }
         outcome
     }
 
-    /// When a request is due whose last byte arrived at `arrived_at`.
+    /// The deadline of a request whose last byte arrived at `arrived_at`, no later than the shutdown deadline.
     fn deadline(&self, arrived_at: Duration, time_limit: Duration) -> Duration {
         let deadline = arrived_at + time_limit;
         self.shutdown_deadline.get().map_or(deadline, |shutdown| shutdown.min(deadline))
     }
 
-    /// The request as its attempts send it. Takes what has arrived of the body.
+    /// Builds the request as its attempts send it, with the part of the body that has arrived, which is taken out of
+    /// `message`.
     async fn outgoing_request(
         &self,
         stream: &Rc<Async<TcpStream>>,
@@ -119,8 +121,8 @@
         OutgoingRequest { id, head, body, rest, run_once, client: ClientPresence::of(stream), guard }
     }
 
-    /// Passes on the rest of the body, if there is one, and then watches the connection. Returns when the client has left, or
-    /// when its body cannot be read; never with a response.
+    /// Passes on the rest of the body, if any, and then watches the connection. Returns only with an error: when the
+    /// client has left, or when its body cannot be read.
     async fn until_client_left(
         &self,
         stream: &Rc<Async<TcpStream>>,
@@ -139,18 +141,18 @@
             let deadline = self.deadline(arrived_at, upload.time_limit);
             self.queue.push(Event::BodyComplete(upload.id.clone(), upload.number, deadline));
             let end = async {
-                // Nobody takes it any more where the request is over.
+                // Sending fails if the request has finished, as nothing receives it then.
                 let _ = upload.events.send(BodyEvent::Complete(self.clock.instant(deadline))).await;
                 Ok(())
             };
             or(end, client_disconnected(stream)).await?;
         }
-        // During a shutdown, whatever is read would have to be answered too.
+        // During a shutdown nothing more is read, as each request that is read must get a response.
         read_ahead.until_disconnected(stream, || !self.closing_connections.get()).await;
         Err(HttpError::Closed)
     }
 
-    /// The client has left, or its body cannot be read. Returns why the connection ends.
+    /// Handles a client that has left or whose body cannot be read. Returns the reason to close the connection.
     async fn request_aborted(
         &self,
         stream: &Async<TcpStream>,
@@ -165,7 +167,8 @@
         CloseReason::BadRequest
     }
 
-    /// Passes on the rest of a body, part by part, as fast as it is taken. Returns when its last byte arrived.
+    /// Passes on the rest of a body part by part, as fast as an attempt accepts it. Returns the arrival time of the
+    /// last byte.
     async fn pass_on_body(
         &self,
         stream: &Async<TcpStream>,
@@ -186,20 +189,20 @@
             let pass_on = async {
                 for part in message.take_parts(&self.resources).await {
                     if events.send(BodyEvent::Part(part)).await.is_err() {
-                        // The request is over, and its final response on its way.
+                        // The request has finished, and its final response is on its way.
                         pending::<()>().await;
                     }
                 }
                 Ok(())
             };
-            // Where nothing is taken nothing is read, and the client's leaving would not be seen.
+            // While no part is accepted nothing is read, so reading would not detect that the client has left.
             or(pass_on, client_disconnected(stream)).await?;
         }
         Ok(arrived_at)
     }
 }
 
-/// Ends with the client's connection, as seen without reading from it.
+/// Returns an error when the client's connection has ended, as detected without reading from it.
 async fn client_disconnected(stream: &Async<TcpStream>) -> Result<(), HttpError> {
     leaving::until_disconnected(stream).await;
     Err(HttpError::Closed)
--- a/crates/sidecar/src/net/clients/latch.rs
+++ b/crates/sidecar/src/net/clients/latch.rs
@@ -2,7 +2,7 @@
 
 use async_channel::{Receiver, Sender};
 
-/// Open until it is closed for good.
+/// A flag that is open at first and can be closed once.
 pub(super) struct Latch {
     close: Sender<()>,
     closed: Receiver<()>,
@@ -22,7 +22,7 @@
         self.close.is_closed()
     }
 
-    /// Returns once it is closed.
+    /// Returns once the latch is closed.
     pub(super) async fn closed(&self) {
         let _ = self.closed.recv().await;
     }
--- a/crates/sidecar/src/net/clients/mod.rs
+++ b/crates/sidecar/src/net/clients/mod.rs
@@ -1,17 +1,17 @@
-//! The client side: takes connections, reads requests, hands them to the owner and writes the final responses back. It owns
-//! the clients' sockets and the answers to invalid input. It holds no buffer for a connection that waits, answers no
-//! accepted request by its own choice, and reaches the decisions by the owner's queue alone.
+//! The client side: accepts connections, reads requests, passes them to the owner and writes the final responses. It
+//! owns the clients' sockets and the responses to invalid input. An idle connection holds no buffer; requests passed to
+//! the owner are answered only as the owner decides; and the decision engine is reached only through the owner's queue.
 //!
-//! A connection goes through these phases, each in a file of its own:
+//! A connection passes through these phases, each in a file of its own:
 //!
-//! - `accept`: a connection is taken, and others are closed where there is no room.
-//! - `wait`: it is idle until a request comes.
+//! - `accept`: the connection is accepted, and others are closed if no socket is free.
+//! - `wait`: the connection is idle until a request arrives.
 //! - `read`: a request is read, as far as it is buffered.
-//! - `exchange`: the request is handed to the owner, and its final response awaited.
+//! - `exchange`: the request is passed to the owner, and its final response awaited.
 //! - `write`: the response is written.
-//! - `close`: the connection is closed, with its reason, and the process's shutdown.
+//! - `close`: the connection is closed; also the shutdown of the client side.
 //!
-//! `state` is what all connections share.
+//! `connection` runs these phases for one connection, and `state` holds what all connections share.
 
 mod accept;
 mod close;
--- a/crates/sidecar/src/net/clients/read.rs
+++ b/crates/sidecar/src/net/clients/read.rs
@@ -1,4 +1,4 @@
-//! Reading a request: its head, and its body as far as it is buffered.
+//! Reads a request: its head, and its body as far as it is buffered.
 
 use super::state::{ClientSide, FIRST_REQUEST_TIMEOUT, PartialRequest, WRITE_TIMEOUT};
 use crate::counters::{self, CloseReason, RefusalReason};
@@ -15,16 +15,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a head may take to arrive.
+/// How long the head of a client's later requests may take to arrive.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
-/// A client that sends nothing for this long in the middle of a request has stopped: it is owed an answer within 3 s.
+/// A client that sends nothing for this long within a request counts as stopped: it must get a response within 3 s.
 pub(super) const STALL_TIMEOUT: Duration = Duration::from_millis(2300);
-/// The same once a new client's time for its first request is over.
+/// The stall timeout of a new client once `FIRST_REQUEST_TIMEOUT` has elapsed.
 const LATE_STALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why there is no request for the decisions.
+/// Why no valid message was read.
 enum ReadError {
-    /// There is nobody to be answered, or nobody is to be.
+    /// No response is sent: the client has left, or its connection is closed to free a socket.
     NoResponse(CloseReason),
     Rejected(Rejection),
 }
@@ -35,7 +35,7 @@
     }
 }
 
-/// A new client's request among those that may be closed for room; dropped, it is no longer.
+/// Registers a new client's partial request as one that may be closed to free a socket, until the guard is dropped.
 struct PartialRequestGuard<'a> {
     clients: &'a ClientSide,
     number: u64,
@@ -60,7 +60,7 @@
 }
 
 impl ClientSide {
-    /// Reads a message, and answers one that is invalid. An error is why the connection ends.
+    /// Reads a message, and rejects an invalid one. The error is the reason to close the connection.
     pub(super) async fn read_or_reject(
         &self,
         stream: &Async<TcpStream>,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Reads a new client's first request. Its connection may be closed for room meanwhile.
+    /// Reads a new client's first request. In the meantime its connection may be closed to free a socket.
     async fn read_first_request(
         &self,
         stream: &Async<TcpStream>,
@@ -106,8 +106,8 @@
         or(self.read_request(stream, buffer, Some(connected_at), &partial.last_read), closed).await
     }
 
-    /// Reads a request: all of it, or the beginning of one that is too long to be buffered. `last_read` is set whenever a
-    /// part of it arrives.
+    /// Reads a complete request, or the beginning of one that is too long to be buffered. Sets `last_read` whenever
+    /// bytes arrive.
     async fn read_request(
         &self,
         stream: &Async<TcpStream>,
@@ -131,7 +131,7 @@
         Ok((message, parsed))
     }
 
-    /// Returns when nothing has arrived for so long that the client counts as one that has stopped.
+    /// Returns an error once the client counts as stopped: it has sent nothing for its stall timeout.
     async fn stalled<T>(
         &self,
         last_read: &Cell<Duration>,
@@ -139,7 +139,8 @@
     ) -> Result<T, HttpError> {
         loop {
             let stalled_at = last_read.get() + STALL_TIMEOUT;
-            // A new client's request is awaited within its time, and a little longer for as long as bytes arrive.
+            // A new client has a time limit for its whole request, after which it may continue as long as bytes keep
+            // arriving within the shorter `LATE_STALL_TIMEOUT`.
             let until = connected_at.map_or(stalled_at, |connected_at| {
                 stalled_at
                     .min((connected_at + FIRST_REQUEST_TIMEOUT).max(last_read.get() + LATE_STALL_TIMEOUT))
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Reads a body to its end if it is short enough to be buffered, and the beginning of a longer one.
+    /// Reads a body that is short enough to be buffered to its end, and only the beginning of a longer one.
     async fn buffer_body(
         &self,
         stream: &Async<TcpStream>,
@@ -172,8 +173,8 @@
         Ok(())
     }
 
-    /// Whether the connection stays open behind this message's response; the error is why not. One that holds another whole
-    /// request stays open, unless the client asked for the end.
+    /// Whether the connection stays open after the response to this message; the error is the reason to close it. If
+    /// another complete request is stored, it stays open unless the client asked to close.
     pub(super) fn may_keep_alive(
         &self,
         message: &IncomingMessage,
--- a/crates/sidecar/src/net/clients/state.rs
+++ b/crates/sidecar/src/net/clients/state.rs
@@ -1,4 +1,4 @@
-//! What the connections of all clients share.
+//! The state that the connections of all clients share.
 
 use super::latch::Latch;
 use crate::clock::Clock;
@@ -20,36 +20,36 @@
 
 /// How long a new client has from connecting until its first request is complete.
 pub(super) const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2300);
-/// The pause before it is looked again whether there is room for a connection.
+/// The interval at which tasks that wait for free sockets check again.
 pub(super) const PERMIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// A client that reads nothing for this long has gone.
+/// The time limit for each write to a client; a client that does not read in time counts as gone.
 pub(super) const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// All clients of this process.
+/// The clients of this process, and the state that their connections share.
 pub struct ClientSide {
     pub(super) clock: Clock,
     pub(super) parser: RequestParser,
-    /// The current time limits of the request classes, for requests that have none of their own.
+    /// The current time limits by request class, for requests that give none.
     pub(super) time_limits: RefCell<Vec<Duration>>,
-    /// What further attempts of each verb's requests go by.
+    /// The retry rules by request class.
     pub(super) retry_rules: Vec<RetryRule>,
     pub(super) max_open_requests: usize,
     pub(super) open_requests: Cell<usize>,
-    /// Set by SIGTERM: when the last request must have its final response.
+    /// When the last request must have its final response; set by SIGTERM.
     pub(super) shutdown_deadline: Cell<Option<Duration>>,
-    /// Each response is its connection's last from now on.
+    /// Whether each response is the last one of its connection.
     pub(super) closing_connections: Cell<bool>,
-    /// Closed once no more connections are taken.
+    /// Closed once no more connections are accepted.
     pub(super) accepting: Latch,
     /// Closed once no more requests are read.
     pub(super) reading: Latch,
     pub(super) idle: RefCell<BTreeMap<IdleKey, Sender<()>>>,
     /// New clients that have sent a part of their first request.
     pub(super) partial_requests: RefCell<BTreeMap<u64, PartialRequest>>,
-    /// How many connections have come just now and said nothing yet.
+    /// The number of new connections that have sent nothing yet and do not count as idle yet.
     pub(super) silent_new_connections: Cell<usize>,
-    /// The last number given to a connection that waits, or to a request.
-    pub(super) last_number: Cell<u64>,
+    /// The next number to give to an idle connection, a partial request or a request.
+    pub(super) unused_number: Cell<u64>,
     pub(super) resources: Rc<ResourcePool>,
     pub(super) queue: EventQueue,
     pub(super) start: Rc<Start>,
@@ -58,8 +58,8 @@
     pub(super) executor: Rc<LocalExecutor<'static>>,
 }
 
-/// The order in which idle connections are closed for room: those without a request so far come first, and then those that
-/// have been idle for longest.
+/// The order in which idle connections are closed to free sockets: connections without a request before others, and the
+/// longest idle first within both groups.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct IdleKey {
     pub(super) had_request: bool,
@@ -70,12 +70,12 @@
 pub(super) struct PartialRequest {
     /// When its last bytes arrived.
     pub(super) last_read: Rc<Cell<Duration>>,
-    /// Closes the connection.
+    /// A message on this channel closes the connection.
     pub(super) close: Sender<()>,
 }
 
 impl ClientSide {
-    /// No connections yet.
+    /// Creates the client side, without connections.
     pub fn new(
         configuration: &Configuration,
         resources: Rc<ResourcePool>,
@@ -87,7 +87,8 @@
         let policy = &configuration.policy;
         let retry_rule = |class: &settings::RequestClass| RetryRule {
             safety: class.retry_safety,
-            // What the decisions leave for the resolution of their clock is left here too.
+            // The decision engine shortens the window by the resolution of its timer, and the guard uses the same
+            // window.
             dedup_window: class.dedup_window.saturating_sub(policy.timer_resolution),
             hedging: policy.capabilities.hedging,
         };
@@ -110,7 +111,7 @@
             idle: RefCell::default(),
             partial_requests: RefCell::default(),
             silent_new_connections: Cell::new(0),
-            last_number: Cell::new(0),
+            unused_number: Cell::new(0),
             resources,
             queue,
             start,
@@ -120,17 +121,17 @@
         }
     }
 
-    /// The time limits of requests whose head arrives from now on.
+    /// Sets the time limits of requests whose head arrives from now on.
     pub fn set_time_limits(&self, limits: Vec<Duration>) {
         *self.time_limits.borrow_mut() = limits;
     }
 
-    /// A number that no connection and no request had before.
+    /// Returns a number that no connection and no request has had before.
     pub(super) fn next_number(&self) -> u64 {
-        self.last_number.replace(self.last_number.get() + 1)
+        self.unused_number.replace(self.unused_number.get() + 1)
     }
 
-    /// How much is left of a new client's time for its first request.
+    /// The time that a new client still has for its first request.
     pub(super) fn first_request_time_left(&self, connected_at: Duration) -> Duration {
         (connected_at + FIRST_REQUEST_TIMEOUT).saturating_sub(self.clock.now())
     }
--- a/crates/sidecar/src/net/clients/wait.rs
+++ b/crates/sidecar/src/net/clients/wait.rs
@@ -1,4 +1,4 @@
-//! Waiting for a request on an idle connection.
+//! Waits for a request on an idle connection.
 
 use super::state::{ClientSide, IdleKey};
 use crate::counters::CloseReason;
@@ -12,11 +12,11 @@
 
 /// How long a connection may be idle between requests.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(300);
-/// For how long a new connection is not counted as idle: its first request follows at once, if it follows at all. If this
-/// were longer, a crowd of silent connections would hold up those that come after it.
+/// How long a new connection does not count as idle: its first request follows at once, if at all. With a longer time,
+/// a crowd of silent connections would delay the connections that come after it.
 const FIRST_BYTE_WAIT: Duration = Duration::from_millis(20);
 
-/// An idle connection among those that may be closed for room; dropped, it is idle no longer.
+/// Registers an idle connection as one that may be closed to free a socket, until the guard is dropped.
 struct IdleGuard<'a> {
     clients: &'a ClientSide,
     key: IdleKey,
@@ -39,15 +39,16 @@
 }
 
 impl ClientSide {
-    /// Waits until bytes arrive. `connected_at` is set for a client without a request so far. An error is why the connection
-    /// ends instead.
+    /// Waits until bytes arrive. `connected_at` is set for a client that has had no request. The error is the reason to
+    /// close the connection.
     pub(super) async fn wait_for_request(
         &self,
         stream: &Async<TcpStream>,
         connected_at: Option<Duration>,
     ) -> Result<(), CloseReason> {
         if connected_at.is_some() {
-            // A client repeats no request that a new connection has lost, so this one does not count as idle yet.
+            // Clients do not retry a request that is lost on a new connection, so this connection does not count as
+            // idle yet.
             let readable = timeout(FIRST_BYTE_WAIT, stream.readable()).await;
             self.silent_new_connections.set(self.silent_new_connections.get() - 1);
             if let Some(readable) = readable {
@@ -63,7 +64,7 @@
         let limit = connected_at.map_or(IDLE_TIMEOUT, |at| self.first_request_time_left(at));
         let readable = timeout(limit, or(readable, closed)).await.unwrap_or(false);
         drop(idle);
-        // A request may have arrived in the very moment in which its connection was to be closed.
+        // A request may have arrived just as its connection was to be closed.
         if readable || leaving::has_unread(stream) {
             return Ok(());
         }
--- a/crates/sidecar/src/net/clients/write.rs
+++ b/crates/sidecar/src/net/clients/write.rs
@@ -1,4 +1,4 @@
-//! Writing responses to clients.
+//! Writes responses to clients.
 
 use super::state::{ClientSide, WRITE_TIMEOUT};
 use crate::counters::CloseReason;
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 impl ClientSide {
-    /// Writes the final response. An error is why the connection ends here, within the response or behind it.
+    /// Writes the final response. The error is the reason to close the connection, within the response or after it.
     pub(super) async fn write_final(
         &self,
         stream: &Async<TcpStream>,
@@ -27,7 +27,7 @@
                 self.pass_on_response(stream, *response, class, keep_alive, http_minor).await
             }
             FinalResponse::Rejected(retry_after) => {
-                let header = retry_after.map(|span| format!("Retry-After: {:.3}\r\n", span.as_secs_f64()));
+                let header = retry_after.map(|delay| format!("Retry-After: {:.3}\r\n", delay.as_secs_f64()));
                 let header = header.as_deref().unwrap_or("").as_bytes();
                 self.write_short(stream, 503, header, b"declined\n", keep_alive.is_ok()).await
             }
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Passes on a server's response, and the rest of it as it arrives.
+    /// Passes on a server's response: what has arrived of it, and the rest as it arrives.
     async fn pass_on_response(
         &self,
         stream: &Async<TcpStream>,
@@ -50,7 +50,7 @@
         let (encoding, framing) = match length {
             Some(length) => (BodyEncoding::Identity, format!("Content-Length: {length}\r\n")),
             None if http_minor > 0 => (BodyEncoding::Chunked, "Transfer-Encoding: chunked\r\n".to_string()),
-            // To a client of HTTP/1.0 the end of the connection is the end of the response.
+            // For an HTTP/1.0 client the end of the connection marks the end of the response.
             None => (BodyEncoding::Identity, String::new()),
         };
         let ends_connection = length.is_none() && encoding == BodyEncoding::Identity;
@@ -61,13 +61,13 @@
             if response.read_more().await.is_err() {
                 self.queue.push(Event::ResponseInterrupted(response.server().clone(), class));
                 if ends_connection {
-                    // Only a reset tells the client that this is not the end of the response.
+                    // Only a reset shows the client that the response is incomplete.
                     let _ = rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO));
                 }
                 return Err(CloseReason::ResponseBroken);
             }
             written = self.write_buffered(stream, b"", &response, encoding).await;
-            // Where both sides are as fast as this one nothing here waits, and all other tasks would.
+            // If both sides are fast enough, nothing in this loop waits; yielding lets all other tasks run.
             yield_now().await;
         }
         let ended = written && timeout(WRITE_TIMEOUT, http::write_body_end(stream, encoding)).await.is_some();
@@ -90,24 +90,24 @@
         matches!(timeout(WRITE_TIMEOUT, write).await, Some(Ok(())))
     }
 
-    /// Answers a message that the decisions do not get. An error: the answer could not be written.
+    /// Sends an error response to a message that does not reach the decision engine. Returns an error if it could not
+    /// be written.
     pub(super) async fn reject(
         &self,
         stream: &Async<TcpStream>,
         rejected: &Rejection,
         keep_alive: bool,
     ) -> Result<(), CloseReason> {
-        let Rejection { status, reason } = rejected;
-        tracing::debug!(status, why = reason, "request rejected");
-        let written =
-            self.write_short(stream, *status, b"", format!("{reason}\n").as_bytes(), keep_alive).await;
+        let Rejection { status, reason: why } = rejected;
+        tracing::debug!(status, why, "request rejected");
+        let written = self.write_short(stream, *status, b"", format!("{why}\n").as_bytes(), keep_alive).await;
         if !keep_alive {
             self.linger(stream).await;
         }
         written
     }
 
-    /// Writes a short response of this process. An error: it could not be written.
+    /// Writes a short response of this process. Returns an error if it could not be written.
     pub(super) async fn write_short(
         &self,
         stream: &Async<TcpStream>,
--- a/crates/sidecar/src/net/discovery.rs
+++ b/crates/sidecar/src/net/discovery.rs
@@ -1,6 +1,8 @@
-//! The discovery client: one watch of the endpoint list, by long polls. It owns the list's generation and the connection to
-//! discovery. It polls when it is asked to, and goes on by itself only while the watch stands or has moved; it never
-//! changes what the owner was given.
+//! The discovery client: one watch of the endpoint list, by long polls. It owns the list's generation and the
+//! connection to discovery.
+//!
+//! A watch starts when a poll is requested, and continues until a poll fails. Each list is passed to the owner and not
+//! modified afterwards.
 
 use super::buffers::ResourcePool;
 use super::http::{self, HttpError};
@@ -19,34 +21,34 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a poll waits for a change. A connection that has gone silent shows only when the poll's time is over, and until
-/// then no drain is seen; so polls wait briefly, longer where all replicas together would poll more often than
-/// `MAX_POLLS_PER_SECOND`. A change has to be known 6 s after discovery has it, and a poll that waits for 2.5 s is given up
-/// and made again within 4 s.
+/// The bounds of the time that a poll waits for a change. A connection that has gone silent is detected only when the
+/// poll times out, and drains are not seen until then, so polls wait briefly; they wait longer where all replicas
+/// together would poll more often than `MAX_POLLS_PER_SECOND`. A change has to be known 6 s after discovery has it: a
+/// poll that waits for 2.5 s times out and is repeated within 4 s.
 const MIN_WAIT: Duration = Duration::from_secs(2);
 const MAX_WAIT: Duration = Duration::from_millis(2500);
 const MAX_POLLS_PER_SECOND: f64 = 50.0;
-/// How long connecting, and writing a poll, may take.
+/// The time limit for connecting, and again for writing a poll.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// A poll that is refused after this time stood in discovery's queue: discovery has more polls than it can serve, from an
-/// unknown number of replicas. Each poll then waits twice as long, up to `MAX_OVERLOADED_WAIT`, and less again by
-/// `WAIT_DECAY` with each list.
+/// A poll that is refused with 503 after at least this time was queued at discovery: discovery has more polls than it
+/// can serve, from an unknown number of replicas. Each such refusal doubles the wait of the next poll, up to
+/// `MAX_OVERLOADED_WAIT`, and each list multiplies it by `WAIT_DECAY`.
 const MIN_QUEUED_TIME: Duration = Duration::from_millis(500);
 const MAX_OVERLOADED_WAIT: Duration = Duration::from_secs(8);
 const WAIT_DECAY: f64 = 0.75;
-/// How much later than its wait a poll's response may arrive, as discovery serves polls in turn.
+/// How long after its wait a poll's response may arrive, as discovery serves polls one after another.
 const RESPONSE_SLACK: Duration = Duration::from_secs(1);
 
-/// Why a poll brought no endpoint list.
+/// Why a poll returned no endpoint list.
 #[derive(Debug)]
 enum DiscoveryError {
-    /// Discovery has too many polls.
+    /// Discovery refused the poll because it has too many.
     Overloaded,
     TimedOut(Duration),
     Io(io::Error),
     Http(HttpError),
     Status(Option<u16>),
-    /// The response is not JSON.
+    /// The body of the response is not JSON.
     InvalidJson(serde_json::Error),
     InvalidList(CatalogError),
 }
@@ -81,10 +83,12 @@
 #[derive(Clone)]
 pub struct Discovery {
     address: SocketAddr,
-    /// The generation of the list in hand. None where it is not one of this discovery's: then the complete list is due.
+    /// The generation after which the next poll asks for changes. None asks for the complete list, as no list of this
+    /// discovery is known.
     generation: Option<u64>,
-    /// How long a poll waits for a change: at least, and now.
+    /// How long a poll waits for a change while discovery is not overloaded.
     min_wait: Duration,
+    /// How long the next poll waits for a change.
     wait: Duration,
     zones: Vec<String>,
     clock: Clock,
@@ -94,7 +98,8 @@
 }
 
 impl Discovery {
-    /// None where the configuration names no discovery: the servers that it lists are all there are.
+    /// Creates the client. None where no discovery is configured: the servers of the configuration are then the only
+    /// ones.
     pub fn new(
         configuration: &Configuration,
         resources: Rc<ResourcePool>,
@@ -111,20 +116,20 @@
         Some(Discovery { address, generation, min_wait: wait, wait, zones, clock, resources, queue, start })
     }
 
-    /// Polls another discovery from now on. It may count its generations from elsewhere, and may know of drains that the old
-    /// one never had.
+    /// Polls another discovery from now on, beginning with the complete list: its generations may count from another
+    /// start, and it may report drains that the old discovery never had.
     pub fn set_address(&mut self, address: SocketAddr) {
         (self.address, self.generation, self.wait) = (address, None, self.min_wait);
     }
 
-    /// Starts a watch whenever the decisions ask for one; it lasts until a poll fails.
+    /// Starts a watch whenever a poll is requested; the watch lasts until a poll fails.
     pub async fn follow(mut self, poll_requests: Receiver<()>) {
         while poll_requests.recv().await.is_ok() {
             let error = match self.watch().await {
                 Err(error) => error,
                 Ok(never) => match never {},
             };
-            // What was asked for while the watch stood is answered by the event that it has ended.
+            // Requests made during the watch are dropped: the event below, which reports its end, answers them.
             while poll_requests.try_recv().is_ok() {}
             tracing::warn!(discovery = %self.address, "endpoint list watch ended: {error}");
             match error {
@@ -139,7 +144,7 @@
 
     async fn watch(&mut self) -> Result<Infallible, DiscoveryError> {
         let mut connection = None;
-        // The next poll follows at once: 0.2 s after a response it would start a new watch at discovery.
+        // The next poll follows at once: discovery treats a poll that comes 0.2 s after a response as a new watch.
         loop {
             let list = self.poll(&mut connection).await?;
             let (generation, entries) = (list.generation, list.entries.len());
@@ -151,9 +156,9 @@
         }
     }
 
-    /// One poll, on the connection that is kept if there is one.
+    /// Sends one poll, on the idle connection if there is one.
     async fn poll(&self, idle_connection: &mut Option<Async<TcpStream>>) -> Result<Catalog, DiscoveryError> {
-        // The time of a slow connect is taken off the poll's wait.
+        // The time spent on connecting is subtracted from the poll's wait.
         let started_at = Instant::now();
         let connection = match idle_connection.take() {
             Some(connection) => connection,
@@ -164,7 +169,7 @@
         let head = self.poll_head(wait);
         with_timeout(CONNECT_TIMEOUT, http::write(&connection, head.as_bytes(), b"")).await?;
         self.start.discovery_polled();
-        // Buffers of its own, freed with the list: requests that arrive slowly may hold all others.
+        // The list has buffers of its own, freed together with it: requests that arrive slowly may occupy all others.
         let max_buffers = self.resources.endpoint_list_buffers();
         let buffers = ResourcePool::buffers_only(max_buffers + 1);
         let response = http::read_buffered_response(&connection, &buffers, max_buffers);
--- a/crates/sidecar/src/net/http/body.rs
+++ b/crates/sidecar/src/net/http/body.rs
@@ -1,4 +1,4 @@
-//! The body of a message while it is read: by its length, in chunks, or up to the end of the connection.
+//! Decodes the body of a message while it is read: framed by its length, by chunks, or by the end of the connection.
 
 use super::error::HttpError;
 use crate::net::buffers::Buffer;
@@ -12,10 +12,10 @@
 #[cfg(test)]
 use std::rc::Rc;
 
-/// The longest line of a chunk size or a trailer, in bytes.
+/// The longest line with a chunk size or a trailer, in bytes.
 const MAX_CHUNK_LINE: usize = 1024;
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 pub(super) enum Framing {
     Length(usize),
     Chunked,
@@ -30,7 +30,7 @@
 }
 
 impl BodyPart {
-    /// This many zero bytes, in as many parts as they need.
+    /// Creates a body of `count` zero bytes, in as many parts as it needs.
     #[cfg(test)]
     pub fn zeroed(pool: &Rc<ResourcePool>, count: usize) -> Vec<BodyPart> {
         let sizes = (0..count).step_by(BUFFER_SIZE).map(|from| BUFFER_SIZE.min(count - from));
@@ -42,13 +42,13 @@
         sizes.map(part).collect()
     }
 
-    /// The decoded bytes.
+    /// The decoded bytes of this part.
     pub fn bytes(&self) -> &[u8] {
         &self.buffer.filled()[self.range.clone()]
     }
 }
 
-/// Reads what the connection has; returns how many bytes that were.
+/// Reads available bytes into the buffer, waiting for them if there are none. Returns their number.
 pub(super) async fn read_some(
     mut stream: &Async<TcpStream>,
     buffer: &mut Buffer,
@@ -59,7 +59,7 @@
     }
     let count = loop {
         match stream.read(spare).await {
-            // A signal ends no connection.
+            // A signal interrupted the read; the connection is intact.
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
             read => break read?,
         }
@@ -68,17 +68,18 @@
     if count == 0 { Err(HttpError::Closed) } else { Ok(count) }
 }
 
-/// The state of a body while it is read. In the buffer, decoded bytes reach up to `end`; what follows is not decoded yet.
+/// The decoder of a body while it is read. In the buffer, decoded bytes end at `end` and are followed by bytes that are
+/// not decoded yet.
 pub(super) struct BodyDecoder {
     framing: Framing,
     pub(super) end: usize,
-    /// How much of the length, or of the current chunk, is still missing.
+    /// The number of bytes still missing of the body, or of the current chunk.
     remaining: usize,
     state: ChunkState,
     connection_ended: bool,
 }
 
-/// What comes next in a chunked body.
+/// The part of a chunked body that comes next.
 #[derive(Clone, Copy)]
 enum ChunkState {
     Size,
@@ -92,7 +93,7 @@
         BodyDecoder { framing, end: 0, remaining, state: ChunkState::Size, connection_ended: false }
     }
 
-    /// Reads more bytes into the buffer; returns how many.
+    /// Reads more bytes into the buffer and returns their number.
     pub(super) async fn read_more(
         &mut self,
         stream: &Async<TcpStream>,
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Decodes what was read since the last call; returns whether the body is complete.
+    /// Decodes the bytes read since the last call; returns whether the body is complete.
     pub(super) fn decode(&mut self, buffer: &mut Buffer) -> Result<bool, HttpError> {
         match self.framing {
             Framing::Length(_) => {
@@ -122,14 +123,15 @@
             Framing::Chunked => {
                 let mut read = self.end;
                 let complete = self.decode_chunks(buffer.filled_mut(), &mut read);
-                // Framing that was decoded is dropped: many small chunks must not fill the buffer with it.
+                // Removes the framing of decoded chunks from the buffer, which many small chunks would fill otherwise.
                 buffer.remove_range(self.end..read);
                 complete
             }
         }
     }
 
-    /// Decodes chunks in place: `read` is how far the raw bytes are decoded, `end` where the decoded bytes end.
+    /// Decodes chunks in place: raw bytes are decoded up to `read`, and decoded bytes end at `end`. Returns whether the
+    /// body is complete.
     pub(super) fn decode_chunks(&mut self, bytes: &mut [u8], read: &mut usize) -> Result<bool, HttpError> {
         loop {
             let rest = &bytes[*read..];
--- a/crates/sidecar/src/net/http/error.rs
+++ b/crates/sidecar/src/net/http/error.rs
@@ -1,4 +1,4 @@
-//! Why a message could not be read.
+//! The errors of reading a message.
 
 use std::fmt;
 use std::io;
--- a/crates/sidecar/src/net/http/head.rs
+++ b/crates/sidecar/src/net/http/head.rs
@@ -1,27 +1,28 @@
-//! The head of a message: its headers, and what they say about the framing of the body.
+//! Parses the head of a message: its headers, and the framing of the body that they specify.
 
 use super::body::{BodyDecoder, Framing};
 use super::error::HttpError;
 
-/// A head with more headers is rejected.
+/// The most headers in a head; a head with more is rejected.
 const MAX_HEADERS: usize = 96;
 
-/// Space for the headers of one head, as httparse needs it.
+/// Empty space for the headers of one head, which httparse fills.
 pub fn empty_headers<'a>() -> [httparse::Header<'a>; MAX_HEADERS] {
     [httparse::EMPTY_HEADER; MAX_HEADERS]
 }
 
-/// A value that is not UTF-8 must not read as a missing header: it becomes a character that no parser here accepts.
+/// The value of a header. A value that is not UTF-8 must not look like a missing header, so it becomes U+FFFD, which no
+/// parser here accepts.
 fn value_text<'a>(header: &httparse::Header<'a>) -> &'a str {
     std::str::from_utf8(header.value).map_or("\u{fffd}", str::trim)
 }
 
-/// The value of the first header with this name, in any case of letters.
+/// The value of the first header with this name, ignoring case.
 pub fn header<'a>(headers: &[httparse::Header<'a>], name: &str) -> Option<&'a str> {
     headers.iter().find(|header| header.name.eq_ignore_ascii_case(name)).map(value_text)
 }
 
-/// Whether a header is forwarded. Headers about a single connection or its framing are not.
+/// Whether a header is forwarded. Headers that concern one connection or its framing are not.
 pub fn is_end_to_end(name: &str) -> bool {
     const HOP_BY_HOP: [&str; 9] = [
         "connection",
@@ -53,7 +54,7 @@
     response.code
 }
 
-/// The reason phrase of the status codes that this program answers with.
+/// The reason phrase of a status code that this program sends.
 pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -71,7 +72,7 @@
     }
 }
 
-/// Whether these bytes begin with a request that is complete to its last byte.
+/// Whether these bytes begin with a complete request, including its body.
 pub fn is_complete_request(bytes: &[u8]) -> bool {
     let Ok(Some(head)) = ParsedHead::parse_request(bytes) else { return false };
     let body = &bytes[head.length..];
@@ -85,16 +86,16 @@
     }
 }
 
-/// What a head says about the rest of its message.
+/// The properties of a message that its head specifies.
 pub(super) struct ParsedHead {
-    /// The head's own length in bytes.
+    /// The length of the head in bytes.
     pub(super) length: usize,
     /// The minor version: 0 for HTTP/1.0.
     pub(super) minor: u8,
     pub(super) framing: Framing,
     pub(super) keep_alive: bool,
     pub(super) expects_continue: bool,
-    /// An interim response (1xx): the final one follows.
+    /// Whether this is an interim response (1xx), which a final response follows.
     pub(super) interim: bool,
 }
 
@@ -110,11 +111,11 @@
         };
         let contains = |name, word: &str| values(name).any(|text| text.to_ascii_lowercase().contains(word));
         let codings: Vec<&str> = values("transfer-encoding").collect();
-        // The same length given twice is one length.
+        // Identical repeated lengths count as one.
         let mut lengths: Vec<&str> = values("content-length").collect();
         lengths.dedup();
-        // Two lengths, a length beside a transfer coding, or a coding that another parser may read differently would
-        // allow request smuggling.
+        // Different lengths, a length together with a transfer coding, or a coding that another parser may read
+        // differently would allow request smuggling.
         let framing = match (codings.as_slice(), lengths.as_slice()) {
             ([], []) => default_framing,
             ([coding], []) if minor == 1 && coding.eq_ignore_ascii_case("chunked") => Framing::Chunked,
--- a/crates/sidecar/src/net/http/http_tests.rs
+++ b/crates/sidecar/src/net/http/http_tests.rs
@@ -1,4 +1,4 @@
-//! Messages over real sockets, whole and cut, of every framing.
+//! Messages of every framing over real sockets, complete and truncated.
 
 use super::head::ParsedHead;
 use super::*;
@@ -16,7 +16,8 @@
     (sender, Async::new(listener.accept().expect("a connection").0).expect("a socket"))
 }
 
-/// What comes of these bytes, written in pieces to a real socket that is closed after them.
+/// Reads a message from these bytes, written in pieces to a real socket that is closed after them. Returns the body,
+/// and whether the connection can be used again.
 fn read_written(bytes: &[u8], pieces: usize, is_request: bool) -> Result<(Vec<u8>, bool), HttpError> {
     let (mut sender, receiver) = connected_pair();
     let bytes = bytes.to_vec();
@@ -44,7 +45,7 @@
 fn check_property<S: Strategy>(strategy: S, check: impl Fn(S::Value) -> Result<(), TestCaseError>) {
     let cases = ProptestConfig { cases: 60, failure_persistence: None, ..ProptestConfig::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
-    TestRunner::new_with_rng(cases, rng).run(&strategy, check).expect("it holds in all cases");
+    TestRunner::new_with_rng(cases, rng).run(&strategy, check).expect("the property holds in all cases");
 }
 
 #[test]
@@ -58,7 +59,7 @@
             bytes.extend_from_slice(b"\r\n");
         }
         bytes.extend_from_slice(b"0\r\nTrailer: 1\r\n\r\n");
-        let (received, keep) = read_written(&bytes, pieces, false).expect("a whole answer");
+        let (received, keep) = read_written(&bytes, pieces, false).expect("a complete response");
         prop_assert!(keep);
         prop_assert_eq!(received, body);
         Ok(())
@@ -101,7 +102,7 @@
     }
 }
 
-/// A message of any framing, taken piece by piece with two buffers at hand.
+/// Messages of every framing are read in parts with only two buffers.
 #[test]
 fn body_larger_than_all_buffers_is_read_in_parts() {
     let body: Vec<u8> = (0..150_000u32).flat_map(|number| number.to_be_bytes()).collect();
@@ -142,7 +143,7 @@
     let interim = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
     let text = format!("{interim}HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc");
     for pieces in 1..9 {
-        let received = read_written(text.as_bytes(), pieces, false).expect("the real answer");
+        let received = read_written(text.as_bytes(), pieces, false).expect("the final response");
         assert_eq!(received, (b"abc".to_vec(), true));
     }
 }
--- a/crates/sidecar/src/net/http/message.rs
+++ b/crates/sidecar/src/net/http/message.rs
@@ -1,4 +1,4 @@
-//! A message while it is read from a connection: its head at once, its body in parts.
+//! A message that is read from a connection: its head as a whole, its body in parts.
 
 use super::body::{BodyDecoder, BodyPart, Framing, read_some};
 use super::error::HttpError;
@@ -13,7 +13,7 @@
 /// Parses a head; None while it is incomplete.
 type ParseHead = fn(&[u8]) -> Result<Option<ParsedHead>, HttpError>;
 
-/// Reads until the head is complete; returns it with the number of bytes read.
+/// Reads until the head is complete, and skips interim responses. Returns the head and the number of bytes read.
 async fn read_head(
     stream: &Async<TcpStream>,
     buffer: &mut Buffer,
@@ -33,23 +33,23 @@
     }
 }
 
-/// A message whose head is complete, with the part of its body that was read and not taken yet.
+/// A message with a complete head, and the part of its body that was read and not taken yet.
 pub struct IncomingMessage {
     pub head: Vec<u8>,
     /// The minor version: 0 for HTTP/1.0.
     pub http_minor: u8,
-    /// The connection may carry another message after this one.
+    /// Whether the connection may carry another message after this one.
     pub keep_alive: bool,
-    /// The client waits for `100 Continue` before it sends the body.
+    /// Whether the client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
     decoder: BodyDecoder,
     content_length: Option<u64>,
     complete: bool,
-    /// How many bytes were read from the connection since `take_bytes_read` was last called.
+    /// The number of bytes read from the connection since the last call of `take_bytes_read`.
     bytes_read: usize,
-    /// Full buffers of decoded bytes, before those of `buffer`.
+    /// Full buffers of decoded bytes, which precede the bytes in `buffer`.
     full_parts: Vec<BodyPart>,
-    /// Decoded bytes up to the decoder's end, and raw bytes that are not decoded yet.
+    /// Decoded bytes up to the decoder's `end`, followed by bytes that are not decoded yet.
     buffer: Buffer,
 }
 
@@ -110,38 +110,39 @@
         self.complete
     }
 
-    /// How many bytes were read from the connection since this was last called.
+    /// Returns the number of bytes read from the connection since the last call.
     pub fn take_bytes_read(&mut self) -> usize {
         std::mem::take(&mut self.bytes_read)
     }
 
-    /// What was read behind the complete message: the beginning of the next one.
+    /// The bytes that were read after the end of the complete message: the beginning of the next one.
     pub fn surplus(&self) -> &[u8] {
         &self.buffer.filled()[self.decoder.end..]
     }
 
-    /// Forgets the bytes behind the complete message, once they are stored elsewhere.
+    /// Discards the bytes after the end of the complete message, once they are stored elsewhere.
     pub fn drop_surplus(&mut self) {
         self.buffer.truncate(self.decoder.end);
     }
 
-    /// The length of the whole body in bytes: as the head gives it, or once it is complete and nothing was taken.
+    /// The length of the whole body in bytes, if the head gives it, or if the body is complete and no part was taken.
     pub fn length(&self) -> Option<u64> {
         self.content_length.or(self.complete.then_some(self.buffered_len()))
     }
 
-    /// The number of decoded bytes that were not taken.
+    /// The number of decoded bytes that were not taken yet.
     pub fn buffered_len(&self) -> u64 {
         self.buffered().map(|bytes| bytes.len() as u64).sum()
     }
 
-    /// The decoded bytes that were not taken.
+    /// The decoded bytes that were not taken yet.
     pub fn buffered(&self) -> impl Iterator<Item = &[u8]> {
         let last = &self.buffer.filled()[..self.decoder.end];
         self.full_parts.iter().map(BodyPart::bytes).chain((!last.is_empty()).then_some(last))
     }
 
-    /// Makes sure that more can be read into a buffer. `false`: no buffer is free, or `max` bytes are buffered already.
+    /// Makes space for reading more, with another buffer if necessary. Returns false if no buffer is free, or `max`
+    /// bytes are buffered already.
     pub fn ensure_space(&mut self, pool: &Rc<ResourcePool>, max: usize) -> bool {
         if !self.buffer.spare().is_empty() {
             return true;
@@ -155,9 +156,9 @@
         true
     }
 
-    /// Takes the decoded bytes of the current buffer and goes on with another one.
+    /// Takes the decoded bytes of the current buffer, and continues with `replacement`.
     fn replace_buffer(&mut self, mut replacement: Buffer) -> BodyPart {
-        // The end of the buffer may cut a chunk size: bytes that are not decoded move to the new buffer.
+        // A chunk size may be split at the end of the buffer, so bytes that are not decoded move to the new buffer.
         let rest = &self.buffer.filled()[self.decoder.end..];
         replacement.spare()[..rest.len()].copy_from_slice(rest);
         replacement.fill(rest.len());
@@ -165,17 +166,17 @@
         BodyPart { buffer: std::mem::replace(&mut self.buffer, replacement), range }
     }
 
-    /// Reads what the connection has. There must be room, see `ensure_space`.
+    /// Reads available bytes and decodes them. There must be space, see `ensure_space`.
     pub async fn read_more(&mut self, stream: &Async<TcpStream>) -> Result<(), HttpError> {
         self.bytes_read += self.decoder.read_more(stream, &mut self.buffer).await?;
         self.decode()
     }
 
-    /// Takes all decoded bytes, whether the body is complete or not. Waits for a buffer where more is to be read.
+    /// Takes all decoded bytes, whether the body is complete or not. If more is to be read, waits for a free buffer.
     pub async fn take_parts(&mut self, pool: &Rc<ResourcePool>) -> Vec<BodyPart> {
         let mut taken = std::mem::take(&mut self.full_parts);
         if self.decoder.end > 0 && self.complete {
-            // Nothing more is read into this message, so it needs no other buffer.
+            // No more bytes are read into this message, so it needs no other buffer.
             let range = 0..std::mem::take(&mut self.decoder.end);
             taken.push(BodyPart {
                 buffer: std::mem::replace(&mut self.buffer, Buffer::placeholder(pool)),
@@ -188,18 +189,19 @@
         taken
     }
 
-    /// Discards the decoded bytes that `buffered` returns.
+    /// Discards the decoded bytes that were not taken yet.
     pub fn discard_buffered(&mut self) {
         self.full_parts.clear();
         self.buffer.drop_front(std::mem::take(&mut self.decoder.end));
     }
 
-    /// All decoded bytes in one piece, for short bodies.
+    /// The decoded bytes in one piece, for short bodies.
     pub fn body_bytes(&self) -> Vec<u8> {
         self.buffered().collect::<Vec<_>>().concat()
     }
 
-    /// Reads until the body is complete. More than `max` bytes are too large.
+    /// Reads until the body is complete. Fails with `TooLarge` if it needs another buffer and none is free or `max`
+    /// bytes are buffered already.
     pub async fn read_to_end(
         &mut self,
         stream: &Async<TcpStream>,
@@ -216,13 +218,13 @@
     }
 }
 
-/// A complete body that is read as a stream; each buffer is given back once it is read.
+/// A complete body that is read as a stream. Each buffer is freed once it is read.
 pub struct BodyReader {
     parts: VecDeque<BodyPart>,
 }
 
-/// Reads a whole response into at most `max_buffers` buffers: the endpoint list of a large fleet is far longer than any
-/// body that requests may have. Returns the status, whether the connection can be used again, and the body.
+/// Reads a complete response into at most `max_buffers` buffers: the endpoint list of a large fleet is far longer than
+/// the body of any buffered request. Returns the status, whether the connection can be used again, and the body.
 pub async fn read_buffered_response(
     stream: &Async<TcpStream>,
     pool: &Rc<ResourcePool>,
--- a/crates/sidecar/src/net/http/mod.rs
+++ b/crates/sidecar/src/net/http/mod.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 on the wire: heads are parsed by httparse, bodies are framed here and read in parts of one buffer each.
+//! HTTP/1.1 messages: httparse parses heads, and this module frames bodies and reads them in parts of one buffer each.
 //!
-//! This module knows the framing of messages in both directions. It does not know what a request means, keeps no
-//! connection, and never sends a message twice.
+//! It handles the framing of messages in both directions. It does not interpret requests, keeps no connections and
+//! never sends a message twice.
 
 mod body;
 mod error;
--- a/crates/sidecar/src/net/http/write.rs
+++ b/crates/sidecar/src/net/http/write.rs
@@ -1,22 +1,22 @@
-//! Writing messages: the head and parts of a body, in as few packets as possible.
+//! Writes messages: the head and parts of a body, in as few packets as possible.
 
 use async_io::Async;
 use futures_lite::AsyncWriteExt;
 use std::io::{self, IoSlice};
 use std::net::TcpStream;
 
-/// How many slices one system call writes: a head, the buffered parts of a body, and the framing of a chunk.
+/// The most slices that one system call writes: a head, the buffered parts of a body, and the framing of a chunk.
 const MAX_SLICES: usize = 8;
 
-/// How a body is framed on its way out.
+/// The framing of an outgoing body.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum BodyEncoding {
-    /// Its length is in the head, or it ends with the connection.
+    /// The head gives the length, or the body ends with the connection.
     Identity,
     Chunked,
 }
 
-/// Writes a head (which may be empty) and a part of a body behind it.
+/// Writes a head, which may be empty, and the part of a body that follows it.
 pub async fn write_body_part<'a>(
     stream: &Async<TcpStream>,
     head: &'a [u8],
@@ -35,7 +35,7 @@
     write_all(stream, slices).await
 }
 
-/// Writes what ends a body with this encoding.
+/// Writes the end of a body with this encoding.
 pub async fn write_body_end(stream: &Async<TcpStream>, encoding: BodyEncoding) -> io::Result<()> {
     match encoding {
         BodyEncoding::Identity => Ok(()),
@@ -65,7 +65,7 @@
         let mut rest = &mut batch[..count];
         while !rest.is_empty() {
             let written = match stream.write_vectored(rest).await {
-                // A signal ends no connection.
+                // A signal interrupted the write; the connection is intact.
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
                 written => written?,
             };
--- a/crates/sidecar/src/net/legacy_fingerprint.rs
+++ b/crates/sidecar/src/net/legacy_fingerprint.rs
@@ -1,7 +1,8 @@
-//! The fingerprint that the file of learned statistics bore before it was computed over named settings.
+//! The fingerprint by which earlier releases identify a deployment in the statistics file, used before the fingerprint
+//! was computed over named settings.
 //!
-//! That fingerprint hashed the debug text of the checked settings, names of types and fields included. This module
-//! spells those texts out as literals, so that files written by earlier releases are still recognized after the types
+//! The legacy fingerprint hashes the debug text of the checked settings, including names of types and fields. This
+//! module spells these texts out as literals, so that files of earlier releases are still recognized after the types
 //! are renamed. Nothing here may follow a rename: every literal is part of a stored format.
 
 use crate::configuration::Configuration;
@@ -10,7 +11,7 @@
 };
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// The identity of a deployment as earlier releases wrote it into the file.
+/// The identity of a deployment as earlier releases wrote it into the statistics file.
 pub fn deployment(configuration: &Configuration) -> String {
     let names: Vec<&str> = configuration.classes.iter().map(|class| class.name.as_str()).collect();
     let mut hasher = DefaultHasher::new();
--- a/crates/sidecar/src/net/listener.rs
+++ b/crates/sidecar/src/net/listener.rs
@@ -1,4 +1,4 @@
-//! The listener for clients: inherited, or bound at the configured address.
+//! Opens the listener for clients: an inherited one, or one bound at the configured address.
 
 use super::local_failure::{FailureCause, FailureLog, failure_cause};
 use crate::configuration::Configuration;
@@ -8,11 +8,11 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-/// For how long the address is tried, as an earlier process may still have it.
+/// How long binding is retried, as an earlier process may still hold the address.
 const BIND_TIMEOUT: Duration = Duration::from_secs(5);
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The listener that whoever holds it for all processes passes on, or this process's own.
+/// Returns the inherited listener, which all processes of the sidecar share, or binds one for this process.
 pub(super) async fn open(configuration: &Configuration) -> io::Result<Async<TcpListener>> {
     match handover::inherited_listener(configuration.inherited_listener, configuration.listen) {
         Some(listener) => Async::new(listener),
@@ -20,8 +20,8 @@
     }
 }
 
-/// An earlier process may not have ended yet, and a shortage on this machine may pass: only an address that cannot be had
-/// for longer ends the start.
+/// Binds the address. For up to `BIND_TIMEOUT` it retries if the address is in use or this machine lacks resources: an
+/// earlier process may not have ended yet, and a shortage may pass.
 async fn bind(address: SocketAddr) -> io::Result<Async<TcpListener>> {
     let started_at = Instant::now();
     let failures = FailureLog::default();
--- a/crates/sidecar/src/net/local_failure.rs
+++ b/crates/sidecar/src/net/local_failure.rs
@@ -1,28 +1,28 @@
-//! System calls that fail because of this process or machine, told apart from what a server or a path did; and a log of
-//! repeated failures that is limited to one line a second.
+//! Distinguishes system calls that fail because of this process or machine from failures of a server or the network,
+//! and logs repeated failures at most once a second.
 
 use rustix::io::Errno;
 use std::cell::Cell;
 use std::io;
 use std::time::{Duration, Instant};
 
-/// The shortest time between two log lines of the same failure.
+/// The minimum time between two log lines of one `FailureLog`.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Why an accept, a bind or a dial failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureCause {
-    /// No descriptor is left, in this process or the whole system: closing one helps.
+    /// No descriptor is left in this process or in the whole system; closing one helps.
     Descriptors,
-    /// Buffers, memory, ports or permissions of this machine: it may pass.
+    /// This machine lacks buffers, memory, ports or permissions; the failure may pass.
     LocalResources,
-    /// A signal came, or the one connection ended before it was taken: the next call may succeed.
+    /// A signal interrupted the call, or the connection ended before it was accepted; the next call may succeed.
     Transient,
-    /// The other side, or the path to it.
+    /// The other side or the network path failed.
     Remote,
 }
 
-/// The cause of an error of a system call.
+/// Classifies an error of a system call.
 pub fn failure_cause(error: &io::Error) -> FailureCause {
     match Errno::from_io_error(error) {
         Some(Errno::MFILE | Errno::NFILE) => FailureCause::Descriptors,
@@ -42,7 +42,7 @@
 }
 
 impl FailureLog {
-    /// `operation` failed with this error.
+    /// Records that `operation` failed with this error.
     pub fn record(&self, operation: &str, error: &io::Error) {
         self.unlogged.set(self.unlogged.get() + 1);
         if self.logged_at.get().is_none_or(|at| at.elapsed() >= LOG_INTERVAL) {
--- a/crates/sidecar/src/net/local_failure_tests.rs
+++ b/crates/sidecar/src/net/local_failure_tests.rs
@@ -1,4 +1,4 @@
-//! Which side an error of a system call belongs to.
+//! Errors of system calls are classified by their cause.
 
 use super::*;
 
--- a/crates/sidecar/src/net/mod.rs
+++ b/crates/sidecar/src/net/mod.rs
@@ -1,9 +1,9 @@
-//! The sidecar on its sockets: clients, servers, discovery, peers, and the owner of the decisions between them, all on one
-//! thread.
+//! The request path: client connections, server connections, discovery, peer messages and the owner of the decision
+//! engine, all on one thread.
 //!
-//! A request's way: `clients` reads it, `owner` asks the decisions and starts its attempts, `upstream` sends them, and the
-//! response goes back the same way. `service` starts the parts and joins them; `serve` runs them until SIGTERM and ends
-//! them in order.
+//! `clients` reads a request, `owner` passes it to the decision engine and starts its attempts, `upstream` sends them,
+//! and the response returns through the same modules. `service` builds the parts and connects them; `serve` runs them
+//! until SIGTERM and shuts them down in order.
 
 mod attempts;
 pub mod buffers;
--- a/crates/sidecar/src/net/owner/decision_host.rs
+++ b/crates/sidecar/src/net/owner/decision_host.rs
@@ -1,4 +1,4 @@
-//! What the decisions may do: each call goes to the request table or to one of the owner's services.
+//! Performs the actions of the decision engine, on the request table and the owner's services.
 
 use super::event::{Event, FinalResponse};
 use super::request_table::RequestTable;
@@ -9,8 +9,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The decisions' access to the request table. A call is made while the event loop is in a call of the decisions, so it must
-/// never call them itself.
+/// The decision engine's access to the request table. The decision engine makes these calls while the event loop is
+/// calling it, so they must never call the decision engine.
 pub(super) struct DecisionHost(pub(super) Rc<RefCell<RequestTable>>);
 
 impl Host for DecisionHost {
@@ -48,14 +48,14 @@
         table.executor.spawn(check).detach();
     }
 
-    fn wake_after(&mut self, span: Duration) {
+    fn wake_after(&mut self, delay: Duration) {
         let mut table = self.0.borrow_mut();
-        let at = table.clock.now() + span;
+        let at = table.clock.now() + delay;
         table.wake_times.push(Reverse(at));
     }
 
     fn poll_discovery(&mut self) {
-        // A poll that is pending already is the one that is asked for.
+        // A request that is already pending covers this one.
         let _ = self.0.borrow().services.poll_discovery.try_send(());
     }
 
@@ -72,7 +72,7 @@
     fn log(&mut self, event: &DecisionEvent) {
         match event {
             DecisionEvent::SlowStartViolated(server) => {
-                must_hold!(SlowStart, false, "an attempt without a credit to {server}");
+                must_hold!(SlowStart, false, "attempt to {server} without slow-start credit");
             }
             DecisionEvent::Ejected(server) => tracing::info!("server {server} ejected"),
             DecisionEvent::Returned(server) => tracing::info!("server {server} returned, in slow start"),
--- a/crates/sidecar/src/net/owner/event.rs
+++ b/crates/sidecar/src/net/owner/event.rs
@@ -10,16 +10,17 @@
 
 /// The final response to a request. Each request gets exactly one.
 pub enum FinalResponse {
-    /// A server's response.
+    /// A server's response, passed on with status 200.
     Response(Box<UpstreamResponse>),
-    /// The request was rejected or may be sent again: 503, with a `Retry-After` where one is given.
+    /// Status 503: the request was rejected, or may be retried without harm. The time, if any, is sent in
+    /// `Retry-After`.
     Rejected(Option<Duration>),
-    /// An attempt may have run and its result is unknown: 502.
+    /// Status 502: an attempt may have run and its result is unknown, or another request with the same id is open.
     Failed,
 }
 
 impl FinalResponse {
-    /// Its name in the log.
+    /// The name of the response in log lines.
     pub fn name(&self) -> &'static str {
         match self {
             FinalResponse::Response(_) => "answered",
@@ -29,58 +30,60 @@
     }
 }
 
-/// A request as the client side hands it over. Two clients may use the same id: the number tells them apart.
+/// A request as the client side passes it to the owner. Two clients may use the same id; `number` distinguishes their
+/// requests.
 pub struct IncomingRequest {
     pub number: u64,
     pub arrival: RequestArrival,
     pub outgoing: OutgoingRequest,
-    /// Where the final response goes.
+    /// Receives the final response.
     pub responder: Sender<FinalResponse>,
 }
 
-/// What reaches the owner.
+/// An event for the owner.
 pub enum Event {
     RequestArrived(Box<IncomingRequest>),
-    /// The last byte of a request's body has arrived; the response is due by this time.
+    /// The last byte of a request's body has arrived. Fields: the request's id and number, and when the response is
+    /// due.
     BodyComplete(Id, u64, Duration),
     ClientLeft(Id, u64),
-    /// A response of this server, to this verb, broke off while it was passed on.
+    /// A response of this server to a request of this class broke off while it was passed on.
     ResponseInterrupted(Id, usize),
     AttemptEnded(Id, u32, Box<AttemptResult>),
     HealthCheckEnded(Id, Outcome, LoadReport),
-    /// A datagram of another copy.
+    /// A message from the peer with this ordinal.
     PeerMessage(u32, Vec<u8>),
     ListReceived(Catalog),
     ListPollFailed,
-    /// Discovery has too many polls and refused this one.
+    /// Discovery refused a poll because it has too many.
     ListPollRejected,
-    /// Quotas and request classes from now on; the sender is notified once the decisions have them.
+    /// New quotas and request classes. The sender is notified once the decision engine has them.
     SettingsChanged(Box<RuntimeChange>, Sender<()>),
-    /// The process shuts down: all open requests have their final response by this time.
+    /// The process shuts down, and all open requests have their final response by this time.
     ShutdownBy(Duration),
-    /// That time has come.
+    /// The time of `ShutdownBy` has come.
     ShutdownDeadline,
 }
 
-/// The sending side of the owner's queue. The queue has no bound of its own: each open socket has at most one event in it,
-/// and sockets are limited; messages of peers are dropped past the bound in `peers.rs`.
+/// The sending side of the owner's queue. The queue itself has no bound: each open socket has at most one event in it,
+/// and sockets are limited; peer messages are dropped past `MAX_QUEUED_EVENTS` in `peers.rs`.
 #[derive(Clone)]
 pub struct EventQueue(Sender<Event>);
 
 impl EventQueue {
-    /// How many events wait.
+    /// The number of events in the queue.
     pub fn waiting(&self) -> usize {
         self.0.len()
     }
 
-    /// Appends an event.
+    /// Appends an event to the queue.
     pub fn push(&self, event: Event) {
         let queued = self.0.try_send(event).is_ok();
-        must_hold!(Internal, queued, "the owner receives every event");
+        must_hold!(Internal, queued, "event pushed after the owner's queue was closed");
     }
 }
 
-/// A new queue: the side that events are pushed to, and the owner's.
+/// Creates a queue. Returns its sending side, and the receiving side for the owner.
 pub fn queue() -> (EventQueue, Receiver<Event>) {
     let (sender, receiver) = async_channel::unbounded();
     (EventQueue(sender), receiver)
--- a/crates/sidecar/src/net/owner/event_loop.rs
+++ b/crates/sidecar/src/net/owner/event_loop.rs
@@ -1,5 +1,5 @@
-//! The owner's task: it takes events off the queue one by one, passes each to the decisions, and wakes them when they asked
-//! for it.
+//! The owner's task: passes each event of the queue to the decision engine, and wakes the decision engine at the times
+//! it asks for.
 
 use super::decision_host::DecisionHost;
 use super::event::{Event, EventQueue, FinalResponse, IncomingRequest};
@@ -28,22 +28,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The operators' orders, and what the console is notified of.
+/// The channels between the console and the owner.
 pub struct OperatorChannels {
     pub orders: Receiver<MaintenanceOrder>,
-    /// What was recorded before this process began.
+    /// The maintenance entries recorded before this process started.
     pub recorded: MaintenanceEntries,
     /// Notified once an endpoint list has arrived.
     pub list_received: Sender<()>,
 }
 
-/// What the event loop waits for. Operators' orders come before everything else that waits.
+/// An input of the event loop. Operators' orders take precedence over all other inputs.
 enum Input {
     Order(MaintenanceOrder),
     Event(Event),
     FleetSize(ReplicaView),
     ZoneTraffic(Vec<ZoneTraffic>),
-    /// It is time to wake the decisions.
+    /// The decision engine has asked to be woken at this time.
     WakeTime,
 }
 
@@ -51,20 +51,21 @@
     table: Rc<RefCell<RequestTable>>,
     policy: Policy<DecisionHost>,
     clock: Clock,
-    /// What an earlier process learned, until a whole endpoint list has arrived.
+    /// The state that an earlier process saved, until a complete endpoint list has arrived.
     restored: RestoredState,
     operators: OperatorChannels,
     fleet: Option<fleet::DecisionLink>,
-    /// When this copy's view of the zones is next reported to the fleet.
-    zones_reported_at: Duration,
-    /// The decisions' next sweep that may do anything; those before it are skipped unless something happens.
+    /// When this replica next reports its observations of zones to the fleet.
+    next_zone_report_at: Duration,
+    /// The next sweep of the decision engine that may have an effect: sweeps before it are skipped unless another input
+    /// arrives. None if no sweep is skipped.
     sweeps_skipped_until: Option<Duration>,
     save_to: Option<PathBuf>,
     save_at: Duration,
     statistics_writer: StatisticsWriter,
 }
 
-/// Owns the decisions for as long as the process runs.
+/// Runs the decision engine for as long as the process runs.
 pub async fn run(
     configuration: Configuration,
     mut services: Services,
@@ -94,7 +95,7 @@
         restored,
         operators,
         fleet,
-        zones_reported_at: clock.now(),
+        next_zone_report_at: clock.now(),
         sweeps_skipped_until: None,
         save_to,
         save_at,
@@ -107,7 +108,7 @@
 }
 
 impl EventLoop {
-    /// What operators told an earlier process is in force before the first list is taken in.
+    /// Applies the orders that operators gave to an earlier process, before the first endpoint list.
     fn restore_operator_orders(&mut self) {
         let now = self.clock.now();
         self.restored.known_ids.iter().for_each(|server| self.policy.restore_known_server(server));
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Begins with the servers of the configuration, and with what an earlier process learned of them.
+    /// Applies the servers of the configuration, and the statistics that an earlier process saved about them.
     fn apply_initial_list(&mut self, list: Catalog) {
         let known = self.table.borrow_mut().update_servers(list);
         let now = self.clock.now();
@@ -139,7 +140,7 @@
                 Input::ZoneTraffic(traffic) => self.policy.zone_traffic_changed(self.clock.now(), &traffic),
                 Input::WakeTime => {}
             }
-            // Checked after each input: a long queue must not keep the decisions from their time.
+            // Checked after each input, so that a long queue does not delay the decision engine's timers.
             let now = self.clock.now();
             if self.next_wake().is_some_and(|at| at <= now) {
                 self.wake(now);
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Waits for the next input. What comes first is: orders, what the fleet says, events, the time to wake.
+    /// Waits for the next input, in this order of precedence: orders, messages of the fleet, events, the wake time.
     async fn next_input(&self, events: &Receiver<Event>) -> Input {
         let wake = self.next_wake();
         let wake_time = async {
@@ -188,7 +189,7 @@
         if order.in_maintenance {
             self.table.borrow_mut().cancel_unwritten_to(&id);
         }
-        // Connections to a server that is restarted are of no more use.
+        // Idle connections to this server are of no use once it is restarted.
         self.table.borrow().services.pool.close_idle_to(&id);
         let _ = order.responder.try_send(known);
     }
@@ -201,8 +202,8 @@
 
     fn report_zones(&mut self, now: Duration) {
         let Some(fleet) = self.fleet.as_ref().filter(|fleet| fleet.zone_traffic.is_some()) else { return };
-        if self.zones_reported_at <= now {
-            self.zones_reported_at = now + fleet::OBSERVATION_INTERVAL;
+        if self.next_zone_report_at <= now {
+            self.next_zone_report_at = now + fleet::OBSERVATION_INTERVAL;
             fleet.set_observations(now, self.policy.zone_observations(now));
         }
     }
@@ -215,13 +216,14 @@
         }
     }
 
-    /// Skips the sweeps that would do nothing: an idle sidecar would be woken fifty times a second otherwise.
+    /// Skips sweeps that would have no effect: an idle sidecar would otherwise wake fifty times a second.
     fn skip_idle_sweeps(&mut self) {
         let (next, wake) = (self.policy.next_sweep(), self.next_wake());
         self.sweeps_skipped_until = Some(next).filter(|next| wake.is_some_and(|wake| wake < *next));
     }
 
-    /// Sweeps go on as if none had been skipped. `interrupted`: something came before the next one was due.
+    /// Continues the sweeps as if none had been skipped. `interrupted`: another input arrived before the next effective
+    /// sweep.
     fn resume_sweeps(&mut self, interrupted: bool) {
         let Some(until) = self.sweeps_skipped_until.take() else { return };
         let now = self.clock.now();
@@ -280,7 +282,7 @@
         let ignored_before = self.policy.ignored_messages().all();
         self.policy.peer_message_received(now, peer, message);
         let IgnoredMessages { malformed, unknown_server } = self.policy.ignored_messages();
-        // Logged at 1, 2, 4, 8 and so on: a peer of another version sends such messages all day.
+        // Logged at powers of two only, since a peer of another version sends such messages continuously.
         if (ignored_before + 1..=malformed + unknown_server).any(u64::is_power_of_two) {
             tracing::warn!(malformed, unknown_server, peer, "messages of peers were ignored");
         }
@@ -302,7 +304,7 @@
         let IncomingRequest { number, arrival, outgoing, responder } = request;
         let mut table = self.table.borrow_mut();
         if table.requests.contains_key(&arrival.id) {
-            // Servers could not tell two requests with the same id apart.
+            // Servers could not distinguish two open requests with the same id.
             counters::refused(&arrival.id, RefusalReason::DuplicateId);
             let _ = responder.try_send(FinalResponse::Failed);
             return;
@@ -324,7 +326,7 @@
         let mut table = self.table.borrow_mut();
         let Some(open) = table.requests.get_mut(id).filter(|open| open.number == number) else { return };
         open.deadline = deadline;
-        // A server begins when the last byte has arrived.
+        // Latency is measured from here: a server begins only when the last byte has arrived.
         let in_flight = open.attempts.iter_mut().filter(|attempt| !attempt.has_ended());
         in_flight.for_each(|attempt| attempt.sent_at = now);
         drop(table);
@@ -333,8 +335,8 @@
 
     fn client_left(&mut self, now: Duration, id: &Id, number: u64) {
         let mut table = self.table.borrow_mut();
-        // Its final response may have crossed its leaving; and a second client with an open id may leave before it
-        // receives its failure, which does not mean that the first one has left.
+        // The final response may have been sent before this event arrived. A second client that used an open id may
+        // leave before it receives its failure; its number differs, and the first client is still connected.
         let waiting = |open: &&mut OpenRequest| open.number == number && !open.finished;
         let Some(open) = table.requests.get_mut(id).filter(waiting) else { return };
         open.finished = true;
@@ -349,11 +351,11 @@
         let AttemptResult { outcome, load, response, consumed } = result;
         let mut table = self.table.borrow_mut();
         let Some(open) = table.requests.get_mut(&id) else {
-            must_hold!(Internal, false, "an attempt ends before its request is forgotten: {id}");
+            must_hold!(Internal, false, "an attempt of request {id} ended after the request was removed");
             return;
         };
         let Some(attempt) = open.attempts.get_mut(number as usize) else { return };
-        must_hold!(OneFinalResponse, !attempt.has_ended(), "attempt {number} of {id} ends once");
+        must_hold!(OneFinalResponse, !attempt.has_ended(), "attempt {number} of {id} ended twice");
         attempt.outcome = Some(outcome);
         attempt.task = None;
         open.outgoing.guard.record_end(number, outcome);
@@ -382,7 +384,7 @@
     }
 }
 
-/// The next message of a channel as an input; waits for ever where there is no channel or it is closed.
+/// Waits for the next message of a channel, as an input; never returns if there is no channel or it is closed.
 async fn next_message<T>(channel: Option<&Receiver<T>>, as_input: fn(T) -> Input) -> Input {
     match channel {
         Some(channel) => match channel.recv().await {
--- a/crates/sidecar/src/net/owner/mod.rs
+++ b/crates/sidecar/src/net/owner/mod.rs
@@ -1,10 +1,9 @@
-//! The task that owns the decisions. Everything that happens reaches it as an event on its queue, in order, and becomes one
-//! call of the decisions; what the decisions ask for becomes a final response, an attempt, a health check or a poll of
-//! discovery.
+//! The task that owns the decision engine. Events reach it through one queue, in order, and each becomes one call of
+//! the decision engine, whose actions become final responses, attempts, health checks and polls of discovery.
 //!
-//! - `event`: what reaches the queue, and the final responses that leave.
+//! - `event`: the events of the queue, and the final responses to requests.
 //! - `request_table`: the open requests, their attempts, and the known servers.
-//! - `decision_host`: what the decisions may do.
+//! - `decision_host`: the actions of the decision engine.
 //! - `event_loop`: the task itself.
 
 mod decision_host;
--- a/crates/sidecar/src/net/owner/request_table.rs
+++ b/crates/sidecar/src/net/owner/request_table.rs
@@ -1,5 +1,5 @@
-//! The open requests and how each of their attempts stands, and the known servers. It starts and cancels attempts and sends
-//! final responses as it is told; it decides nothing.
+//! The open requests with the states of their attempts, and the known servers. Starts and cancels attempts and sends
+//! final responses as the decision engine asks; makes no decisions itself.
 
 use super::event::{Event, EventQueue, FinalResponse};
 use crate::catalog::Catalog;
@@ -23,14 +23,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The parts of the process that the owner acts through.
+/// The services that the owner uses.
 pub struct Services {
     pub upstream: Rc<UpstreamClient>,
     pub pool: Rc<ConnectionPool>,
     pub peers: Option<Rc<Peers>>,
-    /// None where this copy belongs to no fleet.
+    /// None where this replica belongs to no fleet.
     pub fleet: Option<fleet::DecisionLink>,
-    /// Asks for a poll of discovery.
+    /// Requests a poll of discovery.
     pub poll_discovery: Sender<()>,
     pub start: Rc<Start>,
 }
@@ -38,12 +38,12 @@
 /// One attempt of an open request.
 pub(super) struct Attempt {
     pub(super) server: Id,
-    /// When it was started, or when the last byte of a streamed body arrived.
+    /// When the attempt was started, or when the last byte of a streamed body arrived. Its latency counts from here.
     pub(super) sent_at: Duration,
     stage: Rc<Cell<AttemptStage>>,
-    /// Dropped, it stops the attempt and closes its connection. None for one that was never sent.
+    /// Dropping the task stops the attempt and closes its connection. None if the attempt was not sent or has ended.
     pub(super) task: Option<Task<()>>,
-    /// None while it is in flight.
+    /// None while the attempt is in flight.
     pub(super) outcome: Option<Outcome>,
 }
 
@@ -56,17 +56,17 @@
 /// A request that has no final response yet, or whose attempts have not all ended.
 pub(super) struct OpenRequest {
     pub(super) number: u64,
-    /// When its response is due.
+    /// When the final response is due.
     pub(super) deadline: Duration,
     pub(super) outgoing: Rc<OutgoingRequest>,
     pub(super) responder: Sender<FinalResponse>,
-    /// It has its final response, or its client has left.
+    /// Whether the final response was sent, or the client has left.
     pub(super) finished: bool,
     pub(super) attempts: Vec<Attempt>,
 }
 
 impl OpenRequest {
-    /// Why it is refused or fails, by the outcomes of its attempts.
+    /// The reason to count if this final response refuses the request, by the outcomes of its attempts.
     fn refusal_reason(&self, response: &FinalResponse) -> Option<RefusalReason> {
         let never_ran = self.attempts.iter().all(|attempt| attempt.outcome.is_none_or(Outcome::never_ran));
         match response {
@@ -81,11 +81,11 @@
     }
 }
 
-/// A server as the endpoint list gives it.
+/// A server of the endpoint list.
 struct KnownServer {
     address: SocketAddr,
     location: Location,
-    /// It gets no new requests.
+    /// Whether the server drains, so that it gets no new requests.
     draining: bool,
 }
 
@@ -95,13 +95,13 @@
     }
 }
 
-/// The owner's state, reached by the decisions' calls and by the event loop in turn.
+/// The owner's state, which the decision engine's actions and the event loop access in turn.
 pub(super) struct RequestTable {
     pub(super) clock: Clock,
     max_attempts: usize,
     pub(super) requests: BTreeMap<Id, OpenRequest>,
     servers: BTreeMap<Id, KnownServer>,
-    /// When the decisions want to be woken.
+    /// The times at which the decision engine asked to be woken, earliest first.
     pub(super) wake_times: BinaryHeap<Reverse<Duration>>,
     /// No attempt lasts beyond this time.
     pub(super) shutdown_by: Duration,
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Where a server is, if it is known.
+    /// The address and the location of a server, if it is known.
     pub(super) fn target(&self, server: &Id) -> Option<Target> {
         self.servers.get(server).map(|known| known.target(server))
     }
@@ -140,19 +140,20 @@
     pub(super) fn finish(&mut self, request: &Id, response: FinalResponse) {
         let Some(open) = self.requests.get_mut(request) else { return };
         tracing::debug!("request {request} is {}", response.name());
-        must_hold!(OneFinalResponse, !open.finished, "one final response for request {request}");
+        must_hold!(OneFinalResponse, !open.finished, "second final response for request {request}");
         open.refusal_reason(&response).into_iter().for_each(|reason| counters::refused(request, reason));
         open.outgoing.guard.close();
         if !std::mem::replace(&mut open.finished, true) {
-            // A client that has just left receives nothing more.
+            // Sending fails if the client has just left, and the response is dropped.
             let _ = open.responder.try_send(response);
         }
         self.cancel_unwritten(request);
         self.remove_if_finished(request);
     }
 
-    /// Cancels the attempts of a finished request that are not written to their last byte, also where attempts may not be
-    /// cancelled: that is about attempts that a server has, and these it never had.
+    /// Cancels the attempts of a finished request that are not written to their last byte. This also holds where the
+    /// settings forbid cancellation: they are about attempts that a server has received, and no server has received
+    /// these.
     pub(super) fn cancel_unwritten(&mut self, request: &Id) {
         let Some(open) = self.requests.get(request) else { return };
         let unwritten = |attempt: &Attempt| {
@@ -166,7 +167,7 @@
         numbers.into_iter().for_each(|number| self.cancel(request, number));
     }
 
-    /// Cancels the attempts that wait for a connection to this server, as nothing new goes there.
+    /// Cancels the attempts that wait for a connection to this server, as no new requests go there.
     pub(super) fn cancel_unwritten_to(&mut self, server: &Id) {
         let waits =
             |attempt: &Attempt| attempt.server == *server && attempt.stage.get() == AttemptStage::Unwritten;
@@ -182,7 +183,7 @@
         self.requests.iter().flat_map(matching_attempts).collect()
     }
 
-    /// Forgets a finished request once all of its attempts have ended.
+    /// Removes a finished request once all of its attempts have ended.
     pub(super) fn remove_if_finished(&mut self, request: &Id) {
         let is_finished = |open: &OpenRequest| open.finished && open.attempts.iter().all(Attempt::has_ended);
         if self.requests.get(request).is_some_and(is_finished) {
@@ -190,12 +191,12 @@
         }
     }
 
-    /// Starts an attempt, to last no longer than `deadline` (0: as long as the request). One that may not start ends as
-    /// never sent.
+    /// Starts an attempt that lasts until `deadline` at most, or until the request's deadline if `deadline` is zero. An
+    /// attempt that may not start ends with `Outcome::NotSent`.
     pub(super) fn start_attempt(&mut self, request: &Id, server: &Id, deadline: Duration) {
         let now = self.clock.now();
         let Some(open) = self.requests.get_mut(request) else {
-            must_hold!(Internal, false, "attempts belong to open requests: {request}");
+            must_hold!(Internal, false, "attempt for request {request}, which is not open");
             return;
         };
         let number = open.attempts.len() as u32;
@@ -205,9 +206,9 @@
         let last_outcome = open.attempts.last().and_then(|attempt| attempt.outcome);
         last_outcome.into_iter().for_each(|outcome| counters::retried(request, number, outcome));
         let known = self.servers.get(server);
-        // The decisions use no server once it drains, and nothing of its grace period.
+        // The decision engine sends nothing to a server once it drains, not even within its grace period.
         let draining = known.is_some_and(|known| known.draining);
-        must_hold!(Sending, !draining, "attempt {number} of {request} to {server}, which drains");
+        must_hold!(Sending, !draining, "attempt {number} of {request} to draining server {server}");
         let target = known.filter(|_| !draining).map(|known| known.target(server));
         let may_start = !open.finished && now < deadline && open.attempts.len() < self.max_attempts;
         let mut attempt = Attempt { server: server.clone(), sent_at: now, stage, task: None, outcome: None };
@@ -232,23 +233,24 @@
         open.attempts.push(attempt);
     }
 
-    /// Ends all attempts in flight of requests without a final response, as their time is over with the process's.
-    /// Responses that are being passed on go on.
+    /// Times out all attempts in flight of requests without a final response, as the shutdown deadline has come.
+    /// Responses that are being passed on continue.
     pub(super) fn time_out_all(&mut self) {
         let in_flight = self.attempts_where(|open, attempt| !attempt.has_ended() && !open.finished);
         in_flight.iter().for_each(|(request, number)| self.stop(request, *number, Outcome::Timeout));
     }
 
-    /// Cancels an attempt.
+    /// Cancels an attempt that has not ended.
     pub(super) fn cancel(&mut self, request: &Id, number: u32) {
         self.stop(request, number, Outcome::Cancelled);
     }
 
-    /// Stops an attempt here; its outcome is this one if it may have run.
+    /// Stops an attempt that has not ended. Its outcome is `outcome_if_written` if its last byte was written, as it may
+    /// have run.
     fn stop(&mut self, request: &Id, number: u32, outcome_if_written: Outcome) {
         let Some(open) = self.requests.get_mut(request) else { return };
         let Some(attempt) = open.attempts.get_mut(number as usize) else { return };
-        // Where another outcome is on the queue already, that one counts.
+        // If the attempt has ended, its own outcome is already on the queue and counts.
         let outcome = match attempt.stage.replace(AttemptStage::Ended) {
             AttemptStage::Ended => return,
             AttemptStage::Written => outcome_if_written,
@@ -261,8 +263,9 @@
         self.queue.push(Event::AttemptEnded(request.clone(), number, Box::new(result)));
     }
 
-    /// Takes in an endpoint list, whole or changed entries. A server that is gone is forgotten, as new ones come under new
-    /// ids; attempts that wait for a connection to one that takes nothing new, or that has moved, are cancelled.
+    /// Applies an endpoint list, complete or with changed entries. Removed servers are deleted, as new servers have new
+    /// ids. Attempts that wait for a connection are cancelled if their server takes no new requests or has another
+    /// address.
     pub(super) fn update_servers(&mut self, list: Catalog) -> Vec<ListedServer> {
         let mut unusable = Vec::new();
         let RequestTable { servers, services: Services { pool, .. }, .. } = self;
--- a/crates/sidecar/src/net/peers.rs
+++ b/crates/sidecar/src/net/peers.rs
@@ -1,5 +1,5 @@
-//! Peer messages: datagrams between the decision engines of a tier's replicas. A lost datagram is not sent again. This module
-//! owns the socket and does not interpret messages.
+//! Peer messages: datagrams between the decision engines of a tier's replicas. Lost datagrams are not sent again. This
+//! module owns the socket and does not interpret messages.
 
 use super::owner::{Event, EventQueue};
 use async_channel::Sender;
@@ -11,22 +11,22 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
 
-/// Events that may wait for the decision engine while peer messages are still taken; past that they are dropped.
+/// Peer messages are dropped while this many events or more wait for the decision engine.
 const MAX_QUEUED_EVENTS: usize = 256;
 
 /// The socket for peer messages.
 pub struct Peers {
-    /// Every replica's address by its ordinal, the own one included.
+    /// The addresses of all replicas by ordinal, this replica's included.
     addresses: Vec<SocketAddr>,
     ordinal: usize,
     socket: Async<UdpSocket>,
     dropped: Cell<u64>,
-    /// Takes the fleet's datagrams that come on this socket; `None` where the fleet does not use it.
+    /// Receives the fleet's datagrams that arrive on this socket; `None` where the fleet does not use it.
     fleet: Option<Sender<Vec<u8>>>,
 }
 
 impl Peers {
-    /// Binds the own address; `None` where no peers are configured.
+    /// Binds this replica's address; `None` where no peers are configured.
     pub fn bind(
         addresses: &[SocketAddr],
         ordinal: u32,
@@ -39,12 +39,13 @@
         Ok(Some(Rc::new(Peers { addresses, ordinal, socket, dropped: Cell::new(0), fleet })))
     }
 
-    /// A second handle on the socket, for the fleet to send by.
+    /// A second handle to the socket, through which the fleet sends.
     pub fn try_clone_socket(&self) -> io::Result<UdpSocket> {
         self.socket.get_ref().try_clone()
     }
 
-    /// Sends a message to one peer, or to all others. What cannot be sent at once is dropped.
+    /// Sends a message to one peer, or to all peers if `peer` is `None`. A datagram that cannot be sent at once is
+    /// dropped.
     pub fn send(&self, peer: Option<u32>, message: &[u8]) {
         for (number, address) in self.addresses.iter().enumerate() {
             let addressed = peer.is_none_or(|peer| peer as usize == number);
@@ -54,16 +55,16 @@
         }
     }
 
-    /// Receives for ever. Datagrams of unknown senders, and those that are too long, are dropped.
+    /// Receives datagrams; never returns. Oversized datagrams and datagrams of unknown senders are dropped.
     pub async fn receive(self: Rc<Self>, queue: EventQueue) {
         let mut buffer = [0; MAX_FLEET_MESSAGE_BYTES + 1];
         loop {
-            // Under a flood the socket is always readable: the decision engine and the clients must have their turns.
+            // Under a flood the socket is always readable; yielding lets the decision engine and the clients run.
             futures_lite::future::yield_now().await;
             let Ok((length, from)) = self.socket.recv_from(&mut buffer).await else { continue };
             let datagram = &buffer[..length];
             match &self.fleet {
-                // Where the fleet's thread is behind, the datagram is lost, as any may be.
+                // If the fleet's thread is behind, the datagram is dropped: the fleet tolerates lost datagrams.
                 Some(fleet) if datagram.first() == Some(&MAGIC) => drop(fleet.try_send(datagram.to_vec())),
                 _ => self.receive_message(datagram, from, &queue),
             }
@@ -79,7 +80,8 @@
         }
     }
 
-    /// Logs at each power of two, so that a flood does not flood the log.
+    /// Counts a dropped datagram. Logs the count at powers of two only, so that a flood of datagrams does not flood the
+    /// log.
     fn count_dropped(&self, from: SocketAddr, length: usize) {
         self.dropped.set(self.dropped.get() + 1);
         let dropped = self.dropped.get();
--- a/crates/sidecar/src/net/read_ahead.rs
+++ b/crates/sidecar/src/net/read_ahead.rs
@@ -1,6 +1,8 @@
-//! What a client writes behind the request that is being answered: the bytes, up to one buffer of them, and when each of
-//! them arrived. A request's time runs from the arrival of its last byte, whenever its turn comes; and a request that was
-//! read is owed a response, whatever ends the connection.
+//! Stores the bytes that a client sends while an earlier request is being answered, up to one buffer, and records when
+//! bytes arrived.
+//!
+//! The time limit of a request runs from the arrival of its last byte, even if it waits behind another request. A
+//! request that was read must get a response, whatever ends the connection.
 
 use super::buffers::{Buffer, ResourcePool};
 use super::http;
@@ -15,23 +17,23 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How many arrival times are told apart on one connection.
+/// The most arrival times that are recorded for one connection.
 const MAX_RECORDED_ARRIVALS: usize = 64;
-/// How many bytes are read at a time.
+/// The most bytes that are read at a time.
 const READ_SIZE: usize = 1024;
 
-/// All bytes of a connection up to this offset had arrived at this time.
+/// All bytes of the stream before `offset` had arrived at the time `at`.
 #[derive(Clone, Copy)]
 struct Arrival {
     offset: u64,
     at: Duration,
 }
 
-/// When the bytes of one connection arrived, by their offset in the stream.
+/// The arrival times of one connection's bytes, by offset in the stream.
 struct Arrivals {
-    /// How many bytes were read.
+    /// The number of bytes that were read from the connection.
     bytes_read: u64,
-    /// By rising offset and time.
+    /// In ascending order of offset and time.
     recorded: VecDeque<Arrival>,
 }
 
@@ -40,13 +42,13 @@
         Arrivals { bytes_read: 0, recorded: VecDeque::new() }
     }
 
-    /// `count` bytes were read just now.
+    /// Records that `count` bytes were read at the time `now`.
     fn record_read(&mut self, count: usize, now: Duration) {
         self.bytes_read += count as u64;
         self.record_offset(self.bytes_read, now);
     }
 
-    /// The system has `count` bytes that are not read yet.
+    /// Records that the kernel holds `count` unread bytes at the time `now`.
     fn record_unread(&mut self, count: u64, now: Duration) {
         self.record_offset(self.bytes_read + count, now);
     }
@@ -57,13 +59,15 @@
         }
         let full = self.recorded.len() >= MAX_RECORDED_ARRIVALS;
         match self.recorded.back_mut().filter(|_| full) {
-            // Too many to tell apart: bytes count as older than they are, never as younger.
+            // Past `MAX_RECORDED_ARRIVALS` entries, new bytes join the last entry and get its earlier time. A deadline
+            // may then be too early, but never too late.
             Some(last) => last.offset = offset,
             None => self.recorded.push_back(Arrival { offset, at: now }),
         }
     }
 
-    /// When the last byte arrived behind which `surplus` bytes were read. Earlier arrivals are forgotten.
+    /// The arrival time of the byte that precedes the last `surplus` bytes read, or `now` if none is recorded. Forgets
+    /// earlier arrivals.
     fn arrival_time(&mut self, surplus: usize, now: Duration) -> Duration {
         let offset = self.bytes_read.saturating_sub(surplus as u64);
         while self.recorded.len() > 1 && self.recorded.front().is_some_and(|first| first.offset < offset) {
@@ -73,18 +77,18 @@
     }
 }
 
-/// One connection's bytes that were read ahead of their turn.
+/// The bytes of one connection that were read beyond the request being answered.
 pub struct ReadAhead {
     resources: Rc<ResourcePool>,
     clock: Clock,
     bytes: RefCell<Option<Buffer>>,
-    /// No buffer was free for some bytes.
+    /// Whether bytes were read that could not be stored, as no buffer was free or the buffer was full.
     overflowed: Cell<bool>,
     arrivals: RefCell<Arrivals>,
 }
 
 impl ReadAhead {
-    /// Nothing is read yet.
+    /// Creates an empty store.
     pub fn new(resources: &Rc<ResourcePool>, clock: &Clock) -> ReadAhead {
         ReadAhead {
             resources: resources.clone(),
@@ -95,8 +99,8 @@
         }
     }
 
-    /// A message has just arrived completely, or as far as it is buffered: `read` bytes were read for it, `surplus` of them
-    /// lie behind it. Returns when its last byte arrived.
+    /// Records that a message has arrived completely, or as far as it is buffered. `read` bytes were read for it, of
+    /// which the last `surplus` follow the message. Returns the arrival time of the message's last byte.
     pub fn record_message(&self, read: usize, surplus: usize) -> Duration {
         let now = self.clock.now();
         let mut arrivals = self.arrivals.borrow_mut();
@@ -106,7 +110,7 @@
         arrivals.arrival_time(surplus, now)
     }
 
-    /// Stores what was read behind a message.
+    /// Stores bytes that were read after the end of a message.
     pub fn store(&self, bytes: &[u8]) {
         if bytes.is_empty() {
             return;
@@ -123,28 +127,28 @@
         stored.iter_mut().for_each(|buffer| buffer.fill(bytes.len()));
     }
 
-    /// Takes what is stored, for the next message to begin with.
+    /// Takes the stored bytes, with which the next message begins.
     pub fn take(&self) -> Option<Buffer> {
         self.bytes.take()
     }
 
-    /// Whether nothing is stored.
+    /// Whether no bytes are stored.
     pub fn is_empty(&self) -> bool {
         self.bytes.borrow().is_none()
     }
 
-    /// Bytes were read that could not be stored: the connection cannot go on.
+    /// Whether bytes were read that could not be stored, so that the connection cannot continue.
     pub fn has_overflowed(&self) -> bool {
         self.overflowed.get()
     }
 
-    /// Whether what is stored begins with a complete request.
+    /// Whether the stored bytes begin with a complete request.
     pub fn has_complete_request(&self) -> bool {
         !self.overflowed.get()
             && self.bytes.borrow().as_ref().is_some_and(|bytes| http::is_complete_request(bytes.filled()))
     }
 
-    /// How much more can be stored; nothing where the buffer is full or none is free.
+    /// The number of bytes that can still be stored; 0 if the buffer is full, none is free, or bytes were lost.
     fn free_space(&self) -> usize {
         let mut stored = self.bytes.borrow_mut();
         if stored.is_none() {
@@ -153,8 +157,8 @@
         stored.as_mut().filter(|_| !self.overflowed.get()).map_or(0, |stored| stored.spare().len())
     }
 
-    /// Returns when the client has left. What it writes ahead would hide that, so it is read as far as there is room and
-    /// `may_read` allows; beyond that, the end of the connection is looked for behind what is not read.
+    /// Returns when the client has disconnected. Unread bytes would hide this, so bytes are read and stored while there
+    /// is space and `may_read` allows it; otherwise the end of the connection is looked for behind the unread bytes.
     pub async fn until_disconnected(&self, mut stream: &Async<TcpStream>, may_read: impl Fn() -> bool) {
         let mut bytes = [0; READ_SIZE];
         while matches!(stream.peek(&mut [0]).await, Ok(1..)) {
@@ -179,7 +183,7 @@
     }
 
     fn record_unread(&self, stream: &Async<TcpStream>) {
-        // Where the system does not tell, bytes count from when they are read.
+        // If the kernel cannot report the count, bytes count as arrived when they are read.
         if let Ok(count) = rustix::io::ioctl_fionread(stream) {
             self.arrivals.borrow_mut().record_unread(count, self.clock.now());
         }
--- a/crates/sidecar/src/net/read_ahead_tests.rs
+++ b/crates/sidecar/src/net/read_ahead_tests.rs
@@ -1,4 +1,4 @@
-//! When bytes arrived, by their place in the stream.
+//! Arrival times of bytes by their offset in the stream.
 
 use super::*;
 
@@ -14,8 +14,8 @@
     arrivals.record_unread(500, at(30));
     arrivals.record_unread(500, at(50));
     arrivals.record_read(300, at(90));
-    assert_eq!(arrivals.arrival_time(350, at(90)), at(10), "within what was read first");
-    assert_eq!(arrivals.arrival_time(0, at(90)), at(30), "it lay unread since then");
+    assert_eq!(arrivals.arrival_time(350, at(90)), at(10), "within the first read");
+    assert_eq!(arrivals.arrival_time(0, at(90)), at(30), "first seen unread at 30 ms");
     arrivals.record_read(300, at(120));
     assert_eq!(arrivals.arrival_time(0, at(120)), at(120));
 }
--- a/crates/sidecar/src/net/request.rs
+++ b/crates/sidecar/src/net/request.rs
@@ -1,60 +1,60 @@
-//! What a client's message asks for, parsed from its head; and the heads that are sent for it, to a server and back to the
-//! client. No sockets: bytes in, plain values or bytes out.
+//! Parses the head of a client's message into a request, and builds the heads that are sent to a server and back to the
+//! client. Does no I/O.
 
 use super::http::{self, HttpError};
 use crate::configuration::RequestClass;
 use landingspread_decisions::host::Id;
 use std::time::Duration;
 
-/// The longest time in milliseconds that a request may give in `X-Expires-In-Ms`.
+/// The largest time limit in `X-Expires-In-Ms`, in milliseconds.
 const MAX_TIME_LIMIT_MS: u64 = 3_600_000;
-/// The most work in milliseconds that a request may declare.
+/// The work that a request declares must be below this, in milliseconds.
 const MAX_DECLARED_WORK_MS: f64 = 3_600_000.0;
-/// The longest request id in bytes.
+/// The longest valid request id in bytes.
 const MAX_ID_LENGTH: usize = 128;
 
-/// An answer to a message that the decisions do not get.
+/// An error response to a message that does not reach the decision engine. `reason` is the body, without its line end.
 pub struct Rejection {
     pub status: u16,
     pub reason: &'static str,
 }
 
-/// A rejection with this status and this text.
+/// Creates a rejection with this status code and body.
 pub fn rejection(status: u16, reason: &'static str) -> Rejection {
     Rejection { status, reason }
 }
 
-/// A request as its head gives it.
+/// A request as parsed from its head.
 pub struct Request {
     pub id: Id,
-    /// The number of its request class.
+    /// The index of the configured request class.
     pub class: usize,
-    /// The number of its tenant.
+    /// The index of the configured tenant; one past the last for all other tenants.
     pub tenant: usize,
-    /// How long the client waits, from the request's last byte on.
+    /// How long the client waits for the response, counted from the request's last byte.
     pub time_limit: Duration,
-    /// The work that it is declared to take.
+    /// The work that the request declares in the cost header.
     pub declared_work: Option<Duration>,
-    /// The head of each attempt, but for what differs between attempts.
+    /// The head of every attempt, without the headers for framing and for the remaining time.
     pub head: Vec<u8>,
 }
 
-/// What a message asks for.
+/// A valid message of a client: a health check of this sidecar, or a request.
 pub enum ParsedMessage {
     Health,
     Request(Request),
 }
 
-/// Parses requests by the settings.
+/// Parses heads of requests by the configured request classes and tenants.
 pub struct RequestParser {
     pub classes: Vec<RequestClass>,
     pub tenants: Vec<String>,
-    /// The header in which a request declares its work, if there is one.
+    /// The name of the header in which a request declares its work, if configured.
     pub cost_header: Option<String>,
 }
 
 impl RequestParser {
-    /// Parses a head. `time_limits` are the verbs' current ones, for requests that give none of their own.
+    /// Parses a head. `time_limits` are the current time limits by request class, for requests that give none.
     pub fn parse(&self, bytes: &[u8], time_limits: &[Duration]) -> Result<ParsedMessage, Rejection> {
         let mut headers = http::empty_headers();
         let mut head = httparse::Request::new(&mut headers);
@@ -79,7 +79,7 @@
             Some(Ok(ms)) if (1..=MAX_TIME_LIMIT_MS).contains(&ms) => Duration::from_millis(ms),
             Some(_) => return Err(rejection(400, "X-Expires-In-Ms is odd")),
         };
-        // Tenants that the settings do not name share one number behind the others.
+        // Tenants that are not configured share the index after the last one.
         let tenant = header("x-customer");
         let tenant = tenant.and_then(|name| self.tenants.iter().position(|known| known == name));
         let tenant = tenant.unwrap_or(self.tenants.len());
@@ -107,7 +107,7 @@
     }
 }
 
-/// How a message that could not be read is answered; None where its sender has gone.
+/// The response to a message that could not be read; None if the connection has ended.
 pub fn rejection_for(error: HttpError) -> Option<Rejection> {
     match error {
         HttpError::Malformed => Some(rejection(400, "this is no HTTP/1.1 message")),
@@ -126,7 +126,7 @@
 
 fn outgoing_head(method: &str, path: &str, headers: &[httparse::Header<'_>]) -> Vec<u8> {
     let mut head = format!("{method} {path} HTTP/1.1\r\n").into_bytes();
-    // Each attempt sends the time that remains for itself.
+    // Each attempt adds this header with its own remaining time.
     let forwarded = |header: &&httparse::Header<'_>| {
         http::is_end_to_end(header.name) && !header.name.eq_ignore_ascii_case("x-expires-in-ms")
     };
@@ -134,13 +134,13 @@
     head
 }
 
-/// The head of a server's response as it is passed on to the client.
+/// Builds the head with which a server's 200 response is passed on to the client; `framing` holds the framing headers.
 pub fn response_head(from_server: &[u8], framing: &str, keep_alive: bool) -> Vec<u8> {
     let close = if keep_alive { "" } else { "Connection: close\r\n" };
     let mut head = format!("HTTP/1.1 200 OK\r\n{close}").into_bytes();
     let mut headers = http::empty_headers();
     let mut response = httparse::Response::new(&mut headers);
-    // It was parsed before, when the end of the head was looked for.
+    // The head was parsed before, when its end was determined, so parsing cannot fail here.
     if response.parse(from_server).is_ok() {
         let forwarded = response.headers.iter().filter(|header| http::is_end_to_end(header.name));
         forwarded.for_each(|header| add_header(&mut head, header));
--- a/crates/sidecar/src/net/serve.rs
+++ b/crates/sidecar/src/net/serve.rs
@@ -1,4 +1,4 @@
-//! Runs a sidecar: it serves clients until SIGTERM, follows SIGHUP, and shuts down in order.
+//! Runs a sidecar: serves clients until SIGTERM, reloads the configuration on SIGHUP, and shuts down gracefully.
 
 use super::clients::ClientSide;
 use super::discovery_watch::DiscoveryWatch;
@@ -22,24 +22,25 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// How long after SIGTERM the platform kills the process, beyond the longest time limit of a request.
+/// The platform kills the process at the longest time limit of a request plus this delay, counted from SIGTERM.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// All requests have their final response this long before that.
+/// All requests have their final response this long before the platform kills the process.
 const FINAL_RESPONSE_MARGIN: Duration = Duration::from_millis(150);
-/// The last part of that time is for open requests, the first for taking new ones: clients that keep their connections are
-/// answered here while another sidecar, which was stopped before this one, is not back yet.
+/// The last part of the time from SIGTERM to the kill is reserved for finishing open requests. Until then new requests
+/// are accepted: clients that keep their connections are served here while another sidecar, which was stopped before
+/// this one, has not come back yet.
 const FINISH_TIME: Duration = Duration::from_millis(1500);
-/// New connections arrive for up to 0.4 s after SIGTERM.
+/// New requests are accepted for at least this long after SIGTERM, as new connections arrive for up to 0.4 s after it.
 const MIN_ACCEPT_TIME: Duration = Duration::from_millis(600);
-/// How long it may take to accept those that have connected by then.
+/// The time limit for accepting the connections that are queued at the listener before it is closed.
 const LAST_ACCEPT_TIMEOUT: Duration = Duration::from_millis(200);
-/// How long a process that takes over waits for a list before it uses the one that it was started with.
+/// How long a process that takes over waits for an endpoint list before it uses the servers of its configuration.
 const LIST_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Serves until SIGTERM; `file` is what SIGHUP reads again.
+/// Serves clients until SIGTERM. SIGHUP reads `file` again.
 ///
 /// # Errors
-/// The clients' address, the peers' or the console's cannot be had.
+/// The listen address, the peers' address or the console's address is not available.
 pub fn serve(configuration: Configuration, file: Option<&Path>, start: Start) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.run(run(configuration, file, Rc::new(start), executor.clone())))
@@ -74,8 +75,8 @@
     Ok(())
 }
 
-/// Accepts clients. A process that takes over waits for a list before: without one it would only reject clients that the other
-/// process can serve.
+/// Accepts clients. A process that takes over first waits for an endpoint list: without one it would reject clients
+/// that the other process can still serve.
 fn start_accepting(
     service: &Service,
     listener: Async<TcpListener>,
@@ -93,7 +94,7 @@
     })
 }
 
-/// Reports the sidecar as serving once a list has arrived, and never returns.
+/// Reports the sidecar as serving once an endpoint list has arrived; never returns.
 async fn mark_serving_once_listed(
     already_serving: bool,
     list_received: &Receiver<()>,
@@ -105,15 +106,15 @@
     pending::<()>().await;
 }
 
-/// What the main task waits for.
+/// An event that the main task handles.
 enum Change {
     Reload,
-    /// The control machines move the watch of the endpoint list.
-    ControlMove(Option<SocketAddr>),
+    /// The control machines give another address of discovery, or none.
+    ControlAddress(Option<SocketAddr>),
     Terminate,
 }
 
-/// Follows SIGHUP and the control machines until SIGTERM.
+/// Handles SIGHUP and the addresses that the control machines give, until SIGTERM.
 async fn follow_changes(
     signals: &mut Signals,
     mut reload_due: bool,
@@ -131,19 +132,20 @@
                 _ => Change::Terminate,
             }
         };
-        let next_move = async { Change::ControlMove(watch.next_control_move().await) };
-        let moves_watch = match or(next_signal, next_move).await {
+        let next_address = async { Change::ControlAddress(watch.next_control_address().await) };
+        let address_changed = match or(next_signal, next_address).await {
             Change::Reload => reload(file, watch),
-            Change::ControlMove(address) => watch.set_control_address(address),
+            Change::ControlAddress(address) => watch.set_control_address(address),
             Change::Terminate => return,
         };
-        if moves_watch {
-            watch.apply_move(executor).await;
+        if address_changed {
+            watch.apply_address(executor).await;
         }
     }
 }
 
-/// Reads the configuration file again, of which the address of discovery is taken over. `false`: nothing changes.
+/// Reads the configuration file again and takes over its discovery address, the only setting that a reload changes.
+/// Returns false if the file cannot be read, or if there is no discovery before or after the reload.
 fn reload(file: Option<&Path>, watch: &mut DiscoveryWatch) -> bool {
     let discovery = match configuration::read_again(file) {
         Ok(configuration) => configuration.discovery,
@@ -153,9 +155,7 @@
         }
     };
     let (Some(address), true) = (discovery, watch.is_configured()) else {
-        tracing::info!(
-            "SIGHUP: neither the old nor the new configuration has a discovery, nothing to reload"
-        );
+        tracing::info!("SIGHUP: the old or the new configuration has no discovery, nothing to reload");
         return false;
     };
     tracing::info!(discovery = %address, "SIGHUP: the configuration is read again");
@@ -163,7 +163,7 @@
     true
 }
 
-/// Ends the parts in order: the fleet is left, requests are taken for a while, and open ones finish.
+/// Shuts down in order: leaves the fleet, accepts requests for a limited time, and lets open requests finish.
 async fn shut_down(service: Service, accepting: Task<()>) {
     let Service { clients, presence, fleet, serving, longest_request, .. } = service;
     tracing::info!("SIGTERM: graceful shutdown, open requests finish");
@@ -175,7 +175,7 @@
     clients.begin_shutdown(time_to_kill - FINAL_RESPONSE_MARGIN);
     let accept_time = time_to_kill.saturating_sub(FINISH_TIME).max(MIN_ACCEPT_TIME);
     if presence.is_some_and(|presence| presence.borrow_mut().another_process()) {
-        // The other process has the listener too, and accepts those who come.
+        // The other process shares the listener and accepts new clients.
         stop_accepting(&clients, accepting).await;
         clients.close_after_responses();
         Timer::after(accept_time).await;
@@ -188,8 +188,8 @@
     counters::log_all();
 }
 
-/// Closes the listener once those who wait at it are accepted, but no later than `LAST_ACCEPT_TIMEOUT`: their number has no
-/// bound.
+/// Closes the listener once the connections queued at it are accepted, but no later than `LAST_ACCEPT_TIMEOUT`, since
+/// their number has no bound.
 async fn stop_accepting(clients: &ClientSide, accepting: Task<()>) {
     clients.stop_accepting();
     if timeout(LAST_ACCEPT_TIMEOUT, accepting).await.is_none() {
@@ -199,11 +199,11 @@
     }
 }
 
-/// Runs the control side of all these sidecars on this thread until SIGTERM, without clients. For tests of size: they open no
-/// listener and no thread of their own.
+/// Runs the control side of several sidecars on this thread until SIGTERM, without clients: no sidecar opens a listener
+/// or starts a thread. For scale tests.
 ///
 /// # Errors
-/// A socket of one of them cannot be had.
+/// A socket of one of the sidecars cannot be opened.
 pub fn serve_without_clients(configurations: Vec<Configuration>) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     let run_all = async {
@@ -212,7 +212,7 @@
             service::start(configuration, Rc::new(Start::begin()), &executor, Some(&executor))
         };
         let replicas = configurations.into_iter().map(start).collect::<io::Result<Vec<Service>>>()?;
-        tracing::info!(copies = replicas.len(), "hollow sidecars are running");
+        tracing::info!(copies = replicas.len(), "sidecars without clients are running");
         let _ = signals.next().await;
         for fleet in replicas.iter().filter_map(|replica| replica.fleet.as_ref()) {
             fleet.leave().await;
--- a/crates/sidecar/src/net/service.rs
+++ b/crates/sidecar/src/net/service.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of a sidecar and joins them. It touches no request itself.
+//! Builds the parts of a sidecar and connects them. No request passes through this module.
 
 use super::buffers::ResourcePool;
 use super::clients::ClientSide;
@@ -24,43 +24,44 @@
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 
-/// At most this much of the longest time limit is waited for at a shutdown.
+/// The upper bound on the time limit of a request that a shutdown allows for.
 const MAX_SHUTDOWN_LIMIT: Duration = Duration::from_secs(3);
-/// How many orders of operators wait at most.
+/// The most operators' orders that may wait for the owner.
 const MAX_PENDING_ORDERS: usize = 64;
 
-/// The parts of a sidecar, but for the clients' listener and the signals.
+/// The running parts of a sidecar, without the client listener and the signal handling.
 pub(super) struct Service {
     pub(super) clients: Rc<ClientSide>,
     pub(super) watch: DiscoveryWatch,
-    /// This process among those of the sidecar, where they share a listener.
+    /// Detects another process of this sidecar; None unless its processes share a listener.
     pub(super) presence: Option<Rc<RefCell<Presence>>>,
     pub(super) fleet: Option<fleet::FleetHandle>,
-    /// Whether clients are served, as the console reports it.
+    /// Whether clients are served; reported by the console.
     pub(super) serving: Arc<AtomicBool>,
-    /// Notified once an endpoint list has arrived.
+    /// Receives a message once an endpoint list has arrived.
     pub(super) list_received: Receiver<()>,
-    /// Servers are known before any list has arrived.
+    /// Whether the configuration lists servers, so that some are known before an endpoint list arrives.
     pub(super) servers_known: bool,
-    /// The longest time that a request may take.
+    /// The longest time limit of a request class, at most `MAX_SHUTDOWN_LIMIT`.
     pub(super) longest_request: Duration,
 }
 
-/// What the console and the owner are joined by.
+/// The flag and the channels between the console and the other parts.
 struct ConsoleLink {
     serving: Arc<AtomicBool>,
     operators: OperatorChannels,
     list_received: Receiver<()>,
 }
 
-/// This copy's links to others.
+/// The links of this replica to others: the peers' socket and the fleet.
 struct ReplicaLinks {
     peers: Option<Rc<Peers>>,
     fleet: Option<fleet::FleetHandle>,
     fleet_link: Option<fleet::DecisionLink>,
 }
 
-/// The files of the state folder, where there is one that can be used: without it nothing is handed over.
+/// Opens this process's files in the state folder. Returns None without an inherited listener or a usable state folder;
+/// then nothing is handed over between processes.
 fn open_presence(configuration: &Configuration) -> Option<Presence> {
     let folder = configuration.state_folder.as_deref();
     let folder = folder.filter(|_| configuration.inherited_listener.is_some())?;
@@ -70,7 +71,7 @@
         .ok()
 }
 
-/// Takes this process's share of the sidecar's resources, for as long as it runs.
+/// Adjusts this process's share of the sidecar's resources whenever another process starts or ends; never returns.
 async fn share_resources(
     presence: Rc<RefCell<Presence>>,
     resources: Rc<ResourcePool>,
@@ -95,7 +96,7 @@
     }
 }
 
-/// Joins the fleet that the configuration names, by a socket of its own or by the peers'.
+/// Joins the configured fleet, over a socket of its own or over the peers' socket.
 fn join_fleet(
     configuration: &mut Configuration,
     peers: Option<&Peers>,
@@ -113,7 +114,7 @@
     fleet::start(settings, name, configuration.seed, clock, shared_socket, failover, executor).map(Some)
 }
 
-/// Opens the peers' socket and the fleet's part.
+/// Opens the peers' socket and joins the fleet.
 fn open_peers_and_fleet(
     configuration: &mut Configuration,
     queue: &owner::EventQueue,
@@ -124,7 +125,7 @@
     let datagram_sender =
         configuration.fleet.as_ref().filter(|fleet| fleet.uses_peer_socket).map(|_| datagram_sender);
     let peers = match Peers::bind(&configuration.peers, configuration.policy.ordinal, datagram_sender) {
-        // The process that this one takes over from still has the address; nothing that peers send is needed.
+        // The process that this one takes over from still holds the address. The sidecar works without peer messages.
         Err(error) if configuration.inherited_listener.is_some() => {
             tracing::warn!("no messages are exchanged with peers: {error}");
             None
@@ -138,7 +139,7 @@
     Ok(ReplicaLinks { peers, fleet, fleet_link })
 }
 
-/// Starts to follow the control machines, where the configuration names any, and prepares the watch of the endpoint list.
+/// Starts to follow the control machines, where any are configured, and starts the watch of the endpoint list.
 fn start_control(
     configuration: &Configuration,
     discovery: Option<Discovery>,
@@ -147,12 +148,12 @@
     clients: &Rc<ClientSide>,
     executor: &LocalExecutor<'static>,
 ) -> (DiscoveryWatch, Option<control::status::ControlStatus>) {
-    let (move_discovery, control_moves) = async_channel::unbounded();
+    let (address_sender, control_addresses) = async_channel::unbounded();
     let follower =
-        control::FollowTask::for_sidecar(configuration, queue.clone(), clients.clone(), move_discovery);
+        control::FollowTask::for_sidecar(configuration, queue.clone(), clients.clone(), address_sender);
     let status = follower.as_ref().map(|follower| follower.status.clone());
-    let channels = WatchChannels { poll, poll_requests, control_moves };
-    // What was in force before the restart is so before the first request and the first poll.
+    let channels = WatchChannels { poll, poll_requests, control_addresses };
+    // The version in force before the restart is restored before the first request and the first poll.
     let mut watch = DiscoveryWatch::new(discovery, configuration.discovery, channels);
     if let Some(follower) = follower {
         executor.spawn(follower.run()).detach();
@@ -161,7 +162,7 @@
     (watch, status)
 }
 
-/// Opens the console, where the configuration names its address.
+/// Opens the console, where its address is configured.
 fn open_console(
     configuration: &Configuration,
     fleet: Option<fleet::FleetHandle>,
@@ -181,7 +182,7 @@
     Ok(ConsoleLink { serving, operators, list_received })
 }
 
-/// The statistics file of a process that takes over, where the configuration names none.
+/// Sets a statistics file in the state folder for a process that takes over, if the configuration names none.
 fn choose_statistics_file(configuration: &mut Configuration) {
     let takes_over = configuration.inherited_listener.is_some();
     let needs_default = takes_over && configuration.statistics_file.is_none();
@@ -191,8 +192,8 @@
     }
 }
 
-/// Starts everything but the serving of clients. The fleet's part has a thread of its own, or is a task where an executor is
-/// given for it.
+/// Starts all parts except accepting clients. The fleet runs on a thread of its own, or on `fleet_executor` where one
+/// is given.
 pub(super) fn start(
     mut configuration: Configuration,
     start: Rc<Start>,
@@ -221,7 +222,7 @@
     }
     choose_statistics_file(&mut configuration);
     if !configuration.policy.polls_discovery {
-        // Where changes come unprompted, the watch stands from the start.
+        // The decision engine asks for no polls under this setting, so the watch starts at once.
         let _ = poll.try_send(());
     }
     let channels = (poll.clone(), poll_requests);
--- a/crates/sidecar/src/net/settings_fingerprint.rs
+++ b/crates/sidecar/src/net/settings_fingerprint.rs
@@ -1,7 +1,7 @@
-//! A fingerprint of the settings that give learned statistics their meaning.
+//! The fingerprint of the settings that learned statistics depend on.
 //!
-//! Settings are written in a stated order under the keys of `docs/operators.md`, whatever the code calls them, and
-//! hashed by FNV-1a, whose result is the same on every platform and compiler. The keys, their order and the encoding
+//! Settings are written in a fixed order under the keys of `docs/operators.md`, independent of names in the code, and
+//! hashed with FNV-1a, whose result is the same on every platform and compiler. The keys, their order and the encoding
 //! of each value are part of a stored format.
 
 use crate::configuration::Configuration;
@@ -11,7 +11,7 @@
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// The fingerprint of the tier, the verbs, the tenants and the rules, as 16 hexadecimal digits.
+/// The fingerprint of the tier, the request classes, the tenants and the policy rules, as 16 hexadecimal digits.
 pub fn settings_fingerprint(configuration: &Configuration) -> String {
     let (mut text, policy) = (SettingsText::default(), &configuration.policy);
     text.number("tier", policy.tier);
@@ -59,7 +59,7 @@
     text.float("verbs.overdue_utility", class.late_value);
 }
 
-/// The settings as lines of `key=value`, each value in a form that only equal settings share.
+/// The settings as lines of `key=value`, with each value encoded so that different values give different texts.
 #[derive(Default)]
 struct SettingsText(String);
 
@@ -71,7 +71,7 @@
         self.0.push('\n');
     }
 
-    /// The length stands before the text: no name can imitate the lines behind it.
+    /// Writes the length before the text, so that no name can imitate the lines that follow it.
     fn name(&mut self, key: &str, value: &str) {
         self.line(key, &format!("{}:{value}", value.len()));
     }
@@ -88,7 +88,7 @@
         self.line(key, &format!("{}ns", value.as_nanos()));
     }
 
-    /// By its bits: the text of a float may change with the compiler's library.
+    /// Writes the bits of the value: the decimal text of a float may change with the standard library.
     fn float(&mut self, key: &str, value: f64) {
         self.line(key, &format!("{:016x}", value.to_bits()));
     }
--- a/crates/sidecar/src/net/statistics_file.rs
+++ b/crates/sidecar/src/net/statistics_file.rs
@@ -1,7 +1,7 @@
-//! The file through which the statistics of servers outlive the process.
+//! The file that preserves server statistics across a restart of the process.
 //!
-//! It owns the form of the file; which statistics are restored is left to the decisions. A file that is old, of another
-//! deployment, or can't be read is passed over: the servers then start without statistics.
+//! This module owns the file format; the decision engine chooses which statistics it restores. A file that is too old,
+//! belongs to another deployment or cannot be read is ignored, and the servers start without statistics.
 
 use super::legacy_fingerprint;
 use super::settings_fingerprint::settings_fingerprint;
@@ -15,30 +15,30 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Older statistics say little of the servers as they are now.
+/// The maximum age of a file that is used: older statistics say little about the servers' present state.
 const MAX_STATISTICS_AGE: Duration = Duration::from_secs(60);
-/// The first save is this long after the start.
+/// The time from the start of the process until the first save.
 pub const FIRST_SAVE_AFTER: Duration = Duration::from_secs(1);
-/// A process that is killed loses no more than this.
+/// The time between saves, and the most that is lost when the process is killed.
 pub const SAVE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The version of the file's form.
+/// The version of the file format.
 const VERSION: u32 = 2;
-/// Some 60,000 servers; a longer file is none of this program's.
+/// The largest file that is read, enough for about 60,000 servers. A larger file was not written by this program.
 const MAX_FILE_BYTES: u64 = 8 << 20;
 
-/// The form of the file.
+/// The content of the statistics file.
 #[derive(Serialize, Deserialize)]
 struct StatisticsFile {
     version: u32,
-    /// The fingerprint of earlier releases. Another deployment's servers may have the same ids.
+    /// The fingerprint that earlier releases check. Servers of another deployment may have the same ids.
     deployment: String,
-    /// The fingerprint of named settings; files of earlier releases have none.
+    /// The fingerprint of named settings; None in files of earlier releases.
     #[serde(default)]
     settings: Option<String>,
     saved_unix_ms: u64,
     servers: Vec<StoredServer>,
-    /// Ids that endpoint lists named: operators may still name those that are gone.
+    /// Server ids from endpoint lists: operators may still refer to servers that have been removed.
     #[serde(rename = "named", default)]
     known_ids: Vec<String>,
 }
@@ -52,24 +52,25 @@
     ejected: bool,
 }
 
-/// What an earlier process left.
+/// The state that an earlier process saved.
 #[derive(Default)]
 pub struct RestoredState {
     pub statistics: Vec<ServerStatistics>,
     pub known_ids: Vec<Id>,
 }
 
-/// What tells one deployment from another: the tier that is sent to, its verbs, and all settings of them, of tenants and
-/// of limits. The number of copies changes within one deployment, and so does discovery's address, by SIGHUP.
+/// Identifies a deployment by its tier, its request classes and all settings of request classes, tenants and limits.
+/// The number of replicas is left out, as it changes within a deployment, and so is the address of discovery, which
+/// SIGHUP changes.
 #[derive(Clone)]
 pub struct Deployment {
-    /// The fingerprint of earlier releases, which can read this release's file after a downgrade.
+    /// The fingerprint of earlier releases, so that they can read this release's file after a downgrade.
     legacy: String,
     settings: String,
 }
 
 impl Deployment {
-    /// The deployment that a configuration is of.
+    /// The deployment that a configuration describes.
     pub fn of(configuration: &Configuration) -> Deployment {
         Deployment {
             legacy: legacy_fingerprint::deployment(configuration),
@@ -77,7 +78,8 @@
         }
     }
 
-    /// A file of an earlier release has no fingerprint of named settings: there the legacy one decides.
+    /// Whether this deployment wrote the file. Files of earlier releases have no fingerprint of named settings, so the
+    /// legacy fingerprint decides for them.
     fn matches(&self, file: &StatisticsFile) -> bool {
         match &file.settings {
             Some(settings) => *settings == self.settings,
@@ -86,7 +88,7 @@
     }
 }
 
-/// Why a file is passed over.
+/// Why a file is ignored.
 #[derive(Debug)]
 enum UnusableFile {
     Storage(StorageError),
@@ -104,7 +106,10 @@
             UnusableFile::Version(version) => write!(f, "version: {version} is not {VERSION}"),
             UnusableFile::OtherDeployment { found, own } => write!(f, "deployment: {found:?} is not {own:?}"),
             UnusableFile::Stale { saved_unix_ms } => {
-                write!(f, "saved_unix_ms: {saved_unix_ms} lies more than {MAX_STATISTICS_AGE:?} away")
+                write!(
+                    f,
+                    "saved_unix_ms: {saved_unix_ms} differs from the clock by more than {MAX_STATISTICS_AGE:?}"
+                )
             }
         }
     }
@@ -119,14 +124,15 @@
     if !deployment.matches(&file) {
         return Err(UnusableFile::OtherDeployment { found: file.deployment, own: deployment.legacy.clone() });
     }
-    // A file from the future was written by another clock.
+    // A file from the future was written by another clock and is ignored too.
     if unix_ms().abs_diff(file.saved_unix_ms) > MAX_STATISTICS_AGE.as_millis() as u64 {
         return Err(UnusableFile::Stale { saved_unix_ms: file.saved_unix_ms });
     }
     Ok(file)
 }
 
-/// Reads what an earlier process of this deployment left; nothing where the file can't be used, which is logged.
+/// Reads the state that an earlier process of this deployment saved. Returns an empty state if the file cannot be used,
+/// which is logged.
 pub fn restore(path: &Path, deployment: &Deployment, clock: &Clock) -> RestoredState {
     let file = match read_usable(path, deployment) {
         Ok(file) => file,
@@ -147,19 +153,19 @@
     }
 }
 
-/// Writes the file, one write at a time.
+/// Writes the file in the background, one write at a time.
 pub struct StatisticsWriter {
     writer: BackgroundWriter,
     deployment: Deployment,
 }
 
 impl StatisticsWriter {
-    /// A writer for one deployment's file.
+    /// Creates a writer for this deployment's file.
     pub fn new(deployment: Deployment) -> StatisticsWriter {
         StatisticsWriter { writer: BackgroundWriter::default(), deployment }
     }
 
-    /// Writes the file on another thread, unless an earlier write is still under way.
+    /// Writes the file on another thread, unless an earlier write is still in progress.
     pub fn save(
         &self,
         path: PathBuf,
--- a/crates/sidecar/src/net/statistics_file_tests.rs
+++ b/crates/sidecar/src/net/statistics_file_tests.rs
@@ -1,7 +1,8 @@
 use super::*;
 use crate::configuration;
 
-/// One configuration of each form that the fixtures' files were written under.
+/// The fixtures of earlier releases: the name of a statistics file and the configuration it was written under, one for
+/// each form of configuration.
 const DEPLOYMENTS: [(&str, &str); 3] =
     [("every_kind", "every_kind.toml"), ("plain", "plain.toml"), ("platform", "platform.json")];
 
@@ -13,7 +14,7 @@
     configuration::read(Some(&fixture(configuration))).expect("the fixture can be read")
 }
 
-/// The file of an earlier release, with the time of now.
+/// The fixture file of an earlier release, with its save time set to now.
 fn earlier_file(name: &str) -> serde_json::Value {
     let text = std::fs::read(fixture(&format!("{name}.learnt.json"))).expect("a fixture");
     let mut file: serde_json::Value = serde_json::from_slice(&text).expect("JSON");
--- a/crates/sidecar/src/net/timeout.rs
+++ b/crates/sidecar/src/net/timeout.rs
@@ -1,10 +1,10 @@
-//! Timeouts for futures.
+//! A timeout for futures.
 
 use async_io::Timer;
 use futures_lite::future::or;
 use std::time::Duration;
 
-/// What the work returns, or None if it takes longer than `limit`.
+/// Returns the result of `work`, or None if it takes longer than `limit`.
 pub async fn timeout<T>(limit: Duration, work: impl Future<Output = T>) -> Option<T> {
     let timed_out = async {
         Timer::after(limit).await;
--- a/crates/sidecar/src/net/upstream/exchange.rs
+++ b/crates/sidecar/src/net/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with a server: the request is written once while its response is awaited.
+//! One exchange with a server: writes the request once, and awaits the response at the same time.
 
 use super::outgoing::{BodyEvent, OutgoingRequest, StreamedBody};
 use super::pool::{ConnectionPool, Target, UpstreamConnection};
@@ -14,12 +14,13 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How long a response is awaited after a write failed: the server may have sent it before the break.
+/// How long a response is awaited after a write failed, as the server may have sent it before the connection broke.
 const LAST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Writes one message to a server and reads the head of the response. `write` makes the message once there is a
-/// connection, as the remaining time shrinks while one comes up; it sets the cell with the last byte. A server may
-/// respond before the message is complete: then nothing has run, and the connection is not used again.
+/// Writes one message to a server and reads the head of the response. `write` builds the message once there is a
+/// connection, as the remaining time shrinks while the connection is established, and sets the cell when the last byte
+/// is written. If the server responds before the message is complete, nothing has run and the connection is not used
+/// again.
 pub(super) async fn send_once(
     pool: &ConnectionPool,
     resources: &Rc<ResourcePool>,
@@ -42,7 +43,7 @@
             Err(failure) => failure,
         };
         Timer::after(LAST_RESPONSE_TIMEOUT).await;
-        // What was written to its last byte may have run, whatever ended the attempt.
+        // A message that was written to its last byte may have run, whatever ended the attempt.
         Err(if last_byte_written.get() && failure.never_ran() { Outcome::Reset } else { failure })
     };
     let reads = async { Ok(IncomingMessage::read_response(&connection.stream, buffer).await) };
@@ -52,7 +53,7 @@
         pool.record_reuse(idle, broke);
     }
     match response {
-        // It began before there was anything to respond to: a late duplicate of another request's response.
+        // The response began before the message was complete: it is a late duplicate of another request's response.
         Ok(message) if !last_byte_written.get() && http::status(&message.head) == Some(200) => {
             Err(Outcome::ConnectFailed)
         }
@@ -67,14 +68,15 @@
     }
 }
 
-/// The head of one attempt: that of the request, with the time that remains.
+/// The head of one attempt: the request's head and the remaining time. For a streamed body this is the full time limit,
+/// which counts from the last byte.
 pub(super) fn head_with_time(request: &OutgoingRequest, response_due: Instant) -> Vec<u8> {
     let remaining = response_due.saturating_duration_since(Instant::now());
     let remaining = request.rest.as_ref().map_or(remaining, |rest| rest.time_limit).as_millis();
     [&request.head[..], format!("X-Expires-In-Ms: {remaining}\r\n\r\n").as_bytes()].concat()
 }
 
-/// Writes a request, the streamed rest of its body as it arrives.
+/// Writes a request. The rest of a streamed body is written as it arrives.
 pub(super) async fn write_request(
     connection: &UpstreamConnection,
     head: &[u8],
@@ -95,7 +97,7 @@
     write_rest(connection, rest, buffered_len, response_due, on_last_byte).await
 }
 
-/// Writes the rest of a streamed body as the client side hands it on.
+/// Writes the rest of a streamed body as the client side passes it on.
 async fn write_rest(
     connection: &UpstreamConnection,
     rest: &StreamedBody,
@@ -112,7 +114,7 @@
                 let write = http::write_body_part(&connection.stream, b"", bytes, rest.encoding);
                 written_in_time(timeout(STALL_TIMEOUT, write).await)?;
                 missing = missing.map(|missing| missing.saturating_sub(part.bytes().len() as u64));
-                // The server may respond before the client side says that this was the last part.
+                // The server may respond before the client side reports that this was the last part.
                 if missing == Some(0) {
                     on_last_byte();
                 }
--- a/crates/sidecar/src/net/upstream/idle_breaks.rs
+++ b/crates/sidecar/src/net/upstream/idle_breaks.rs
@@ -1,9 +1,9 @@
-//! How often idle connections break when they are used again, by how long they had been idle. Servers may drop idle
-//! connections sooner than they say, and not all of them close the socket when they do.
+//! How often idle connections break when they are reused, by idle time. Servers may drop idle connections sooner than
+//! they announce, and some do so without closing the socket.
 
 use std::time::Duration;
 
-/// Counts of reused connections in bins of idle time that double from bin to bin.
+/// Counts of reused and broken connections, in bins of idle time that double from bin to bin.
 #[derive(Default)]
 pub(super) struct IdleBreakStats {
     bins: [Bin; IdleBreakStats::BINS],
@@ -17,9 +17,9 @@
 
 impl IdleBreakStats {
     const BINS: usize = 12;
-    /// The idle time in milliseconds up to which the first bin reaches.
+    /// The upper bound of the first bin, in milliseconds of idle time.
     const FIRST_BIN_MS: u64 = 25;
-    /// A bin with this many uses is halved, so that old ones fade.
+    /// The counts of a bin are halved at this many uses, so that old uses lose weight.
     const MAX_BIN_USES: u32 = 128;
     /// More than one break in this many uses is too often.
     const MIN_USES_PER_BREAK: u32 = 24;
@@ -29,7 +29,7 @@
         ((u64::BITS - steps.leading_zeros()) as usize).min(Self::BINS - 1)
     }
 
-    /// Records a use after this idle time.
+    /// Records a reuse after this idle time, and whether the connection broke.
     pub(super) fn record(&mut self, idle: Duration, broke: bool) {
         let bin = &mut self.bins[Self::bin(idle)];
         (bin.reused, bin.broken) = (bin.reused + 1, bin.broken + u32::from(broke));
@@ -38,7 +38,8 @@
         }
     }
 
-    /// Whether connections break too often after this idle time: what does so after a shorter time does so after this.
+    /// Whether connections break too often after this idle time or a shorter one: connections that break after a
+    /// shorter time also break after this one.
     pub(super) fn breaks_often_after(&self, idle: Duration) -> bool {
         let too_often = |bin: &Bin| bin.broken >= 2 && bin.broken * Self::MIN_USES_PER_BREAK > bin.reused;
         self.bins[..=Self::bin(idle)].iter().any(too_often)
--- a/crates/sidecar/src/net/upstream/mod.rs
+++ b/crates/sidecar/src/net/upstream/mod.rs
@@ -1,5 +1,5 @@
-//! Attempts and health checks on connections to servers. It tracks for each attempt whether the last byte was written, and
-//! reads what came of it. It never sends anything twice, picks no server, and never returns a connection to the pool whose
+//! Sends attempts and health checks to servers. It tracks for each attempt whether the last byte was written, and reads
+//! the response. It never sends a message twice, chooses no server, and never returns a connection to the pool whose
 //! last response was incomplete.
 
 mod exchange;
@@ -26,19 +26,19 @@
 use std::time::{Duration, Instant};
 
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
-/// A response of unknown length is buffered for this long, in case it is short; after that it is passed on as it comes.
+/// How long a response of unknown length is buffered, in case it is short; after that it is passed on as it arrives.
 const BUFFER_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// Sends attempts and health checks to servers.
 pub struct UpstreamClient {
     pool: Rc<ConnectionPool>,
     resources: Rc<ResourcePool>,
-    /// What a health check asks for: whether the process runs, or that and its load.
+    /// The path that health checks request: `/ping`, or `/_load`, whose response also reports the load.
     health_path: &'static str,
 }
 
 impl UpstreamClient {
-    /// A client on this pool.
+    /// Creates a client that uses this pool's connections.
     pub fn new(
         configuration: &Configuration,
         pool: Rc<ConnectionPool>,
@@ -48,8 +48,8 @@
         UpstreamClient { pool, resources, health_path }
     }
 
-    /// Sends the request once and waits for the end, at the latest at `deadline`; while its body is still arriving, at the
-    /// time that comes with the body's end.
+    /// Sends the request once and waits for the result, until `deadline` at most. For a streamed body, the deadline
+    /// that arrives with the end of the body replaces it.
     pub async fn attempt(
         self: &Rc<Self>,
         to: &Target,
@@ -65,8 +65,8 @@
             AttemptResult::without_response(if written { Outcome::Timeout } else { Outcome::ConnectFailed })
         };
         let exchange = self.exchange(to, request, number, &response_due, stage);
-        let end = if request.rest.is_none() { or(exchange, timed_out).await } else { exchange.await };
-        AttemptResult { consumed: !request.can_be_sent_again(), ..end }
+        let result = if request.rest.is_none() { or(exchange, timed_out).await } else { exchange.await };
+        AttemptResult { consumed: !request.can_be_sent_again(), ..result }
     }
 
     async fn exchange(
@@ -77,8 +77,8 @@
         response_due: &Cell<Instant>,
         stage: &Cell<AttemptStage>,
     ) -> AttemptResult {
-        // The client may have left in the very moment in which the connection came up, and retries may no longer be
-        // deduplicated by then.
+        // While the connection was being established the client may have left, and the window for deduplicating retries
+        // may have elapsed.
         let may_start =
             || !request.client.has_left() && request.guard.begin(&request.id, number, to.location).is_ok();
         let write = async |connection: &UpstreamConnection, last_byte_written: &Cell<bool>| {
@@ -129,14 +129,14 @@
             }
             Err(error) => {
                 tracing::debug!("no response from server {}: {error}", to.server);
-                // A server that has said what came of the request has said so, complete or not.
+                // A status other than 200 gives the outcome even if the rest of the response is missing.
                 AttemptResult::without_response(if is_ok { Outcome::Reset } else { outcome })
             }
         }
     }
 
-    /// Reads a response to its end if it is short enough, and returns its connection to the pool. One that is wanted and
-    /// longer is passed on as it comes, on the connection that is handed back.
+    /// Reads a response to its end if it is short enough, and returns its connection to the pool. If it is longer and
+    /// to be `forwarded`, returns the connection on which the rest of it arrives.
     async fn buffer_response(
         &self,
         to: &Target,
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Checks a server's health, and reads its load where the check asks for it.
+    /// Checks a server's health. Reads its load report if the health check requests one.
     pub async fn check_health(&self, to: &Target) -> (Outcome, LoadReport) {
         let timed_out = (Outcome::Timeout, LoadReport::default());
         timeout(HEALTH_CHECK_TIMEOUT, self.request_health(to)).await.unwrap_or(timed_out)
@@ -204,7 +204,8 @@
     }
 }
 
-/// Returns when the response to a streamed body is late; never where the attempt's deadline holds from the start.
+/// Returns when the response to a streamed body is late; never for a buffered body, whose deadline is fixed from the
+/// start.
 async fn streamed_body_late(request: &OutgoingRequest, response_due: &Cell<Instant>) {
     match &request.rest {
         None => pending().await,
--- a/crates/sidecar/src/net/upstream/pool.rs
+++ b/crates/sidecar/src/net/upstream/pool.rs
@@ -1,5 +1,6 @@
-//! The connection pool: connections to servers are dialed, kept between requests, and used again once they have been quiet
-//! for long enough. It owns every socket to a server that no attempt uses; it never reads or writes a message.
+//! The connection pool: dials connections to servers, keeps them between requests, and reuses them once they have been
+//! quiet for long enough. It owns every connection to a server that no attempt uses, and never reads or writes a
+//! message.
 
 use super::idle_breaks::IdleBreakStats;
 use crate::configuration::Configuration;
@@ -16,10 +17,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// The part of the server's own idle timeout after which a connection is closed here: a request written to one that the
-/// server is just closing would end with a reset.
+/// The fraction of the server's own idle timeout after which a connection is closed here: a request written to a
+/// connection that the server is just closing would end with a reset.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
-/// How often unusable idle connections are looked for.
+/// The interval at which unusable idle connections are closed.
 const REAP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A duplicate response or other bytes may arrive some time after a response, and nothing in a response names its request.
@@ -28,18 +29,18 @@
 const MIN_QUIET: Duration = Duration::from_millis(3);
 /// The quiet time for requests that must not run twice, and while few connections are idle.
 const QUIET: Duration = Duration::from_millis(25);
-/// The quiet time after any server has sent more than its response.
+/// The quiet time after any server has sent bytes beyond its response.
 const QUIET_AFTER_SURPLUS: Duration = Duration::from_millis(60);
-/// For how long such a surplus is remembered.
+/// How long `QUIET_AFTER_SURPLUS` applies after such a surplus.
 const SURPLUS_COOLDOWN: Duration = Duration::from_secs(60);
-/// With this many idle connections to a server, the longest idle one is used again after the shortest quiet time.
+/// From this number of idle connections to a server on, the longest idle one is reused after the shortest quiet time.
 const MANY_IDLE: usize = 8;
-/// The pause between dials after one that failed for a reason on this side.
+/// The pause before a dial that failed for a reason on this machine is repeated.
 const REDIAL_INTERVAL: Duration = Duration::from_millis(5);
 /// The most idle connections to one server.
 const MAX_IDLE_PER_SERVER: usize = 32;
 
-/// Where an attempt or a health check goes. The same address may belong to another server later.
+/// The destination of an attempt or a health check. The same address may belong to another server later.
 #[derive(Clone)]
 pub struct Target {
     pub server: Id,
@@ -58,7 +59,8 @@
 pub enum ConnectError {
     /// The server or the path to it refused the connection, or did not answer in time.
     Unreachable,
-    /// This process or machine had no descriptor, port or memory for it. It says nothing about the server.
+    /// This process or machine had no descriptor, port or memory for the connection, which says nothing about the
+    /// server.
     LocalResources,
 }
 
@@ -81,7 +83,7 @@
 pub struct ConnectionPool {
     idle: RefCell<BTreeMap<Id, Vec<IdleConnection>>>,
     idle_breaks: RefCell<IdleBreakStats>,
-    /// When a server last sent more than its response.
+    /// When any server last sent bytes beyond its response.
     last_surplus_at: Cell<Option<Instant>>,
     failed_dials: FailureLog,
     resources: Rc<ResourcePool>,
@@ -90,13 +92,13 @@
 }
 
 impl ConnectionPool {
-    /// The pool that the configuration asks for.
+    /// Creates a pool with the configured timeouts.
     pub fn new(configuration: &Configuration, resources: Rc<ResourcePool>) -> ConnectionPool {
         let idle_timeout = configuration.idle_connection_timeout.mul_f64(IDLE_TIMEOUT_FRACTION);
         ConnectionPool::with_timeouts(idle_timeout, configuration.connect_timeout, resources)
     }
 
-    /// A pool that closes idle connections, and gives up dials, after these times.
+    /// Creates a pool that closes idle connections and gives up dials after these times.
     pub fn with_timeouts(
         idle_timeout: Duration,
         dial_timeout: Duration,
@@ -113,13 +115,13 @@
         }
     }
 
-    /// Records whether a connection that had been idle for so long broke when it was used again.
+    /// Records whether a connection broke when it was reused after this idle time.
     pub fn record_reuse(&self, idle: Duration, broke: bool) {
         self.idle_breaks.borrow_mut().record(idle, broke);
     }
 
-    /// An idle connection or a new one, and for how long it had been idle. `run_once`: the request must not run twice, so
-    /// no connection is used that is likely to break.
+    /// Takes an idle connection or dials a new one. Also returns how long a reused connection had been idle. If
+    /// `run_once` is set, the request cannot be sent again, so no connection is used that is likely to break.
     pub async fn connection(
         &self,
         to: &Target,
@@ -140,7 +142,7 @@
         Ok((UpstreamConnection { stream, _permit: permit }, None))
     }
 
-    /// Dials within the dial timeout. What fails on this side is tried again, and is held against no server.
+    /// Dials within the dial timeout. Failures on this machine are retried and not attributed to the server.
     async fn dial(&self, to: &Target) -> Result<Async<TcpStream>, ConnectError> {
         let deadline = Instant::now() + self.dial_timeout;
         loop {
@@ -166,8 +168,9 @@
         }
     }
 
-    /// The most recently used connection that has been quiet for long enough, as it is the least likely to have ended. Only
-    /// candidates are inspected, since each inspection is a system call on a request's path; `reap` finds the others.
+    /// Takes the most recently used connection that has been quiet for long enough, as it is the least likely to have
+    /// ended. Only candidates are inspected, since each inspection is a system call on the request path; `reap` closes
+    /// the others.
     fn take_idle(&self, to: &Target, run_once: bool) -> Option<IdleConnection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&to.server)?;
@@ -176,7 +179,7 @@
             if idle_for < self.required_quiet() {
                 continue;
             }
-            // Those before it have been idle for longer still.
+            // The connections before this one have been idle for even longer.
             if run_once && self.idle_breaks.borrow().breaks_often_after(idle_for) {
                 return None;
             }
@@ -195,7 +198,7 @@
         candidate.address == to.address && self.is_usable(&to.server, candidate)
     }
 
-    /// How long a connection must have been quiet before it is used again, where another one may be dialed.
+    /// How long a connection must have been quiet before it is reused, if another one can be dialed instead.
     fn required_quiet(&self) -> Duration {
         match self.last_surplus_at.get() {
             Some(at) if at.elapsed() < SURPLUS_COOLDOWN => QUIET_AFTER_SURPLUS,
@@ -203,7 +206,7 @@
         }
     }
 
-    /// A server has sent bytes that no request asked for.
+    /// Records that a server has sent bytes that no request asked for.
     pub fn record_surplus(&self, server: &Id) {
         if self.last_surplus_at.replace(Some(Instant::now())).is_none_or(|at| at.elapsed() > SURPLUS_COOLDOWN)
         {
@@ -213,13 +216,13 @@
         }
     }
 
-    /// Closes the idle connections to a server that is gone; its id never comes back.
+    /// Closes the idle connections to a server.
     pub fn close_idle_to(&self, server: &Id) {
         self.idle.borrow_mut().remove(server);
     }
 
-    /// Whether nothing has happened on an idle connection: a server that died or closed it shows here before a request is
-    /// risked on it, and so do bytes that nobody asked for.
+    /// Whether an idle connection is still open and silent. This detects a server that died or closed the connection,
+    /// and bytes that no request asked for, before a request is sent on it.
     fn is_usable(&self, server: &Id, idle: &IdleConnection) -> bool {
         match idle.connection.stream.get_ref().peek(&mut [0]) {
             Ok(1..) => {
@@ -233,7 +236,7 @@
         }
     }
 
-    /// Returns a connection whose last response was complete.
+    /// Returns a connection to the pool. Its last response must be complete.
     pub fn put_back(&self, to: &Target, connection: UpstreamConnection) {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(to.server.clone()).or_default();
@@ -243,7 +246,7 @@
         connections.push(IdleConnection { connection, address: to.address, idle_since: Instant::now() });
     }
 
-    /// Closes the connection that has been idle for longest, to any server. `false`: none is idle.
+    /// Closes the connection that has been idle for longest, to any server. Returns false if none is idle.
     pub fn close_longest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let idle_since =
@@ -252,12 +255,13 @@
         longest.map(|connections| connections.remove(0)).is_some()
     }
 
-    /// Closes idle connections while this process uses more than its share, as another process of this sidecar needs it.
+    /// Closes idle connections while this process uses more than its share, which another process of this sidecar
+    /// needs.
     pub fn shrink_to_share(&self) {
         while self.resources.exceeds_share() && self.close_longest_idle() {}
     }
 
-    /// Closes connections that have ended or were idle for too long, for as long as the process runs.
+    /// Periodically closes connections that have ended or exceeded the idle timeout; never returns.
     pub async fn reap(self: Rc<Self>) {
         loop {
             Timer::after(REAP_INTERVAL).await;
--- a/crates/sidecar/src/net/upstream/response.rs
+++ b/crates/sidecar/src/net/upstream/response.rs
@@ -1,4 +1,5 @@
-//! What a server's response says: the response to pass on, the attempt's outcome, and the load report in its headers.
+//! Reads what a server's response means: the response to pass on, the attempt's outcome, and the load report in its
+//! headers.
 
 use super::pool::{ConnectionPool, Target, UpstreamConnection};
 use crate::net::http::{self, HttpError, IncomingMessage};
@@ -7,10 +8,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A server that sends nothing of a response for this long is given up.
+/// An exchange is given up if a read of the response or a write of a streamed body makes no progress for this long.
 pub(super) const STALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A 200 response: complete, or what has arrived of it with the connection that brings the rest.
+/// A 200 response: complete, or the part that has arrived and the connection on which the rest arrives.
 pub struct UpstreamResponse {
     pub message: IncomingMessage,
     pub(super) connection: Option<UpstreamConnection>,
@@ -19,19 +20,19 @@
 }
 
 impl UpstreamResponse {
-    /// Reads more of the body, once the bytes that were read are taken.
+    /// Reads more of the body. The bytes read before must have been taken or discarded.
     pub async fn read_more(&mut self) -> Result<(), HttpError> {
         let Some(connection) = &self.connection else { return Err(HttpError::Closed) };
         let read = self.message.read_more(&connection.stream);
         timeout(STALL_TIMEOUT, read).await.unwrap_or(Err(HttpError::Broken))
     }
 
-    /// The server that it comes from.
+    /// The server that sent the response.
     pub fn server(&self) -> &Id {
         &self.from.server
     }
 
-    /// All of it was passed on: its connection may carry another request.
+    /// Ends a response that was passed on. Its connection returns to the pool if it may carry another request.
     pub fn finish(self) {
         let reusable = self.message.is_complete() && is_connection_reusable(&self.message);
         if let Some(connection) = self.connection.filter(|_| reusable) {
@@ -40,32 +41,32 @@
     }
 }
 
-/// Whether the connection of this response may carry another, and nothing followed the response.
+/// Whether the connection may carry another request after this response, and no bytes followed the response.
 pub(super) fn is_connection_reusable(response: &IncomingMessage) -> bool {
     response.keep_alive && response.surplus().is_empty()
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 pub struct AttemptResult {
     pub outcome: Outcome,
     pub load: LoadReport,
     pub response: Option<UpstreamResponse>,
-    /// What was sent of the request cannot be sent again.
+    /// Whether a part of the request was sent that cannot be sent again.
     pub consumed: bool,
 }
 
 impl AttemptResult {
-    /// An end without a response or a load report.
+    /// Creates a result without a response and without a load report.
     pub fn without_response(outcome: Outcome) -> AttemptResult {
         AttemptResult { outcome, load: LoadReport::default(), response: None, consumed: false }
     }
 }
 
-/// The outcome that a response's head tells, and its load report.
+/// The outcome and the load report that a response's head gives.
 pub(super) fn read_outcome(head: &[u8]) -> (Outcome, LoadReport) {
     let mut headers = http::empty_headers();
     let mut response = httparse::Response::new(&mut headers);
-    // It was parsed before, when the end of the head was looked for.
+    // The head was parsed before, when its end was determined, so parsing cannot fail here.
     if response.parse(head).is_err() {
         return (Outcome::Error, LoadReport::default());
     }
@@ -80,7 +81,8 @@
     (outcome, load)
 }
 
-/// Reads `TEXT inflight=7, queue=2, util=0.61`; the settings have other names for some of these.
+/// Parses a load report such as `TEXT inflight=7, queue=2, util=0.61`. The names `waiting`, `active` and `cpu`, which
+/// the settings use for these values, are accepted too.
 pub(super) fn read_load_report(text: &str) -> LoadReport {
     let mut load = LoadReport::default();
     let text = text.trim().strip_prefix("TEXT").unwrap_or(text);
--- a/crates/sidecar/src/net/upstream/upstream_tests.rs
+++ b/crates/sidecar/src/net/upstream/upstream_tests.rs
@@ -1,4 +1,4 @@
-//! Attempts on a real socket, with what reaches them from the caller's side held back by hand.
+//! Attempts over a real socket, with a test that controls when the parts of a streamed body arrive.
 
 use super::*;
 use crate::net::attempts::{AttemptGuard, Location, RetryRule};
@@ -11,16 +11,16 @@
 
 const BODY_LENGTH: usize = 100_000;
 
-/// Reads a whole request of this size and answers it at once.
+/// Reads a complete request of this size and responds at once.
 fn respond_to_request(listener: &TcpListener, size: usize) {
     let (mut stream, _) = listener.accept().expect("a connection");
     let mut bytes = vec![0; size];
-    stream.read_exact(&mut bytes).expect("a whole request");
-    stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").expect("an answer");
+    stream.read_exact(&mut bytes).expect("a complete request");
+    stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").expect("a response");
 }
 
-/// The caller's side has handed on the last byte of a long body and has not said yet that it was the last, when the answer
-/// comes.
+/// The response arrives when the client side has passed on the last byte of a long body, but has not reported yet that
+/// it was the last.
 #[test]
 fn response_right_after_last_body_byte_is_ok() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -34,7 +34,7 @@
     let server = std::thread::spawn(move || respond_to_request(&listener, size));
     let (event_sender, events) = async_channel::unbounded();
     for part in BodyPart::zeroed(&resources, BODY_LENGTH) {
-        assert!(event_sender.try_send(BodyEvent::Part(part)).is_ok(), "room for it");
+        assert!(event_sender.try_send(BodyEvent::Part(part)).is_ok(), "the channel is unbounded");
     }
     let rest = StreamedBody {
         events,
@@ -62,11 +62,11 @@
     let target = Target { server: "s1".into(), address, location: Location { zone: 0, cell: 0 } };
     let stage = Cell::new(AttemptStage::Unwritten);
     let attempt = async {
-        let until = Instant::now() + Duration::from_secs(2);
-        upstream.attempt(&target, &outgoing, 0, until, &stage).await.outcome
+        let deadline = Instant::now() + Duration::from_secs(2);
+        upstream.attempt(&target, &outgoing, 0, deadline, &stage).await.outcome
     };
     let outcome = async_io::block_on(attempt);
-    server.join().expect("the server answered");
+    server.join().expect("the server responded");
     assert_eq!(outcome, Outcome::Ok);
     drop(event_sender);
 }
