--- a/crates/sidecar/src/net/owner/event_loop.rs
+++ b/crates/sidecar/src/net/owner/event_loop.rs
@@ -247,7 +247,7 @@
             Event::BodyComplete(id, number, deadline) => self.body_complete(now, &id, number, deadline),
             Event::ClientLeft(id, number) => self.client_left(now, &id, number),
             Event::ResponseInterrupted(server, class) => {
-                self.policy.response_interrupted(now, &server, class)
+                self.policy.response_interrupted(now, &server, class);
             }
             Event::AttemptEnded(id, number, result) => self.attempt_ended(now, id, number, *result),
             Event::HealthCheckEnded(server, outcome, load) => {
--- a/crates/sidecar/src/net/owner/request_table.rs
+++ b/crates/sidecar/src/net/owner/request_table.rs
@@ -151,9 +151,9 @@
         self.remove_if_finished(request);
     }
 
-    /// Cancels the attempts of a finished request that are not written to their last byte. This also holds where the
-    /// settings forbid cancellation: they are about attempts that a server has received, and no server has received
-    /// these.
+    /// Cancels the attempts of a finished request that are not written to their last byte. This also applies where the
+    /// settings forbid cancellation: that setting is about attempts that a server has received, and no server has
+    /// received these.
     pub(super) fn cancel_unwritten(&mut self, request: &Id) {
         let Some(open) = self.requests.get(request) else { return };
         let unwritten = |attempt: &Attempt| {
