--- a/crates/sidecar/src/net/statistics_file_tests.rs
+++ b/crates/sidecar/src/net/statistics_file_tests.rs
@@ -1,3 +1,5 @@
+//! Statistics files: the fingerprints of a deployment, files of earlier releases, and the bounds of the file.
+
 use super::*;
 use crate::configuration;
 
