--- a/crates/sidecar/src/net/http/head.rs
+++ b/crates/sidecar/src/net/http/head.rs
@@ -1,27 +1,28 @@
-//! The head of a message: its headers, and what they say about the framing of the body.
+//! Parses the head of a message: its headers, and the framing of the body that they specify.
 
 use super::body::{BodyDecoder, Framing};
 use super::error::HttpError;
 
-/// A head with more headers is rejected.
+/// The most headers in a head; a head with more is rejected.
 const MAX_HEADERS: usize = 96;
 
-/// Space for the headers of one head, as httparse needs it.
-pub fn no_headers<'a>() -> [httparse::Header<'a>; MAX_HEADERS] {
+/// Empty space for the headers of one head, which httparse fills.
+pub fn empty_headers<'a>() -> [httparse::Header<'a>; MAX_HEADERS] {
     [httparse::EMPTY_HEADER; MAX_HEADERS]
 }
 
-/// A value that is not UTF-8 must not read as a missing header: it becomes a character that no parser here accepts.
+/// The value of a header. A value that is not UTF-8 must not look like a missing header, so it becomes U+FFFD, which no
+/// parser here accepts.
 fn value_text<'a>(header: &httparse::Header<'a>) -> &'a str {
     std::str::from_utf8(header.value).map_or("\u{fffd}", str::trim)
 }
 
-/// The value of the first header with this name, in any case of letters.
+/// The value of the first header with this name, ignoring case.
 pub fn header<'a>(headers: &[httparse::Header<'a>], name: &str) -> Option<&'a str> {
     headers.iter().find(|header| header.name.eq_ignore_ascii_case(name)).map(value_text)
 }
 
-/// Whether a header is forwarded. Headers about a single connection or its framing are not.
+/// Whether a header is forwarded. Headers that concern one connection or its framing are not.
 pub fn is_end_to_end(name: &str) -> bool {
     const HOP_BY_HOP: [&str; 9] = [
         "connection",
@@ -47,13 +48,13 @@
 
 /// The status code of a response's head.
 pub fn status(head: &[u8]) -> Option<u16> {
-    let mut headers = no_headers();
+    let mut headers = empty_headers();
     let mut response = httparse::Response::new(&mut headers);
     response.parse(head).ok()?;
     response.code
 }
 
-/// The reason phrase of the status codes that this program answers with.
+/// The reason phrase of a status code that this program sends.
 pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -71,9 +72,9 @@
     }
 }
 
-/// Whether these bytes begin with a request that is complete to its last byte.
+/// Whether these bytes begin with a complete request, including its body.
 pub fn is_complete_request(bytes: &[u8]) -> bool {
-    let Ok(Some(head)) = ParsedHead::of_request(bytes) else { return false };
+    let Ok(Some(head)) = ParsedHead::parse_request(bytes) else { return false };
     let body = &bytes[head.length..];
     match head.framing {
         Framing::Length(length) => body.len() >= length,
@@ -85,38 +86,38 @@
     }
 }
 
-/// What a head says about the rest of its message.
+/// The properties of a message that its head specifies.
 pub(super) struct ParsedHead {
-    /// The head's own length in bytes.
+    /// The length of the head in bytes.
     pub(super) length: usize,
     /// The minor version: 0 for HTTP/1.0.
     pub(super) minor: u8,
     pub(super) framing: Framing,
     pub(super) keep_alive: bool,
     pub(super) expects_continue: bool,
-    /// An interim response (1xx): the final one follows.
+    /// Whether this is an interim response (1xx), which a final response follows.
     pub(super) interim: bool,
 }
 
 impl ParsedHead {
-    fn of(
+    fn from_headers(
         length: usize,
         minor: u8,
         headers: &[httparse::Header<'_>],
-        unframed: Framing,
+        default_framing: Framing,
     ) -> Result<ParsedHead, HttpError> {
         let values = |name: &'static str| {
             headers.iter().filter(move |header| header.name.eq_ignore_ascii_case(name)).map(value_text)
         };
         let contains = |name, word: &str| values(name).any(|text| text.to_ascii_lowercase().contains(word));
         let codings: Vec<&str> = values("transfer-encoding").collect();
-        // The same length given twice is one length.
+        // Identical repeated lengths count as one.
         let mut lengths: Vec<&str> = values("content-length").collect();
         lengths.dedup();
-        // Two lengths, a length beside a transfer coding, or a coding that another parser may read differently would
-        // allow request smuggling.
+        // Different lengths, a length together with a transfer coding, or a coding that another parser may read
+        // differently would allow request smuggling.
         let framing = match (codings.as_slice(), lengths.as_slice()) {
-            ([], []) => unframed,
+            ([], []) => default_framing,
             ([coding], []) if minor == 1 && coding.eq_ignore_ascii_case("chunked") => Framing::Chunked,
             ([], [length]) if !length.is_empty() && length.bytes().all(|byte| byte.is_ascii_digit()) => {
                 Framing::Length(length.parse().map_err(|_| HttpError::TooLarge)?)
@@ -130,12 +131,13 @@
     }
 
     /// Parses a request's head; None while it is incomplete.
-    pub(super) fn of_request(bytes: &[u8]) -> Result<Option<ParsedHead>, HttpError> {
-        let mut headers = no_headers();
+    pub(super) fn parse_request(bytes: &[u8]) -> Result<Option<ParsedHead>, HttpError> {
+        let mut headers = empty_headers();
         let mut head = httparse::Request::new(&mut headers);
         match head.parse(bytes) {
             Ok(httparse::Status::Complete(length)) => {
-                Self::of(length, head.version.unwrap_or(1), head.headers, Framing::Length(0)).map(Some)
+                Self::from_headers(length, head.version.unwrap_or(1), head.headers, Framing::Length(0))
+                    .map(Some)
             }
             Ok(httparse::Status::Partial) => Ok(None),
             Err(httparse::Error::TooManyHeaders) => Err(HttpError::TooLarge),
@@ -144,17 +146,18 @@
     }
 
     /// Parses a response's head; None while it is incomplete.
-    pub(super) fn of_response(bytes: &[u8]) -> Result<Option<ParsedHead>, HttpError> {
-        let mut headers = no_headers();
+    pub(super) fn parse_response(bytes: &[u8]) -> Result<Option<ParsedHead>, HttpError> {
+        let mut headers = empty_headers();
         let mut head = httparse::Response::new(&mut headers);
         match head.parse(bytes) {
             Ok(httparse::Status::Complete(length)) => {
                 let interim = matches!(head.code, Some(100..200));
-                let unframed = match head.code {
+                let default_framing = match head.code {
                     Some(100..200 | 204 | 304) => Framing::Length(0),
                     _ => Framing::UntilClose,
                 };
-                let parsed = Self::of(length, head.version.unwrap_or(1), head.headers, unframed)?;
+                let parsed =
+                    Self::from_headers(length, head.version.unwrap_or(1), head.headers, default_framing)?;
                 Ok(Some(ParsedHead { interim, ..parsed }))
             }
             Ok(httparse::Status::Partial) => Ok(None),
--- a/crates/sidecar/src/net/owner/event_loop.rs
+++ b/crates/sidecar/src/net/owner/event_loop.rs
@@ -1,5 +1,5 @@
-//! The owner's task: it takes events off the queue one by one, passes each to the decisions, and wakes them when they asked
-//! for it.
+//! The owner's task: passes each event of the queue to the decision engine, and wakes the decision engine at the times
+//! it asks for.
 
 use super::decision_host::DecisionHost;
 use super::event::{Event, EventQueue, FinalResponse, IncomingRequest};
@@ -28,22 +28,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The operators' orders, and what the console is notified of.
+/// The channels between the console and the owner.
 pub struct OperatorChannels {
     pub orders: Receiver<MaintenanceOrder>,
-    /// What was recorded before this process began.
+    /// The maintenance entries recorded before this process started.
     pub recorded: MaintenanceEntries,
     /// Notified once an endpoint list has arrived.
     pub list_received: Sender<()>,
 }
 
-/// What the event loop waits for. Operators' orders come before everything else that waits.
+/// An input of the event loop. Operators' orders take precedence over all other inputs.
 enum Input {
     Order(MaintenanceOrder),
     Event(Event),
     FleetSize(ReplicaView),
     ZoneTraffic(Vec<ZoneTraffic>),
-    /// It is time to wake the decisions.
+    /// The decision engine has asked to be woken at this time.
     WakeTime,
 }
 
@@ -51,20 +51,21 @@
     table: Rc<RefCell<RequestTable>>,
     policy: Policy<DecisionHost>,
     clock: Clock,
-    /// What an earlier process learned, until a whole endpoint list has arrived.
+    /// The state that an earlier process saved, until a complete endpoint list has arrived.
     restored: RestoredState,
     operators: OperatorChannels,
     fleet: Option<fleet::DecisionLink>,
-    /// When this copy's view of the zones is next reported to the fleet.
-    zones_reported_at: Duration,
-    /// The decisions' next sweep that may do anything; those before it are skipped unless something happens.
-    idle_until: Option<Duration>,
+    /// When this replica next reports its observations of zones to the fleet.
+    next_zone_report_at: Duration,
+    /// The next sweep of the decision engine that may have an effect: sweeps before it are skipped unless another input
+    /// arrives. None if no sweep is skipped.
+    sweeps_skipped_until: Option<Duration>,
     save_to: Option<PathBuf>,
     save_at: Duration,
-    saving: StatisticsWriter,
+    statistics_writer: StatisticsWriter,
 }
 
-/// Owns the decisions for as long as the process runs.
+/// Runs the decision engine for as long as the process runs.
 pub async fn run(
     configuration: Configuration,
     mut services: Services,
@@ -94,20 +95,20 @@
         restored,
         operators,
         fleet,
-        zones_reported_at: clock.now(),
-        idle_until: None,
+        next_zone_report_at: clock.now(),
+        sweeps_skipped_until: None,
         save_to,
         save_at,
-        saving: StatisticsWriter::new(deployment),
+        statistics_writer: StatisticsWriter::new(deployment),
         clock,
     };
     event_loop.restore_operator_orders();
-    event_loop.begin_with_list(configuration.initial_catalog);
+    event_loop.apply_initial_list(configuration.initial_catalog);
     event_loop.run(events).await;
 }
 
 impl EventLoop {
-    /// What operators told an earlier process is in force before the first list is taken in.
+    /// Applies the orders that operators gave to an earlier process, before the first endpoint list.
     fn restore_operator_orders(&mut self) {
         let now = self.clock.now();
         self.restored.known_ids.iter().for_each(|server| self.policy.restore_known_server(server));
@@ -120,8 +121,8 @@
         }
     }
 
-    /// Begins with the servers of the configuration, and with what an earlier process learned of them.
-    fn begin_with_list(&mut self, list: Catalog) {
+    /// Applies the servers of the configuration, and the statistics that an earlier process saved about them.
+    fn apply_initial_list(&mut self, list: Catalog) {
         let known = self.table.borrow_mut().update_servers(list);
         let now = self.clock.now();
         self.policy.endpoint_list_cached(now, &known);
@@ -139,7 +140,7 @@
                 Input::ZoneTraffic(traffic) => self.policy.zone_traffic_changed(self.clock.now(), &traffic),
                 Input::WakeTime => {}
             }
-            // Checked after each input: a long queue must not keep the decisions from their time.
+            // Checked after each input, so that a long queue does not delay the decision engine's timers.
             let now = self.clock.now();
             if self.next_wake().is_some_and(|at| at <= now) {
                 self.wake(now);
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Waits for the next input. What comes first is: orders, what the fleet says, events, the time to wake.
+    /// Waits for the next input, in this order of precedence: orders, messages of the fleet, events, the wake time.
     async fn next_input(&self, events: &Receiver<Event>) -> Input {
         let wake = self.next_wake();
         let wake_time = async {
@@ -157,11 +158,12 @@
             };
             Input::WakeTime
         };
-        let order = received(Some(&self.operators.orders), Input::Order);
-        let event = received(Some(events), Input::Event);
+        let order = next_message(Some(&self.operators.orders), Input::Order);
+        let event = next_message(Some(events), Input::Event);
         let fleet = self.fleet.as_ref();
-        let fleet_size = received(fleet.map(|fleet| &fleet.fleet_sizes), Input::FleetSize);
-        let zone_traffic = received(fleet.and_then(|fleet| fleet.zone_traffic.as_ref()), Input::ZoneTraffic);
+        let fleet_size = next_message(fleet.map(|fleet| &fleet.fleet_sizes), Input::FleetSize);
+        let zone_traffic =
+            next_message(fleet.and_then(|fleet| fleet.zone_traffic.as_ref()), Input::ZoneTraffic);
         or(order, or(or(fleet_size, zone_traffic), or(event, wake_time))).await
     }
 
@@ -187,8 +189,8 @@
         if order.in_maintenance {
             self.table.borrow_mut().cancel_unwritten_to(&id);
         }
-        // Connections to a server that is restarted are of no more use.
-        self.table.borrow().services.pool.forget(&id);
+        // Idle connections to this server are of no use once it is restarted.
+        self.table.borrow().services.pool.close_idle_to(&id);
         let _ = order.responder.try_send(known);
     }
 
@@ -200,8 +202,8 @@
 
     fn report_zones(&mut self, now: Duration) {
         let Some(fleet) = self.fleet.as_ref().filter(|fleet| fleet.zone_traffic.is_some()) else { return };
-        if self.zones_reported_at <= now {
-            self.zones_reported_at = now + fleet::OBSERVATION_INTERVAL;
+        if self.next_zone_report_at <= now {
+            self.next_zone_report_at = now + fleet::OBSERVATION_INTERVAL;
             fleet.set_observations(now, self.policy.zone_observations(now));
         }
     }
@@ -210,19 +212,20 @@
         if let Some(path) = self.save_to.clone().filter(|_| self.save_at <= now) {
             self.save_at = now + SAVE_INTERVAL;
             let known = self.policy.known_servers().map(|id| id.to_string()).collect();
-            self.saving.save(path, &self.policy.server_statistics(), known, &self.clock);
+            self.statistics_writer.save(path, &self.policy.server_statistics(), known, &self.clock);
         }
     }
 
-    /// Skips the sweeps that would do nothing: an idle sidecar would be woken fifty times a second otherwise.
+    /// Skips sweeps that would have no effect: an idle sidecar would otherwise wake fifty times a second.
     fn skip_idle_sweeps(&mut self) {
         let (next, wake) = (self.policy.next_sweep(), self.next_wake());
-        self.idle_until = Some(next).filter(|next| wake.is_some_and(|wake| wake < *next));
+        self.sweeps_skipped_until = Some(next).filter(|next| wake.is_some_and(|wake| wake < *next));
     }
 
-    /// Sweeps go on as if none had been skipped. `interrupted`: something came before the next one was due.
+    /// Continues the sweeps as if none had been skipped. `interrupted`: another input arrived before the next effective
+    /// sweep.
     fn resume_sweeps(&mut self, interrupted: bool) {
-        let Some(until) = self.idle_until.take() else { return };
+        let Some(until) = self.sweeps_skipped_until.take() else { return };
         let now = self.clock.now();
         let next = self.policy.skip_sweeps(if interrupted { now.min(until) } else { until });
         let wake_times = &mut self.table.borrow_mut().wake_times;
@@ -231,8 +234,8 @@
     }
 
     fn next_wake(&self) -> Option<Duration> {
-        if self.idle_until.is_some() {
-            return self.idle_until;
+        if self.sweeps_skipped_until.is_some() {
+            return self.sweeps_skipped_until;
         }
         self.table.borrow().wake_times.peek().map(|Reverse(at)| *at)
     }
@@ -243,7 +246,9 @@
             Event::RequestArrived(request) => self.request_arrived(now, *request),
             Event::BodyComplete(id, number, deadline) => self.body_complete(now, &id, number, deadline),
             Event::ClientLeft(id, number) => self.client_left(now, &id, number),
-            Event::ResponseBroke(server, verb) => self.policy.response_interrupted(now, &server, verb),
+            Event::ResponseInterrupted(server, class) => {
+                self.policy.response_interrupted(now, &server, class);
+            }
             Event::AttemptEnded(id, number, result) => self.attempt_ended(now, id, number, *result),
             Event::HealthCheckEnded(server, outcome, load) => {
                 self.policy.health_check_ended(now, outcome, &server, load);
@@ -277,7 +282,7 @@
         let ignored_before = self.policy.ignored_messages().all();
         self.policy.peer_message_received(now, peer, message);
         let IgnoredMessages { malformed, unknown_server } = self.policy.ignored_messages();
-        // Logged at 1, 2, 4, 8 and so on: a peer of another version sends such messages all day.
+        // Logged at powers of two only, since a peer of another version sends such messages continuously.
         if (ignored_before + 1..=malformed + unknown_server).any(u64::is_power_of_two) {
             tracing::warn!(malformed, unknown_server, peer, "messages of peers were ignored");
         }
@@ -299,7 +304,7 @@
         let IncomingRequest { number, arrival, outgoing, responder } = request;
         let mut table = self.table.borrow_mut();
         if table.requests.contains_key(&arrival.id) {
-            // Servers could not tell two requests with the same id apart.
+            // Servers could not distinguish two open requests with the same id.
             counters::refused(&arrival.id, RefusalReason::DuplicateId);
             let _ = responder.try_send(FinalResponse::Failed);
             return;
@@ -321,41 +326,41 @@
         let mut table = self.table.borrow_mut();
         let Some(open) = table.requests.get_mut(id).filter(|open| open.number == number) else { return };
         open.deadline = deadline;
-        // A server begins when the last byte has arrived.
+        // Latency is measured from here: a server begins only when the last byte has arrived.
         let in_flight = open.attempts.iter_mut().filter(|attempt| !attempt.has_ended());
-        in_flight.for_each(|attempt| attempt.sent = now);
+        in_flight.for_each(|attempt| attempt.sent_at = now);
         drop(table);
         self.policy.body_completed(now, id, deadline);
     }
 
     fn client_left(&mut self, now: Duration, id: &Id, number: u64) {
         let mut table = self.table.borrow_mut();
-        // Its final response may have crossed its leaving; and a second client with an open id may leave before it
-        // receives its failure, which does not mean that the first one has left.
+        // The final response may have been sent before this event arrived. A second client that used an open id may
+        // leave before it receives its failure; its number differs, and the first client is still connected.
         let waiting = |open: &&mut OpenRequest| open.number == number && !open.finished;
         let Some(open) = table.requests.get_mut(id).filter(waiting) else { return };
         open.finished = true;
-        open.outgoing.guard.request_over();
+        open.outgoing.guard.close();
         table.cancel_unwritten(id);
         drop(table);
         self.policy.client_disconnected(now, id);
-        self.table.borrow_mut().remove_if_over(id);
+        self.table.borrow_mut().remove_if_finished(id);
     }
 
     fn attempt_ended(&mut self, now: Duration, id: Id, number: u32, result: AttemptResult) {
         let AttemptResult { outcome, load, response, consumed } = result;
         let mut table = self.table.borrow_mut();
         let Some(open) = table.requests.get_mut(&id) else {
-            must_hold!(Internal, false, "an attempt ends before its request is forgotten: {id}");
+            must_hold!(Internal, false, "an attempt of request {id} ended after the request was removed");
             return;
         };
         let Some(attempt) = open.attempts.get_mut(number as usize) else { return };
-        must_hold!(OneFinalResponse, !attempt.has_ended(), "attempt {number} of {id} ends once");
+        must_hold!(OneFinalResponse, !attempt.has_ended(), "attempt {number} of {id} ended twice");
         attempt.outcome = Some(outcome);
         attempt.task = None;
-        open.outgoing.guard.ended(number, outcome);
+        open.outgoing.guard.record_end(number, outcome);
         counters::attempt_ended(outcome);
-        let (server, latency) = (attempt.server.clone(), now.saturating_sub(attempt.sent));
+        let (server, latency) = (attempt.server.clone(), now.saturating_sub(attempt.sent_at));
         if let Some(response) = response
             && !open.finished
         {
@@ -375,12 +380,12 @@
             load,
         };
         self.policy.attempt_ended(now, ended);
-        self.table.borrow_mut().remove_if_over(&id);
+        self.table.borrow_mut().remove_if_finished(&id);
     }
 }
 
-/// The next message of a channel as an input; waits for ever where there is no channel or it is closed.
-async fn received<T>(channel: Option<&Receiver<T>>, as_input: fn(T) -> Input) -> Input {
+/// Waits for the next message of a channel, as an input; never returns if there is no channel or it is closed.
+async fn next_message<T>(channel: Option<&Receiver<T>>, as_input: fn(T) -> Input) -> Input {
     match channel {
         Some(channel) => match channel.recv().await {
             Ok(message) => as_input(message),
--- a/crates/sidecar/src/net/serve.rs
+++ b/crates/sidecar/src/net/serve.rs
@@ -1,8 +1,8 @@
-//! Runs a sidecar: it serves clients until SIGTERM, follows SIGHUP, and shuts down in order.
+//! Runs a sidecar: serves clients until SIGTERM, reloads the configuration on SIGHUP, and shuts down gracefully.
 
 use super::clients::ClientSide;
 use super::discovery_watch::DiscoveryWatch;
-use super::listener::listener;
+use super::listener;
 use super::service::{self, Service};
 use super::timeout::timeout;
 use crate::configuration::{self, Configuration};
@@ -22,24 +22,25 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// How long after SIGTERM the platform kills the process, beyond the longest time limit of a request.
+/// The platform kills the process at the longest time limit of a request plus this delay, counted from SIGTERM.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// All requests have their final response this long before that.
+/// All requests have their final response this long before the platform kills the process.
 const FINAL_RESPONSE_MARGIN: Duration = Duration::from_millis(150);
-/// The last part of that time is for open requests, the first for taking new ones: clients that keep their connections are
-/// answered here while another sidecar, which was stopped before this one, is not back yet.
+/// The last part of the time from SIGTERM to the kill is reserved for finishing open requests. Until then new requests
+/// are accepted: clients that keep their connections are served here while another sidecar, which was stopped before
+/// this one, has not come back yet.
 const FINISH_TIME: Duration = Duration::from_millis(1500);
-/// New connections arrive for up to 0.4 s after SIGTERM.
-const MIN_TAKING_TIME: Duration = Duration::from_millis(600);
-/// How long it may take to accept those that have connected by then.
+/// New requests are accepted for at least this long after SIGTERM, as new connections arrive for up to 0.4 s after it.
+const MIN_ACCEPT_TIME: Duration = Duration::from_millis(600);
+/// The time limit for accepting the connections that are queued at the listener before it is closed.
 const LAST_ACCEPT_TIMEOUT: Duration = Duration::from_millis(200);
-/// How long a process that takes over waits for a list before it uses the one that it was started with.
+/// How long a process that takes over waits for an endpoint list before it uses the servers of its configuration.
 const LIST_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Serves until SIGTERM; `file` is what SIGHUP reads again.
+/// Serves clients until SIGTERM. SIGHUP reads `file` again.
 ///
 /// # Errors
-/// The clients' address, the peers' or the console's cannot be had.
+/// The listen address, the peers' address or the console's address is not available.
 pub fn serve(configuration: Configuration, file: Option<&Path>, start: Start) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.run(run(configuration, file, Rc::new(start), executor.clone())))
@@ -53,14 +54,14 @@
 ) -> io::Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Hup])?;
     let mut reload_due = false;
-    let bound = async { Some(listener(&configuration).await) };
+    let bind = async { Some(listener::open(&configuration).await) };
     let terminated = async {
         while let Some(Ok(Signal::Hup)) = signals.next().await {
             reload_due = true;
         }
         None
     };
-    let Some(listener) = or(bound, terminated).await else {
+    let Some(listener) = or(bind, terminated).await else {
         tracing::info!("SIGTERM before the listen address was free: nothing was served");
         return Ok(());
     };
@@ -74,8 +75,8 @@
     Ok(())
 }
 
-/// Accepts clients. A process that takes over waits for a list before: without one it would only reject clients that the other
-/// process can serve.
+/// Accepts clients. A process that takes over first waits for an endpoint list: without one it would reject clients
+/// that the other process can still serve.
 fn start_accepting(
     service: &Service,
     listener: Async<TcpListener>,
@@ -85,31 +86,35 @@
     let (clients, serving) = (service.clients.clone(), service.serving.clone());
     let (list_received, servers_known) = (service.list_received.clone(), service.servers_known);
     executor.spawn(async move {
-        let listed =
+        let has_list =
             if takes_over { timeout(LIST_TIMEOUT, list_received.recv()).await.is_some() } else { true };
-        serving.store(listed || servers_known, Ordering::Release);
-        let once_listed = serve_once_listed(listed || servers_known, &list_received, &serving);
-        or(clients.accept(listener), once_listed).await;
+        serving.store(has_list || servers_known, Ordering::Release);
+        let mark_serving = mark_serving_once_listed(has_list || servers_known, &list_received, &serving);
+        or(clients.accept(listener), mark_serving).await;
     })
 }
 
-/// Reports the sidecar as serving once a list has arrived, and never returns.
-async fn serve_once_listed(serves_already: bool, list_received: &Receiver<()>, serving: &Arc<AtomicBool>) {
-    if !serves_already && list_received.recv().await.is_ok() {
+/// Reports the sidecar as serving once an endpoint list has arrived; never returns.
+async fn mark_serving_once_listed(
+    already_serving: bool,
+    list_received: &Receiver<()>,
+    serving: &Arc<AtomicBool>,
+) {
+    if !already_serving && list_received.recv().await.is_ok() {
         serving.store(true, Ordering::Release);
     }
     pending::<()>().await;
 }
 
-/// What the main task waits for.
+/// An event that the main task handles.
 enum Change {
     Reload,
-    /// The control machines move the watch of the endpoint list.
-    ControlMove(Option<SocketAddr>),
+    /// The control machines give another address of discovery, or none.
+    ControlAddress(Option<SocketAddr>),
     Terminate,
 }
 
-/// Follows SIGHUP and the control machines until SIGTERM.
+/// Handles SIGHUP and the addresses that the control machines give, until SIGTERM.
 async fn follow_changes(
     signals: &mut Signals,
     mut reload_due: bool,
@@ -118,7 +123,7 @@
     executor: &LocalExecutor<'static>,
 ) {
     loop {
-        let signaled = async {
+        let next_signal = async {
             if std::mem::take(&mut reload_due) {
                 return Change::Reload;
             }
@@ -127,39 +132,38 @@
                 _ => Change::Terminate,
             }
         };
-        let moved = async { Change::ControlMove(watch.next_control_move().await) };
-        let moves_watch = match or(signaled, moved).await {
+        let next_address = async { Change::ControlAddress(watch.next_control_address().await) };
+        let address_changed = match or(next_signal, next_address).await {
             Change::Reload => reload(file, watch),
-            Change::ControlMove(address) => watch.set_from_control(address),
+            Change::ControlAddress(address) => watch.set_control_address(address),
             Change::Terminate => return,
         };
-        if moves_watch {
-            watch.apply_move(executor).await;
+        if address_changed {
+            watch.apply_address(executor).await;
         }
     }
 }
 
-/// Reads the configuration file again, of which the address of discovery is taken over. `false`: nothing changes.
+/// Reads the configuration file again and takes over its discovery address, the only setting that a reload changes.
+/// Returns false if the file cannot be read, or if there is no discovery before or after the reload.
 fn reload(file: Option<&Path>, watch: &mut DiscoveryWatch) -> bool {
     let discovery = match configuration::read_again(file) {
         Ok(configuration) => configuration.discovery,
-        Err(fault) => {
-            tracing::error!("SIGHUP: configuration not reloaded, the old one stays in force: {fault}");
+        Err(error) => {
+            tracing::error!("SIGHUP: configuration not reloaded, the old one stays in force: {error}");
             return false;
         }
     };
     let (Some(address), true) = (discovery, watch.is_configured()) else {
-        tracing::info!(
-            "SIGHUP: neither the old nor the new configuration has a discovery, nothing to reload"
-        );
+        tracing::info!("SIGHUP: the old or the new configuration has no discovery, nothing to reload");
         return false;
     };
     tracing::info!(discovery = %address, "SIGHUP: the configuration is read again");
-    watch.set_in_file(address);
+    watch.set_file_address(address);
     true
 }
 
-/// Ends the parts in order: the fleet is left, requests are taken for a while, and open ones finish.
+/// Shuts down in order: leaves the fleet, accepts requests for a limited time, and lets open requests finish.
 async fn shut_down(service: Service, accepting: Task<()>) {
     let Service { clients, presence, fleet, serving, longest_request, .. } = service;
     tracing::info!("SIGTERM: graceful shutdown, open requests finish");
@@ -167,16 +171,16 @@
     if let Some(fleet) = &fleet {
         fleet.leave().await;
     }
-    let until_killed = longest_request + KILL_DELAY;
-    clients.begin_shutdown(until_killed - FINAL_RESPONSE_MARGIN);
-    let taking = until_killed.saturating_sub(FINISH_TIME).max(MIN_TAKING_TIME);
+    let time_to_kill = longest_request + KILL_DELAY;
+    clients.begin_shutdown(time_to_kill - FINAL_RESPONSE_MARGIN);
+    let accept_time = time_to_kill.saturating_sub(FINISH_TIME).max(MIN_ACCEPT_TIME);
     if presence.is_some_and(|presence| presence.borrow_mut().another_process()) {
-        // The other process has the listener too, and accepts those who come.
+        // The other process shares the listener and accepts new clients.
         stop_accepting(&clients, accepting).await;
         clients.close_after_responses();
-        Timer::after(taking).await;
+        Timer::after(accept_time).await;
     } else {
-        Timer::after(taking).await;
+        Timer::after(accept_time).await;
         stop_accepting(&clients, accepting).await;
     }
     clients.finish_shutdown().await;
@@ -184,8 +188,8 @@
     counters::log_all();
 }
 
-/// Closes the listener once those who wait at it are accepted, but no later than `LAST_ACCEPT_TIMEOUT`: their number has no
-/// bound.
+/// Closes the listener once the connections queued at it are accepted, but no later than `LAST_ACCEPT_TIMEOUT`, since
+/// their number has no bound.
 async fn stop_accepting(clients: &ClientSide, accepting: Task<()>) {
     clients.stop_accepting();
     if timeout(LAST_ACCEPT_TIMEOUT, accepting).await.is_none() {
@@ -195,25 +199,25 @@
     }
 }
 
-/// Runs the control side of all these sidecars on this thread until SIGTERM, without clients. For tests of size: they open no
-/// listener and no thread of their own.
+/// Runs the control side of several sidecars on this thread until SIGTERM, without clients: no sidecar opens a listener
+/// or starts a thread. For scale tests.
 ///
 /// # Errors
-/// A socket of one of them cannot be had.
-pub fn hollow(configurations: Vec<Configuration>) -> io::Result<()> {
+/// A socket of one of the sidecars cannot be opened.
+pub fn serve_without_clients(configurations: Vec<Configuration>) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
-    let all = async {
+    let run_all = async {
         let mut signals = Signals::new([Signal::Term])?;
         let start = |configuration| {
             service::start(configuration, Rc::new(Start::begin()), &executor, Some(&executor))
         };
         let replicas = configurations.into_iter().map(start).collect::<io::Result<Vec<Service>>>()?;
-        tracing::info!(copies = replicas.len(), "hollow sidecars are running");
+        tracing::info!(copies = replicas.len(), "sidecars without clients are running");
         let _ = signals.next().await;
         for fleet in replicas.iter().filter_map(|replica| replica.fleet.as_ref()) {
             fleet.leave().await;
         }
         Ok(())
     };
-    async_io::block_on(executor.run(all))
+    async_io::block_on(executor.run(run_all))
 }
--- a/crates/sidecar/src/net/service.rs
+++ b/crates/sidecar/src/net/service.rs
@@ -1,4 +1,4 @@
-//! Starts the parts of a sidecar and joins them. It touches no request itself.
+//! Builds the parts of a sidecar and connects them. No request passes through this module.
 
 use super::buffers::ResourcePool;
 use super::clients::ClientSide;
@@ -24,44 +24,45 @@
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 
-/// At most this much of the longest time limit is waited for at a shutdown.
+/// The upper bound on the time limit of a request that a shutdown allows for.
 const MAX_SHUTDOWN_LIMIT: Duration = Duration::from_secs(3);
-/// How many orders of operators wait at most.
-const MAX_WAITING_ORDERS: usize = 64;
+/// The most operators' orders that may wait for the owner.
+const MAX_PENDING_ORDERS: usize = 64;
 
-/// The parts of a sidecar, but for the clients' listener and the signals.
+/// The running parts of a sidecar, without the client listener and the signal handling.
 pub(super) struct Service {
     pub(super) clients: Rc<ClientSide>,
     pub(super) watch: DiscoveryWatch,
-    /// This process among those of the sidecar, where they share a listener.
+    /// Detects another process of this sidecar; None unless its processes share a listener.
     pub(super) presence: Option<Rc<RefCell<Presence>>>,
     pub(super) fleet: Option<fleet::FleetHandle>,
-    /// Whether clients are served, as the console reports it.
+    /// Whether clients are served; reported by the console.
     pub(super) serving: Arc<AtomicBool>,
-    /// Notified once an endpoint list has arrived.
+    /// Receives a message once an endpoint list has arrived.
     pub(super) list_received: Receiver<()>,
-    /// Servers are known before any list has arrived.
+    /// Whether the configuration lists servers, so that some are known before an endpoint list arrives.
     pub(super) servers_known: bool,
-    /// The longest time that a request may take.
+    /// The longest time limit of a request class, at most `MAX_SHUTDOWN_LIMIT`.
     pub(super) longest_request: Duration,
 }
 
-/// What the console and the owner are joined by.
+/// The flag and the channels between the console and the other parts.
 struct ConsoleLink {
     serving: Arc<AtomicBool>,
     operators: OperatorChannels,
     list_received: Receiver<()>,
 }
 
-/// This copy's links to others.
-struct Neighbors {
+/// The links of this replica to others: the peers' socket and the fleet.
+struct ReplicaLinks {
     peers: Option<Rc<Peers>>,
     fleet: Option<fleet::FleetHandle>,
     fleet_link: Option<fleet::DecisionLink>,
 }
 
-/// The files of the state folder, where there is one that can be used: without it nothing is handed over.
-fn presence(configuration: &Configuration) -> Option<Presence> {
+/// Opens this process's files in the state folder. Returns None without an inherited listener or a usable state folder;
+/// then nothing is handed over between processes.
+fn open_presence(configuration: &Configuration) -> Option<Presence> {
     let folder = configuration.state_folder.as_deref();
     let folder = folder.filter(|_| configuration.inherited_listener.is_some())?;
     let entered = Presence::enter(folder, &configuration.name);
@@ -70,23 +71,23 @@
         .ok()
 }
 
-/// Takes this process's share of the sidecar's resources, for as long as it runs.
+/// Adjusts this process's share of the sidecar's resources whenever another process starts or ends; never returns.
 async fn share_resources(
     presence: Rc<RefCell<Presence>>,
     resources: Rc<ResourcePool>,
     clients: Rc<ClientSide>,
     pool: Rc<ConnectionPool>,
 ) {
-    let mut shared = None;
+    let mut was_sharing = None;
     loop {
         let another = presence.borrow_mut().another_process();
-        if shared.replace(another) != Some(another) {
-            let (processes, sharing) = if another {
+        if was_sharing.replace(another) != Some(another) {
+            let (processes, message) = if another {
                 (2, "another process of this sidecar is running: resources are shared with it")
             } else {
                 (1, "no other process of this sidecar is running: all resources are its own")
             };
-            tracing::info!("{sharing}");
+            tracing::info!("{message}");
             resources.share_among(processes);
         }
         clients.shrink_to_share();
@@ -95,7 +96,7 @@
     }
 }
 
-/// Joins the fleet that the configuration names, by a socket of its own or by the peers'.
+/// Joins the configured fleet, over a socket of its own or over the peers' socket.
 fn join_fleet(
     configuration: &mut Configuration,
     peers: Option<&Peers>,
@@ -103,27 +104,28 @@
     executor: Option<&LocalExecutor<'static>>,
 ) -> io::Result<Option<(fleet::FleetHandle, fleet::DecisionLink)>> {
     let Some(settings) = configuration.fleet.take() else { return Ok(None) };
-    let passed = match peers.filter(|_| settings.uses_peer_socket) {
+    let shared_socket = match peers.filter(|_| settings.uses_peer_socket) {
         Some(peers) => Some(fleet::SharedSocket { socket: peers.try_clone_socket()?, datagrams }),
         None => None,
     };
     let zones = configuration.zones.clone();
     let failover = configuration.localities.map(|timings| fleet::FailoverSettings { timings, zones });
     let (name, clock) = (&configuration.name, configuration.clock.clone());
-    fleet::start(settings, name, configuration.seed, clock, passed, failover, executor).map(Some)
+    fleet::start(settings, name, configuration.seed, clock, shared_socket, failover, executor).map(Some)
 }
 
-/// Opens the peers' socket and the fleet's part.
+/// Opens the peers' socket and joins the fleet.
 fn open_peers_and_fleet(
     configuration: &mut Configuration,
     queue: &owner::EventQueue,
     executor: &LocalExecutor<'static>,
     fleet_executor: Option<&LocalExecutor<'static>>,
-) -> io::Result<Neighbors> {
-    let (pass, passed) = fleet::datagram_channel();
-    let pass = configuration.fleet.as_ref().filter(|fleet| fleet.uses_peer_socket).map(|_| pass);
-    let peers = match Peers::bind(&configuration.peers, configuration.policy.ordinal, pass) {
-        // The process that this one takes over from still has the address; nothing that peers send is needed.
+) -> io::Result<ReplicaLinks> {
+    let (datagram_sender, datagrams) = fleet::datagram_channel();
+    let datagram_sender =
+        configuration.fleet.as_ref().filter(|fleet| fleet.uses_peer_socket).map(|_| datagram_sender);
+    let peers = match Peers::bind(&configuration.peers, configuration.policy.ordinal, datagram_sender) {
+        // The process that this one takes over from still holds the address. The sidecar works without peer messages.
         Err(error) if configuration.inherited_listener.is_some() => {
             tracing::warn!("no messages are exchanged with peers: {error}");
             None
@@ -133,11 +135,11 @@
     if let Some(peers) = &peers {
         executor.spawn(peers.clone().receive(queue.clone())).detach();
     }
-    let (fleet, fleet_link) = join_fleet(configuration, peers.as_deref(), passed, fleet_executor)?.unzip();
-    Ok(Neighbors { peers, fleet, fleet_link })
+    let (fleet, fleet_link) = join_fleet(configuration, peers.as_deref(), datagrams, fleet_executor)?.unzip();
+    Ok(ReplicaLinks { peers, fleet, fleet_link })
 }
 
-/// Starts to follow the control machines, where the configuration names any, and prepares the watch of the endpoint list.
+/// Starts to follow the control machines, where any are configured, and starts the watch of the endpoint list.
 fn start_control(
     configuration: &Configuration,
     discovery: Option<Discovery>,
@@ -146,12 +148,12 @@
     clients: &Rc<ClientSide>,
     executor: &LocalExecutor<'static>,
 ) -> (DiscoveryWatch, Option<control::status::ControlStatus>) {
-    let (move_discovery, control_moves) = async_channel::unbounded();
+    let (address_sender, control_addresses) = async_channel::unbounded();
     let follower =
-        control::FollowTask::for_sidecar(configuration, queue.clone(), clients.clone(), move_discovery);
+        control::FollowTask::for_sidecar(configuration, queue.clone(), clients.clone(), address_sender);
     let status = follower.as_ref().map(|follower| follower.status.clone());
-    let channels = WatchChannels { poll, poll_requests, control_moves };
-    // What was in force before the restart is so before the first request and the first poll.
+    let channels = WatchChannels { poll, poll_requests, control_addresses };
+    // The version in force before the restart is restored before the first request and the first poll.
     let mut watch = DiscoveryWatch::new(discovery, configuration.discovery, channels);
     if let Some(follower) = follower {
         executor.spawn(follower.run()).detach();
@@ -160,38 +162,38 @@
     (watch, status)
 }
 
-/// Opens the console, where the configuration names its address.
+/// Opens the console, where its address is configured.
 fn open_console(
     configuration: &Configuration,
     fleet: Option<fleet::FleetHandle>,
     control: Option<control::status::ControlStatus>,
 ) -> io::Result<ConsoleLink> {
     let serving = Arc::new(AtomicBool::new(false));
-    let (orders, ordered) = async_channel::bounded(MAX_WAITING_ORDERS);
+    let (order_sender, orders) = async_channel::bounded(MAX_PENDING_ORDERS);
     let (notify_list, list_received) = async_channel::bounded(1);
     let record = configuration.state_folder.as_ref().filter(|_| configuration.console.is_some());
     let record = record.map(|folder| MaintenanceRecord::open(folder, &configuration.name));
     let recorded = record.as_ref().map(|record| record.entries.clone()).unwrap_or_default();
     if let Some(address) = configuration.console {
         let serving = serving.clone();
-        Console { serving, orders, record, fleet, control }.open(address)?;
+        Console { serving, orders: order_sender, record, fleet, control }.open(address)?;
     }
-    let operators = OperatorChannels { orders: ordered, recorded, list_received: notify_list };
+    let operators = OperatorChannels { orders, recorded, list_received: notify_list };
     Ok(ConsoleLink { serving, operators, list_received })
 }
 
-/// The statistics file of a process that takes over, where the configuration names none.
+/// Sets a statistics file in the state folder for a process that takes over, if the configuration names none.
 fn choose_statistics_file(configuration: &mut Configuration) {
     let takes_over = configuration.inherited_listener.is_some();
-    let wanted = takes_over && configuration.statistics_file.is_none();
-    if let Some(folder) = configuration.state_folder.as_ref().filter(|_| wanted) {
+    let needs_default = takes_over && configuration.statistics_file.is_none();
+    if let Some(folder) = configuration.state_folder.as_ref().filter(|_| needs_default) {
         let file = format!("{}.learnt", crate::storage::file_name_of(&configuration.name));
         configuration.statistics_file = Some(folder.join(file));
     }
 }
 
-/// Starts everything but the serving of clients. The fleet's part has a thread of its own, or is a task where an executor is
-/// given for it.
+/// Starts all parts except accepting clients. The fleet runs on a thread of its own, or on `fleet_executor` where one
+/// is given.
 pub(super) fn start(
     mut configuration: Configuration,
     start: Rc<Start>,
@@ -214,19 +216,19 @@
         pool.clone(),
         executor.clone(),
     ));
-    let presence = presence(&configuration).map(|presence| Rc::new(RefCell::new(presence)));
+    let presence = open_presence(&configuration).map(|presence| Rc::new(RefCell::new(presence)));
     if let Some(presence) = presence.clone() {
         executor.spawn(share_resources(presence, resources, clients.clone(), pool.clone())).detach();
     }
     choose_statistics_file(&mut configuration);
     if !configuration.policy.polls_discovery {
-        // Where changes come unprompted, the watch stands from the start.
+        // The decision engine asks for no polls under this setting, so the watch starts at once.
         let _ = poll.try_send(());
     }
     let channels = (poll.clone(), poll_requests);
     let (watch, control) = start_control(&configuration, discovery, channels, &queue, &clients, executor);
     executor.spawn(pool.clone().reap()).detach();
-    let Neighbors { peers, fleet, fleet_link } =
+    let ReplicaLinks { peers, fleet, fleet_link } =
         open_peers_and_fleet(&mut configuration, &queue, executor, fleet_executor)?;
     let ConsoleLink { serving, operators, list_received } =
         open_console(&configuration, fleet.clone(), control)?;
--- a/crates/sidecar/src/net/settings_fingerprint.rs
+++ b/crates/sidecar/src/net/settings_fingerprint.rs
@@ -1,7 +1,7 @@
-//! A fingerprint of the settings that give learned statistics their meaning.
+//! The fingerprint of the settings that learned statistics depend on.
 //!
-//! Settings are written in a stated order under the keys of `docs/operators.md`, whatever the code calls them, and
-//! hashed by FNV-1a, whose result is the same on every platform and compiler. The keys, their order and the encoding
+//! Settings are written in a fixed order under the keys of `docs/operators.md`, independent of names in the code, and
+//! hashed with FNV-1a, whose result is the same on every platform and compiler. The keys, their order and the encoding
 //! of each value are part of a stored format.
 
 use crate::configuration::Configuration;
@@ -11,33 +11,33 @@
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// The fingerprint of the tier, the verbs, the tenants and the rules, as 16 hexadecimal digits.
+/// The fingerprint of the tier, the request classes, the tenants and the policy rules, as 16 hexadecimal digits.
 pub fn settings_fingerprint(configuration: &Configuration) -> String {
     let (mut text, policy) = (SettingsText::default(), &configuration.policy);
     text.number("tier", policy.tier);
     text.number("verbs", configuration.classes.len());
-    for (front, class) in configuration.classes.iter().zip(&policy.classes) {
-        write_class(&mut text, &front.name, class);
+    for (named, class) in configuration.classes.iter().zip(&policy.classes) {
+        write_class(&mut text, &named.name, class);
     }
     text.number("tenants", configuration.tenants.len());
     for (name, quota) in configuration.tenants.iter().zip(&policy.quotas) {
         text.name("tenants.name", name);
-        text.real("tenants.quota", *quota);
+        text.float("tenants.quota", *quota);
     }
     text.flag("rules.checks", policy.capabilities.health_checks);
     text.flag("rules.cancel", policy.capabilities.cancellation);
     text.flag("rules.parallel", policy.capabilities.hedging);
     text.flag("peers", policy.capabilities.peer_messages);
     text.number("rules.relays", policy.capabilities.max_attempts);
-    text.span("rules.come_back", policy.capabilities.max_retry_after.unwrap_or(Duration::ZERO));
-    text.real("rules.cold_share", policy.slow_start.initial_fraction);
-    text.span("rules.warm_after", policy.slow_start.duration);
-    text.real("rules.tip_multiple", policy.slow_start.overload_multiple);
-    text.span("rules.fall", policy.slow_start.overload_window);
-    text.real("rules.crossing", policy.costs.cross_zone);
-    text.real("rules.check", policy.costs.health_check);
-    text.real("rules.peer", policy.costs.peer_message);
-    text.real("rules.connection", policy.costs.connection);
+    text.duration("rules.come_back", policy.capabilities.max_retry_after.unwrap_or(Duration::ZERO));
+    text.float("rules.cold_share", policy.slow_start.initial_fraction);
+    text.duration("rules.warm_after", policy.slow_start.duration);
+    text.float("rules.tip_multiple", policy.slow_start.overload_multiple);
+    text.duration("rules.fall", policy.slow_start.overload_window);
+    text.float("rules.crossing", policy.costs.cross_zone);
+    text.float("rules.check", policy.costs.health_check);
+    text.float("rules.peer", policy.costs.peer_message);
+    text.float("rules.connection", policy.costs.connection);
     format!("{:016x}", fnv1a(text.0.as_bytes()))
 }
 
@@ -52,14 +52,14 @@
     text.name("verbs.name", name);
     text.name("verbs.repeats", repeats);
     text.name("verbs.group", group);
-    text.span("verbs.memory", class.dedup_window);
-    text.span("verbs.goal", class.latency_objective);
-    text.span("verbs.limit", class.time_limit);
-    text.real("verbs.utility", class.value);
-    text.real("verbs.overdue_utility", class.late_value);
+    text.duration("verbs.memory", class.dedup_window);
+    text.duration("verbs.goal", class.latency_objective);
+    text.duration("verbs.limit", class.time_limit);
+    text.float("verbs.utility", class.value);
+    text.float("verbs.overdue_utility", class.late_value);
 }
 
-/// The settings as lines of `key=value`, each value in a form that only equal settings share.
+/// The settings as lines of `key=value`, with each value encoded so that different values give different texts.
 #[derive(Default)]
 struct SettingsText(String);
 
@@ -71,7 +71,7 @@
         self.0.push('\n');
     }
 
-    /// The length stands before the text: no name can imitate the lines behind it.
+    /// Writes the length before the text, so that no name can imitate the lines that follow it.
     fn name(&mut self, key: &str, value: &str) {
         self.line(key, &format!("{}:{value}", value.len()));
     }
@@ -84,12 +84,12 @@
         self.line(key, if value { "true" } else { "false" });
     }
 
-    fn span(&mut self, key: &str, value: Duration) {
+    fn duration(&mut self, key: &str, value: Duration) {
         self.line(key, &format!("{}ns", value.as_nanos()));
     }
 
-    /// By its bits: the text of a float may change with the compiler's library.
-    fn real(&mut self, key: &str, value: f64) {
+    /// Writes the bits of the value: the decimal text of a float may change with the standard library.
+    fn float(&mut self, key: &str, value: f64) {
         self.line(key, &format!("{:016x}", value.to_bits()));
     }
 }
