--- a/crates/decisions/src/policy/idle_connections.rs
+++ b/crates/decisions/src/policy/idle_connections.rs
@@ -30,7 +30,7 @@
     /// An idle connection broke as it was used. That is no failure of the server, and the next attempt is free.
     pub(super) fn record_idle_break(&mut self, idle: Duration) {
         if self.settings.capabilities.peer_messages && self.idle_connections.should_notify_peers(self.now) {
-            self.peers.outbox.idle_broke(idle);
+            self.peers.outbox.idle_connection_broke(idle);
         }
         self.idle_connections.count_break(self.now, idle);
         self.retry_budget.refund();
--- a/crates/decisions/src/policy/peer_exchange.rs
+++ b/crates/decisions/src/policy/peer_exchange.rs
@@ -36,7 +36,7 @@
         if !self.settings.capabilities.peer_messages || replicas <= 1 {
             return;
         }
-        let message = peer_messages::traffic_message(self.request_rate());
+        let message = peer_messages::request_rate_message(self.request_rate());
         for _ in 0..RATE_RECIPIENTS {
             let offset = 1 + (self.random.next() * f64::from(replicas - 1)) as u32;
             let peer = (self.settings.ordinal + offset) % replicas;
@@ -56,7 +56,7 @@
 }
 
 impl<H: Host> PeerMessageHandler for Policy<H> {
-    fn idle_broke(&mut self, idle: Duration) {
+    fn idle_connection_broke(&mut self, idle: Duration) {
         self.idle_connections.count_break(self.now, idle);
     }
 
@@ -68,7 +68,7 @@
         slot.is_some()
     }
 
-    fn traffic(&mut self, per_second: f64) {
+    fn peer_request_rate(&mut self, per_second: f64) {
         self.peers.take_rate(per_second);
     }
 }
--- a/crates/decisions/src/policy/zones.rs
+++ b/crates/decisions/src/policy/zones.rs
@@ -54,8 +54,8 @@
             seen.push(ZoneObservation {
                 zone: zone.id,
                 ready: 0,
-                answered: zone.answered.map(|sent_at| now.saturating_sub(sent_at)),
-                silent: zone.silent_for(now, late_after),
+                answered_ago: zone.answered.map(|sent_at| now.saturating_sub(sent_at)),
+                unanswered_ago: zone.unanswered_ago(now, late_after),
                 slow: false,
             });
         }
--- a/crates/decisions/src/state/peer_exchange.rs
+++ b/crates/decisions/src/state/peer_exchange.rs
@@ -33,7 +33,7 @@
 
     /// The message to all peers, if there is one and the budget allows it.
     pub fn take_message(&mut self, replicas: f64) -> Option<Vec<u8>> {
-        let bytes = self.outbox.length().max(MIN_COUNTED_BYTES);
+        let bytes = self.outbox.byte_len().max(MIN_COUNTED_BYTES);
         let cost = replicas * bytes as f64 / MAX_MESSAGE_BYTES as f64;
         self.saved = self.saved.min(MAX_SAVED_MESSAGES * cost);
         if self.saved < cost {
--- a/crates/decisions/src/state/zones.rs
+++ b/crates/decisions/src/state/zones.rs
@@ -175,7 +175,7 @@
     }
 
     /// How long ago the last sign came that the zone gives no answers; none where it does.
-    pub fn silent_for(&self, now: Duration, late_after: Duration) -> Option<Duration> {
+    pub fn unanswered_ago(&self, now: Duration, late_after: Duration) -> Option<Duration> {
         let late = self.waiting_since.is_some_and(|since| since + late_after <= now);
         if self.in_flight > 0 && late {
             return Some(Duration::ZERO);
--- a/crates/decisions/src/zones.rs
+++ b/crates/decisions/src/zones.rs
@@ -22,10 +22,10 @@
     /// How many of its servers the list calls ready.
     pub ready: usize,
     /// How long ago the last attempt that was answered had been sent.
-    pub answered: Option<Duration>,
+    pub answered_ago: Option<Duration>,
     /// Nothing sent since the last answer was answered, though it is late or lost: how long ago the last sign of that
     /// came.
-    pub silent: Option<Duration>,
+    pub unanswered_ago: Option<Duration>,
     /// Its servers answer much more slowly than the mean.
     pub slow: bool,
 }
--- a/crates/decisions/tests/decisions/logged_run.rs
+++ b/crates/decisions/tests/decisions/logged_run.rs
@@ -186,10 +186,10 @@
             }
             10..=12 => {
                 let mut words = Outbox::default();
-                words.idle_broke(ms(300 + self.draw(2000)));
+                words.idle_connection_broke(ms(300 + self.draw(2000)));
                 words.class_outcome(self.draw(1 << 24) as u32, self.draw(3) as usize, self.draw(2) == 0);
                 let mut words = words.take().expect("there are words");
-                words.extend(peer_messages::traffic_message(self.draw(90) as f64));
+                words.extend(peer_messages::request_rate_message(self.draw(90) as f64));
                 words.truncate(words.len() - self.draw(2) as usize);
                 self.policy.peer_message_received(now, number, &words);
             }
@@ -220,7 +220,7 @@
         let mut world = self.world.borrow_mut();
         let span = |span: Option<Duration>| span.map_or("-".into(), |span| span.as_nanos().to_string());
         for zone in seen {
-            let (answered, silent) = (span(zone.answered), span(zone.silent));
+            let (answered, silent) = (span(zone.answered_ago), span(zone.unanswered_ago));
             world.say(format_args!("zone {} {} {answered} {silent} {}", zone.zone, zone.ready, zone.slow));
         }
         world.say(format_args!(
--- a/crates/decisions/tests/decisions/peer_messages.rs
+++ b/crates/decisions/tests/decisions/peer_messages.rs
@@ -1,7 +1,7 @@
 //! Messages between replicas are received as they were sent, and none is too long.
 
 use landingspread_decisions::peer_messages::{
-    IgnoredMessages, MAX_MESSAGE_BYTES, Outbox, PeerMessageHandler, read, traffic_message,
+    IgnoredMessages, MAX_MESSAGE_BYTES, Outbox, PeerMessageHandler, read, request_rate_message,
 };
 use std::time::Duration;
 
@@ -9,14 +9,14 @@
 struct Received(Vec<String>);
 
 impl PeerMessageHandler for Received {
-    fn idle_broke(&mut self, idle: Duration) {
+    fn idle_connection_broke(&mut self, idle: Duration) {
         self.0.push(format!("broke {idle:?}"));
     }
     fn class_outcome(&mut self, server: u32, class: usize, answered: bool) -> bool {
         self.0.push(format!("{server} {class} {answered}"));
         server != 0
     }
-    fn traffic(&mut self, per_second: f64) {
+    fn peer_request_rate(&mut self, per_second: f64) {
         self.0.push(format!("traffic {per_second}"));
     }
 }
@@ -24,14 +24,14 @@
 #[test]
 fn messages_are_received_as_sent_and_none_is_too_long() {
     let mut outbox = Outbox::default();
-    outbox.idle_broke(Duration::from_millis(1100));
+    outbox.idle_connection_broke(Duration::from_millis(1100));
     outbox.class_outcome(77, 2, false);
     outbox.class_outcome(0xff_ffff, 63, true);
     outbox.class_outcome(1, 64, true);
     let mut received = Received::default();
     let bytes = outbox.take().expect("there are events");
     read(&bytes, &mut received);
-    read(&traffic_message(2.5), &mut received);
+    read(&request_rate_message(2.5), &mut received);
     assert_eq!(received.0, ["broke 1.1s", "77 2 false", "16777215 63 true", "traffic 2.5"]);
     assert!(outbox.take().is_none());
     (0..100).for_each(|server| outbox.class_outcome(server, 1, false));
--- a/crates/decisions/tests/decisions/pinned_calls.rs
+++ b/crates/decisions/tests/decisions/pinned_calls.rs
@@ -50,7 +50,7 @@
 struct Heard(String);
 
 impl PeerMessageHandler for Heard {
-    fn idle_broke(&mut self, idle: Duration) {
+    fn idle_connection_broke(&mut self, idle: Duration) {
         writeln!(self.0, "  broke {}", idle.as_nanos()).expect("a string takes all");
     }
 
@@ -59,7 +59,7 @@
         server != 0
     }
 
-    fn traffic(&mut self, per_s: f64) {
+    fn peer_request_rate(&mut self, per_s: f64) {
         writeln!(self.0, "  traffic {per_s}").expect("a string takes all");
     }
 }
@@ -69,7 +69,7 @@
     let mut messages = Vec::new();
     let mut words = Outbox::default();
     for span in [0, 1, 299, 1100, 65_535, 65_536, 900_000] {
-        words.idle_broke(ms(span));
+        words.idle_connection_broke(ms(span));
     }
     messages.extend(words.take());
     for (server, verb, answered) in
@@ -83,7 +83,7 @@
     messages.extend(words.take());
     messages.extend(
         [0.0, 0.04, 2.5, 6553.5, 1e9, -1.0, f64::NAN]
-            .map(|per_s| peer_messages::traffic_message(per_s).to_vec()),
+            .map(|per_s| peer_messages::request_rate_message(per_s).to_vec()),
     );
     messages.extend([
         vec![],
--- a/crates/decisions/tests/decisions/zones.rs
+++ b/crates/decisions/tests/decisions/zones.rs
@@ -82,7 +82,7 @@
     let seen = scene.policy.zone_observations(now);
     let zone = |zone: u32| seen.iter().find(|seen| seen.zone == zone).copied().expect("it is told of");
     assert_eq!((zone(0).ready, zone(1).ready), (3, 3));
-    assert!(zone(1).answered.is_some() && zone(1).silent.is_none());
+    assert!(zone(1).answered_ago.is_some() && zone(1).unanswered_ago.is_none());
     // Connections there are refused from now on.
     let refused = |server: &str| match server {
         "s1" | "s3" | "s5" => Outcome::ConnectFailed,
@@ -90,14 +90,18 @@
     };
     (0..30).for_each(|_| drop(scene.play(0, refused)));
     let now = scene.now();
-    let silent =
-        scene.policy.zone_observations(now).iter().find(|seen| seen.zone == 1).and_then(|seen| seen.silent);
+    let silent = scene
+        .policy
+        .zone_observations(now)
+        .iter()
+        .find(|seen| seen.zone == 1)
+        .and_then(|seen| seen.unanswered_ago);
     assert!(silent.is_some_and(|ago| ago < ms(1000)), "{silent:?}");
     // An answer of any kind is one, and old losses say nothing of now.
     scene.pass(ms(2500));
     let now = scene.now();
     let seen = scene.policy.zone_observations(now);
-    assert!(seen.iter().all(|seen| seen.silent.is_none()), "{seen:?}");
+    assert!(seen.iter().all(|seen| seen.unanswered_ago.is_none()), "{seen:?}");
 }
 
 #[test]
@@ -106,7 +110,7 @@
     let silent = |scene: &mut Scene| {
         let now = scene.now();
         let seen = scene.policy.zone_observations(now);
-        seen.iter().find(|seen| seen.zone == 1).and_then(|seen| seen.silent).is_some()
+        seen.iter().find(|seen| seen.zone == 1).and_then(|seen| seen.unanswered_ago).is_some()
     };
     for look in 1..=3 {
         scene.script.0.borrow_mut().checks.clear();
--- a/crates/lab/src/pickers/fleeted.rs
+++ b/crates/lab/src/pickers/fleeted.rs
@@ -48,7 +48,7 @@
 }
 
 fn looks(seen: &ZoneObservation) -> ZoneHealth {
-    match (seen.silent, seen.answered) {
+    match (seen.unanswered_ago, seen.answered_ago) {
         (Some(since), _) => ZoneHealth::Silent { since },
         (None, Some(sent)) => ZoneHealth::Answering { sent_ago: sent, slow: seen.slow },
         (None, None) => ZoneHealth::Unknown,
--- a/crates/sidecar/src/fleet/zone_failover.rs
+++ b/crates/sidecar/src/fleet/zone_failover.rs
@@ -84,7 +84,7 @@
 
 /// `elapsed` is added to the ages in an observation that was made some time ago.
 fn own_observation(observation: &EngineObservation, elapsed: Duration) -> OwnObservation {
-    let health = match (observation.silent, observation.answered) {
+    let health = match (observation.unanswered_ago, observation.answered_ago) {
         (Some(since), _) => ZoneHealth::Silent { since: since + elapsed },
         (None, Some(sent)) => ZoneHealth::Answering { sent_ago: sent + elapsed, slow: observation.slow },
         (None, None) => ZoneHealth::Unknown,
--- a/crates/sidecar/src/fleet/zone_failover_tests.rs
+++ b/crates/sidecar/src/fleet/zone_failover_tests.rs
@@ -26,8 +26,8 @@
     let looks = |zone, silent: Option<u64>, answered: Option<u64>, slow| EngineObservation {
         zone,
         ready: zone as usize + 2,
-        silent: silent.map(ms),
-        answered: answered.map(ms),
+        unanswered_ago: silent.map(ms),
+        answered_ago: answered.map(ms),
         slow,
     };
     let mut text = String::new();
--- a/crates/sidecar/src/net/owner/event_loop.rs
+++ b/crates/sidecar/src/net/owner/event_loop.rs
@@ -274,7 +274,7 @@
     }
 
     fn peer_message(&mut self, now: Duration, peer: u32, message: &[u8]) {
-        let ignored_before = self.policy.ignored_messages().all();
+        let ignored_before = self.policy.ignored_messages().total();
         self.policy.peer_message_received(now, peer, message);
         let IgnoredMessages { malformed, unknown_server } = self.policy.ignored_messages();
         // Logged at 1, 2, 4, 8 and so on: a peer of another version sends such messages all day.
