--- a/crates/decisions/src/host.rs
+++ b/crates/decisions/src/host.rs
@@ -1,4 +1,4 @@
-//! What the decisions ask of whoever hosts them, and the plain types that pass between the two.
+//! The interface between the decision engine and its host, and the plain types that both use.
 
 use std::fmt;
 use std::rc::Rc;
@@ -7,38 +7,40 @@
 /// The id of a request or of a server, as the host gives it.
 pub type Id = Rc<str>;
 
-/// Carries out what the decisions ask for. Spans and moments are of the host's own monotonic time.
+/// Carries out the actions of the decision engine. All durations and times refer to the host's monotonic
+/// clock.
 pub trait Host {
-    /// Starts the next attempt of a request; it must not last past `deadline` (zero: past the request's own).
+    /// Starts the next attempt of a request. The attempt must end by `deadline`, or by the request's own deadline if
+    /// `deadline` is zero.
     fn start_attempt(&mut self, request: &Id, server: &Id, deadline: Duration);
-    /// Answers a request as rejected, with no effect; `retry_after` is what its client is told to wait.
+    /// Responds to a request as rejected, which implies that it did not run; `retry_after` is sent to its client.
     fn reject(&mut self, request: &Id, retry_after: Option<Duration>);
-    /// Answers a request as failed: it may have run.
+    /// Responds to a request as failed: it may have run.
     fn fail(&mut self, request: &Id);
-    /// Cancels an attempt, by its number within the request, counted from 0.
+    /// Cancels an attempt. `attempt` is its number within the request, from 0.
     fn cancel_attempt(&mut self, request: &Id, attempt: u32);
-    /// Starts a health check; it is followed by `Policy::health_check_ended`.
+    /// Starts a health check, whose outcome is reported by `Policy::health_check_ended`.
     fn check_health(&mut self, server: &Id);
-    /// Asks for `Policy::timer_fired` after this span.
+    /// Requests a call of `Policy::timer_fired` after `span`.
     fn wake_after(&mut self, span: Duration);
     /// Polls discovery for the endpoint list.
     fn poll_discovery(&mut self);
     /// Closes this replica's idle connections to the server.
     fn close_idle_connections(&mut self, server: &Id);
-    /// Sends a message of at most 256 bytes to one replica, by its ordinal, or to all of them.
+    /// Sends a message of at most 256 bytes to the replica with this ordinal, or to all replicas.
     fn send_to_peers(&mut self, peer: Option<u32>, message: &[u8]);
-    /// Logs what was decided of a server.
+    /// Logs an event of a server.
     fn log(&mut self, event: &Event);
 }
 
-/// What the decisions report for the log. The texts are read by the simulator and by the lab.
+/// Events of servers for the log. The simulator and the lab parse their texts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// The server was ejected as an outlier.
     Ejected(Id),
-    /// The server passed its health checks or trials and is back, in slow start.
+    /// The server passed its health checks or trials and is in use again, in slow start.
     Returned(Id),
-    /// An attempt goes to a server in slow start without a credit: a rule of this module is broken.
+    /// An attempt is sent to a server in slow start without a credit: an invariant of the slow start is violated.
     SlowStartViolated(Id),
 }
 
@@ -52,74 +54,74 @@
     }
 }
 
-/// Where a server stands in its life, as the endpoint list has it.
+/// Lifecycle state of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// It takes requests.
+    /// The server accepts requests.
     Ready,
-    /// It finishes what it has and gets nothing new.
+    /// The server finishes its open requests and gets no new ones.
     Draining,
-    /// It is no longer there.
+    /// The server is gone.
     Removed,
 }
 
 /// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct ListedServer {
-    /// The server's id.
+    /// Id of the server.
     pub server: Id,
-    /// The number of its zone.
+    /// Number of the server's zone.
     pub zone: u32,
-    /// The number of its cell within the zone.
+    /// Number of the server's cell within the zone.
     pub cell: u32,
-    /// Whether it takes requests.
+    /// Lifecycle state of the server.
     pub lifecycle: Lifecycle,
-    /// Its nominal capacity, against the others'.
+    /// Capacity of the server relative to that of the other servers.
     pub nominal_capacity: f64,
-    /// When its process started, where the list says so.
+    /// Start time of the server's process, if the list reports it.
     pub started_at: Option<Duration>,
 }
 
-/// A request as it arrives.
+/// A request on arrival.
 #[derive(Clone, Debug)]
 pub struct RequestArrival {
-    /// The request's id.
+    /// Id of the request.
     pub id: Id,
-    /// The number of its class.
+    /// Number of the request's class.
     pub class: usize,
-    /// When it must have its final response.
+    /// Deadline of the final response.
     pub deadline: Duration,
-    /// Its last byte is still to come; its deadline is known with that.
+    /// Whether the body is incomplete. The deadline is reported again with the last byte.
     pub body_incomplete: bool,
-    /// The number of its tenant.
+    /// Number of the request's tenant.
     pub tenant: usize,
-    /// The work that it is declared to take, as time on a standard core.
+    /// Declared work of the request, as time on a standard core.
     pub declared_work: Option<Duration>,
 }
 
-/// How an attempt or a health check ended.
+/// Outcome of an attempt or of a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was served.
+    /// The server answered successfully.
     Ok,
     /// The server answered with an error.
     Error,
-    /// The server rejected it as it has no capacity: it never ran.
+    /// The server rejected the attempt because it is overloaded: the request did not run.
     Overloaded,
-    /// No answer came in time.
+    /// No answer came within the time limit.
     Timeout,
-    /// No connection came up: it never ran.
+    /// No connection could be established: the request did not run.
     ConnectFailed,
-    /// The connection broke after the first byte was sent.
+    /// The connection broke after the first byte of the request was sent.
     Reset,
-    /// It was cancelled.
+    /// The attempt was cancelled.
     Cancelled,
-    /// It was never sent.
+    /// The attempt was never sent, so the request did not run.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether the attempt is known not to have run.
+    /// Whether the request is known not to have run in this attempt.
     pub fn never_ran(self) -> bool {
         matches!(self, Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent)
     }
@@ -128,45 +130,47 @@
 /// The end of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptEnd {
-    /// The request's id.
+    /// Id of the attempt's request.
     pub request: Id,
-    /// The request has had its final response already.
+    /// Whether the request already has its final response.
     pub request_closed: bool,
-    /// What was sent of the request's body cannot be sent again.
+    /// Whether the part of the request's body that was sent cannot be sent again.
     pub body_consumed: bool,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// The attempt's number within the request, counted from 0.
+    /// Number of the attempt within the request, from 0.
     pub attempt: u32,
-    /// From its start to its end.
+    /// Time from the start to the end of the attempt.
     pub latency: Duration,
-    /// The server that it went to.
+    /// Id of the attempt's server.
     pub server: Id,
-    /// What the server reported of its load with the answer.
+    /// Load that the server reported with the answer.
     pub load: LoadReport,
 }
 
-/// A server's own report of its load; what it does not report stays empty.
+/// The load that a server reports of itself; `None` where a figure is not reported.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadReport {
-    /// Requests that wait there.
+    /// Requests that are queued at the server.
     pub queued: Option<f64>,
-    /// Requests that it works on.
+    /// Requests that the server works on.
     pub in_flight: Option<f64>,
-    /// How busy its cores are, from 0 to 1.
+    /// Utilization of the server's cores, from 0 to 1.
     pub utilization: Option<f64>,
 }
 
-/// What is known by now of the replicas that share the servers. Smaller parts hold at once; the host lets larger ones
-/// come slowly.
+/// The current view of the replicas that share the servers. A change that makes this replica's share of the servers
+/// smaller applies at once; the host raises the share gradually.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReplicaView {
-    /// How many there are, this one among them: at least 1, a fraction while the part of one is taken over.
+    /// Number of replicas, this one included: at least 1, and a fraction while the share of a lost replica is taken
+    /// over.
     pub count: f64,
-    /// How many may be alive, whether they are heard or not: their sum must not overload a server in slow start.
+    /// Upper bound of the replicas that may be alive, unreachable ones included. Together they must not overload a
+    /// server in slow start.
     pub max_alive: f64,
-    /// This replica's number among them; none while it has none.
+    /// Ordinal of this replica; `None` while it has none.
     pub ordinal: Option<u32>,
-    /// Requests a second that a replica has on average; none where it is not known.
+    /// Mean request rate of a replica, in requests per second; `None` if unknown.
     pub mean_request_rate: Option<f64>,
 }
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,5 +1,6 @@
-//! The decisions of landingspread: which server gets a request, whether it is sent again, and when it is rejected. There
-//! is no I/O here: a host hands in events and the time, and acts on what `policy::Policy` asks for by `host::Host`.
+//! The decision engine of landingspread: selects the server of each request, and decides on retries and rejections. It
+//! performs no I/O: a host passes in events with their time, and carries out what `policy::Policy` requests through
+//! `host::Host`.
 
 #![warn(missing_docs)]
 
--- a/crates/decisions/src/peer_messages.rs
+++ b/crates/decisions/src/peer_messages.rs
@@ -1,36 +1,36 @@
-//! The messages between replicas, as bytes. Each message is a row of events; a reader stops at the first that its
-//! version does not know. Nothing is decided here.
+//! Encoding of the messages between replicas. A message is a sequence of events; decoding stops at the first event that
+//! this version does not know.
 
 use std::time::Duration;
 
-/// The most bytes that one message holds.
+/// Maximum length of a message.
 pub const MAX_MESSAGE_BYTES: usize = 256;
 /// Tag of the event that an idle connection broke.
 const IDLE_CONNECTION_BROKE_TAG: u8 = 1;
-/// Tag of the event that tells a replica's request rate.
+/// Tag of the event that reports a replica's request rate.
 const REQUEST_RATE_TAG: u8 = 2;
-/// Request classes from this number on are not told of.
+/// Number of request classes that a message can name; outcomes of higher class numbers are not sent.
 const MAX_CLASSES: u8 = 64;
-/// Tag of a failure of class 0; the class's number is added.
+/// Tag of a failure of class 0; the class number is added.
 const CLASS_FAILED_TAG: u8 = 64;
-/// Tag of an answer of class 0; the class's number is added.
+/// Tag of an answer of class 0; the class number is added.
 const CLASS_ANSWERED_TAG: u8 = 128;
-/// The first tag after those of answers.
+/// First tag after the tags of answers.
 const CLASS_ANSWERED_TAG_END: u8 = CLASS_ANSWERED_TAG + MAX_CLASSES;
-/// Request rates are sent in tenths.
+/// Request rates are encoded in tenths of a request per second.
 const RATE_STEPS_PER_UNIT: f64 = 10.0;
 
-/// Who receives a peer's events, one method for each.
+/// Receives the decoded events of a peer, with one method for each kind of event.
 pub trait PeerMessageHandler {
-    /// A connection that had been idle for so long broke as it was used.
+    /// A connection of the peer broke on use, after it was idle for `idle`.
     fn idle_connection_broke(&mut self, idle: Duration);
-    /// A server failed a request of this class, or answered it. `false`: the receiver knows no such server.
+    /// A server answered or failed a request of this class. Returns `false` if the server is unknown.
     fn class_outcome(&mut self, server: u32, class: usize, answered: bool) -> bool;
-    /// The peer gets so many requests per second.
+    /// The request rate of the peer, in requests per second.
     fn peer_request_rate(&mut self, per_second: f64);
 }
 
-/// Events that wait for the next message. What no longer fits is dropped, as a message may be lost anyway.
+/// Events collected for the next message. Events that do not fit are dropped, as messages may be lost in any case.
 #[derive(Debug, Default)]
 pub struct Outbox(Vec<u8>);
 
@@ -41,13 +41,13 @@
         }
     }
 
-    /// A connection that had been idle for so long broke; up to 65 seconds are told.
+    /// Adds that a connection broke after it was idle for `idle`; durations above 65 seconds are sent as 65 seconds.
     pub fn idle_connection_broke(&mut self, idle: Duration) {
         let [high, low] = u16::try_from(idle.as_millis()).unwrap_or(u16::MAX).to_be_bytes();
         self.add(&[IDLE_CONNECTION_BROKE_TAG, high, low]);
     }
 
-    /// A server, by its short name of 24 bits, failed a request of this class or answered it.
+    /// Adds that a server, by its short name of 24 bits, answered or failed a request of this class.
     pub fn class_outcome(&mut self, server: u32, class: usize, answered: bool) {
         let tag = if answered { CLASS_ANSWERED_TAG } else { CLASS_FAILED_TAG };
         let Some(class) = u8::try_from(class).ok().filter(|class| *class < MAX_CLASSES) else { return };
@@ -55,70 +55,69 @@
         self.add(&[tag + class, a, b, c]);
     }
 
-    /// Bytes so far.
+    /// Length of the collected events.
     pub fn byte_len(&self) -> usize {
         self.0.len()
     }
 
-    /// The message, if there is any event.
+    /// Takes the message, if any event was collected.
     pub fn take(&mut self) -> Option<Vec<u8>> {
         Some(std::mem::take(&mut self.0)).filter(|bytes| !bytes.is_empty())
     }
 }
 
-/// A message of its own: this replica's requests per second.
+/// A complete message that reports this replica's request rate.
 pub fn request_rate_message(per_second: f64) -> [u8; 3] {
     let [high, low] = ((per_second * RATE_STEPS_PER_UNIT).clamp(0.0, 65535.0) as u16).to_be_bytes();
     [REQUEST_RATE_TAG, high, low]
 }
 
-/// Counts of what peers sent in vain.
+/// Counts of messages and events from peers that were ignored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct IgnoredMessages {
-    /// Messages with an event that this version does not know or that is cut off.
+    /// Messages with an unknown or truncated event.
     pub malformed: u64,
-    /// Events of servers that this replica does not know.
+    /// Events of servers that are unknown to this replica.
     pub unknown_server: u64,
 }
 
 impl IgnoredMessages {
-    /// Adds other counts to these.
+    /// Adds the counts of `other`.
     pub fn add(&mut self, other: IgnoredMessages) {
         self.malformed += other.malformed;
         self.unknown_server += other.unknown_server;
     }
 
-    /// All of them.
+    /// Sum of all counts.
     pub fn total(&self) -> u64 {
         self.malformed + self.unknown_server
     }
 }
 
-/// Reads a message up to its end or to the first event that this version does not know.
-pub fn read(mut bytes: &[u8], receiver: &mut impl PeerMessageHandler) -> IgnoredMessages {
+/// Decodes a message up to its end or to the first unknown event.
+pub fn read(mut bytes: &[u8], handler: &mut impl PeerMessageHandler) -> IgnoredMessages {
     let mut ignored = IgnoredMessages::default();
     loop {
         bytes = match bytes {
             [IDLE_CONNECTION_BROKE_TAG, high, low, rest @ ..] => {
-                receiver
+                handler
                     .idle_connection_broke(Duration::from_millis(u16::from_be_bytes([*high, *low]).into()));
                 rest
             }
             [tag @ CLASS_FAILED_TAG..CLASS_ANSWERED_TAG, a, b, c, rest @ ..] => {
                 let server = u32::from_be_bytes([0, *a, *b, *c]);
-                let known = receiver.class_outcome(server, (tag - CLASS_FAILED_TAG).into(), false);
+                let known = handler.class_outcome(server, (tag - CLASS_FAILED_TAG).into(), false);
                 ignored.unknown_server += u64::from(!known);
                 rest
             }
             [tag @ CLASS_ANSWERED_TAG..CLASS_ANSWERED_TAG_END, a, b, c, rest @ ..] => {
                 let server = u32::from_be_bytes([0, *a, *b, *c]);
-                let known = receiver.class_outcome(server, (tag - CLASS_ANSWERED_TAG).into(), true);
+                let known = handler.class_outcome(server, (tag - CLASS_ANSWERED_TAG).into(), true);
                 ignored.unknown_server += u64::from(!known);
                 rest
             }
             [REQUEST_RATE_TAG, high, low, rest @ ..] => {
-                receiver
-                    .peer_request_rate(f64::from(u16::from_be_bytes([*high, *low])) / RATE_STEPS_PER_UNIT);
+                handler.peer_request_rate(f64::from(u16::from_be_bytes([*high, *low])) / RATE_STEPS_PER_UNIT);
                 rest
             }
             [] => return ignored,
--- a/crates/decisions/src/settings.rs
+++ b/crates/decisions/src/settings.rs
@@ -1,167 +1,168 @@
-//! The settings an instance is handed at start, decoded once.
+//! The settings of an instance, decoded once at start.
 
 use std::collections::BTreeMap;
 use std::fmt;
 use std::str::FromStr;
 use std::time::Duration;
 
-/// The most classes or tenants that settings may name.
-const MAX_COUNT: usize = 10_000;
+/// Maximum number of request classes, and of tenants, in the settings.
+const MAX_CLASSES_OR_TENANTS: usize = 10_000;
 
-/// Whether a request that may have run may be sent again.
+/// Whether a request that a server may have run may be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// Running it again does no harm.
+    /// Running the request again does no harm.
     Idempotent,
-    /// Its idempotency key lets servers drop repeats, within this scope.
+    /// The request's idempotency key lets servers deduplicate it, within this scope.
     IdempotencyKeyed(DedupScope),
-    /// It may run once at the most.
+    /// The request must run at most once.
     NonIdempotent,
 }
 
-/// Which servers drop each other's repeats.
+/// The scope within which servers share idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// All servers.
+    /// All servers share the keys.
     All,
-    /// Those of one zone.
+    /// The servers of one zone share the keys.
     Zone,
-    /// Those of one cell.
+    /// The servers of one cell share the keys.
     Cell,
 }
 
 impl DedupScope {
-    /// Whether a server at one place, a zone and a cell in it, drops repeats of what ran at another.
-    pub fn covers(self, one: (u32, u32), other: (u32, u32)) -> bool {
+    /// Whether a server at one of these places deduplicates a request that ran at the other. A place is a zone and a
+    /// cell in it.
+    pub fn covers(self, first: (u32, u32), second: (u32, u32)) -> bool {
         match self {
             DedupScope::All => true,
-            DedupScope::Zone => one.0 == other.0,
-            DedupScope::Cell => one == other,
+            DedupScope::Zone => first.0 == second.0,
+            DedupScope::Cell => first == second,
         }
     }
 }
 
-/// One class of requests.
+/// A request class and the value of its answers.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
     /// Whether a request that may have run may be sent again.
     pub retry_safety: RetrySafety,
-    /// How long servers remember idempotency keys.
+    /// How long servers remember idempotency keys; zero for classes without keys.
     pub dedup_window: Duration,
-    /// An answer within this time earns the full value.
+    /// An answer within this time earns the full `value`.
     pub latency_objective: Duration,
-    /// The time after which a request must have its final response.
+    /// Time from the arrival of a request to the deadline of its final response.
     pub time_limit: Duration,
-    /// What an answer within the objective is worth.
+    /// Value of an answer within the latency objective.
     pub value: f64,
-    /// What a later answer is worth.
+    /// Value of an answer after the latency objective and before the deadline.
     pub late_value: f64,
 }
 
 impl RequestClass {
-    /// Past this time an answer earns nothing, for a request that is complete at `now`.
+    /// The time after which an answer earns nothing, for a request that is complete at `now`.
     pub fn useful_until(&self, now: Duration, deadline: Duration) -> Duration {
         if self.late_value > 0.0 { deadline } else { deadline.min(now + self.latency_objective) }
     }
 }
 
-/// What the decisions may make use of.
+/// The actions that the decision engine may use.
 #[derive(Clone, Debug)]
 pub struct Capabilities {
-    /// Health checks.
+    /// Whether servers may be checked by health checks.
     pub health_checks: bool,
-    /// Cancelling attempts.
+    /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Two attempts of one request at a time.
+    /// Whether two attempts of one request may be in flight at the same time.
     pub hedging: bool,
-    /// Messages between replicas.
+    /// Whether replicas may send messages to each other.
     pub peer_messages: bool,
-    /// The most attempts of one request.
+    /// Maximum number of attempts per request, the first included.
     pub max_attempts: u32,
-    /// The longest Retry-After; none where clients do not heed it.
+    /// Upper bound of Retry-After; `None` where clients do not honor the header.
     pub max_retry_after: Option<Duration>,
 }
 
-/// The slow start of servers.
+/// The slow start of servers that are new, were restarted or return from an ejection.
 #[derive(Clone, Debug)]
 pub struct SlowStart {
-    /// The fraction of its full share with which a server begins.
+    /// Fraction of its full share of requests that a server gets at the beginning.
     pub initial_fraction: f64,
-    /// The time until it gets its full share.
+    /// Time from the beginning until the server gets its full share.
     pub duration: Duration,
-    /// A server that gets this many times the initial fraction is overloaded by it.
+    /// A server is overloaded when it gets this multiple of the initial fraction.
     pub overload_multiple: f64,
-    /// The time over which that is measured.
+    /// Time over which the multiple is measured.
     pub overload_window: Duration,
 }
 
-/// Prices, in points of the objective per request.
+/// Prices of actions, in points of the objective per request.
 #[derive(Clone, Debug)]
 pub struct Costs {
-    /// Of an attempt to a server in another zone.
+    /// Price of an attempt to a server in another zone.
     pub cross_zone: f64,
-    /// Of a health check.
+    /// Price of one health check.
     pub health_check: f64,
-    /// Of a full message to one replica.
+    /// Price of a message of full length to one replica.
     pub peer_message: f64,
-    /// Of an open connection.
+    /// Price of an open connection.
     pub connection: f64,
 }
 
-/// How the objective weighs its parts.
+/// Weights of the parts of the objective.
 #[derive(Clone, Debug)]
 pub struct ObjectiveWeights {
-    /// The weight of the class that falls furthest short.
+    /// Weight of the class with the largest shortfall.
     pub worst_class: f64,
 }
 
-/// All settings.
+/// The settings of one replica.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// How many replicas share the servers.
+    /// Number of replicas that share the servers, this one included.
     pub replicas: f64,
-    /// How many replicas may send to a server in slow start: no less than `replicas`.
+    /// Upper bound of the replicas that may be alive and send to a server in slow start; at least `replicas`.
     pub max_live_replicas: f64,
-    /// This replica's number among them.
+    /// The ordinal of this replica, from 0.
     pub ordinal: u32,
-    /// The tier of this replica; 0 takes the clients' requests.
+    /// The tier of this replica; tier 0 receives the requests of the clients.
     pub tier: u32,
-    /// Connections idle for longer are closed.
+    /// Connections that are idle for longer than this are closed.
     pub idle_connection_timeout: Duration,
     /// The zone of this replica.
     pub zone: u32,
-    /// The endpoint list has to be asked for.
+    /// Whether the endpoint list is polled; otherwise it arrives without a poll.
     pub polls_discovery: bool,
-    /// The time between two polls.
+    /// Time between two polls.
     pub poll_interval: Duration,
-    /// The host's timers are no finer than this.
+    /// Resolution of the host's timers.
     pub timer_resolution: Duration,
-    /// Answers are worth as much as the work that they take.
+    /// Whether the value of an answer is proportional to the work that it takes.
     pub value_by_work: bool,
-    /// What requests beyond their tenant's quota are worth, as a fraction.
+    /// Value of a request beyond its tenant's quota, as a fraction of its normal value.
     pub over_quota_value: f64,
-    /// By tenant, requests per second over all replicas.
+    /// Quotas by tenant number, in requests per second over all replicas.
     pub quotas: Vec<f64>,
-    /// The request classes, by number.
+    /// The request classes, by class number.
     pub classes: Vec<RequestClass>,
-    /// What the decisions may make use of.
+    /// The actions that the decision engine may use.
     pub capabilities: Capabilities,
     /// The slow start of servers.
     pub slow_start: SlowStart,
-    /// Prices.
+    /// Prices of actions, in points of the objective.
     pub costs: Costs,
-    /// Health checks alone tell how many requests a server holds.
+    /// Whether health checks alone report the load of a server.
     pub health_checks_report_load: bool,
-    /// How the objective weighs its parts.
+    /// Weights of the parts of the objective.
     pub objective: ObjectiveWeights,
 }
 
-/// A setting that cannot be used.
+/// A setting that is missing or has an invalid value.
 #[derive(Debug, PartialEq, Eq)]
 pub struct SettingError {
-    /// The setting's path.
+    /// Path of the setting.
     pub path: String,
-    /// Its value; none where the setting is missing.
+    /// Value of the setting; `None` if it is missing.
     pub value: Option<String>,
 }
 
@@ -176,10 +177,10 @@
 
 impl std::error::Error for SettingError {}
 
-/// Settings as paths and values. A value of `-` counts as missing.
-struct Pairs<'a>(BTreeMap<&'a str, &'a str>);
+/// Settings as paths and values. The value `-` counts as missing.
+struct SettingPairs<'a>(BTreeMap<&'a str, &'a str>);
 
-impl Pairs<'_> {
+impl SettingPairs<'_> {
     fn required<T: FromStr>(&self, path: &str) -> Result<T, SettingError> {
         self.optional(path)?.ok_or(SettingError { path: path.into(), value: None })
     }
@@ -190,7 +191,7 @@
         Ok(Some(parsed))
     }
 
-    /// A number that is not negative.
+    /// A finite number that is not negative; `default` if the setting is missing.
     fn number(&self, path: &str, default: f64) -> Result<f64, SettingError> {
         match self.optional::<f64>(path)? {
             Some(number) if !number.is_finite() || number < 0.0 => Err(self.invalid(path)),
@@ -198,7 +199,7 @@
         }
     }
 
-    /// A number from `min` to `max` that must be there.
+    /// A required number from `min` to `max`.
     fn required_number(&self, path: &str, min: f64, max: f64) -> Result<f64, SettingError> {
         let number: f64 = self.required(path)?;
         if (min..=max).contains(&number) { Ok(number) } else { Err(self.invalid(path)) }
@@ -212,25 +213,25 @@
         }
     }
 
-    fn span(&self, path: &str) -> Result<Duration, SettingError> {
+    fn duration(&self, path: &str) -> Result<Duration, SettingError> {
         Ok(Duration::from_micros(self.required(path)?))
     }
 
-    fn optional_span(&self, path: &str) -> Result<Option<Duration>, SettingError> {
+    fn optional_duration(&self, path: &str) -> Result<Option<Duration>, SettingError> {
         Ok(self.optional(path)?.map(Duration::from_micros))
     }
 
     fn count(&self, path: &str) -> Result<usize, SettingError> {
         let count = self.optional(path)?.unwrap_or(0);
-        if count > MAX_COUNT { Err(self.invalid(path)) } else { Ok(count) }
+        if count > MAX_CLASSES_OR_TENANTS { Err(self.invalid(path)) } else { Ok(count) }
     }
 
     fn invalid(&self, path: &str) -> SettingError {
         SettingError { path: path.into(), value: self.0.get(path).map(|raw| (*raw).into()) }
     }
 
-    fn class(&self, at: usize) -> Result<RequestClass, SettingError> {
-        let path = |leaf: &str| format!("Verbs.{at}.{leaf}");
+    fn class(&self, index: usize) -> Result<RequestClass, SettingError> {
+        let path = |field: &str| format!("Verbs.{index}.{field}");
         let retry_safety = match self.required::<String>(&path("Effect"))?.as_str() {
             "idempotent" => RetrySafety::Idempotent,
             "deduplicated" => RetrySafety::IdempotencyKeyed(self.dedup_scope(&path("KeyScope"))?),
@@ -238,15 +239,15 @@
             _ => return Err(self.invalid(&path("Effect"))),
         };
         let dedup_window = match retry_safety {
-            RetrySafety::IdempotencyKeyed(_) => self.span(&path("MemorySpan"))?,
+            RetrySafety::IdempotencyKeyed(_) => self.duration(&path("MemorySpan"))?,
             _ => Duration::ZERO,
         };
-        let time_limit = self.span(&path("TimeLimit"))?;
+        let time_limit = self.duration(&path("TimeLimit"))?;
         Ok(RequestClass {
             retry_safety,
             dedup_window,
             time_limit,
-            latency_objective: self.optional_span(&path("ResponseGoal"))?.unwrap_or(time_limit),
+            latency_objective: self.optional_duration(&path("ResponseGoal"))?.unwrap_or(time_limit),
             value: self.number(&path("Utility"), 1.0)?,
             late_value: self.number(&path("OverdueUtility"), 0.0)?,
         })
@@ -261,36 +262,37 @@
         }
     }
 
-    /// Health checks are used for load only where they report the requests that a server works on; those that wait
-    /// hide them.
+    /// Whether health checks serve as the source of load. They do only where they report the requests that a server
+    /// works on: the number of queued requests does not include those.
     fn health_checks_report_load(&self) -> Result<bool, SettingError> {
-        let fields = self.optional::<String>("Report.Fields")?.unwrap_or_default();
-        let how = self.optional::<String>("Report.How")?;
-        Ok(how.as_deref() == Some("probe") && fields.split(',').any(|field| field == "active"))
+        let report_fields = self.optional::<String>("Report.Fields")?.unwrap_or_default();
+        let report_source = self.optional::<String>("Report.How")?;
+        Ok(report_source.as_deref() == Some("probe")
+            && report_fields.split(',').any(|field| field == "active"))
     }
 
     fn capabilities(&self) -> Result<Capabilities, SettingError> {
         let max_retry_after =
-            self.optional_span("PolicyLimits.MaxRetryAfter")?.filter(|span| !span.is_zero());
-        let is_heeded = self.flag("PolicyLimits.RetryAfter")?;
+            self.optional_duration("PolicyLimits.MaxRetryAfter")?.filter(|duration| !duration.is_zero());
+        let clients_honor_it = self.flag("PolicyLimits.RetryAfter")?;
         Ok(Capabilities {
             health_checks: self.flag("PolicyLimits.Probes")?,
             cancellation: self.flag("PolicyLimits.MayCancel")?,
             hedging: self.flag("PolicyLimits.ParallelTries")?,
             peer_messages: self.flag("PolicyLimits.Peers")?,
             max_attempts: self.optional("PolicyLimits.MostRelays")?.unwrap_or(1),
-            max_retry_after: max_retry_after.filter(|_| is_heeded),
+            max_retry_after: max_retry_after.filter(|_| clients_honor_it),
         })
     }
 }
 
 impl Settings {
-    /// Reads `path=value` pairs; keys that nothing here uses are skipped.
+    /// Decodes `path=value` pairs, separated by spaces. Unknown keys are ignored.
     pub fn decode(text: &str) -> Result<Settings, SettingError> {
-        let pairs = Pairs(text.split(' ').filter_map(|pair| pair.split_once('=')).collect());
+        let pairs = SettingPairs(text.split(' ').filter_map(|pair| pair.split_once('=')).collect());
         let classes = pairs.count("Verbs.count")?;
         let tenants = pairs.count("Tenants.count")?;
-        let quota = |at| pairs.number(&format!("Tenants.{at}.QuotaRps"), f64::MAX);
+        let quota = |index| pairs.number(&format!("Tenants.{index}.QuotaRps"), f64::MAX);
         let polls_discovery = match pairs.required::<String>("Discovery")?.as_str() {
             "automatic" => false,
             "subscribe" => true,
@@ -302,21 +304,23 @@
             max_live_replicas: replicas,
             ordinal: pairs.optional("Ordinal")?.unwrap_or(0),
             tier: pairs.optional("Tier")?.unwrap_or(0),
-            idle_connection_timeout: pairs.optional_span("PolicyLimits.ConnIdle")?.unwrap_or(Duration::MAX),
+            idle_connection_timeout: pairs
+                .optional_duration("PolicyLimits.ConnIdle")?
+                .unwrap_or(Duration::MAX),
             zone: pairs.optional("MyZone")?.unwrap_or(0),
             polls_discovery,
-            poll_interval: pairs.optional_span("Rules.AskEvery")?.unwrap_or(Duration::MAX),
-            timer_resolution: pairs.optional_span("Resolution")?.unwrap_or(Duration::ZERO),
+            poll_interval: pairs.optional_duration("Rules.AskEvery")?.unwrap_or(Duration::MAX),
+            timer_resolution: pairs.optional_duration("Resolution")?.unwrap_or(Duration::ZERO),
             value_by_work: pairs.optional::<String>("UtilityBasis")?.as_deref() == Some("work"),
             over_quota_value: pairs.number("BeyondShareUtility", 1.0)?,
             quotas: (0..tenants).map(quota).collect::<Result<_, _>>()?,
-            classes: (0..classes).map(|at| pairs.class(at)).collect::<Result<_, _>>()?,
+            classes: (0..classes).map(|index| pairs.class(index)).collect::<Result<_, _>>()?,
             capabilities: pairs.capabilities()?,
             slow_start: SlowStart {
                 initial_fraction: pairs.required_number("Rules.ColdShare", 0.0, 1.0)?,
-                duration: pairs.span("Rules.Cold")?,
+                duration: pairs.duration("Rules.Cold")?,
                 overload_multiple: pairs.required_number("Rules.TipMultiple", 0.0, f64::MAX)?,
-                overload_window: pairs.span("Rules.Fall")?,
+                overload_window: pairs.duration("Rules.Fall")?,
             },
             costs: Costs {
                 cross_zone: pairs.number("Costs.CrossZone", 0.0)?,
--- a/crates/decisions/src/statistics.rs
+++ b/crates/decisions/src/statistics.rs
@@ -1,19 +1,19 @@
-//! What a replica's successor takes over of each server: figures that mean the same under other settings. Concurrency
-//! limits, failure counts, latencies by class, traffic and load reports depend on the settings or on the moment, and
-//! start anew.
+//! Server statistics that a replica hands to its successor process. They keep their meaning under other settings,
+//! unlike concurrency limits, failure counts, latencies by class, traffic and load reports, which depend on the
+//! settings or become outdated, and are measured again.
 
 use crate::host::Id;
 use std::time::Duration;
 
-/// What was learned of one server's process.
+/// Statistics of one server process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerStatistics {
-    /// The server.
+    /// Id of the server.
     pub server: Id,
-    /// When its process started, where the list says so: another process is another server.
+    /// Start time of the process, if the list reports it. Statistics of another process do not apply.
     pub started_at: Option<Duration>,
-    /// How slow its answers are: a multiple of the mean.
+    /// Latency of the server's answers as a multiple of the mean over all servers.
     pub slowness: f64,
-    /// It is ejected.
+    /// Whether the server is ejected.
     pub ejected: bool,
 }
--- a/crates/decisions/src/zones.rs
+++ b/crates/decisions/src/zones.rs
@@ -1,31 +1,32 @@
-//! What the fleet decides of zones, and how a zone looks from one replica: plain types.
+//! Plain types for the zones: the fleet's traffic decisions, and the observations of one replica.
 
 use std::time::Duration;
 
-/// What fraction of its usual traffic a zone gets, as the fleet has it: 0 where it is drained.
+/// The fleet's decision on the traffic of one zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneTraffic {
-    /// The zone.
+    /// Number of the zone.
     pub zone: u32,
-    /// From 0 to 1; what is no number counts as 1.
+    /// Fraction of its normal traffic that the zone gets, from 0 (drained) to 1; values that are not finite count as 1.
     pub fraction: f64,
-    /// In a drained zone: a number that changes with each trial that is this replica's to make. In one that is in use:
-    /// the same for a health check there, as other replicas get no answers from it.
+    /// Number of the last trial that was assigned to this replica; a new number requests one trial. In a drained zone
+    /// the trial is a health check or a half-open request. In a zone in use it is a health check, requested because
+    /// other replicas get no answers from the zone.
     pub trial: Option<u64>,
 }
 
-/// How a zone looks from this replica.
+/// The state of a zone as observed by this replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneObservation {
-    /// The zone.
+    /// Number of the zone.
     pub zone: u32,
-    /// How many of its servers the list calls ready.
+    /// Number of the zone's servers that are ready in the list.
     pub ready: usize,
-    /// How long ago the last attempt that was answered had been sent.
+    /// Time since the latest answered attempt was sent; `None` before the first answer.
     pub answered_ago: Option<Duration>,
-    /// Nothing sent since the last answer was answered, though it is late or lost: how long ago the last sign of that
-    /// came.
+    /// Time since the latest evidence that the zone does not answer: the attempts since the last answer are late or
+    /// lost. `None` while the zone answers.
     pub unanswered_ago: Option<Duration>,
-    /// Its servers answer much more slowly than the mean.
+    /// Whether the zone's servers answer much more slowly than the mean.
     pub slow: bool,
 }
