--- a/crates/decisions/src/policy.rs
+++ b/crates/decisions/src/policy.rs
@@ -1,20 +1,20 @@
 //! The decisions of one replica: which server gets a request, whether a further attempt is made, how long a request is
-//! queued, and when it is rejected. The reasons stand in `docs/design.md`.
+//! queued, and when it is rejected. `docs/design.md` gives the reasons.
 //!
 //! A host calls `Policy::start` and then one method for each event, in the order of the events; each method acts by
-//! calling the `Host`. No method reads a clock: the time is handed in.
+//! calling the `Host`. No method reads a clock: the host passes the time in.
 //!
-//! The way of a request through the files beside this one:
+//! The path of a request through the submodules:
 //!
-//! 1. `request_arrived`: `admission` records it and puts it in the queue; `preselection` may check servers first.
+//! 1. `request_arrived`: `admission` records it and adds it to the queue; `preselection` may check servers first.
 //! 2. `dispatch_queued` (`admission`) tries the queued requests by rank: `selection` draws a server by weight within
 //!    the `capacity`, and `attempts` sends the request there.
-//! 3. `shed_queued` (`admission`) rejects what would not be answered in time.
-//! 4. `attempt_ended`: `load_reports`, `concurrency_limits`, `outlier_ejection` and `idle_connections` learn from the
+//! 3. `shed_queued` (`admission`) rejects requests that would hardly be answered in time.
+//! 4. `attempt_ended`: `load_reports`, `concurrency_limits`, `outlier_ejection` and `idle_connections` record the
 //!    outcome, and `retry` decides on a further attempt.
 //!
-//! A regular sweep (`timer_fired`) looks for overdue attempts, makes due health checks, updates the window, and tries the
-//! queue again.
+//! A periodic sweep (`timer_fired`) detects overdue attempts, starts due health checks, updates the window, and tries
+//! the queue again.
 
 mod admission;
 mod attempts;
@@ -54,7 +54,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The decisions of one replica, for the servers of one tier.
+/// The decision engine of one replica, for the servers of one tier.
 pub struct Policy<H: Host> {
     host: H,
     settings: Settings,
@@ -64,16 +64,17 @@
     overrides: Overrides,
     zones: Zones,
     requests: BTreeMap<Id, Request>,
-    /// The requests that wait for an attempt, the highest rank first.
+    /// The requests that wait for an attempt, highest rank first.
     queue: Vec<Id>,
-    /// By class, what was observed.
+    /// Statistics by class number.
     classes: Vec<ClassStatistics>,
-    /// By tenant, the requests that arrived.
+    /// Arrival rates by tenant number.
     tenants: Vec<Rate>,
     throughput: Throughput,
     /// Latencies as multiples of the baseline of their class.
     latency_inflation: Histogram,
-    /// Seconds to an answer for each request that the server held, this one included.
+    /// Service times, in seconds: the time to an answer divided by the number of requests at the server, this one
+    /// included.
     service_time: Histogram,
     check_budget: CheckBudget,
     retry_budget: RetryBudget,
@@ -81,18 +82,18 @@
     peers: PeerExchange,
     idle_connections: IdleConnections,
     sweeps: SweepClock,
-    /// How many replicas send to one server of this replica's window.
+    /// Number of replicas that share one server of the window, in units of this replica's traffic; at least 1.
     replicas_per_server: f64,
-    /// When the window is chosen anew.
+    /// When the window is next chosen.
     window_due: Duration,
-    /// What is in flight at available servers, on average.
+    /// Time-weighted mean number of attempts in flight at available servers.
     mean_in_flight: TimeWeightedMean,
-    /// The weights of the last draw; kept so that a draw allocates nothing.
+    /// The weights of the last selection; the buffer is reused so that a selection allocates nothing.
     weights: Vec<(Slot, f64)>,
 }
 
 impl<H: Host> Policy<H> {
-    /// Decisions that begin at `now`, before any list has come. The same seed and calls give the same decisions.
+    /// Starts the engine at `now`, without any list. The same seed and calls lead to the same decisions.
     pub fn start(host: H, settings: Settings, seed: u64, now: Duration) -> Self {
         let mut policy = Policy {
             host,
@@ -125,7 +126,7 @@
         policy
     }
 
-    /// A request arrived. It is sent, queued or rejected at once.
+    /// Handles the arrival of a request, which is sent, queued or rejected at once.
     pub fn request_arrived(&mut self, now: Duration, arrival: RequestArrival) {
         self.now = now;
         if !self.admit(&arrival) {
@@ -137,12 +138,13 @@
         self.shed_queued(Some(&arrival.id));
     }
 
-    /// The last byte of a request's body has come, and its deadline is known. Until then its server had nothing to do.
-    pub fn body_completed(&mut self, now: Duration, id: &Id, due: Duration) {
+    /// Handles the last byte of a request's body, with which its deadline is known. The time of an attempt starts here,
+    /// because its server could not begin to work earlier.
+    pub fn body_completed(&mut self, now: Duration, id: &Id, deadline: Duration) {
         self.now = now;
         let classes = &self.settings.classes;
         let useful_until =
-            |class: usize| classes.get(class).map_or(due, |class| class.useful_until(now, due));
+            |class: usize| classes.get(class).map_or(deadline, |class| class.useful_until(now, deadline));
         let request = self.requests.get_mut(id);
         let started = request.and_then(|request| request.body_completed(now, useful_until));
         if let Some(StartedAttempt { class, slot, number }) = started {
@@ -150,7 +152,7 @@
         }
     }
 
-    /// The first bytes of a request's answer are being passed on: there is no further attempt.
+    /// Handles the first bytes of a request's answer: they are passed on, so no further attempt is made.
     pub fn response_started(&mut self, now: Duration, id: &Id) {
         self.now = now;
         if let Some(request) = self.requests.get_mut(id) {
@@ -158,7 +160,7 @@
         }
     }
 
-    /// An answer broke off after it had begun, and its request is over.
+    /// Handles an answer that broke off after it had begun; its request is closed.
     pub fn response_interrupted(&mut self, now: Duration, server: &Id, class: usize) {
         self.now = now;
         if let Some(slot) = self.servers.slot(server) {
@@ -166,26 +168,26 @@
         }
     }
 
-    /// The client no longer waits for this request.
+    /// Handles a request whose client no longer waits.
     pub fn client_disconnected(&mut self, now: Duration, id: &Id) {
         self.now = now;
         self.queue.retain(|queued| queued != id);
         self.close_request(id);
     }
 
-    /// An attempt is over.
+    /// Handles the end of an attempt.
     pub fn attempt_ended(&mut self, now: Duration, ended: AttemptEnd) {
         self.now = now;
-        let Some(attempt) = self.take_ended_attempt(&ended) else { return };
+        let Some(attempt) = self.record_attempt_end(&ended) else { return };
         self.zones.attempt_ended(attempt.zone, attempt.sent_at, now, ended.outcome);
         self.throughput.count_ended(now);
         self.update_mean_in_flight();
-        self.take_load_report(attempt.slot, ended.load);
-        let usual = self.usual_latency(attempt.class);
+        self.record_load_report(attempt.slot, ended.load);
+        let mean_latency = self.mean_latency(attempt.class);
         if !attempt.body_pending {
             self.servers.change_in_flight(attempt.slot, -1);
         }
-        self.record_slowness(&attempt, &ended, usual);
+        self.record_slowness(&attempt, &ended, mean_latency);
         if ended.outcome == Outcome::Ok {
             self.record_answer(&attempt, ended.latency);
         } else if attempt.idle_connection_broke {
@@ -197,7 +199,7 @@
         self.dispatch_queued();
     }
 
-    /// A sweep, at the time that `Host::wake_after` was told.
+    /// Runs a sweep, at the time that was set by `Host::wake_after`.
     pub fn timer_fired(&mut self, now: Duration) {
         self.now = now;
         self.sweeps.begin(now);
@@ -215,24 +217,24 @@
         self.send_peer_messages();
     }
 
-    /// Asked after a sweep: when the next one is due that may decide anything, if nothing happens before.
+    /// After a sweep: the time of the next sweep that may decide anything, provided that no event comes before.
     pub fn next_sweep(&self) -> Duration {
         if !self.requests.is_empty() || self.zones.silence_may_change(self.now) {
             return self.sweeps.next();
         }
         let check = self.next_health_check().unwrap_or(Duration::MAX);
         let poll = self.polling.next_poll.unwrap_or(Duration::MAX);
-        self.sweeps.next_for(self.window_due.min(check).min(poll))
+        self.sweeps.next_at_or_after(self.window_due.min(check).min(poll))
     }
 
-    /// Sweeps that were due before `until` were left out: they would have decided nothing. Returns when the next is
-    /// due.
+    /// Records that the host skipped the sweeps due before `until`, none of which would have decided anything. Returns
+    /// when the next sweep is due.
     pub fn skip_sweeps(&mut self, until: Duration) -> Duration {
         self.sweeps.skip(until)
     }
 
-    /// No request may be answered later than `at`, as this process ends then; its host ends what is still in flight
-    /// by then. A request whose last byte is still to come gets its deadline with that.
+    /// Limits the time in which answers are useful to `at`, when this process ends; the host ends the attempts that are
+    /// still in flight then. A request with an incomplete body gets its deadline with its last byte.
     pub fn shut_down_by(&mut self, now: Duration, at: Duration) {
         self.now = now;
         for request in self.requests.values_mut().filter(|request| !request.body_pending) {
@@ -240,9 +242,9 @@
         }
     }
 
-    /// Marks the attempt as over, and its request as finished where the client has its answer. None where the
-    /// request is not open or the attempt is not in flight.
-    fn take_ended_attempt(&mut self, ended: &AttemptEnd) -> Option<EndedAttempt> {
+    /// Marks the attempt as ended, and its request as finished if the client has its answer. `None` if the request is
+    /// not open or the attempt is not in flight.
+    fn record_attempt_end(&mut self, ended: &AttemptEnd) -> Option<EndedAttempt> {
         let request = self.requests.get_mut(&ended.request)?;
         let attempt = request.attempts.get_mut(ended.attempt as usize)?;
         if attempt.state != AttemptState::InFlight {
@@ -253,7 +255,7 @@
         request.finished |= ended.request_closed;
         request.not_replayable |= ended.body_consumed;
         let reset = ended.outcome == Outcome::Reset;
-        let explained = IdleConnections::explains_reset(attempt.connection_idle, ended.latency);
+        let caused_by_idle = IdleConnections::explains_reset(attempt.connection_idle, ended.latency);
         Some(EndedAttempt {
             class: request.class,
             slot: attempt.slot,
@@ -261,7 +263,7 @@
             sent_at: attempt.sent_at,
             overdue: attempt.overdue,
             connection_idle: attempt.connection_idle,
-            idle_connection_broke: reset && explained,
+            idle_connection_broke: reset && caused_by_idle,
             queued_ahead: attempt.queued_ahead,
             relative_cost: request.relative_cost,
             body_pending: request.body_pending,
@@ -270,7 +272,7 @@
     }
 }
 
-/// What the records of an attempt that is over say.
+/// The records of an ended attempt.
 struct EndedAttempt {
     class: usize,
     slot: Slot,
@@ -278,11 +280,11 @@
     sent_at: Duration,
     overdue: bool,
     connection_idle: Duration,
-    /// The connection had been idle and broke: no fault of the server.
+    /// The connection broke because it had been idle, which is no failure of the server.
     idle_connection_broke: bool,
     queued_ahead: Option<f64>,
     relative_cost: f64,
     body_pending: bool,
-    /// An answer now still earns something.
+    /// Whether an answer at this time still earns something.
     in_time: bool,
 }
--- a/crates/decisions/src/policy/admission.rs
+++ b/crates/decisions/src/policy/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: arrivals, the queue, and what is rejected because it would not be answered in time.
+//! Admission: arrivals, the queue, and the rejection of requests that would hardly be answered in time.
 
 use super::Policy;
 use crate::host::{Host, Id, RequestArrival};
@@ -6,25 +6,27 @@
 use crate::state::request::Request;
 use std::time::Duration;
 
-/// A new request is queued when its expected wait is at most this fraction of the time that it can spare; one that
-/// waits already may take twice as much.
+/// A new request is queued if its expected wait is at most this fraction of its slack, which is the time left without
+/// the expected latency.
 pub(super) const MAX_WAIT_FRACTION: f64 = 0.25;
+/// A request that is already queued may wait this many times as long as a new one.
 const QUEUED_WAIT_FACTOR: f64 = 2.0;
-/// A queued request is rejected when less time than so many sweeps is left: the next could come too late.
+/// A queued request is rejected if less time than this number of sweep intervals is left: the next sweep could be too
+/// late.
 const SWEEPS_BEFORE_DEADLINE: f64 = 2.0;
-/// An attempt is not worth starting with less time left than this fraction of the usual latency.
+/// An attempt is not started if less time than this fraction of the expected latency is left.
 const MIN_TIME_LEFT_FRACTION: f64 = 0.5;
-/// How strongly requests rank higher whose class falls short, for each point that the goal gives the worst class.
+/// Increase of the rank per unit of a class's shortfall, for each point of the objective's weight of the worst class.
 const WORST_CLASS_WEIGHT: f64 = 20.0;
-/// The least fraction of answered requests that is divided by.
+/// Lower bound of the fraction of answered requests, by which the shortfall is divided.
 const MIN_ANSWERED_FRACTION: f64 = 0.1;
-/// The least latency that ranks are divided by, in seconds.
+/// Lower bound of the latency by which ranks are divided, in seconds.
 const MIN_LATENCY_SECONDS: f64 = 0.01;
-/// Rejected clients come back after this fraction of the goal: later, nothing could be earned any more.
-const RETRY_AFTER_GOAL_FRACTION: f64 = 0.3;
+/// Upper bound of Retry-After as a fraction of the latency objective: a later answer could not earn anything.
+const RETRY_AFTER_OBJECTIVE_FRACTION: f64 = 0.3;
 
 impl<H: Host> Policy<H> {
-    /// Records an arrival and puts it in the queue. `false`: no setting names its class.
+    /// Records an arrival and adds the request to the queue. Returns `false` if the settings have no such class.
     pub(super) fn admit(&mut self, arrival: &RequestArrival) -> bool {
         let Some(class) = self.settings.classes.get(arrival.class) else { return false };
         let useful_until = if arrival.body_incomplete {
@@ -48,51 +50,53 @@
         true
     }
 
-    /// Traffic past a tenant's quota earns little: that part of it, by chance, ranks lower.
+    /// Whether the request counts as beyond its tenant's quota. Requests are chosen at random, in proportion to the
+    /// excess traffic, and rank lower because they earn little.
     fn is_over_quota(&mut self, tenant: usize) -> bool {
         let replicas = self.settings.replicas / self.traffic_ratio();
-        let known = self.tenants.get_mut(tenant).zip(self.settings.quotas.get(tenant));
-        let Some((rate, quota)) = known.filter(|_| self.settings.tier == 0) else { return false };
+        let tenant = self.tenants.get_mut(tenant).zip(self.settings.quotas.get(tenant));
+        let Some((rate, quota)) = tenant.filter(|_| self.settings.tier == 0) else { return false };
         rate.add(self.now, 1.0);
         let demand = rate.per_second(self.now) * replicas;
         let quota = *quota;
         demand > quota && self.random.next() > quota / demand
     }
 
-    /// Seconds in which an answer still earns something. Until its body is complete a request has its whole goal.
+    /// Seconds in which an answer still earns something. A request with an incomplete body has its whole latency
+    /// objective left.
     pub(super) fn seconds_left(&self, request: &Request) -> f64 {
-        let goal = self.settings.classes.get(request.class).map(|class| class.latency_objective);
-        let goal = goal.filter(|_| request.body_pending);
-        goal.unwrap_or(request.useful_until.saturating_sub(self.now)).as_secs_f64()
+        let objective = self.settings.classes.get(request.class).map(|class| class.latency_objective);
+        let objective = objective.filter(|_| request.body_pending);
+        objective.unwrap_or(request.useful_until.saturating_sub(self.now)).as_secs_f64()
     }
 
-    /// The mean latency of a class, in seconds; 0 while unknown.
-    pub(super) fn usual_latency(&self, class: usize) -> f64 {
+    /// Mean latency of a class, in seconds; 0 while unknown.
+    pub(super) fn mean_latency(&self, class: usize) -> f64 {
         self.classes.get(class).and_then(|class| class.latency.mean()).unwrap_or(0.0)
     }
 
-    /// The latency that a request of this stated cost usually has, in seconds.
+    /// Expected latency of the request by its class and its declared work, in seconds.
     pub(super) fn expected_latency(&self, request: &Request) -> f64 {
-        self.usual_latency(request.class) * request.relative_cost
+        self.mean_latency(request.class) * request.relative_cost
     }
 
-    /// What a request earns for each second that it keeps a place, more where its class falls short.
+    /// Rank of a request: its value per second of the capacity that it takes, raised if its class falls short.
     pub(super) fn rank(&self, request: &Request) -> f64 {
         let Some(class) = self.settings.classes.get(request.class) else { return 0.0 };
         let answered = self.classes[request.class].answered_fraction(self.now);
         let shortfall = 1.0 / answered.clamp(MIN_ANSWERED_FRACTION, 1.0) - 1.0;
         let urgency = 1.0 + WORST_CLASS_WEIGHT * self.settings.objective.worst_class * shortfall;
-        let latency = self.usual_latency(request.class).max(MIN_LATENCY_SECONDS);
+        let latency = self.mean_latency(request.class).max(MIN_LATENCY_SECONDS);
         let cost = if self.settings.value_by_work { 1.0 } else { latency };
         let quota_factor = if request.over_quota { self.settings.over_quota_value } else { 1.0 };
         class.value * urgency * quota_factor / cost
     }
 
-    /// Tries to send what is queued, the highest rank first.
+    /// Tries to send the queued requests, highest rank first.
     pub(super) fn dispatch_queued(&mut self) {
         let rank = |id: &Id| Some((self.rank(self.requests.get(id)?), id.clone()));
         let mut ranked: Vec<(f64, Id)> = self.queue.iter().filter_map(rank).collect();
-        ranked.sort_by(|one, other| other.0.total_cmp(&one.0));
+        ranked.sort_by(|first, second| second.0.total_cmp(&first.0));
         self.queue.clear();
         for (_, id) in ranked {
             if !self.try_dispatch(&id) {
@@ -101,7 +105,7 @@
         }
     }
 
-    /// Sends the request if a server can take it now.
+    /// Sends the request if a server can take it now. Returns whether it was sent.
     pub(super) fn try_dispatch(&mut self, id: &Id) -> bool {
         let Some(request) = self.requests.get(id) else { return false };
         let too_late = self.seconds_left(request) < MIN_TIME_LEFT_FRACTION * self.expected_latency(request);
@@ -113,34 +117,35 @@
         true
     }
 
-    /// Rejects at once what would hardly be answered in time: waiting in vain costs more than a quick refusal.
-    pub(super) fn shed_queued(&mut self, newcomer: Option<&Id>) {
-        let turnover = self.turnover();
-        let mut ahead = 0.0;
-        // Operators took out the last server: it will not be back in time.
-        let no_server = self.servers.ready_count() == 0 && self.overrides.any();
+    /// Rejects queued requests that would hardly be answered in time: an immediate rejection costs the client less than
+    /// a futile wait.
+    pub(super) fn shed_queued(&mut self, new_request: Option<&Id>) {
+        let completion_rate = self.completion_rate();
+        let mut requests_ahead = 0.0;
+        // Operators excluded the last server, so none will be ready before the deadlines.
+        let no_server = self.servers.ready_count() == 0 && self.overrides.any_excluded();
         let deadline_margin = SWEEPS_BEFORE_DEADLINE * self.sweeps.interval().as_secs_f64();
         for id in self.queue.clone() {
             let Some(request) = self.requests.get(&id) else { continue };
             let seconds_left = self.seconds_left(request);
-            let ends = seconds_left <= deadline_margin;
-            if self.awaits_checks(request) && !ends {
+            let is_expiring = seconds_left <= deadline_margin;
+            if self.awaits_checks(request) && !is_expiring {
                 continue;
             }
-            let is_new = newcomer == Some(&id);
+            let is_new = new_request == Some(&id);
             let fraction = if is_new { MAX_WAIT_FRACTION } else { QUEUED_WAIT_FACTOR * MAX_WAIT_FRACTION };
             let max_wait = fraction * (seconds_left - self.expected_latency(request));
-            if ends || no_server || (ahead + 1.0) / turnover > max_wait {
+            if is_expiring || no_server || (requests_ahead + 1.0) / completion_rate > max_wait {
                 self.queue.retain(|queued| *queued != id);
                 self.reject(&id);
             } else {
-                ahead += 1.0;
+                requests_ahead += 1.0;
             }
         }
     }
 
-    /// Gives the request its final answer: rejected, with Retry-After where that is allowed, if sending it again does
-    /// no harm; else terminated.
+    /// Ends a request without an answer: as rejected, with Retry-After if allowed, where a repeat does no harm;
+    /// otherwise as failed.
     pub(super) fn reject(&mut self, id: &Id) {
         let Some(request) = self.requests.get(id).filter(|request| !request.finished) else { return };
         let repeatable = matches!(
@@ -148,13 +153,17 @@
             RetrySafety::Idempotent | RetrySafety::IdempotencyKeyed(DedupScope::All)
         );
         if repeatable || !request.may_have_run() {
-            let goal = self
+            let objective = self
                 .settings
                 .classes
                 .get(request.class)
                 .map_or(Duration::ZERO, |class| class.latency_objective);
-            let useful = goal.mul_f64(RETRY_AFTER_GOAL_FRACTION);
-            let retry_after = self.settings.capabilities.max_retry_after.map(|most| most.min(useful));
+            let max_useful_wait = objective.mul_f64(RETRY_AFTER_OBJECTIVE_FRACTION);
+            let retry_after = self
+                .settings
+                .capabilities
+                .max_retry_after
+                .map(|max_retry_after| max_retry_after.min(max_useful_wait));
             self.host.reject(id, retry_after);
         } else {
             self.host.fail(id);
--- a/crates/decisions/src/policy/attempts.rs
+++ b/crates/decisions/src/policy/attempts.rs
@@ -1,4 +1,4 @@
-//! Sending an attempt, and closing a request.
+//! Sends attempts and closes requests.
 
 use super::Policy;
 use crate::host::{Event, Host, Id};
@@ -7,7 +7,7 @@
 use crate::state::server_set::Slot;
 
 impl<H: Host> Policy<H> {
-    /// Sends the request to the server.
+    /// Sends the next attempt of the request to the server.
     pub(super) fn send_attempt(&mut self, id: &Id, to: Slot) {
         let connection_idle = self.replace_idle_connection(id, to);
         let Some(request) = self.requests.get_mut(id) else { return };
@@ -39,14 +39,15 @@
         self.host.start_attempt(id, &server_id, useful_until);
     }
 
-    /// The attempt's time begins: from now on it counts as in flight and may become overdue.
+    /// Starts the time of an attempt: from now on it counts as in flight and may become overdue.
     pub(super) fn begin_attempt(&mut self, id: &Id, class: usize, slot: Slot, number: u32) {
         self.servers.change_in_flight(slot, 1);
         let attempt = WatchedAttempt { sent_at: self.now, request: id.clone(), number };
         self.classes[class].watched.push_back(attempt);
     }
 
-    /// The request has its final answer: attempts in flight are cancelled, and it is kept until they are over.
+    /// Closes a request that has its final response: attempts in flight are cancelled, and the record is kept until
+    /// they end.
     pub(super) fn close_request(&mut self, id: &Id) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.finished = true;
--- a/crates/decisions/src/policy/health_checks.rs
+++ b/crates/decisions/src/policy/health_checks.rs
@@ -6,15 +6,15 @@
 use std::time::Duration;
 
 impl<H: Host> Policy<H> {
-    /// A health check is over. Its load report counts only where each draw fetches its own: else it would be the last
-    /// for long.
+    /// Handles the outcome of a health check. Its load report is recorded only if each selection fetches its own
+    /// reports: elsewhere checks are rare, and the report would be used long after it is outdated.
     pub fn health_check_ended(&mut self, now: Duration, outcome: Outcome, id: &Id, load: LoadReport) {
         self.now = now;
         let Some(slot) = self.servers.slot(id) else { return };
-        self.servers[slot].checking = false;
+        self.servers[slot].check_in_flight = false;
         self.zones.check_ended(self.servers[slot].zone, now, outcome);
         if self.check_budget.is_used() {
-            self.take_preselection_check(slot, outcome, load);
+            self.record_preselection_check(slot, outcome, load);
         }
         if outcome == Outcome::Ok {
             self.count_success(slot);
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Checks the ejected servers whose next check is due.
+    /// Starts the due health checks of ejected servers.
     pub(super) fn make_due_health_checks(&mut self) {
         if !self.settings.capabilities.health_checks {
             return;
@@ -37,10 +37,10 @@
         }
     }
 
-    /// Checks the server unless a check is in flight. Returns whether it was started.
+    /// Starts a health check of the server unless one is in flight. Returns whether it was started.
     pub(super) fn start_health_check(&mut self, slot: Slot) -> bool {
         let server = &mut self.servers[slot];
-        let in_flight = std::mem::replace(&mut server.checking, true);
+        let in_flight = std::mem::replace(&mut server.check_in_flight, true);
         if !in_flight {
             self.host.check_health(&server.id);
         }
--- a/crates/decisions/src/policy/idle_connections.rs
+++ b/crates/decisions/src/policy/idle_connections.rs
@@ -1,4 +1,4 @@
-//! Connections that break after they were idle are replaced before use.
+//! Replaces idle connections before use where such connections tend to break.
 
 use super::Policy;
 use crate::host::{Host, Id};
@@ -6,13 +6,13 @@
 use crate::state::server_set::Slot;
 use std::time::Duration;
 
-/// This fraction of the idempotent requests still uses idle connections: without them it would not be seen when
-/// connections break no longer.
+/// Fraction of the idempotent requests that still use idle connections: without them, the end of such breaks would go
+/// unnoticed.
 const IDLE_TRIAL_FRACTION: f64 = 0.25;
 
 impl<H: Host> Policy<H> {
-    /// For how long the connection to the server was idle. Where such connections break, it is closed, so that the
-    /// request gets a new one.
+    /// Returns for how long the connection to the server was idle. If connections of that idle time tend to break,
+    /// closes it so that the request gets a new connection, and returns zero.
     pub(super) fn replace_idle_connection(&mut self, id: &Id, to: Slot) -> Duration {
         let server = &self.servers[to];
         let last_used = server.last_used.filter(|_| server.in_flight() == 0);
@@ -27,7 +27,7 @@
         Duration::ZERO
     }
 
-    /// An idle connection broke as it was used. That is no failure of the server, and the next attempt is free.
+    /// Records that an idle connection broke on use. This is no failure of the server, and the next attempt is free.
     pub(super) fn record_idle_break(&mut self, idle: Duration) {
         if self.settings.capabilities.peer_messages && self.idle_connections.should_notify_peers(self.now) {
             self.peers.outbox.idle_connection_broke(idle);
--- a/crates/decisions/src/policy/outlier_ejection.rs
+++ b/crates/decisions/src/policy/outlier_ejection.rs
@@ -1,5 +1,5 @@
-//! Outlier ejection: a server with failures in a row gets no requests until health checks or half-open trials are
-//! answered. Where replicas share what they see, a server is ejected for one request class alone.
+//! Outlier ejection: a server with consecutive failures gets no requests until health checks or half-open trials
+//! succeed. Where replicas share outcomes, a server may be ejected for one request class alone.
 
 use super::Policy;
 use crate::host::{Event, Host, Outcome};
@@ -8,25 +8,27 @@
 use crate::state::server_set::{Ejection, Server, Slot};
 use std::time::Duration;
 
-/// Failures in a row that eject a server: few, as in the little traffic of a lower tier many never come together.
+/// Consecutive failures that eject a server. The number is low because longer runs are rare in the little traffic of a
+/// lower tier.
 const FAILURES_TO_EJECT: u32 = 4;
-/// When more of the ready servers fail, the cause is load or something shared, and the rest could not carry all.
+/// Maximum fraction of the ready servers that is ejected. If more of them fail, the cause is overload or a shared
+/// dependency, and the remaining servers could not carry the traffic.
 const MAX_EJECTED_FRACTION: f64 = 0.5;
-/// Health checks or trials in a row that end an ejection.
+/// Consecutive successful health checks or trials that end an ejection.
 const SUCCESSES_TO_RETURN: u32 = 2;
-/// Health checks in a row that cannot reach a server and eject it.
+/// Consecutive health checks or attempts that could not reach a server and so eject it.
 const UNREACHABLE_CHECKS_TO_EJECT: u32 = 2;
-/// The largest fraction of the servers that is ejected for one class.
+/// Maximum fraction of the ready servers that is ejected for one class.
 const MAX_CLASS_EJECTED_FRACTION: f64 = 0.75;
-/// Where replicas share what they see, a failure counts this many points, and `FAILURES_TO_EJECT` times as many eject.
+/// Points for each failure where replicas share outcomes. `FAILURES_TO_EJECT` times as many points eject a server.
 const SHARED_FAILURE_POINTS: u32 = 2;
-/// A server that is ejected for a class gets no trial request of the class for so long.
+/// Time before the next trial request of the class to a server that is ejected for it.
 const CLASS_TRIAL_AFTER: Duration = Duration::from_secs(5);
-/// Then replicas take turns, on average so many seconds apart.
+/// After that time the replicas take turns, at this mean interval, in seconds.
 const CLASS_TRIAL_INTERVAL_SECONDS: f64 = 0.3;
-/// The time between health checks of an ejected server.
+/// Time between health checks of an ejected server.
 pub(super) const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// The time before the next half-open trial, where health checks are not allowed.
+/// Time until the next half-open trial, where health checks are not allowed.
 const TRIAL_INTERVAL: Duration = Duration::from_secs(5);
 
 impl<H: Host> Policy<H> {
@@ -40,19 +42,20 @@
         self.host.log(&Event::Ejected(self.servers[slot].id.clone()));
     }
 
-    /// In a drained zone a server is checked only when this replica has the turn.
+    /// A new ejection. In a drained zone its next trial is not due until the fleet assigns one to this replica.
     pub(super) fn new_ejection(&self, slot: Slot) -> Ejection {
         let interval = if self.settings.capabilities.health_checks { CHECK_INTERVAL } else { TRIAL_INTERVAL };
         let drained = self.zones.is_drained(self.servers[slot].zone);
         Ejection::new(if drained { Duration::MAX } else { self.now + interval })
     }
 
-    /// An ejected server failed again.
+    /// Restarts the ejection of a server that failed again.
     pub(super) fn restart_ejection(&mut self, slot: Slot) {
         self.servers.eject(slot, self.new_ejection(slot));
     }
 
-    /// An attempt to the server begins: the only trial, if the server is ejected.
+    /// Records the start of an attempt at an ejected server: it is the only trial in flight, and a trial of the class
+    /// delays the next one.
     pub(super) fn begin_trial(&mut self, slot: Slot, class: usize) {
         let server = &mut self.servers[slot];
         if let Some(ejection) = server.ejection_mut() {
@@ -63,7 +66,7 @@
         }
     }
 
-    /// Whether this request may be the trial of an ejected server.
+    /// Whether the request may be the half-open trial of an ejected server.
     pub(super) fn may_be_trial(&self, request: &Request, ejection: &Ejection) -> bool {
         let trial_due = !ejection.trial_in_flight && ejection.next_trial <= self.now;
         !self.settings.capabilities.health_checks
@@ -71,12 +74,12 @@
             && self.retry_safety(request) == RetrySafety::Idempotent
     }
 
-    /// Whether the server's ejection for the request's class keeps the request from it.
+    /// Whether the request may not be sent to the server because of an ejection for its class.
     pub(super) fn is_class_ejected(&self, request: &Request, server: &Server) -> bool {
         server.class_ejection(request.class).is_some_and(|ejection| ejection.next_trial > self.now)
     }
 
-    /// An attempt failed.
+    /// Records a failed attempt.
     pub(super) fn record_failure(
         &mut self,
         slot: Slot,
@@ -87,17 +90,17 @@
         if matches!(outcome, Outcome::NotSent | Outcome::Cancelled) {
             return;
         }
-        self.decrease_limit_by(slot, outcome);
-        // Of a time-out after a check: by what it held, the server could not have answered yet.
-        let explained = outcome == Outcome::Timeout && self.check_budget.is_used();
+        self.decrease_limit_on_failure(slot, outcome);
+        // With checks before selection, the load that the server reported explains a timeout.
+        let explained_by_load = outcome == Outcome::Timeout && self.check_budget.is_used();
         if outcome == Outcome::ConnectFailed && self.settings.capabilities.peer_messages {
             self.record_unreachable(slot);
-        } else if !already_counted && !explained {
+        } else if !already_counted && !explained_by_load {
             self.report_class_outcome(slot, class, false);
         }
     }
 
-    /// A health check could not reach the server.
+    /// Records that a health check or an attempt could not reach the server.
     pub(super) fn record_unreachable(&mut self, slot: Slot) {
         let server = &mut self.servers[slot];
         server.unreachable_at = Some(self.now);
@@ -108,12 +111,12 @@
         }
     }
 
-    /// The server answered a request or a health check.
+    /// Records that the server answered a request or a health check.
     pub(super) fn count_success(&mut self, slot: Slot) {
         let now = self.now;
         let drained = self.zones.is_drained(self.servers[slot].zone);
         if drained && self.servers[slot].ejection().is_some() {
-            // The fleet is told that the server answers, and uses the zone again or not.
+            // The fleet receives this answer as an observation and decides whether to use the zone again.
             return self.restart_ejection(slot);
         }
         let interval = if self.settings.capabilities.health_checks { CHECK_INTERVAL } else { Duration::ZERO };
@@ -127,14 +130,14 @@
         }
     }
 
-    /// Whether failures of the class are held against the server.
+    /// Whether the server has recent failures of the class or is ejected for it.
     pub(super) fn is_failing_class(&self, slot: Slot, class: usize) -> bool {
         let health = self.servers[slot].classes.get(class);
         health.is_some_and(|health| health.consecutive_failures > 0 || health.ejection.is_some())
     }
 
-    /// A server answered a request of this class or failed it, here or at a peer. Failures are counted by class: what
-    /// a server answers of one class must not hide that it fails another.
+    /// Counts an answer or a failure of this class, observed here or by a peer. Failures are counted by class, so that
+    /// answers of one class do not hide failures of another.
     pub(super) fn count_class_outcome(&mut self, slot: Slot, class: usize, answered: bool) {
         if answered {
             self.count_class_answer(slot, class);
@@ -153,36 +156,39 @@
         let failures = health.consecutive_failures;
         if !shared && failures >= FAILURES_TO_EJECT {
             self.eject(slot);
-        } else if failures >= SHARED_FAILURE_POINTS * FAILURES_TO_EJECT && self.fails_class_alone(slot, class)
+        } else if failures >= SHARED_FAILURE_POINTS * FAILURES_TO_EJECT && self.fails_only_class(slot, class)
         {
             self.eject_for_class(slot, class);
         }
     }
 
-    /// A server that is slow for all classes alike shows as queued requests, and loses none.
-    fn fails_class_alone(&self, slot: Slot, class: usize) -> bool {
+    /// Whether the server fails this class but not every other one. A server that is slow for all classes alike shows
+    /// it by its queue, and does not fail requests.
+    fn fails_only_class(&self, slot: Slot, class: usize) -> bool {
         let classes = &self.servers[slot].classes;
         let others = classes.iter().enumerate().filter(|(other, _)| *other != class);
-        let least_failures = others.map(|(_, health)| health.consecutive_failures).min();
-        classes.len() == 1 || least_failures < Some(FAILURES_TO_EJECT)
+        let min_failures = others.map(|(_, health)| health.consecutive_failures).min();
+        classes.len() == 1 || min_failures < Some(FAILURES_TO_EJECT)
     }
 
-    /// For this class alone: without servers that fail one class and serve the others, the rest could not carry all.
+    /// Ejects the server for this class alone. Without the servers that fail one class and answer the others, the rest
+    /// could not carry the traffic.
     fn eject_for_class(&mut self, slot: Slot, class: usize) {
         let ejected = self.servers.class_ejected_count(class) as f64;
-        let is_known = self.servers[slot].class_ejection(class).is_some();
-        if !is_known && ejected + 1.0 > MAX_CLASS_EJECTED_FRACTION * self.servers.ready_count() as f64 {
+        let already_ejected = self.servers[slot].class_ejection(class).is_some();
+        if !already_ejected && ejected + 1.0 > MAX_CLASS_EJECTED_FRACTION * self.servers.ready_count() as f64
+        {
             return;
         }
-        let turn_seconds = self.random.next() * CLASS_TRIAL_INTERVAL_SECONDS * self.replicas_per_server;
-        let next_trial = self.now + CLASS_TRIAL_AFTER + Duration::from_secs_f64(turn_seconds);
+        let turn_delay_seconds = self.random.next() * CLASS_TRIAL_INTERVAL_SECONDS * self.replicas_per_server;
+        let next_trial = self.now + CLASS_TRIAL_AFTER + Duration::from_secs_f64(turn_delay_seconds);
         self.servers[slot].classes[class].ejection = Some(Ejection::new(next_trial));
     }
 
     fn count_class_answer(&mut self, slot: Slot, class: usize) {
         let shared = self.settings.capabilities.peer_messages;
         let Some(health) = self.servers[slot].classes.get_mut(class) else { return };
-        // Losses by chance come between answers: of what many replicas tell, an answer makes good half a failure.
+        // Random losses occur between answers: with the outcomes of many replicas, one answer cancels half a failure.
         health.consecutive_failures = if shared { health.consecutive_failures.saturating_sub(1) } else { 0 };
         let Some(ejection) = &mut health.ejection else { return };
         ejection.successes += 1;
--- a/crates/decisions/src/policy/peer_exchange.rs
+++ b/crates/decisions/src/policy/peer_exchange.rs
@@ -1,5 +1,5 @@
-//! What replicas tell each other: outcomes by server and class, idle connections that broke, and request rates. Messages
-//! are unreliable; all decisions stand without them.
+//! The exchange with peers: outcomes by server and class, broken idle connections, and request rates. Messages may be
+//! lost; no decision depends on them.
 
 use super::Policy;
 use crate::host::Host;
@@ -7,30 +7,30 @@
 use crate::state::server_set::Slot;
 use std::time::Duration;
 
-/// So many peers are told of this replica's request rate at a time.
+/// Number of peers that receive this replica's request rate at a time.
 const RATE_RECIPIENTS: usize = 4;
 
 impl<H: Host> Policy<H> {
-    /// A message came from a peer.
+    /// Handles a message from a peer.
     pub fn peer_message_received(&mut self, now: Duration, _peer: u32, message: &[u8]) {
         self.now = now;
         let ignored = peer_messages::read(message, self);
         self.peers.ignored.add(ignored);
     }
 
-    /// How much of what peers sent was in vain so far.
+    /// Counts of the messages and events from peers that were ignored since the start.
     pub fn ignored_messages(&self) -> IgnoredMessages {
         self.peers.ignored
     }
 
-    /// Sends the events that were gathered to all peers, within the budget.
+    /// Sends the collected events to all peers, within the budget for messages.
     pub(super) fn send_peer_messages(&mut self) {
         if let Some(message) = self.peers.take_message(self.settings.replicas) {
             self.host.send_to_peers(None, &message);
         }
     }
 
-    /// Tells a few peers of this replica's request rate.
+    /// Sends this replica's request rate to a few random peers.
     pub(super) fn send_request_rate(&mut self) {
         let replicas = self.settings.replicas as u32;
         if !self.settings.capabilities.peer_messages || replicas <= 1 {
@@ -44,8 +44,8 @@
         }
     }
 
-    /// A server answered a request of this class or failed it. Peers are told too, where they may: each replica alone
-    /// sees too little of a class at a server.
+    /// Counts an answer or a failure of this class, and shares it with the peers if allowed: one replica alone sees too
+    /// few requests of a class at each server.
     pub(super) fn report_class_outcome(&mut self, slot: Slot, class: usize, answered: bool) {
         if self.settings.capabilities.peer_messages {
             let server = self.servers[slot].short_name();
@@ -69,6 +69,6 @@
     }
 
     fn peer_request_rate(&mut self, per_second: f64) {
-        self.peers.take_rate(per_second);
+        self.peers.record_peer_rate(per_second);
     }
 }
--- a/crates/decisions/src/policy/preselection.rs
+++ b/crates/decisions/src/policy/preselection.rs
@@ -1,5 +1,5 @@
-//! Health checks before selection: where checks alone tell how much servers hold, a request waits for fresh reports of
-//! a few servers. One of hundreds of replicas learns too little of any server otherwise.
+//! Health checks before selection: where health checks alone report load, a request waits for fresh reports of a few
+//! servers. From its own traffic, one of hundreds of replicas would learn too little of each server.
 
 use super::Policy;
 use crate::host::{Host, Id, LoadReport, Outcome};
@@ -7,21 +7,21 @@
 use crate::state::server_set::{Server, Slot};
 use std::time::Duration;
 
-/// So many servers are checked in the first round; if each holds something, more, while the budget lasts.
+/// Servers that are checked in the first round. If none of them is idle, further rounds check more, within the budget.
 const FIRST_ROUND_CHECKS: usize = 2;
-/// The most rounds for one attempt.
+/// Maximum number of rounds for one attempt.
 const MAX_ROUNDS: u32 = 3;
-/// A server with so fresh a report is not checked again.
+/// A server with a report of this age or younger is not checked again.
 const FRESH_REPORT_AGE: Duration = Duration::from_millis(4);
-/// A request waits no longer than this for the checks of one round.
+/// Maximum time for which a request waits for the checks of one round.
 const MAX_CHECK_WAIT: Duration = Duration::from_millis(10);
-/// The age up to which a report that was fetched for selection counts.
+/// Maximum age of a report that was fetched for selection.
 pub(super) const CHECKED_REPORT_MAX_AGE: Duration = Duration::from_millis(34);
-/// A server that holds less than this is idle: if it is selected, no further round is made.
+/// A server with fewer requests than this is idle: if it is selected, no further round is made.
 pub(super) const IDLE_LOAD: f64 = 1.0;
 
 impl<H: Host> Policy<H> {
-    /// Selects a server, and makes further rounds of checks while the best holds something.
+    /// Selects a server. Makes further rounds of checks as long as the selected server is not idle.
     pub(super) fn select_checked_server(&mut self, id: &Id) -> Option<Slot> {
         let mut selected = self.select_server(id);
         while !self.is_idle_selection(selected) && self.check_before_selection(id) {
@@ -38,12 +38,12 @@
         load.is_some_and(|load| load < IDLE_LOAD)
     }
 
-    /// Whether the server's report is fresh enough for the estimate of the time to an answer.
+    /// Whether the server's report is recent enough for an estimate of the time to an answer.
     pub(super) fn has_checked_report(&self, server: &Server) -> bool {
         server.recent_load(self.now, CHECKED_REPORT_MAX_AGE).is_some()
     }
 
-    /// Begins a round of checks for the request. Returns whether there are new candidates.
+    /// Starts a round of checks for the request. Returns whether it found new candidates.
     pub(super) fn check_before_selection(&mut self, id: &Id) -> bool {
         let may_check = |request: &&Request| self.check_budget.is_used() && request.check_rounds < MAX_ROUNDS;
         let Some(request) = self.requests.get(id).filter(may_check) else { return false };
@@ -60,42 +60,42 @@
             }
         }
         let Some(request) = self.requests.get_mut(id) else { return false };
-        let found = !candidates.is_empty();
+        let found_any = !candidates.is_empty();
         request.candidates.extend(candidates);
         request.pending_checks = to_check;
-        request.checks_until = self.now + MAX_CHECK_WAIT;
+        request.checks_deadline = self.now + MAX_CHECK_WAIT;
         request.check_rounds += 1;
-        found
+        found_any
     }
 
-    /// Eligible servers that are no candidates yet, by chance; those with an open connection first.
+    /// Randomly chosen eligible servers that are not yet candidates; servers with an open connection come first.
     fn new_candidates(&mut self, id: &Id, is_first_round: bool) -> Vec<Slot> {
         let Some(request) = self.requests.get(id) else { return Vec::new() };
         let window = self.servers.window().iter().copied();
-        let new = window.filter(|slot| !request.candidates.contains(slot));
+        let unchecked = window.filter(|slot| !request.candidates.contains(slot));
         let mut candidates: Vec<Slot> =
-            new.filter(|slot| self.is_eligible(request, &self.servers[*slot], false)).collect();
-        let most = if is_first_round { FIRST_ROUND_CHECKS } else { self.check_budget.per_request() };
-        let wanted = most.min(self.check_budget.available()).min(candidates.len());
+            unchecked.filter(|slot| self.is_eligible(request, &self.servers[*slot], false)).collect();
+        let max_checks = if is_first_round { FIRST_ROUND_CHECKS } else { self.check_budget.per_request() };
+        let count = max_checks.min(self.check_budget.available()).min(candidates.len());
         self.random.shuffle(&mut candidates);
-        let kept_for = self.settings.idle_connection_timeout;
-        candidates.sort_by_key(|slot| !self.servers[*slot].has_connection(self.now, kept_for));
-        candidates.truncate(wanted);
+        let idle_timeout = self.settings.idle_connection_timeout;
+        candidates.sort_by_key(|slot| !self.servers[*slot].has_connection(self.now, idle_timeout));
+        candidates.truncate(count);
         candidates
     }
 
-    /// Whether the request still waits for checks.
+    /// Whether the request still waits for health checks.
     pub(super) fn awaits_checks(&self, request: &Request) -> bool {
-        !request.pending_checks.is_empty() && self.now < request.checks_until
+        !request.pending_checks.is_empty() && self.now < request.checks_deadline
     }
 
-    /// A check is over: requests no longer wait for it.
-    pub(super) fn take_preselection_check(&mut self, slot: Slot, outcome: Outcome, load: LoadReport) {
+    /// Records a health check, for which requests no longer wait.
+    pub(super) fn record_preselection_check(&mut self, slot: Slot, outcome: Outcome, load: LoadReport) {
         if outcome == Outcome::Ok {
             let server = &mut self.servers[slot];
             server.unreachable_at = None;
             server.unreachable_checks = 0;
-            self.take_load_report(slot, load);
+            self.record_load_report(slot, load);
         } else {
             self.record_unreachable(slot);
         }
--- a/crates/decisions/src/policy/reconfiguration.rs
+++ b/crates/decisions/src/policy/reconfiguration.rs
@@ -1,5 +1,5 @@
-//! Settings and replica counts that change while the decisions run. Only figures that are looked up anew each time are
-//! taken in: a request keeps what was found when it arrived, and statistics go on.
+//! Changes of settings and of the number of replicas at run time. Only values that are read on each use change: open
+//! requests keep the values computed on arrival, and statistics are kept.
 
 use super::Policy;
 use crate::host::{Host, ReplicaView};
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 impl<H: Host> Policy<H> {
-    /// Tenants' quotas (requests per second over all replicas) and classes, by their numbers. Of a class its goal,
-    /// limit and utilities are taken: which classes and tenants there are, and what may be repeated, stays.
+    /// Replaces the quotas of tenants, in requests per second over all replicas, and the latency objective, time limit
+    /// and values of classes, both by number. The sets of classes and tenants and the retry safety do not change.
     pub fn settings_changed(&mut self, now: Duration, quotas: &[f64], classes: &[RequestClass]) {
         self.now = now;
         for (quota, new) in self.settings.quotas.iter_mut().zip(quotas) {
@@ -22,13 +22,13 @@
         }
     }
 
-    /// How many replicas there are by now. What is configured holds until this is first called.
+    /// Replaces the view of the replicas. The configured values apply until the first call.
     pub fn replicas_changed(&mut self, now: Duration, replicas: &ReplicaView) {
         self.now = now;
         let count = if replicas.count.is_finite() { replicas.count.max(1.0) } else { self.settings.replicas };
         self.settings.replicas = count;
         self.settings.max_live_replicas = replicas.max_alive.max(count);
         self.settings.ordinal = replicas.ordinal.unwrap_or(self.settings.ordinal);
-        self.peers.usual_rate = replicas.mean_request_rate.or(self.peers.usual_rate);
+        self.peers.mean_rate = replicas.mean_request_rate.or(self.peers.mean_rate);
     }
 }
--- a/crates/decisions/src/policy/retry.rs
+++ b/crates/decisions/src/policy/retry.rs
@@ -1,4 +1,4 @@
-//! Further attempts: after one that failed, and beside or in place of one that is overdue.
+//! Further attempts: retries after a failure, and hedges or replacements of overdue attempts.
 
 use super::Policy;
 use crate::host::{Host, Id};
@@ -7,21 +7,21 @@
 use crate::state::server_set::Slot;
 use std::time::Duration;
 
-/// The price of a further attempt when the request may have run, in the retry budget's requests.
+/// Price of a further attempt of a request that may have run, in credits of the retry budget.
 const RETRY_PRICE: f64 = 1.0;
-/// A hedged request is not worth sending with less time left than so many times the expected latency.
+/// A hedge is not sent if less time than this multiple of the expected latency is left.
 const HEDGE_TIME_FACTOR: f64 = 1.5;
-/// An attempt is overdue at this many times the time in which this fraction of the class is answered.
+/// An attempt is overdue at this multiple of the latency quantile `OVERDUE_QUANTILE` of its class.
 const OVERDUE_FACTOR: f64 = 4.0;
 const OVERDUE_QUANTILE: f64 = 0.9;
-/// Where the server's load was checked, it is overdue at this many times what it would take by that.
+/// If the server's load was checked, an attempt is overdue at this multiple of the time that this load requires.
 const OVERDUE_SERVICE_FACTOR: f64 = 2.5;
-/// Answers before the service time is believed.
+/// Minimum number of answers before the mean service time is used.
 const MIN_SERVICE_TIMES: u32 = 8;
 
-/// An attempt that has become overdue. The order of the fields is the order in which several are handled.
+/// An attempt that has become overdue. The order of the fields is the order in which attempts are handled.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Overdue {
+struct OverdueAttempt {
     request: Id,
     class: usize,
     slot: Slot,
@@ -29,7 +29,7 @@
 }
 
 impl<H: Host> Policy<H> {
-    /// What the request's class says of repeats.
+    /// The retry safety of the request's class.
     pub(super) fn retry_safety(&self, request: &Request) -> RetrySafety {
         self.settings
             .classes
@@ -37,36 +37,37 @@
             .map_or(RetrySafety::NonIdempotent, |class| class.retry_safety)
     }
 
-    /// Whether the request may be sent to a server of this zone and cell, after the attempts that it had.
+    /// Whether the request may be sent to a server of this zone and cell, given its earlier attempts.
     pub(super) fn may_attempt(&self, request: &Request, zone: u32, cell: u32) -> bool {
-        let is_over = request.finished || request.streaming || request.not_replayable;
-        if is_over || request.useful_until <= self.now {
+        let is_closed = request.finished || request.streaming || request.not_replayable;
+        if is_closed || request.useful_until <= self.now {
             return false;
         }
         let max_attempts = self.settings.capabilities.max_attempts as usize;
-        let may_be_parallel = self.settings.capabilities.hedging;
-        if request.attempts.len() >= max_attempts || (!may_be_parallel && request.in_flight() > 0) {
+        let may_hedge = self.settings.capabilities.hedging;
+        if request.attempts.len() >= max_attempts || (!may_hedge && request.in_flight() > 0) {
             return false;
         }
         match self.retry_safety(request) {
             RetrySafety::Idempotent => true,
             RetrySafety::NonIdempotent => !request.may_have_run(),
             RetrySafety::IdempotencyKeyed(scope) => {
-                let memory = self
+                let dedup_window = self
                     .settings
                     .classes
                     .get(request.class)
                     .map_or(Duration::ZERO, |class| class.dedup_window);
-                let mut ran = request.attempts.iter().filter(|a| a.state != AttemptState::NeverRan);
-                ran.all(|attempt| {
+                let mut possible_runs =
+                    request.attempts.iter().filter(|attempt| attempt.state != AttemptState::NeverRan);
+                possible_runs.all(|attempt| {
                     scope.covers((attempt.zone, attempt.cell), (zone, cell))
-                        && self.now + self.settings.timer_resolution < attempt.sent_at + memory
+                        && self.now + self.settings.timer_resolution < attempt.sent_at + dedup_window
                 })
             }
         }
     }
 
-    /// After an attempt: the request is closed, waits for another attempt that is in flight, is retried, or rejected.
+    /// Continues a request after an attempt: closes it, waits for another attempt in flight, retries it, or rejects it.
     pub(super) fn continue_request(&mut self, id: &Id) {
         let Some(request) = self.requests.get(id) else { return };
         if request.finished {
@@ -94,10 +95,10 @@
         }
     }
 
-    /// Attempts that are in flight far longer than usual count as failures, or what answers nothing would keep its
-    /// share of the requests.
+    /// Counts attempts that are in flight far longer than usual as failures. Otherwise a server that never answers
+    /// would keep its share of the requests.
     pub(super) fn detect_overdue_attempts(&mut self) {
-        let mut overdue = self.take_overdue_attempts();
+        let mut overdue = self.mark_overdue_attempts();
         overdue.sort();
         for attempt in overdue {
             self.servers[attempt.slot].overdue += 1;
@@ -106,36 +107,36 @@
         }
     }
 
-    /// Marks attempts that have become overdue, and forgets those that are over.
-    fn take_overdue_attempts(&mut self) -> Vec<Overdue> {
+    /// Marks overdue attempts, and stops watching those that have ended.
+    fn mark_overdue_attempts(&mut self) -> Vec<OverdueAttempt> {
         let mut overdue = Vec::new();
         let service_time = self.service_time.exact_mean();
         let service_time = service_time
             .filter(|_| self.check_budget.is_used() && self.service_time.total >= MIN_SERVICE_TIMES);
         let own_delay = self.sweeps.own_delay();
         for (class, statistics) in self.classes.iter_mut().enumerate() {
-            let usual = statistics.latency.quantile(OVERDUE_QUANTILE);
+            let high_latency = statistics.latency.quantile(OVERDUE_QUANTILE);
             statistics.watched.retain(|watched| {
                 let request = self.requests.get_mut(&watched.request).filter(|request| !request.streaming);
                 let Some(request) = request else { return false };
                 let attempt = request.attempts.get_mut(watched.number as usize);
-                // A later request may have the id of one that is over.
+                // The id of a closed request may be used again.
                 let attempt = attempt.filter(|attempt| {
                     attempt.state == AttemptState::InFlight && attempt.sent_at == watched.sent_at
                 });
                 let Some(attempt) = attempt else { return false };
-                // A replica that was itself held up has not read the answers that came meanwhile.
-                let seconds = self.now.saturating_sub(watched.sent_at + own_delay).as_secs_f64();
+                // A replica that was delayed itself has not yet read the answers that arrived in the meantime.
+                let waited_seconds = self.now.saturating_sub(watched.sent_at + own_delay).as_secs_f64();
                 let limit_seconds = match (attempt.queued_ahead, service_time) {
-                    (Some(ahead), Some(service_time)) => {
-                        Some(OVERDUE_SERVICE_FACTOR * service_time * (request.relative_cost + ahead))
+                    (Some(queued_ahead), Some(service_time)) => {
+                        Some(OVERDUE_SERVICE_FACTOR * service_time * (request.relative_cost + queued_ahead))
                     }
-                    _ => usual.map(|usual| OVERDUE_FACTOR * usual),
+                    _ => high_latency.map(|seconds| OVERDUE_FACTOR * seconds),
                 };
-                attempt.overdue = limit_seconds.is_some_and(|limit| seconds > limit);
+                attempt.overdue = limit_seconds.is_some_and(|limit| waited_seconds > limit);
                 if attempt.overdue {
                     let (request, slot) = (watched.request.clone(), attempt.slot);
-                    overdue.push(Overdue { request, class, slot, number: watched.number });
+                    overdue.push(OverdueAttempt { request, class, slot, number: watched.number });
                 }
                 !attempt.overdue
             });
@@ -143,8 +144,8 @@
         overdue
     }
 
-    /// An overdue request is tried elsewhere: beside the overdue attempt where two may be in flight, else after it is
-    /// cancelled and reported as over.
+    /// Tries an overdue request on another server: in parallel to the overdue attempt if hedging is allowed, otherwise
+    /// after that attempt is cancelled and has ended.
     fn hedge_or_replace(&mut self, id: &Id, overdue_attempt: u32) {
         let Some(request) = self.requests.get(id) else { return };
         let has_time = self.seconds_left(request) >= HEDGE_TIME_FACTOR * self.expected_latency(request);
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Whether the window has an available server that the request was not sent to.
+    /// Whether the window has an available server without an attempt of the request.
     fn has_other_server(&self, request: &Request) -> bool {
         let mut window = self.servers.window().iter().map(|slot| &self.servers[*slot]);
         window.any(|server| server.ejection().is_none() && !request.was_sent_to(&server.id))
--- a/crates/decisions/src/policy/selection.rs
+++ b/crates/decisions/src/policy/selection.rs
@@ -1,4 +1,4 @@
-//! Selection of a server: which are eligible for a request, and a draw by weight.
+//! Selection of a server: which servers are eligible for a request, and a random choice by weight.
 
 use super::Policy;
 use super::concurrency_limits::INITIAL_LIMIT;
@@ -10,46 +10,47 @@
 use crate::state::request::{AttemptState, Request};
 use crate::state::server_set::{Server, Slot};
 
-/// Weights fall with this power of load and slowness.
+/// Exponent with which weights fall with load and slowness.
 const WEIGHT_EXPONENT: i32 = 4;
-/// Weights by reports that were fetched for the draw itself fall with this power of the time to an answer: such
-/// reports hardly age.
+/// Exponent with which weights fall with the time to an answer, if reports were fetched for this selection. It is
+/// higher because such reports are hardly outdated.
 const CHECKED_WEIGHT_EXPONENT: i32 = 12;
-/// The least time to an answer that weights go by, in seconds.
+/// Lower bound of the time to an answer in weights, in seconds.
 const MIN_ESTIMATE_SECONDS: f64 = 1e-6;
-/// A weight is multiplied by e to the power of minus this, times the price of crossing into another zone.
-const ZONE_CROSSING_AVERSION: f64 = 60.0;
-/// A server is eligible if the request would be answered there within this fraction of the time left; an idle one
-/// within all of it.
+/// Weights of servers in other zones are multiplied by e to the power of minus this times the price of an attempt
+/// there.
+const ZONE_CROSSING_WEIGHT: f64 = 60.0;
+/// A server is eligible if the request would be answered within this fraction of the time left, or within all of it if
+/// the server is idle.
 const DEADLINE_FRACTION: f64 = 0.75;
-/// Every server may have one attempt of each replica.
-const MIN_LIMIT_PART: f64 = 1.0;
-/// The exponent of sizes is `WEIGHT_EXPONENT` for one replica per server and approaches 1 as more share a server; the
-/// larger this is, the later.
-const CROWDING_OFFSET: f64 = 3.0;
+/// Minimum share of a server's limit, in attempts: every replica may have one attempt in flight there.
+const MIN_LIMIT_SHARE: f64 = 1.0;
+/// The exponent of sizes is `WEIGHT_EXPONENT` for one replica per server and approaches 1 as more replicas share a
+/// server. A larger offset slows this down.
+const SHARING_OFFSET: f64 = 3.0;
 
 impl<H: Host> Policy<H> {
-    /// Draws a server for the request, if one is eligible.
+    /// Selects a server for the request by a random draw, if any is eligible.
     pub(super) fn select_server(&mut self, id: &Id) -> Option<Slot> {
         self.add_slow_start_credits();
         self.update_mean_in_flight();
-        let drawn = self.random.next();
+        let draw = self.random.next();
         let request = self.requests.get(id)?;
         if self.is_at_capacity(request) {
             return None;
         }
-        let bound_cell = self.cell_that_drops_repeats(request);
+        let dedup_cell = self.dedup_cell(request);
         let exponent = self.size_exponent();
-        let in_cell = bound_cell.map(|(zone, cell)| self.servers.cell_servers(zone, cell, exponent));
-        self.weigh_servers(id, in_cell.as_deref());
-        // By its share alone a replica with few requests would leave a reinstated server unused for long.
+        let cell_servers = dedup_cell.map(|(zone, cell)| self.servers.cell_servers(zone, cell, exponent));
+        self.weigh_servers(id, cell_servers.as_deref());
+        // By its weight alone, a replica with few requests would leave a reinstated server unused for long.
         let reinstated =
             self.weights.iter().find(|(slot, _)| self.servers[*slot].min_credits_per_second > 0.0);
-        reinstated.map(|(slot, _)| *slot).or_else(|| weighted_choice(&self.weights, drawn))
+        reinstated.map(|(slot, _)| *slot).or_else(|| weighted_choice(&self.weights, draw))
     }
 
-    /// The cell in which alone a repeat of the request is dropped, if it may have run there.
-    fn cell_that_drops_repeats(&self, request: &Request) -> Option<(u32, u32)> {
+    /// The cell whose servers alone deduplicate the request, if the request may have run there.
+    fn dedup_cell(&self, request: &Request) -> Option<(u32, u32)> {
         if self.retry_safety(request) != RetrySafety::IdempotencyKeyed(DedupScope::Cell) {
             return None;
         }
@@ -58,18 +59,19 @@
         first.map(|attempt| (attempt.zone, attempt.cell))
     }
 
-    /// Fills `weights` with the eligible servers among these, or else among the request's candidates or the window.
-    fn weigh_servers(&mut self, id: &Id, among: Option<&[Slot]>) {
+    /// Fills `weights` with the eligible servers of `restricted_to`, if given, or else of the request's candidates or
+    /// the window.
+    fn weigh_servers(&mut self, id: &Id, restricted_to: Option<&[Slot]>) {
         let mut weights = std::mem::take(&mut self.weights);
         weights.clear();
         if let Some(request) = self.requests.get(id) {
-            let limited = !request.candidates.is_empty();
-            let candidates = if limited { &request.candidates } else { self.servers.window() };
+            let has_candidates = !request.candidates.is_empty();
+            let candidates = if has_candidates { &request.candidates } else { self.servers.window() };
             let all_ejected = self.servers.available_count() == 0;
             let mean_report = self.servers.mean_load_report();
             let any_checked = self.check_budget.is_used()
                 && candidates.iter().any(|slot| self.has_checked_report(&self.servers[*slot]));
-            for slot in among.unwrap_or(candidates) {
+            for slot in restricted_to.unwrap_or(candidates) {
                 let server = &self.servers[*slot];
                 let is_comparable = !any_checked || self.has_checked_report(server);
                 if is_comparable && self.is_eligible(request, server, all_ejected) {
@@ -80,13 +82,13 @@
         self.weights = weights;
     }
 
-    /// Whether the server may get the request now. If all servers are ejected, ejections are ignored.
+    /// Whether the server may get the request now. Ejections are ignored if all servers are ejected.
     pub(super) fn is_eligible(&self, request: &Request, server: &Server, all_ejected: bool) -> bool {
         let in_slow_start = server.slow_start_from().is_some();
-        let is_known = server.in_window() || !in_slow_start;
+        let is_selectable = server.in_window() || !in_slow_start;
         let has_credit = !in_slow_start || server.slow_start_credit >= 1.0;
         if !server.ready()
-            || !is_known
+            || !is_selectable
             || !has_credit
             || request.was_sent_to(&server.id)
             || self.is_class_ejected(request, server)
@@ -107,8 +109,8 @@
     }
 
     fn is_below_limit(&self, server: &Server) -> bool {
-        let own_part = server.concurrency_limit / self.replicas_per_server;
-        f64::from(server.in_flight()) < own_part.max(MIN_LIMIT_PART)
+        let own_share = server.concurrency_limit / self.replicas_per_server;
+        f64::from(server.in_flight()) < own_share.max(MIN_LIMIT_SHARE)
     }
 
     fn answers_in_time(&self, request: &Request, server: &Server) -> bool {
@@ -118,15 +120,15 @@
         seconds <= fraction * self.seconds_left(request)
     }
 
-    /// Seconds to an answer by what the server reported to hold; none where no report is recent enough.
+    /// Estimated seconds to an answer from the server's load report; `None` without a recent report.
     fn estimated_seconds(&self, request: &Request, server: &Server) -> Option<f64> {
         let load = server.recent_load(self.now, CHECKED_REPORT_MAX_AGE)?;
-        let goal = self
+        let objective = self
             .settings
             .classes
             .get(request.class)
             .map_or(0.0, |class| class.latency_objective.as_secs_f64());
-        let service_time = self.service_time.exact_mean().unwrap_or(goal / INITIAL_LIMIT);
+        let service_time = self.service_time.exact_mean().unwrap_or(objective / INITIAL_LIMIT);
         let fraction = server.slow_start_fraction(&self.settings.slow_start, self.now);
         let slowness = server.slowness.max(1.0) / fraction;
         Some(service_time * slowness * (load + request.relative_cost))
@@ -134,8 +136,8 @@
 
     fn weight(&self, request: &Request, server: &Server, mean_report: f64) -> f64 {
         let is_local = server.zone == self.settings.zone;
-        let crossing = if is_local { 0.0 } else { self.settings.costs.cross_zone };
-        let zone_factor = (-crossing * ZONE_CROSSING_AVERSION).exp() * self.zones.weight_factor(server);
+        let crossing_price = if is_local { 0.0 } else { self.settings.costs.cross_zone };
+        let zone_factor = (-crossing_price * ZONE_CROSSING_WEIGHT).exp() * self.zones.weight_factor(server);
         if let Some(seconds) = self.estimated_seconds(request, server) {
             return zone_factor * seconds.max(MIN_ESTIMATE_SECONDS).powi(-CHECKED_WEIGHT_EXPONENT);
         }
@@ -147,10 +149,11 @@
         zone_factor * fraction * size_factor / (1.0 + load / size).powi(WEIGHT_EXPONENT)
     }
 
-    /// The exponent of sizes in weights. What one of many replicas knows cannot correct it if all of them crowd the
-    /// large servers: the less it sees of the whole, the nearer the weights come to plain sizes.
+    /// Exponent of server sizes in weights. If all replicas prefer the large servers, a replica that sees a small part
+    /// of the traffic cannot correct the overload. The smaller that part, the closer the exponent is to 1, which makes
+    /// weights proportional to sizes.
     pub(super) fn size_exponent(&self) -> f64 {
         let excess = f64::from(WEIGHT_EXPONENT - 1);
-        1.0 + excess * (1.0 + CROWDING_OFFSET) / (CROWDING_OFFSET + self.replicas_per_server)
+        1.0 + excess * (1.0 + SHARING_OFFSET) / (SHARING_OFFSET + self.replicas_per_server)
     }
 }
--- a/crates/decisions/src/policy/slow_start.rs
+++ b/crates/decisions/src/policy/slow_start.rs
@@ -1,37 +1,38 @@
-//! Slow start: a server that is new or was restarted gets a rising share of the requests. Each replica holds to it alone,
-//! by credits: one for each attempt.
+//! Slow start: a server that is new or was restarted gets a rising share of the requests. Each replica enforces it
+//! independently by credits, one for each attempt.
 
 use super::Policy;
-use super::concurrency_limits::MIN_STRAINED_LIMIT;
+use super::concurrency_limits::MIN_CONGESTED_LIMIT;
 use crate::host::{Host, Id};
 use crate::state::server_set::{Server, Slot};
 use std::time::Duration;
 
-/// Credits per second for the first request to a server that operators use again.
+/// Minimum credits per second until the first request to a server that operators have reinstated.
 const REINSTATED_CREDITS_PER_SECOND: f64 = 0.33;
-/// What a replica without traffic takes as the usual rate of one server: so many requests per second of all replicas
-/// together.
-const MIN_RATE_OF_ALL_PER_SECOND: f64 = 4.0;
-/// Credits are added for at most so many seconds at once.
+/// Lower bound of the mean rate of one server that replicas with little traffic assume, in requests per second of all
+/// replicas together.
+const MIN_FLEET_RATE_PER_SECOND: f64 = 4.0;
+/// Maximum time for which credits are added at once, in seconds.
 const MAX_CREDITED_SECONDS: f64 = 1.0;
-/// The most credit that is saved.
+/// Maximum credit that a server can accumulate, in attempts.
 const MAX_CREDIT: f64 = 1.5;
 
 impl<H: Host> Policy<H> {
-    /// The server's process was started, or it returns from ejection: what was learned of it is forgotten, and its slow
-    /// start begins at `at`.
+    /// Starts the slow start of a server at `at`, after its process started or its ejection ended. Everything that was
+    /// learned of it is reset.
     pub(super) fn restart_server(&mut self, slot: Slot, at: Duration) {
         self.servers.end_ejection(slot);
         self.servers.set_load_report(slot, None);
         let server = &mut self.servers[slot];
-        server.forget_process();
-        // Many new servers with the usual limit would flood the tier behind them.
-        server.concurrency_limit = MIN_STRAINED_LIMIT;
+        server.reset_statistics();
+        // With the usual initial limit, many new servers together would flood the next tier.
+        server.concurrency_limit = MIN_CONGESTED_LIMIT;
         server.slow_start_credit = server.initial_credit;
         self.servers.begin_slow_start(slot, at);
     }
 
-    /// Operators use the server again: it is cold, and its first request must not wait for long.
+    /// Starts the slow start of a server that operators use again, with a minimum credit rate so that its first request
+    /// does not wait for long.
     pub(super) fn reinstate_server(&mut self, id: &Id, since: Duration) {
         if let Some(slot) = self.servers.slot(id) {
             self.restart_server(slot, since);
@@ -39,34 +40,34 @@
         self.servers.set_min_credits(id, REINSTATED_CREDITS_PER_SECOND);
     }
 
-    /// While a server is in slow start, a replica sends it at most the slow-start fraction of what others get on
-    /// average.
+    /// Adds credits to the servers in slow start: each gets at most the slow-start fraction of what this replica sends
+    /// to a server on average.
     pub(super) fn add_slow_start_credits(&mut self) {
         let now = self.now;
-        let usual_rate = self.usual_rate_per_server();
-        let rule = &self.settings.slow_start;
+        let mean_rate = self.mean_rate_per_server();
+        let settings = &self.settings.slow_start;
         self.servers.visit_slow_start(now, |server: &mut Server| {
             let seconds = now.saturating_sub(server.credited_at).as_secs_f64().min(MAX_CREDITED_SECONDS);
             server.credited_at = now;
-            let fraction = server.slow_start_fraction(rule, now);
-            let rate = (usual_rate * fraction).max(server.min_credits_per_second);
+            let fraction = server.slow_start_fraction(settings, now);
+            let rate = (mean_rate * fraction).max(server.min_credits_per_second);
             server.slow_start_credit = (server.slow_start_credit + seconds * rate).min(MAX_CREDIT);
             fraction >= 1.0
         });
     }
 
-    /// Attempts per second that a server of the window gets from this replica, with a floor for replicas with little
-    /// traffic.
-    fn usual_rate_per_server(&self) -> f64 {
+    /// Mean attempts per second that a server of the window gets from this replica, with a lower bound for replicas
+    /// with little traffic.
+    fn mean_rate_per_server(&self) -> f64 {
         let window = self.servers.window().len().max(1) as f64;
         let ready = (self.servers.ready_count() as f64).max(1.0);
-        // Replicas that may be alive, though they are not heard, send to the server as well.
-        let unheard = (self.settings.max_live_replicas / self.settings.replicas).max(1.0);
-        // In a surge each replica takes itself for the largest: the floors of all together are those of even parts at
-        // most.
-        let even_replicas = self.settings.replicas * window / ready;
-        let replicas = self.replicas_per_server.max(even_replicas);
-        let floor = MIN_RATE_OF_ALL_PER_SECOND / (replicas * unheard);
+        // Replicas that may be alive but are unreachable send to the server as well.
+        let unheard_factor = (self.settings.max_live_replicas / self.settings.replicas).max(1.0);
+        // In a surge, the traffic of every replica exceeds the last known mean, which lowers `replicas_per_server` at
+        // all of them. The even share keeps the sum of all lower bounds from exceeding `MIN_FLEET_RATE_PER_SECOND`.
+        let even_share_replicas = self.settings.replicas * window / ready;
+        let replicas = self.replicas_per_server.max(even_share_replicas);
+        let floor = MIN_FLEET_RATE_PER_SECOND / (replicas * unheard_factor);
         (self.throughput.sent_per_second(self.now) / window).max(floor)
     }
 }
--- a/crates/decisions/src/state.rs
+++ b/crates/decisions/src/state.rs
@@ -1,5 +1,5 @@
-//! The state of one replica's decisions: records and sums, each with its own file. Nothing is decided here but what
-//! concerns one record alone.
+//! State of one replica's decisions: records and aggregates, one in each file. Rules here concern one record alone; all
+//! other decisions belong to `policy`.
 
 pub mod check_budget;
 pub mod class_statistics;
--- a/crates/decisions/src/state/check_budget.rs
+++ b/crates/decisions/src/state/check_budget.rs
@@ -1,32 +1,33 @@
-//! The budget for health checks before a server is selected.
+//! The budget for health checks before selection.
 
 use crate::settings::Settings;
 
-/// So much of the goal may go into health checks per request, where checks alone tell how much servers hold.
+/// Maximum cost of health checks per request, in points of the objective, where health checks alone report load.
 const MAX_COST_PER_REQUEST: f64 = 0.012;
-/// The least price of a check that is divided by.
+/// Lower bound of the price of a check by which the budget is divided.
 const MIN_CHECK_PRICE: f64 = 1e-9;
-/// The most checks per request.
+/// Maximum number of checks per request.
 const MAX_CHECKS_PER_REQUEST: f64 = 6.0;
-/// The checks that are saved up at the most.
+/// Maximum number of saved checks.
 const MAX_SAVED_CHECKS: f64 = 60.0;
 
-/// Saved health checks.
+/// The saved health checks, to which each request adds.
 #[derive(Debug)]
 pub struct CheckBudget {
-    /// What each request adds; 0: no checks are made before selection.
+    /// Checks that each request adds; 0 if servers are not checked before selection.
     per_request: usize,
     /// Checks that may be made now.
     saved: f64,
 }
 
 impl CheckBudget {
-    /// The budget by the settings. With one check per request no server could be preferred to another.
+    /// The budget that the settings allow. It is unused if it allows only one check per request, which could not
+    /// compare servers.
     pub fn new(settings: &Settings) -> Self {
         let affordable = MAX_COST_PER_REQUEST / settings.costs.health_check.max(MIN_CHECK_PRICE);
         let checks = affordable.min(MAX_CHECKS_PER_REQUEST) as usize;
-        let used = settings.health_checks_report_load && settings.capabilities.health_checks && checks > 1;
-        let per_request = if used { checks } else { 0 };
+        let is_used = settings.health_checks_report_load && settings.capabilities.health_checks && checks > 1;
+        let per_request = if is_used { checks } else { 0 };
         CheckBudget { per_request, saved: per_request as f64 }
     }
 
@@ -35,22 +36,22 @@
         self.per_request > 0
     }
 
-    /// The most checks that one round of one request makes.
+    /// Maximum number of checks in one round of a request.
     pub fn per_request(&self) -> usize {
         self.per_request
     }
 
-    /// The whole checks that are saved.
+    /// Number of whole checks that are saved.
     pub fn available(&self) -> usize {
         self.saved as usize
     }
 
-    /// A request arrived.
+    /// Adds the checks of a request that arrived.
     pub fn add_request(&mut self) {
         self.saved = (self.saved + self.per_request as f64).min(MAX_SAVED_CHECKS);
     }
 
-    /// A check is made.
+    /// Removes one check that is made.
     pub fn spend(&mut self) {
         self.saved -= 1.0;
     }
--- a/crates/decisions/src/state/class_statistics.rs
+++ b/crates/decisions/src/state/class_statistics.rs
@@ -1,71 +1,71 @@
-//! What was observed of the requests of one class.
+//! Statistics of the requests of one class.
 
 use crate::host::Id;
 use crate::state::estimators::{Histogram, Rate};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How quickly the usual cost of a class follows the stated ones.
+/// Weight of a new declared cost in the moving average of a class.
 const COST_GAIN: f64 = 0.05;
-/// The least usual cost that others are divided by, in seconds.
+/// Lower bound of the mean cost by which others are divided, in seconds.
 const MIN_COST_SECONDS: f64 = 1e-6;
-/// The least and the most that one request counts for by its stated cost.
+/// Minimum and maximum of a request's cost relative to the mean of its class.
 const RELATIVE_COST_RANGE: (f64, f64) = (0.1, 20.0);
-/// Before so many answers the baseline is unknown: the first to come back are the quick ones.
+/// Number of answers before the baseline is known: the first answers to arrive are the quick ones.
 const BASELINE_MIN_ANSWERS: u32 = 100;
-/// The baseline rises by this factor with each answer, so that an old minimum is forgotten.
-const BASELINE_RISE: f64 = 1.0005;
-/// A single answer counts as at most this many times the baseline.
+/// Factor by which the baseline rises with each answer, so that an old minimum expires.
+const BASELINE_GROWTH: f64 = 1.0005;
+/// Maximum that a single answer counts for, as a multiple of the baseline.
 const MAX_LATENCY_INFLATION: f64 = 4.0;
 
 /// An attempt in flight that may become overdue.
 #[derive(Clone, Debug)]
 pub struct WatchedAttempt {
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub sent_at: Duration,
-    /// Its request.
+    /// Id of the attempt's request.
     pub request: Id,
-    /// Its number within the request.
+    /// Number of the attempt within the request.
     pub number: u32,
 }
 
-/// Statistics of one class.
+/// Latencies, costs and rates of the requests of one class.
 #[derive(Clone, Debug, Default)]
 pub struct ClassStatistics {
-    /// Seconds to an answer.
+    /// Seconds from the start of an attempt to its answer.
     pub latency: Histogram,
-    /// The lowest mean latency seen, in seconds, forgotten slowly.
+    /// Lowest mean latency, in seconds, with a slow rise so that it adapts.
     baseline_latency: Option<f64>,
-    /// The work that requests of the class usually state, in seconds on a standard core.
-    usual_cost: Option<f64>,
-    /// Requests that arrived.
+    /// Moving average of the declared work of requests, in seconds on a standard core.
+    mean_cost: Option<f64>,
+    /// Rate of requests that arrived.
     pub arrivals: Rate,
-    /// Requests that were answered in time.
+    /// Rate of requests that were answered in time.
     pub answered_in_time: Rate,
-    /// Attempts in the order in which they were sent, until they are over or overdue.
+    /// Attempts in the order in which they were sent, until they end or become overdue.
     pub watched: VecDeque<WatchedAttempt>,
 }
 
 impl ClassStatistics {
-    /// The fraction of recent requests that were answered in time.
+    /// Fraction of the recent requests that were answered in time.
     pub fn answered_fraction(&self, now: Duration) -> f64 {
         self.answered_in_time.count(now) / self.arrivals.count(now).max(1.0)
     }
 
-    /// The work of a request as a multiple of the class's usual; 1 where none is stated.
-    pub fn relative_cost(&mut self, stated: Option<Duration>) -> f64 {
-        let Some(cost) = stated.map(|cost| cost.as_secs_f64()) else { return 1.0 };
-        let usual = self.usual_cost.map_or(cost, |usual| usual + COST_GAIN * (cost - usual));
-        self.usual_cost = Some(usual);
-        let (least, most) = RELATIVE_COST_RANGE;
-        (cost / usual.max(MIN_COST_SECONDS)).clamp(least, most)
+    /// Declared work of a request as a multiple of the class's mean; 1 if none is declared.
+    pub fn relative_cost(&mut self, declared_work: Option<Duration>) -> f64 {
+        let Some(cost) = declared_work.map(|cost| cost.as_secs_f64()) else { return 1.0 };
+        let mean_cost = self.mean_cost.map_or(cost, |mean_cost| mean_cost + COST_GAIN * (cost - mean_cost));
+        self.mean_cost = Some(mean_cost);
+        let (min, max) = RELATIVE_COST_RANGE;
+        (cost / mean_cost.max(MIN_COST_SECONDS)).clamp(min, max)
     }
 
-    /// Counts an answer's latency. Returns it as a multiple of the baseline, once that is known.
+    /// Records the latency of an answer. Returns it as a multiple of the baseline, once that is known.
     pub fn latency_inflation(&mut self, latency_seconds: f64) -> Option<f64> {
-        self.latency.add(latency_seconds, Histogram::FULL);
+        self.latency.add(latency_seconds, Histogram::DEFAULT_CAPACITY);
         let mean = self.latency.mean().filter(|_| self.latency.total >= BASELINE_MIN_ANSWERS)?;
-        let baseline = self.baseline_latency.map_or(mean, |baseline| (baseline * BASELINE_RISE).min(mean));
+        let baseline = self.baseline_latency.map_or(mean, |baseline| (baseline * BASELINE_GROWTH).min(mean));
         self.baseline_latency = Some(baseline);
         Some((latency_seconds / baseline).min(MAX_LATENCY_INFLATION))
     }
--- a/crates/decisions/src/state/estimators.rs
+++ b/crates/decisions/src/state/estimators.rs
@@ -1,40 +1,41 @@
-//! Statistics that forget: a few numbers stand for many observations.
+//! Estimators that discount old observations, each in constant space.
 
 use std::time::Duration;
 
-/// The time over which a rate forgets where its owner names no other, in seconds.
-const DEFAULT_RATE_SPAN_SECONDS: f64 = 4.0;
+/// Time constant of a rate whose owner sets none, in seconds.
+const DEFAULT_TIME_CONSTANT_SECONDS: f64 = 4.0;
 
-/// A histogram of few, geometrically growing bins. All counts are halved when it is full, so that old values fade.
+/// A histogram with a few bins of exponentially growing width. When it is full, all counts are halved, so that old
+/// values fade.
 #[derive(Clone, Debug, Default)]
 pub struct Histogram {
     bins: [u32; 18],
-    /// How many values the bins hold.
+    /// Number of values in the bins.
     pub total: u32,
-    /// The sum of the values that the bins hold; an estimate once counts have been halved.
+    /// Sum of the values in the bins; an estimate once counts have been halved.
     sum: f64,
 }
 
 impl Histogram {
-    /// The upper end of values that fall in the first bin, divided by `STEP`.
-    const FLOOR: f64 = 0.004;
-    /// Each bin is this many times as wide as the one before it.
-    const STEP: f64 = 1.6;
-    /// The middle of a bin, as a fraction of its upper end.
+    /// Lower end of the first bin; smaller values fall into it too.
+    const FIRST_BIN_START: f64 = 0.004;
+    /// Ratio of the widths of consecutive bins.
+    const BIN_GROWTH: f64 = 1.6;
+    /// Middle of a bin as a fraction of its upper end.
     const BIN_MIDDLE: f64 = 0.8;
-    /// The number of values at which a histogram is full, where its owner has no reason for another.
-    pub const FULL: u32 = 256;
+    /// Number of values at which a histogram is full, unless its owner needs another.
+    pub const DEFAULT_CAPACITY: u32 = 256;
 
-    /// Adds a value; at `full` values all counts are halved.
-    pub fn add(&mut self, value: f64, full: u32) {
+    /// Adds a value. All counts are halved once the histogram holds `capacity` values.
+    pub fn add(&mut self, value: f64, capacity: u32) {
         let last = self.bins.len() - 1;
-        let bin = (value.max(Self::FLOOR) / Self::FLOOR).log(Self::STEP) as usize;
+        let bin = (value.max(Self::FIRST_BIN_START) / Self::FIRST_BIN_START).log(Self::BIN_GROWTH) as usize;
         if let Some(count) = self.bins.get_mut(bin.min(last)) {
             *count += 1;
         }
         self.total += 1;
         self.sum += value;
-        if self.total >= full {
+        if self.total >= capacity {
             self.halve();
         }
     }
@@ -47,10 +48,10 @@
     }
 
     fn upper_end(bin: usize) -> f64 {
-        Self::FLOOR * Self::STEP.powi(bin as i32 + 1)
+        Self::FIRST_BIN_START * Self::BIN_GROWTH.powi(bin as i32 + 1)
     }
 
-    /// The mean by the bins, which bounds the weight of single extreme values; none without values.
+    /// Mean computed from the bins, which bounds the weight of single extreme values; `None` without values.
     pub fn mean(&self) -> Option<f64> {
         let middle =
             |(bin, count): (usize, &u32)| Self::upper_end(bin) * Self::BIN_MIDDLE * f64::from(*count);
@@ -58,43 +59,43 @@
         (self.total > 0).then(|| sum / f64::from(self.total))
     }
 
-    /// The mean by the values themselves, where the bins are too coarse; none without values.
+    /// Mean computed from the values themselves, where the bins are too coarse; `None` without values.
     pub fn exact_mean(&self) -> Option<f64> {
         (self.total > 0).then(|| self.sum / f64::from(self.total))
     }
 
-    /// The upper end of the bin in which `fraction` of the values are reached; none without values.
+    /// Upper end of the bin that contains this quantile; `None` without values.
     pub fn quantile(&self, fraction: f64) -> Option<f64> {
-        let wanted = fraction * f64::from(self.total);
-        let mut seen = 0.0;
+        let target_count = fraction * f64::from(self.total);
+        let mut cumulative = 0.0;
         let reached = |count: &u32| {
-            seen += f64::from(*count);
-            seen >= wanted && seen > 0.0
+            cumulative += f64::from(*count);
+            cumulative >= target_count && cumulative > 0.0
         };
         self.bins.iter().position(reached).map(Self::upper_end)
     }
 }
 
-/// A rate per second that forgets exponentially.
+/// A rate of events per second with exponential decay.
 #[derive(Clone, Debug)]
 pub struct Rate {
-    /// The time constant, in seconds.
-    span_seconds: f64,
-    /// Events that were not forgotten at `updated_at`.
+    /// Time constant of the decay, in seconds.
+    time_constant_seconds: f64,
+    /// Decayed number of events as of `updated_at`.
     count: f64,
     updated_at: Duration,
 }
 
 impl Default for Rate {
     fn default() -> Self {
-        Rate::over_seconds(DEFAULT_RATE_SPAN_SECONDS)
+        Rate::with_time_constant(DEFAULT_TIME_CONSTANT_SECONDS)
     }
 }
 
 impl Rate {
-    /// A rate that forgets over so many seconds.
-    pub fn over_seconds(span_seconds: f64) -> Rate {
-        Rate { span_seconds, count: 0.0, updated_at: Duration::ZERO }
+    /// A rate that decays with this time constant, in seconds.
+    pub fn with_time_constant(time_constant_seconds: f64) -> Rate {
+        Rate { time_constant_seconds, count: 0.0, updated_at: Duration::ZERO }
     }
 
     /// Counts `amount` events at `now`.
@@ -103,36 +104,37 @@
         self.updated_at = now;
     }
 
-    /// The events that are not forgotten yet.
+    /// Decayed number of events at `now`.
     pub fn count(&self, now: Duration) -> f64 {
-        let since = now.saturating_sub(self.updated_at).as_secs_f64();
-        self.count * (-since / self.span_seconds).exp()
+        let elapsed_seconds = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.count * (-elapsed_seconds / self.time_constant_seconds).exp()
     }
 
-    /// Events per second.
+    /// Events per second at `now`.
     pub fn per_second(&self, now: Duration) -> f64 {
-        self.count(now) / self.span_seconds
+        self.count(now) / self.time_constant_seconds
     }
 }
 
-/// A time-weighted mean that forgets over a span which may change from one update to the next.
+/// A time-weighted mean with exponential decay, whose time constant may differ between updates.
 #[derive(Debug)]
 pub struct TimeWeightedMean {
-    /// The mean up to the last update.
+    /// Mean as of the last update.
     pub mean: f64,
     updated_at: Duration,
 }
 
 impl TimeWeightedMean {
-    /// A mean of 0, from `now` on.
+    /// A mean of 0 that starts at `now`.
     pub fn new(now: Duration) -> Self {
         TimeWeightedMean { mean: 0.0, updated_at: now }
     }
 
-    /// From the last update up to `now` the value was `value`.
-    pub fn update(&mut self, now: Duration, value: f64, span_seconds: f64) {
-        let since = now.saturating_sub(self.updated_at).as_secs_f64();
-        let kept = if span_seconds > 0.0 { (-since / span_seconds).exp() } else { 0.0 };
+    /// Adds that the value was `value` from the last update to `now`.
+    pub fn update(&mut self, now: Duration, value: f64, time_constant_seconds: f64) {
+        let elapsed_seconds = now.saturating_sub(self.updated_at).as_secs_f64();
+        let kept =
+            if time_constant_seconds > 0.0 { (-elapsed_seconds / time_constant_seconds).exp() } else { 0.0 };
         self.mean = value + (self.mean - value) * kept;
         self.updated_at = now;
     }
--- a/crates/decisions/src/state/overrides.rs
+++ b/crates/decisions/src/state/overrides.rs
@@ -1,78 +1,77 @@
-//! What operators say of single servers, beside what the list says of them: which are left out, and the last entry
-//! that the list had for each meanwhile.
+//! Operators' overrides of the endpoint list: the excluded servers, and the latest list entry of each of them.
 
 use crate::host::{Id, ListedServer};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The most ids that are remembered: new servers come under new ids all day, and the first are forgotten.
-const MAX_NAMED: usize = 16_384;
+/// Maximum number of remembered ids. Servers are replaced under new ids all the time, so the oldest ids are dropped.
+const MAX_KNOWN_IDS: usize = 16_384;
 
-/// Operators' overrides.
+/// The servers that operators excluded, and the ids that lists have named.
 #[derive(Debug, Default)]
 pub struct Overrides {
-    /// The servers that are left out, with the last entry that a list had for each.
-    left_out: BTreeMap<Id, Option<ListedServer>>,
-    /// The ids that lists have named.
-    named: BTreeSet<Id>,
+    /// The excluded servers, each with its latest list entry; `None` while no list names the server.
+    excluded: BTreeMap<Id, Option<ListedServer>>,
+    /// Ids of servers that lists have named.
+    known: BTreeSet<Id>,
     /// The same ids in the order in which they were first named.
-    in_order: VecDeque<Id>,
+    known_in_order: VecDeque<Id>,
 }
 
 impl Overrides {
-    /// Takes in a list's entry. Returns whether operators leave its server out.
-    pub fn take_entry(&mut self, entry: &ListedServer) -> bool {
-        self.name(&entry.server);
-        let Some(last) = self.left_out.get_mut(&entry.server) else { return false };
-        *last = Some(entry.clone());
+    /// Records a list's entry. Returns whether its server is excluded.
+    pub fn apply_entry(&mut self, entry: &ListedServer) -> bool {
+        self.remember(&entry.server);
+        let Some(last_entry) = self.excluded.get_mut(&entry.server) else { return false };
+        *last_entry = Some(entry.clone());
         true
     }
 
-    /// A complete list came: servers that it does not name are no longer listed.
+    /// Handles a complete list: excluded servers that it does not name lose their entries.
     pub fn retain_listed(&mut self, entries: &[ListedServer]) {
-        if !self.left_out.is_empty() {
+        if !self.excluded.is_empty() {
             let listed: BTreeSet<&Id> = entries.iter().map(|entry| &entry.server).collect();
-            for (_, last) in self.left_out.iter_mut().filter(|(id, _)| !listed.contains(id)) {
-                *last = None;
+            for (_, last_entry) in self.excluded.iter_mut().filter(|(id, _)| !listed.contains(id)) {
+                *last_entry = None;
             }
         }
     }
 
-    /// A list named this server.
-    pub fn name(&mut self, id: &Id) {
-        if self.named.insert(id.clone()) {
-            self.in_order.push_back(id.clone());
-            if self.in_order.len() > MAX_NAMED
-                && let Some(first) = self.in_order.pop_front()
+    /// Remembers a server that a list named.
+    pub fn remember(&mut self, id: &Id) {
+        if self.known.insert(id.clone()) {
+            self.known_in_order.push_back(id.clone());
+            if self.known_in_order.len() > MAX_KNOWN_IDS
+                && let Some(oldest) = self.known_in_order.pop_front()
             {
-                self.named.remove(&first);
+                self.known.remove(&oldest);
             }
         }
     }
 
-    /// The ids that lists have named, up to a bound.
-    pub fn named(&self) -> impl Iterator<Item = &Id> {
-        self.in_order.iter()
+    /// Remembered ids, oldest first.
+    pub fn known_ids(&self) -> impl Iterator<Item = &Id> {
+        self.known_in_order.iter()
     }
 
-    /// Whether any list named the server. One that is left out stays known, however many others come meanwhile.
-    pub fn knows(&self, id: &Id) -> bool {
-        self.left_out.contains_key(id) || self.named.contains(id)
+    /// Whether any list named the server. An excluded server stays known, regardless of the number of later ids.
+    pub fn is_known(&self, id: &Id) -> bool {
+        self.excluded.contains_key(id) || self.known.contains(id)
     }
 
-    /// Whether any server is left out.
-    pub fn any(&self) -> bool {
-        !self.left_out.is_empty()
+    /// Whether any server is excluded.
+    pub fn any_excluded(&self) -> bool {
+        !self.excluded.is_empty()
     }
 
-    /// Leaves the server out if a list ever named it. `last` is its entry, unless it is out already.
-    pub fn leave_out_if_known(&mut self, id: &Id, last: Option<ListedServer>) {
-        if self.knows(id) {
-            self.left_out.entry(id.clone()).or_insert(last);
+    /// Excludes the server if a list ever named it. `last_entry` is its list entry, unless it is excluded already.
+    pub fn exclude_if_known(&mut self, id: &Id, last_entry: Option<ListedServer>) {
+        if self.is_known(id) {
+            self.excluded.entry(id.clone()).or_insert(last_entry);
         }
     }
 
-    /// Uses the server again. Returns its last entry, if it was left out and a list names it.
-    pub fn use_again(&mut self, id: &Id) -> Option<ListedServer> {
-        self.left_out.remove(id).flatten()
+    /// Ends the exclusion of the server. Returns its latest entry, if it was excluded and a list names it.
+    pub fn include(&mut self, id: &Id) -> Option<ListedServer> {
+        self.excluded.remove(id).flatten()
     }
 }
--- a/crates/decisions/src/state/request.rs
+++ b/crates/decisions/src/state/request.rs
@@ -1,45 +1,45 @@
-//! The requests that are open and the attempts of each: plain records, no decisions.
+//! The open requests and the attempts of each: plain records without decisions.
 
 use crate::host::Id;
 use crate::state::server_set::{Server, Slot};
 use std::time::Duration;
 
-/// How an attempt stands.
+/// State of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptState {
-    /// Sent, and no outcome yet.
+    /// The attempt was sent and has no outcome yet.
     InFlight,
-    /// Over; its server may have run the request.
+    /// The attempt ended, and its server may have run the request.
     MayHaveRun,
-    /// Over; its server certainly did not run the request.
+    /// The attempt ended, and its server did not run the request.
     NeverRan,
 }
 
-/// One sending of a request to a server.
+/// An attempt to have a request answered by a server.
 #[derive(Debug)]
 pub struct Attempt {
-    /// The server's id, which outlives the slot.
+    /// Id of the server. It remains valid after the slot is released.
     pub server: Id,
-    /// The server's slot while the attempt is in flight.
+    /// Slot of the server while the attempt is in flight.
     pub slot: Slot,
-    /// The server's zone.
+    /// Number of the server's zone.
     pub zone: u32,
-    /// The server's cell within its zone.
+    /// Number of the server's cell within its zone.
     pub cell: u32,
-    /// When it was sent; for a body that was still arriving, when its last byte had come.
+    /// Time at which the attempt was sent, or at which the body was complete if that was later.
     pub sent_at: Duration,
-    /// How it stands.
+    /// State of the attempt.
     pub state: AttemptState,
-    /// It has been in flight far longer than usual, and was counted as a failure.
+    /// Whether the attempt was in flight for far longer than usual and was counted as a failure.
     pub overdue: bool,
-    /// For how long this replica had been silent towards the server.
+    /// Time for which the connection to the server had been idle.
     pub connection_idle: Duration,
-    /// How many requests the server was known to hold when this one was sent, where that counts.
+    /// Number of requests that the server was known to hold at the start, if servers are checked before selection.
     pub queued_ahead: Option<f64>,
 }
 
 impl Attempt {
-    /// An attempt that is sent now.
+    /// An attempt that is sent at `sent_at`.
     pub fn new(
         server: &Server,
         slot: Slot,
@@ -61,65 +61,66 @@
     }
 }
 
-/// An attempt whose body is complete only now, so that its time begins.
+/// An attempt whose time starts because the body is complete.
 #[derive(Debug)]
 pub struct StartedAttempt {
-    /// The request's class.
+    /// Number of the request's class.
     pub class: usize,
-    /// Where the attempt is in flight.
+    /// Slot of the attempt's server.
     pub slot: Slot,
-    /// The attempt's number within its request.
+    /// Number of the attempt within its request.
     pub number: u32,
 }
 
-/// An open request.
+/// A request without a final response, or with attempts in flight.
 #[derive(Debug, Default)]
 pub struct Request {
-    /// The number of its class in the settings.
+    /// Number of the request's class in the settings.
     pub class: usize,
-    /// An answer after this time earns nothing.
+    /// Time after which an answer earns nothing.
     pub useful_until: Duration,
-    /// Its stated work as a multiple of the usual of its class.
+    /// Declared work as a multiple of the class's mean.
     pub relative_cost: f64,
-    /// The servers that the draw is limited to; all of the window while empty.
+    /// Servers to which selection is limited; the whole window if empty.
     pub candidates: Vec<Slot>,
-    /// The candidates whose health checks are not answered yet.
+    /// Candidates whose health checks are in flight.
     pub pending_checks: Vec<Slot>,
-    /// Until when the request waits for these checks.
-    pub checks_until: Duration,
-    /// How many rounds of checks were made for the next attempt.
+    /// Time until which the request waits for these checks.
+    pub checks_deadline: Duration,
+    /// Number of rounds of checks for the next attempt.
     pub check_rounds: u32,
-    /// All attempts so far, by number.
+    /// The attempts of the request, ordered by their numbers.
     pub attempts: Vec<Attempt>,
-    /// It has its final answer; it is kept while attempts are in flight.
+    /// Whether the request has its final response. Its record is kept while attempts are in flight.
     pub finished: bool,
-    /// Its answer is being passed on.
+    /// Whether the answer is being passed on to the client.
     pub streaming: bool,
-    /// A part of its body is still to come.
+    /// Whether a part of the body is still to arrive.
     pub body_pending: bool,
-    /// What was sent of it cannot be sent again.
+    /// Whether the part of the body that was sent cannot be sent again.
     pub not_replayable: bool,
-    /// It is beyond its tenant's quota.
+    /// Whether the request is beyond its tenant's quota.
     pub over_quota: bool,
 }
 
 impl Request {
-    /// How many attempts are in flight.
+    /// Number of attempts in flight.
     pub fn in_flight(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.state == AttemptState::InFlight).count()
     }
 
-    /// Whether an attempt was sent to this server already.
+    /// Whether an attempt was sent to this server.
     pub fn was_sent_to(&self, server: &Id) -> bool {
         self.attempts.iter().any(|attempt| attempt.server == *server)
     }
 
-    /// Whether any server may have run it.
+    /// Whether any server may have run the request.
     pub fn may_have_run(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.state != AttemptState::NeverRan)
     }
 
-    /// Its last byte has come; `useful_until` follows from its class. Returns the attempt whose time begins with that.
+    /// Records that the body is complete, and computes `useful_until` from the class. Returns the attempt whose time
+    /// starts now.
     pub fn body_completed(
         &mut self,
         now: Duration,
--- a/crates/decisions/src/state/retry_budget.rs
+++ b/crates/decisions/src/state/retry_budget.rs
@@ -1,11 +1,11 @@
 //! The budget for further attempts of requests that may have run.
 
-/// What each request adds: further attempts as a fraction of the requests.
+/// Credit that each request adds: the maximum ratio of further attempts to requests.
 const CREDIT_PER_REQUEST: f64 = 0.1;
-/// What is saved up at the most.
+/// Maximum credit that can be saved, in attempts.
 const MAX_CREDIT: f64 = 8.0;
 
-/// Saved credit; one further attempt takes 1.
+/// The saved credit; a further attempt costs 1.
 #[derive(Debug)]
 pub struct RetryBudget {
     /// Attempts that may be made now.
@@ -19,22 +19,22 @@
 }
 
 impl RetryBudget {
-    /// A request arrived.
+    /// Adds the credit of a request that arrived.
     pub fn add_request(&mut self) {
         self.credit = (self.credit + CREDIT_PER_REQUEST).min(MAX_CREDIT);
     }
 
-    /// Whether an attempt of this price may be made.
+    /// Whether the credit allows an attempt of this price.
     pub fn allows(&self, price: f64) -> bool {
         self.credit >= price
     }
 
-    /// An attempt of this price is made.
+    /// Removes the price of an attempt.
     pub fn spend(&mut self, price: f64) {
         self.credit -= price;
     }
 
-    /// A failure was no server's: the attempt that follows it is free.
+    /// Adds the price of one attempt, after a failure that no server caused: the next attempt is free.
     pub fn refund(&mut self) {
         self.credit += 1.0;
     }
--- a/crates/decisions/src/state/server_set.rs
+++ b/crates/decisions/src/state/server_set.rs
@@ -1,5 +1,5 @@
 //! The servers that one replica knows: slots, rings, the window, and sums that are updated with each change, so that
-//! the cost of a request depends on the window and not on the number of servers. Nothing is decided here.
+//! the cost of a request depends on the size of the window and not on the number of servers. It makes no decisions.
 
 mod server;
 
@@ -9,15 +9,15 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The least mean size that others are divided by.
+/// Lower bound of the mean size by which sizes are divided.
 const MIN_MEAN_SIZE: f64 = 1e-9;
-/// The size of a server for which the list names none.
+/// Size of a server for which the list reports none.
 const DEFAULT_SIZE: f64 = 1.0;
 
-/// A server's number while this replica knows it. It is reused only once nothing is in flight at the server.
+/// Index of a server while this replica knows it. It is reused only after all attempts at the server have ended.
 pub type Slot = u32;
 
-/// A ring of ready servers in the order of their positions.
+/// Ready servers in the order of their ring positions.
 type Ring = Vec<(u64, Slot)>;
 
 /// All servers that this replica knows.
@@ -26,32 +26,32 @@
     servers: Vec<Server>,
     free_slots: Vec<Slot>,
     slots: BTreeMap<Id, Slot>,
-    /// By zone and cell: a server that drops a repeat may lie outside of the window.
+    /// Slots by zone, cell and id. A server that deduplicates a retry may be outside the window.
     cells: BTreeMap<(u32, u32, Id), Slot>,
-    /// The ready servers of the replica's own zone.
+    /// Ready servers of the replica's own zone.
     local_ring: Ring,
-    /// The ready servers of the other zones.
+    /// Ready servers of the other zones.
     remote_ring: Ring,
-    /// No longer ready, but attempts may be in flight there.
-    leaving: Vec<Slot>,
-    /// The ready servers that this replica works with, in the order of their ids.
+    /// Servers that are no longer ready and may have attempts in flight.
+    pending_removal: Vec<Slot>,
+    /// Ready servers that this replica uses, ordered by id.
     window: Vec<Slot>,
     ejected: BTreeMap<Id, Slot>,
     in_slow_start: Vec<Slot>,
-    /// The number of complete lists so far.
-    listings: u64,
-    /// When slow-start credits were last raised.
+    /// Number of complete lists that were received.
+    list_number: u64,
+    /// When slow-start credits were last added.
     credited_at: Duration,
-    /// How many servers are ready and not ejected.
+    /// Number of servers that are ready and not ejected.
     available: usize,
-    /// What is in flight at available servers.
+    /// Attempts in flight at available servers.
     available_in_flight: u64,
-    /// The sum of the ready servers' sizes.
+    /// Sum of the sizes of the ready servers.
     size_sum: f64,
-    /// The sum of the last load reports, in requests.
+    /// Sum of the last load reports, in requests.
     report_sum: f64,
-    /// How many servers have a load report.
-    reporting: usize,
+    /// Number of servers with a load report.
+    report_count: usize,
 }
 
 impl std::ops::Index<Slot> for ServerSet {
@@ -68,44 +68,44 @@
     }
 }
 
-/// Queries.
+/// Read access to servers, indexes and sums.
 impl ServerSet {
-    /// The slot of a known server.
+    /// Slot of a server, if it is known.
     pub fn slot(&self, id: &Id) -> Option<Slot> {
         self.slots.get(id).copied()
     }
 
-    /// How many servers are ready.
+    /// Number of ready servers.
     pub fn ready_count(&self) -> usize {
         self.local_ring.len() + self.remote_ring.len()
     }
 
-    /// How many servers of the replica's own zone are ready.
+    /// Number of ready servers in the replica's own zone.
     pub fn local_count(&self) -> usize {
         self.local_ring.len()
     }
 
-    /// How many servers are ready and not ejected.
+    /// Number of servers that are ready and not ejected.
     pub fn available_count(&self) -> usize {
         self.available
     }
 
-    /// How many attempts are in flight at available servers.
+    /// Number of attempts in flight at available servers.
     pub fn available_in_flight(&self) -> u64 {
         self.available_in_flight
     }
 
-    /// The mean size of the ready servers.
+    /// Mean size of the ready servers.
     pub fn mean_size(&self) -> f64 {
         self.size_sum / self.ready_count().max(1) as f64
     }
 
-    /// The mean of the last load reports.
+    /// Mean of the last load reports, in requests.
     pub fn mean_load_report(&self) -> f64 {
-        self.report_sum / self.reporting.max(1) as f64
+        self.report_sum / self.report_count.max(1) as f64
     }
 
-    /// The ready servers that this replica works with, in the order of their ids.
+    /// The ready servers that this replica uses, ordered by id.
     pub fn window(&self) -> &[Slot] {
         &self.window
     }
@@ -115,14 +115,14 @@
         self.window.iter().map(|slot| &self[*slot]).filter(|server| server.ejection.is_none())
     }
 
-    /// How busy the window's available servers say they are, by reports younger than `max_age`. A report's weight
-    /// falls by e in each `decay_seconds`. None without reports.
+    /// Mean utilization that the window's available servers report, from reports younger than `max_age`. The weight of
+    /// a report falls by a factor of e in `decay_seconds`. `None` without reports.
     pub fn mean_utilization(&self, now: Duration, max_age: Duration, decay_seconds: f64) -> Option<f64> {
         let mut sum = 0.0;
         let mut weights = 0.0;
         for slot in &self.window {
             let server = &self[*slot];
-            // Each draw comes here for each server: where none reports, this is all that it costs.
+            // Each selection visits each server here; without reports this check is the only cost.
             let Some(report) = server.utilization else { continue };
             if server.ejection.is_some() || report.at + max_age <= now {
                 continue;
@@ -135,12 +135,12 @@
         (weights > 0.0).then(|| sum / weights)
     }
 
-    /// What all replicas together may have in flight at the window's available servers.
+    /// Number of attempts that all replicas together may have in flight at the window's available servers.
     pub fn window_concurrency_limit(&self) -> f64 {
         self.available_in_window().map(|server| server.concurrency_limit).sum()
     }
 
-    /// The ejected servers, in the order of their ids.
+    /// The ejected servers, ordered by id.
     pub fn ejected(&self) -> impl Iterator<Item = Slot> {
         self.ejected.values().copied()
     }
@@ -150,7 +150,7 @@
         self.local_ring.iter().chain(&self.remote_ring).map(|(_, slot)| &self[*slot])
     }
 
-    /// How many ready servers are ejected for one class alone.
+    /// Number of ready servers that are ejected for this class.
     pub fn class_ejected_count(&self, class: usize) -> usize {
         self.ready_servers().filter(|server| server.class_ejection(class).is_some()).count()
     }
@@ -164,15 +164,15 @@
         })
     }
 
-    fn in_cell(&self, zone: u32, cell: u32) -> impl Iterator<Item = Slot> {
+    fn slots_in_cell(&self, zone: u32, cell: u32) -> impl Iterator<Item = Slot> {
         let from = (zone, cell, Id::from(""));
         self.cells
             .range(from..)
-            .take_while(move |((z, c, _), _)| (*z, *c) == (zone, cell))
+            .take_while(move |((other_zone, other_cell, _), _)| (*other_zone, *other_cell) == (zone, cell))
             .map(|(_, slot)| *slot)
     }
 
-    /// The entry by which a ready server was last listed.
+    /// The list entry of a ready server.
     pub fn listed(&self, id: &Id) -> Option<ListedServer> {
         let server = self.slot(id).map(|slot| &self[slot]).filter(|server| server.ready)?;
         Some(ListedServer {
@@ -188,27 +188,27 @@
 
 /// Changes of single servers, each with the sums that depend on it.
 impl ServerSet {
-    /// Makes a change that may decide whether the server is available or how much is in flight there.
+    /// Makes a change that may affect whether the server is available or how many attempts are in flight there.
     fn change_availability(&mut self, slot: Slot, change: impl FnOnce(&mut Server)) {
         let server = &mut self.servers[slot as usize];
-        let count = |server: &Server| {
+        let available_in_flight = |server: &Server| {
             (server.ready && server.ejection.is_none()).then_some(u64::from(server.in_flight))
         };
-        let before = count(server);
+        let before = available_in_flight(server);
         change(server);
-        let after = count(server);
+        let after = available_in_flight(server);
         self.available = self.available + usize::from(after.is_some()) - usize::from(before.is_some());
         self.available_in_flight = self.available_in_flight + after.unwrap_or(0) - before.unwrap_or(0);
     }
 
-    /// So many attempts more, or less, are in flight at the server.
-    pub fn change_in_flight(&mut self, slot: Slot, by: i32) {
+    /// Adds `delta` to the attempts in flight at the server.
+    pub fn change_in_flight(&mut self, slot: Slot, delta: i32) {
         self.change_availability(slot, |server| {
-            server.in_flight = server.in_flight.saturating_add_signed(by);
+            server.in_flight = server.in_flight.saturating_add_signed(delta);
         });
     }
 
-    /// Ejects the server, or begins its ejection anew.
+    /// Ejects the server, or replaces its ejection.
     pub fn eject(&mut self, slot: Slot, ejection: Ejection) {
         self.change_availability(slot, |server| server.ejection = Some(ejection));
         self.ejected.insert(self[slot].id.clone(), slot);
@@ -226,14 +226,14 @@
         let old = std::mem::replace(&mut self[slot].load_report, report);
         let load = |report: Option<ReportedLoad>| report.map_or(0.0, |report| report.load);
         self.report_sum += load(report) - load(old);
-        self.reporting = self.reporting + usize::from(report.is_some()) - usize::from(old.is_some());
-        if self.reporting == 0 {
+        self.report_count = self.report_count + usize::from(report.is_some()) - usize::from(old.is_some());
+        if self.report_count == 0 {
             self.report_sum = 0.0;
         }
     }
 
-    /// A load report came; what it does not say leaves the older word.
-    pub fn take_report(&mut self, slot: Slot, utilization: Option<f64>, load: Option<f64>, now: Duration) {
+    /// Records a load report. Figures that are not reported keep their last value.
+    pub fn record_report(&mut self, slot: Slot, utilization: Option<f64>, load: Option<f64>, now: Duration) {
         let reported = utilization.map(|fraction| Utilization { fraction, at: now });
         self[slot].utilization = reported.or(self[slot].utilization);
         if let Some(load) = load {
@@ -242,7 +242,8 @@
         }
     }
 
-    /// The server is in slow start from this moment on; its credits go on from the last that any server got.
+    /// Starts the slow start of the server at `from`. A server that was known before the last update of credits
+    /// receives credits from that update on; a newer one receives them for the maximum time at once.
     pub fn begin_slow_start(&mut self, slot: Slot, from: Duration) {
         let credited_at = self.credited_at;
         let server = &mut self[slot];
@@ -252,14 +253,14 @@
         }
     }
 
-    /// The server gets so many credits per second at the least, until something is sent to it.
+    /// Guarantees the server this many credits per second, until something is sent to it.
     pub fn set_min_credits(&mut self, id: &Id, credits_per_second: f64) {
         if let Some(slot) = self.slot(id) {
             self[slot].min_credits_per_second = credits_per_second;
         }
     }
 
-    /// Visits all servers in slow start; those for which `is_over` says so leave it.
+    /// Visits all servers in slow start, and ends the slow start of those for which `is_over` returns true.
     pub fn visit_slow_start(&mut self, now: Duration, mut is_over: impl FnMut(&mut Server) -> bool) {
         self.credited_at = now;
         let servers = &mut self.servers;
@@ -274,19 +275,19 @@
     }
 }
 
-/// The endpoint list.
+/// Updates from the endpoint list.
 impl ServerSet {
-    /// A complete list came: servers that it does not name are not ready.
+    /// Handles a complete list: servers that it does not name are no longer ready.
     pub fn retain_listed(&mut self, entries: &[ListedServer]) {
-        self.listings += 1;
+        self.list_number += 1;
         for entry in entries {
             if let Some(slot) = self.slot(&entry.server) {
-                self[slot].last_listing = self.listings;
+                self[slot].last_list_number = self.list_number;
             }
         }
         for slot in self.local_ring.iter().chain(&self.remote_ring).map(|(_, slot)| *slot).collect::<Vec<_>>()
         {
-            if self[slot].last_listing != self.listings {
+            if self[slot].last_list_number != self.list_number {
                 self.set_unready(slot);
             }
         }
@@ -301,11 +302,11 @@
             server.in_window = false;
         });
         self.size_sum -= self[slot].nominal_size;
-        self.leaving.push(slot);
+        self.pending_removal.push(slot);
     }
 
-    /// A list says that a server is ready. One that is not known is made by `new_server`. Returns its slot and
-    /// whether it is new.
+    /// Marks a server as ready. An unknown server is created by `new_server`. Returns the slot, and whether the server
+    /// is new.
     pub fn set_ready(
         &mut self,
         entry: &ListedServer,
@@ -329,7 +330,7 @@
         (slot, known.is_none())
     }
 
-    /// A list says that a server is not ready.
+    /// Marks a server as not ready.
     pub fn remove(&mut self, id: &Id) {
         if let Some(slot) = self.slot(id) {
             self.set_unready(slot);
@@ -354,27 +355,27 @@
         slot
     }
 
-    /// After a list's entries: brings the rings up to date and forgets servers that are gone, as new ones come
-    /// under new ids all day.
-    pub fn settle(&mut self) {
+    /// Completes an update from a list: sorts the rings and drops removed servers, because servers are replaced under
+    /// new ids all the time.
+    pub fn finish_list_update(&mut self) {
         let servers = &self.servers;
         for ring in [&mut self.local_ring, &mut self.remote_ring] {
             ring.retain(|(_, slot)| servers[*slot as usize].ready);
             ring.sort();
             ring.dedup();
         }
-        let mut leaving = std::mem::take(&mut self.leaving);
-        leaving.sort();
-        leaving.dedup();
-        for slot in leaving {
+        let mut pending_removal = std::mem::take(&mut self.pending_removal);
+        pending_removal.sort();
+        pending_removal.dedup();
+        for slot in pending_removal {
             let server = &self[slot];
             if server.ready {
                 continue;
             }
             if server.in_flight > 0 {
-                self.leaving.push(slot);
+                self.pending_removal.push(slot);
             } else {
-                self.forget(slot);
+                self.release_slot(slot);
             }
         }
         if self.ready_count() == 0 {
@@ -382,7 +383,7 @@
         }
     }
 
-    fn forget(&mut self, slot: Slot) {
+    fn release_slot(&mut self, slot: Slot) {
         self.set_load_report(slot, None);
         let server = &self[slot];
         let id = server.id.clone();
@@ -395,28 +396,28 @@
     }
 }
 
-/// The window.
+/// Selection of the window, and the size weights of its servers.
 impl ServerSet {
-    /// Chooses the window anew: on each ring from the position that `start`, from 0 to 1, gives, until so much is
-    /// taken of the replica's own zone and of the others. `counted_as` is what one server counts.
+    /// Chooses the window: from the position `start`, from 0 to 1, on each ring, until the servers of the replica's own
+    /// zone and of the others reach the sizes `local` and `remote`. `window_weight` returns what one server counts as.
     pub fn choose_window(
         &mut self,
         start: f64,
         local: f64,
         remote: f64,
-        counted_as: impl Fn(&Server) -> f64,
+        window_weight: impl Fn(&Server) -> f64,
     ) {
         for slot in std::mem::take(&mut self.window) {
             self[slot].in_window = false;
         }
         let local_ring = std::mem::take(&mut self.local_ring);
         let remote_ring = std::mem::take(&mut self.remote_ring);
-        self.choose_on_ring(&remote_ring, start, remote, &counted_as);
-        self.choose_on_ring(&local_ring, start, local, &counted_as);
+        self.choose_on_ring(&remote_ring, start, remote, &window_weight);
+        self.choose_on_ring(&local_ring, start, local, &window_weight);
         self.local_ring = local_ring;
         self.remote_ring = remote_ring;
         let mut window = std::mem::take(&mut self.window);
-        window.sort_by(|one, other| self[*one].id.cmp(&self[*other].id));
+        window.sort_by(|first, second| self[*first].id.cmp(&self[*second].id));
         self.window = window;
     }
 
@@ -424,22 +425,22 @@
         &mut self,
         ring: &[(u64, Slot)],
         start: f64,
-        mut wanted: f64,
-        counted_as: &impl Fn(&Server) -> f64,
+        mut remaining: f64,
+        window_weight: &impl Fn(&Server) -> f64,
     ) {
-        let from = (start * ring.len() as f64) as usize;
-        for (_, slot) in ring[from..].iter().chain(&ring[..from]) {
-            if wanted <= 0.0 {
+        let start_index = (start * ring.len() as f64) as usize;
+        for (_, slot) in ring[start_index..].iter().chain(&ring[..start_index]) {
+            if remaining <= 0.0 {
                 return;
             }
             let server = &mut self[*slot];
             server.in_window = true;
-            wanted -= counted_as(server);
+            remaining -= window_weight(server);
             self.window.push(*slot);
         }
     }
 
-    /// Updates the size weights of the window's servers, to this exponent.
+    /// Updates the size weights of the window's servers with this exponent.
     pub fn update_size_weights(&mut self, exponent: f64) {
         let mean = self.mean_size().max(MIN_MEAN_SIZE);
         for at in 0..self.window.len() {
@@ -447,9 +448,9 @@
         }
     }
 
-    /// The servers of a cell, which may lie outside of the window, with their size weights up to date.
+    /// The servers of a cell, which may be outside the window, with updated size weights.
     pub fn cell_servers(&mut self, zone: u32, cell: u32, exponent: f64) -> Vec<Slot> {
-        let slots = self.in_cell(zone, cell).collect::<Vec<_>>();
+        let slots = self.slots_in_cell(zone, cell).collect::<Vec<_>>();
         let mean = self.mean_size().max(MIN_MEAN_SIZE);
         slots.iter().for_each(|slot| self.update_size_weight(*slot, exponent, mean));
         slots
--- a/crates/decisions/src/state/server_set/server.rs
+++ b/crates/decisions/src/state/server_set/server.rs
@@ -1,4 +1,4 @@
-//! What one replica knows of one server.
+//! The state of one server.
 
 use crate::host::{Id, ListedServer};
 use crate::settings::SlowStart;
@@ -6,124 +6,125 @@
 use crate::state::random::hash;
 use std::time::Duration;
 
-/// Values that the histogram of relative latencies holds before it forgets.
-const RELATIVE_LATENCY_FULL: u32 = 32;
-/// Answers before a server's slowness is believed.
+/// Number of values at which the histogram of relative latencies halves its counts.
+const RELATIVE_LATENCY_CAPACITY: u32 = 32;
+/// Number of answers before a server's slowness is used.
 const SLOWNESS_MIN_ANSWERS: u32 = 4;
-/// The least and the most that a slowness can be.
+/// Minimum and maximum slowness.
 const SLOWNESS_RANGE: (f64, f64) = (0.2, 10.0);
-/// The least length of a slow start that is divided by, in seconds.
+/// Lower bound of the duration of a slow start by which its progress is divided, in seconds.
 const MIN_SLOW_START_SECONDS: f64 = 1e-3;
-/// Replicas name servers to each other by the first 24 bits of their ring positions.
+/// Replicas identify servers in their messages by the first 24 bits of the ring positions.
 const SHORT_NAME_SHIFT: u32 = 40;
 
-/// An ejection: until it ends the server gets no requests but for half-open trials.
+/// An ejection: until it ends, the server gets no requests except half-open trials.
 #[derive(Debug)]
 pub struct Ejection {
-    /// Health checks or trials that were answered since it began.
+    /// Successful health checks or trials since the ejection began.
     pub successes: u32,
-    /// When the next health check or trial is due.
+    /// Time of the next health check or trial.
     pub next_trial: Duration,
-    /// A half-open trial request is in flight.
+    /// Whether a half-open trial is in flight.
     pub trial_in_flight: bool,
 }
 
 impl Ejection {
-    /// An ejection whose first check or trial is due then.
+    /// An ejection whose first health check or trial is due at `next_trial`.
     pub fn new(next_trial: Duration) -> Self {
         Ejection { successes: 0, next_trial, trial_in_flight: false }
     }
 }
 
-/// How a server does with the requests of one class.
+/// State of a server for the requests of one class.
 #[derive(Debug, Default)]
 pub struct ClassHealth {
-    /// Failures since the last answer; where replicas share what they see, two for each failure and one less for
-    /// each answer.
+    /// Consecutive failures. Where replicas share outcomes, a score to which each failure adds two, and from which each
+    /// answer takes one.
     pub consecutive_failures: u32,
-    /// The server is ejected for this class alone.
+    /// Ejection of the server for this class alone.
     pub ejection: Option<Ejection>,
 }
 
-/// A load report: a figure of the server's load, and when it came.
+/// The load in a server's report.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportedLoad {
-    /// Requests that the server holds or that wait there, by what it reports.
+    /// Requests at the server, or requests queued there, depending on what the server reports.
     pub load: f64,
-    /// When the report came.
+    /// Time at which the report arrived.
     pub at: Duration,
 }
 
-/// How busy a server's cores are, and when it said so.
+/// The utilization in a server's report.
 #[derive(Clone, Copy, Debug)]
 pub struct Utilization {
-    /// From 0 to 1.
+    /// Utilization of the server's cores, from 0 to 1.
     pub fraction: f64,
-    /// When the report came.
+    /// Time at which the report arrived.
     pub at: Duration,
 }
 
-/// One server. `ServerSet` alone changes the fields that its sums and indexes go by.
+/// One server. Only `ServerSet` changes the fields on which its sums and indexes depend.
 #[derive(Debug, Default)]
 pub struct Server {
-    /// Its id on the endpoint list.
+    /// Id of the server in the endpoint list.
     pub id: Id,
-    /// Its position on the ring, by a hash of its id.
+    /// Position on the ring, a hash of the id.
     pub(super) ring_position: u64,
-    /// The number of the complete list that named it last.
-    pub(super) last_listing: u64,
-    /// When this replica first heard of it.
+    /// Number of the last complete list that named the server.
+    pub(super) last_list_number: u64,
+    /// Time at which this replica first received the server in a list.
     pub(super) added_at: Duration,
-    /// Its zone.
+    /// Number of the server's zone.
     pub zone: u32,
-    /// Its cell within the zone.
+    /// Number of the server's cell within the zone.
     pub cell: u32,
-    /// The list says that it takes requests.
+    /// Whether the server is ready in the list.
     pub(super) ready: bool,
-    /// This replica works with it.
+    /// Whether the server is in this replica's window.
     pub(super) in_window: bool,
-    /// Its size by the list, relative to nothing but the others' sizes.
+    /// Size in the list, relative to the sizes of the other servers.
     pub(super) nominal_size: f64,
-    /// When its process started, where the list says so.
+    /// Start time of the server's process, if the list reports it.
     pub started_at: Option<Duration>,
-    /// By request class, what is held against the server.
+    /// State by request class.
     pub classes: Vec<ClassHealth>,
-    /// Health checks in a row that could not reach it.
+    /// Consecutive health checks or attempts that could not reach the server.
     pub unreachable_checks: u32,
     pub(super) ejection: Option<Ejection>,
     pub(super) slow_start_from: Option<Duration>,
-    /// The slow-start credit that it begins with. It is random, so that replicas that learn of a start at the same
-    /// moment do not all send to the server at that moment.
+    /// Slow-start credit at the beginning. It is random, so that replicas that learn of a start at the same moment do
+    /// not all send to the server at once.
     pub initial_credit: f64,
-    /// Attempts that may be sent to it while it is in slow start.
+    /// Number of attempts that may be sent while the server is in slow start.
     pub slow_start_credit: f64,
-    /// When the credit was last raised.
+    /// Time of the last update of the credit.
     pub credited_at: Duration,
-    /// Credits per second at the least, while operators have reinstated it and nothing was sent there since; else 0.
+    /// Minimum credits per second of a server that operators have reinstated, until something is sent to it; otherwise
+    /// 0.
     pub min_credits_per_second: f64,
     pub(super) load_report: Option<ReportedLoad>,
-    /// Attempts sent there that its load report cannot hold yet.
+    /// Attempts sent to the server that its load report cannot include yet.
     pub sent_since_report: f64,
-    /// How busy it last said it was.
+    /// The utilization that the server last reported.
     pub utilization: Option<Utilization>,
-    /// A health check is in flight.
-    pub checking: bool,
-    /// When a health check last could not reach it.
+    /// Whether a health check is in flight.
+    pub check_in_flight: bool,
+    /// Time at which a health check or an attempt last could not reach the server.
     pub unreachable_at: Option<Duration>,
     pub(super) in_flight: u32,
-    /// Attempts in flight there that are overdue.
+    /// Overdue attempts in flight at the server.
     pub overdue: u32,
-    /// When this replica last sent to it or heard from it.
+    /// Time at which this replica last sent to the server or received from it.
     pub last_used: Option<Duration>,
-    /// How many attempts all replicas together may have in flight there.
+    /// Number of attempts that all replicas together may have in flight at the server.
     pub concurrency_limit: f64,
-    /// Latencies as multiples of their class's mean.
+    /// Latencies as multiples of the mean of their class.
     pub relative_latency: Histogram,
-    /// How slow its answers are: a multiple of the mean.
+    /// Latency of the server's answers as a multiple of the mean over all servers.
     pub slowness: f64,
-    /// Its listed size relative to the mean, raised to the power that weights go by.
+    /// Relative size, raised to the exponent of sizes in weights.
     pub size_weight: f64,
-    /// Its listed size relative to the mean.
+    /// Size in the list relative to the mean.
     pub relative_size: f64,
 }
 
@@ -152,80 +153,82 @@
         }
     }
 
-    /// Whether the list says that it is ready; other servers are no part of any sum.
+    /// Whether the server is ready in the list. Only ready servers count in the sums by size and availability.
     pub fn ready(&self) -> bool {
         self.ready
     }
 
-    /// Whether it is among the servers that this replica works with.
+    /// Whether the server is in this replica's window.
     pub fn in_window(&self) -> bool {
         self.in_window
     }
 
-    /// Its ejection, if it is ejected.
+    /// The server's ejection, if it is ejected.
     pub fn ejection(&self) -> Option<&Ejection> {
         self.ejection.as_ref()
     }
 
-    /// The course of its ejection; `ServerSet` begins and ends ejections.
+    /// The state of the server's ejection; only `ServerSet` starts and ends ejections.
     pub fn ejection_mut(&mut self) -> Option<&mut Ejection> {
         self.ejection.as_mut()
     }
 
-    /// Its ejection for one class alone.
+    /// The server's ejection for one class alone.
     pub fn class_ejection(&self, class: usize) -> Option<&Ejection> {
         self.classes.get(class).and_then(|health| health.ejection.as_ref())
     }
 
-    /// Its last load report.
+    /// The server's last load report.
     pub fn load_report(&self) -> Option<ReportedLoad> {
         self.load_report
     }
 
-    /// How many attempts of this replica are in flight there.
+    /// Number of this replica's attempts in flight at the server.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Since when it is in slow start, if it is.
+    /// Start of the slow start, if the server is in slow start.
     pub fn slow_start_from(&self) -> Option<Duration> {
         self.slow_start_from
     }
 
-    /// What replicas call it among themselves.
+    /// The server's identifier in messages between replicas.
     pub fn short_name(&self) -> u32 {
         short_name(self.ring_position)
     }
 
-    /// Takes an answer's latency, as a multiple of its class's mean, into its slowness.
+    /// Adds a latency, as a multiple of the mean of its class, to the server's slowness.
     pub fn record_latency(&mut self, relative_latency: f64) {
-        self.relative_latency.add(relative_latency, RELATIVE_LATENCY_FULL);
-        let (least, most) = SLOWNESS_RANGE;
-        let known = self.relative_latency.total >= SLOWNESS_MIN_ANSWERS;
+        self.relative_latency.add(relative_latency, RELATIVE_LATENCY_CAPACITY);
+        let (min, max) = SLOWNESS_RANGE;
+        let is_known = self.relative_latency.total >= SLOWNESS_MIN_ANSWERS;
         self.slowness =
-            if known { self.relative_latency.mean().unwrap_or(1.0).clamp(least, most) } else { 1.0 };
+            if is_known { self.relative_latency.mean().unwrap_or(1.0).clamp(min, max) } else { 1.0 };
     }
 
-    /// The fraction of its full share that it gets: 1 unless it started or returned recently.
-    pub fn slow_start_fraction(&self, rule: &SlowStart, now: Duration) -> f64 {
+    /// Fraction of its full share of requests that the server gets: 1 unless it is in slow start.
+    pub fn slow_start_fraction(&self, settings: &SlowStart, now: Duration) -> f64 {
         let Some(from) = self.slow_start_from else { return 1.0 };
-        let length = rule.duration.as_secs_f64().max(MIN_SLOW_START_SECONDS);
-        let done = now.saturating_sub(from).as_secs_f64() / length;
-        (rule.initial_fraction + (1.0 - rule.initial_fraction) * done).min(1.0)
+        let duration_seconds = settings.duration.as_secs_f64().max(MIN_SLOW_START_SECONDS);
+        let progress = now.saturating_sub(from).as_secs_f64() / duration_seconds;
+        (settings.initial_fraction + (1.0 - settings.initial_fraction) * progress).min(1.0)
     }
 
-    /// The requests that it holds by a report no older than `max_age`, with those that were sent there since.
+    /// Requests at the server by a report no older than `max_age`, plus the attempts that were sent since.
     pub fn recent_load(&self, now: Duration, max_age: Duration) -> Option<f64> {
         let recent = self.load_report.filter(|report| now <= report.at + max_age)?;
         Some(recent.load + self.sent_since_report)
     }
 
-    /// Whether this replica has an open connection there, for all it knows, where idle ones are kept for so long.
-    pub fn has_connection(&self, now: Duration, kept_for: Duration) -> bool {
-        self.last_used.is_some_and(|used| now.saturating_sub(used) < kept_for)
+    /// Whether this replica presumably has an open connection to the server, if idle connections are kept for
+    /// `idle_timeout`.
+    pub fn has_connection(&self, now: Duration, idle_timeout: Duration) -> bool {
+        self.last_used.is_some_and(|used| now.saturating_sub(used) < idle_timeout)
     }
 
-    /// An attempt sent at this moment is over. One that the last report does not hold is no longer counted on top.
+    /// Records the end of an attempt. If the last report cannot include it, it no longer counts in addition to that
+    /// report.
     pub fn attempt_ended(&mut self, now: Duration, sent_at: Duration, overdue: bool) {
         self.overdue = self.overdue.saturating_sub(u32::from(overdue));
         self.last_used = Some(now);
@@ -234,15 +237,15 @@
         }
     }
 
-    /// When its process started, where a list has news of that.
-    pub fn take_start_time(&mut self, entry: &ListedServer, new: bool) -> Option<Duration> {
-        let started_at = entry.started_at.filter(|at| new || self.started_at != Some(*at))?;
+    /// Updates the start time of the server's process. Returns it if the list reports a new one.
+    pub fn update_start_time(&mut self, entry: &ListedServer, is_new: bool) -> Option<Duration> {
+        let started_at = entry.started_at.filter(|at| is_new || self.started_at != Some(*at))?;
         self.started_at = Some(started_at);
         Some(started_at)
     }
 
-    /// Forgets what was learned of an earlier process.
-    pub fn forget_process(&mut self) {
+    /// Resets what was learned of an earlier process.
+    pub fn reset_statistics(&mut self) {
         self.classes.iter_mut().for_each(|health| *health = ClassHealth::default());
         self.unreachable_checks = 0;
         self.unreachable_at = None;
@@ -253,7 +256,7 @@
     }
 }
 
-/// The short name of the server at a ring position.
+/// Short name of the server at a ring position.
 pub(super) fn short_name(ring_position: u64) -> u32 {
     (ring_position >> SHORT_NAME_SHIFT) as u32
 }
--- a/crates/decisions/src/state/sweep_clock.rs
+++ b/crates/decisions/src/state/sweep_clock.rs
@@ -1,70 +1,70 @@
-//! The regular sweeps of one replica: when the next is due, and how late the replica is itself.
+//! The periodic sweeps of one replica: their schedule, and the replica's own delay.
 
 use std::time::Duration;
 
-/// The time between two sweeps, unless the host's clock is coarser.
+/// Time between two sweeps, unless the resolution of the host's timers is coarser.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(20);
-/// Sweeps that are counted at once, at the most.
-const MAX_SWEEPS: u32 = u32::MAX >> 8;
-/// The replica's own delay is halved with each sweep, up to so many times at once.
+/// Maximum number of sweeps that are skipped at once.
+const MAX_SKIPPED_SWEEPS: u32 = u32::MAX >> 8;
+/// Maximum number of halvings at once; each sweep halves the replica's own delay.
 const MAX_HALVINGS: u32 = 31;
 
-/// Keeps the times of sweeps.
+/// The schedule of the sweeps.
 #[derive(Debug)]
 pub struct SweepClock {
     interval: Duration,
-    /// When the last sweep was, or would have been.
-    last: Duration,
-    /// By how much sweeps were late recently. Servers are not blamed for that time.
+    /// Time of the last sweep, skipped ones included.
+    last_sweep: Duration,
+    /// Recent delay of sweeps. Servers are not held responsible for that time.
     own_delay: Duration,
 }
 
 impl SweepClock {
-    /// Sweeps from `now` on, no more often than the host's clock can tell.
+    /// Sweeps from `now` on, with an interval of at least `resolution`, that of the host's timers.
     pub fn new(now: Duration, resolution: Duration) -> Self {
-        SweepClock { interval: SWEEP_INTERVAL.max(resolution), last: now, own_delay: Duration::ZERO }
+        SweepClock { interval: SWEEP_INTERVAL.max(resolution), last_sweep: now, own_delay: Duration::ZERO }
     }
 
-    /// The time between two sweeps.
+    /// Time between two sweeps.
     pub fn interval(&self) -> Duration {
         self.interval
     }
 
-    /// By how much sweeps were late recently.
+    /// Recent delay of sweeps.
     pub fn own_delay(&self) -> Duration {
         self.own_delay
     }
 
-    /// A sweep begins.
+    /// Records the start of a sweep and its delay.
     pub fn begin(&mut self, now: Duration) {
-        let late = now.saturating_sub(self.next());
-        self.last = now;
-        self.own_delay = late.max(self.own_delay / 2);
+        let delay = now.saturating_sub(self.next());
+        self.last_sweep = now;
+        self.own_delay = delay.max(self.own_delay / 2);
     }
 
-    /// When the next sweep is due.
+    /// Time of the next sweep.
     pub fn next(&self) -> Duration {
-        self.last + self.interval
+        self.last_sweep + self.interval
     }
 
-    /// The first regular sweep that is not before `due`.
-    pub fn next_for(&self, due: Duration) -> Duration {
+    /// Time of the first sweep at or after `due`.
+    pub fn next_at_or_after(&self, due: Duration) -> Duration {
         let next = self.next();
         next + self.interval * self.sweeps_between(next, due)
     }
 
-    /// The sweeps that were due before `until` were left out. Returns when the next is due.
+    /// Skips the sweeps that were due before `until`. Returns the time of the next sweep.
     pub fn skip(&mut self, until: Duration) -> Duration {
         let sweeps = self.sweeps_between(self.next(), until);
-        self.last += self.interval * sweeps;
+        self.last_sweep += self.interval * sweeps;
         self.own_delay /= 1 << sweeps.min(MAX_HALVINGS);
         self.next()
     }
 
-    /// How many sweeps from `first` on come before `end`.
+    /// Number of sweeps from `first` on that are due before `end`.
     fn sweeps_between(&self, first: Duration, end: Duration) -> u32 {
         let interval = self.interval.as_nanos();
         let sweeps = end.saturating_sub(first).as_nanos().div_ceil(interval);
-        sweeps.min(u128::from(MAX_SWEEPS)) as u32
+        sweeps.min(u128::from(MAX_SKIPPED_SWEEPS)) as u32
     }
 }
--- a/crates/decisions/src/state/throughput.rs
+++ b/crates/decisions/src/state/throughput.rs
@@ -1,21 +1,21 @@
-//! How many attempts this replica sends and how many end.
+//! The rates at which this replica sends attempts and at which they end.
 
 use crate::state::estimators::Rate;
 use std::time::Duration;
 
-/// The short span over which a sudden rise of ended attempts is measured, in seconds.
-const RECENT_SPAN_SECONDS: f64 = 0.25;
-/// The recent rate counts by itself when it is this many times the usual.
+/// Time constant of the rate that measures a surge of ended attempts, in seconds.
+const RECENT_TIME_CONSTANT_SECONDS: f64 = 0.25;
+/// The recent rate is used if it is this multiple of the long-term rate.
 const SURGE_FACTOR: f64 = 2.0;
-/// The recent rate counts by itself only with at least so many attempts.
+/// The recent rate is used only with at least this many recent attempts.
 const SURGE_MIN_ATTEMPTS: f64 = 8.0;
-/// The turnover that is assumed at the least, in attempts per second.
-const MIN_TURNOVER_PER_SECOND: f64 = 1.0;
+/// Minimum completion rate, in attempts per second.
+const MIN_COMPLETIONS_PER_SECOND: f64 = 1.0;
 
 /// Rates of attempts over all servers.
 #[derive(Debug)]
 pub struct Throughput {
-    /// Attempts that were sent.
+    /// Rate of attempts that were sent.
     sent: Rate,
     ended: Rate,
     recently_ended: Rate,
@@ -23,7 +23,7 @@
 
 impl Default for Throughput {
     fn default() -> Self {
-        let recently_ended = Rate::over_seconds(RECENT_SPAN_SECONDS);
+        let recently_ended = Rate::with_time_constant(RECENT_TIME_CONSTANT_SECONDS);
         Throughput { sent: Rate::default(), ended: Rate::default(), recently_ended }
     }
 }
@@ -45,15 +45,16 @@
         self.sent.per_second(now)
     }
 
-    /// Places that come free per second. After a lull the usual rate is too low; before anything has ended,
-    /// `at_start` stands for all places coming free within the time that a new request would wait.
-    pub fn turnover(&self, now: Duration, at_start: Option<f64>) -> f64 {
-        let usual = self.ended.per_second(now);
+    /// Attempts that complete per second. The recent rate applies if the long-term rate is too low after an idle
+    /// period. Before any attempt has ended, the rate is `initial_rate`, if given.
+    pub fn completion_rate(&self, now: Duration, initial_rate: Option<f64>) -> f64 {
+        let long_term = self.ended.per_second(now);
         let recent = self.recently_ended.per_second(now);
-        if let Some(at_start) = at_start.filter(|_| usual == 0.0) {
-            return at_start;
+        if let Some(initial_rate) = initial_rate.filter(|_| long_term == 0.0) {
+            return initial_rate;
         }
-        let surge = recent > SURGE_FACTOR * usual && self.recently_ended.count(now) >= SURGE_MIN_ATTEMPTS;
-        if surge { recent } else { usual }.max(MIN_TURNOVER_PER_SECOND)
+        let is_surge =
+            recent > SURGE_FACTOR * long_term && self.recently_ended.count(now) >= SURGE_MIN_ATTEMPTS;
+        if is_surge { recent } else { long_term }.max(MIN_COMPLETIONS_PER_SECOND)
     }
 }
--- a/crates/decisions/src/state/zones.rs
+++ b/crates/decisions/src/state/zones.rs
@@ -1,75 +1,75 @@
-//! What came of the attempts that were sent to each zone for which the fleet tells a fraction of traffic. A zone with a fraction of 0 is
-//! drained: its servers are held ejected and are checked only when this replica has the turn. Nothing here costs
-//! anything before fractions are first told.
+//! Outcomes of the attempts in each zone for which the fleet has set a traffic fraction. A zone with a fraction of 0 is
+//! drained: its servers stay ejected and are checked only when the fleet assigns a trial to this replica. Nothing is
+//! recorded before the first fractions arrive.
 
 use crate::host::Outcome;
 use crate::state::server_set::Server;
 use std::time::Duration;
 
-/// An attempt is late past so many times the time in which nine of ten are answered, within the bounds below.
+/// An attempt is late after this multiple of the 0.9 quantile of latencies, within the bounds below.
 const LATE_FACTOR: f64 = 4.0;
 const MIN_LATE_AFTER: Duration = Duration::from_millis(100);
 const MAX_LATE_AFTER: Duration = Duration::from_millis(500);
-/// Attempts that were lost longer ago say nothing of now.
+/// Attempts that were lost longer ago than this are ignored.
 const LOSS_MEMORY: Duration = Duration::from_secs(2);
-/// So many lost attempts at once are no chance.
+/// This many lost attempts at once are no coincidence.
 const MIN_LOSSES: u32 = 2;
-/// A health check that fails so soon after it was asked for is counted as that one.
+/// A health check that fails within this time after one was requested counts as the requested one.
 const REQUESTED_CHECK_WINDOW: Duration = Duration::from_secs(1);
 
-/// What came of the attempts that were sent to one zone.
+/// Outcomes of the attempts in one zone.
 #[derive(Debug)]
 pub struct Zone {
-    /// The zone.
+    /// Number of the zone.
     pub id: u32,
-    /// The fraction of its usual traffic that it gets.
+    /// Fraction of its normal traffic that the zone gets.
     pub fraction: f64,
-    /// The last trial number that was told.
+    /// Last trial number that was received.
     pub trial: Option<u64>,
-    /// When the last attempt that was answered had been sent.
-    pub answered: Option<Duration>,
-    /// When the first attempt since then was sent.
+    /// Send time of the latest answered attempt.
+    pub last_answered_sent_at: Option<Duration>,
+    /// Send time of the first attempt since then.
     waiting_since: Option<Duration>,
-    /// How many attempts since then are in flight.
+    /// Number of attempts since then that are in flight.
     in_flight: u32,
-    /// How many attempts since then are lost.
-    lost: u32,
-    lost_at: Duration,
-    /// When a health check was last made because other replicas get no answers.
+    /// Number of attempts since then that were lost.
+    losses: u32,
+    last_loss_at: Duration,
+    /// Time at which the fleet last requested a health check, because other replicas get no answers.
     pub check_requested_at: Option<Duration>,
 }
 
-/// The zones for which fractions were told.
+/// The zones for which traffic fractions were received.
 #[derive(Debug, Default)]
 pub struct Zones(Vec<Zone>);
 
 impl Zones {
-    /// A zone for which a fraction was told.
+    /// The zone, if a traffic fraction was received for it.
     pub fn get_mut(&mut self, zone: u32) -> Option<&mut Zone> {
-        self.0.iter_mut().find(|known| known.id == zone)
+        self.0.iter_mut().find(|other| other.id == zone)
     }
 
     /// The zone, which is added with its full traffic if it is new.
     pub fn get_or_add(&mut self, zone: u32, now: Duration) -> &mut Zone {
-        let known = self.0.iter().position(|known| known.id == zone);
-        let at = known.unwrap_or_else(|| {
+        let position = self.0.iter().position(|other| other.id == zone);
+        let index = position.unwrap_or_else(|| {
             self.0.push(Zone::new(zone, now));
             self.0.len() - 1
         });
-        &mut self.0[at]
+        &mut self.0[index]
     }
 
-    /// All of them, in the order in which they were first told.
+    /// The zones in the order in which their fractions were first received.
     pub fn iter(&self) -> impl ExactSizeIterator<Item = &Zone> {
         self.0.iter()
     }
 
-    /// The fraction of its usual traffic that the zone gets; 1 where none was told.
+    /// Fraction of its normal traffic that the zone gets; 1 if none was received.
     pub fn fraction(&self, zone: u32) -> f64 {
-        self.0.iter().find(|known| known.id == zone).map_or(1.0, |known| known.fraction)
+        self.0.iter().find(|other| other.id == zone).map_or(1.0, |other| other.fraction)
     }
 
-    /// What a server's weight is multiplied by. An ejected one is drawn for trials only, whatever its zone's fraction.
+    /// Factor on a server's weight. An ejected server is selected for trials only, regardless of its zone's fraction.
     pub fn weight_factor(&self, server: &Server) -> f64 {
         if server.ejection().is_some() { 1.0 } else { self.fraction(server.zone) }
     }
@@ -81,41 +81,41 @@
 
     /// Whether any zone is drained.
     pub fn any_drained(&self) -> bool {
-        self.0.iter().any(|known| known.fraction <= 0.0)
+        self.0.iter().any(|other| other.fraction <= 0.0)
     }
 
-    /// Whether time alone may make any zone silent, or end its silence.
+    /// Whether time alone may change whether a zone counts as silent.
     pub fn silence_may_change(&self, now: Duration) -> bool {
         let waits = |zone: &Zone| zone.in_flight > 0 && zone.waiting_since.is_some();
-        let lost = |zone: &Zone| zone.lost > 0 && now < zone.lost_at + LOSS_MEMORY;
-        self.0.iter().any(|zone| waits(zone) || lost(zone))
+        let recent_loss = |zone: &Zone| zone.losses > 0 && now < zone.last_loss_at + LOSS_MEMORY;
+        self.0.iter().any(|zone| waits(zone) || recent_loss(zone))
     }
 
-    /// An attempt is sent there.
+    /// Records an attempt that is sent to the zone.
     pub fn attempt_sent(&mut self, zone: u32, now: Duration) {
         let Some(zone) = self.get_mut(zone) else { return };
-        if zone.in_flight == 0 && zone.lost > 0 && zone.lost_at + LOSS_MEMORY <= now {
+        if zone.in_flight == 0 && zone.losses > 0 && zone.last_loss_at + LOSS_MEMORY <= now {
             zone.waiting_since = None;
-            zone.lost = 0;
+            zone.losses = 0;
         }
         zone.in_flight += 1;
         zone.waiting_since.get_or_insert(now);
     }
 
-    /// An attempt that was sent there at `sent_at` is over.
+    /// Records the end of an attempt that was sent to the zone at `sent_at`.
     pub fn attempt_ended(&mut self, zone: u32, sent_at: Duration, now: Duration, outcome: Outcome) {
         let Some(zone) = self.get_mut(zone) else { return };
         match outcome {
-            // Whatever it answers, it is there.
+            // Any answer, even an error, shows that the zone is reachable.
             Outcome::Ok | Outcome::Error | Outcome::Overloaded => zone.count_answer(sent_at),
-            _ if zone.answered.is_some_and(|answered| sent_at <= answered) => {}
+            _ if zone.last_answered_sent_at.is_some_and(|answered| sent_at <= answered) => {}
             Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset => zone.count_loss(now),
             Outcome::Cancelled | Outcome::NotSent if sent_at + MIN_LATE_AFTER <= now => zone.count_loss(now),
             Outcome::Cancelled | Outcome::NotSent => zone.discount_cancelled(),
         }
     }
 
-    /// A health check there is over.
+    /// Records the end of a health check in the zone.
     pub fn check_ended(&mut self, zone: u32, now: Duration, outcome: Outcome) {
         let Some(zone) = self.get_mut(zone) else { return };
         let requested = zone.check_requested_at.is_some_and(|at| now <= at + REQUESTED_CHECK_WINDOW);
@@ -124,10 +124,10 @@
             Outcome::Timeout | Outcome::ConnectFailed | Outcome::Reset
                 if zone.fraction <= 0.0 || requested =>
             {
-                // A trial that nobody answers says as much as several requests.
+                // A trial without an answer is as significant as several lost requests.
                 zone.waiting_since.get_or_insert(now);
-                zone.lost = zone.lost.max(MIN_LOSSES);
-                zone.lost_at = now;
+                zone.losses = zone.losses.max(MIN_LOSSES);
+                zone.last_loss_at = now;
             }
             _ => {}
         }
@@ -140,53 +140,53 @@
             id,
             fraction: 1.0,
             trial: None,
-            answered: None,
+            last_answered_sent_at: None,
             waiting_since: None,
             in_flight: 0,
-            lost: 0,
-            lost_at: now,
+            losses: 0,
+            last_loss_at: now,
             check_requested_at: None,
         }
     }
 
-    /// The zone is in use again: what was lost before says nothing.
-    pub fn forget_losses(&mut self) {
+    /// Resets the counts of attempts without an answer, which are no longer significant.
+    pub fn reset_losses(&mut self) {
         self.waiting_since = None;
         self.in_flight = 0;
-        self.lost = 0;
+        self.losses = 0;
     }
 
     fn count_answer(&mut self, sent_at: Duration) {
-        self.answered = self.answered.max(Some(sent_at));
-        self.forget_losses();
+        self.last_answered_sent_at = self.last_answered_sent_at.max(Some(sent_at));
+        self.reset_losses();
     }
 
     fn count_loss(&mut self, now: Duration) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.lost = self.lost.saturating_add(1);
-        self.lost_at = now;
+        self.losses = self.losses.saturating_add(1);
+        self.last_loss_at = now;
     }
 
     fn discount_cancelled(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        if self.in_flight == 0 && self.lost == 0 {
+        if self.in_flight == 0 && self.losses == 0 {
             self.waiting_since = None;
         }
     }
 
-    /// How long ago the last sign came that the zone gives no answers; none where it does.
+    /// Time since the latest evidence that the zone does not answer; `None` if it answers.
     pub fn unanswered_ago(&self, now: Duration, late_after: Duration) -> Option<Duration> {
-        let late = self.waiting_since.is_some_and(|since| since + late_after <= now);
-        if self.in_flight > 0 && late {
+        let is_late = self.waiting_since.is_some_and(|since| since + late_after <= now);
+        if self.in_flight > 0 && is_late {
             return Some(Duration::ZERO);
         }
-        let lost = self.lost >= MIN_LOSSES || (self.lost > 0 && late);
-        let since_loss = now.saturating_sub(self.lost_at);
-        (lost && since_loss < LOSS_MEMORY).then_some(since_loss)
+        let is_lost = self.losses >= MIN_LOSSES || (self.losses > 0 && is_late);
+        let since_loss = now.saturating_sub(self.last_loss_at);
+        (is_lost && since_loss < LOSS_MEMORY).then_some(since_loss)
     }
 }
 
-/// After how long an attempt is late, where nine of ten are answered within `usual_seconds`.
-pub fn late_after(usual_seconds: f64) -> Duration {
-    Duration::from_secs_f64(LATE_FACTOR * usual_seconds).clamp(MIN_LATE_AFTER, MAX_LATE_AFTER)
+/// Time after which an attempt is late, if 0.9 of the attempts are answered within `p90_seconds`.
+pub fn late_after(p90_seconds: f64) -> Duration {
+    Duration::from_secs_f64(LATE_FACTOR * p90_seconds).clamp(MIN_LATE_AFTER, MAX_LATE_AFTER)
 }
