--- a/crates/decisions/benches/decisions.rs
+++ b/crates/decisions/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! What a command costs the decisions, by the number of servers, and what a list costs.
+//! Benchmarks of the decision engine: the time per request by the number of servers, and the time per endpoint list.
 
 use criterion::{BatchSize, BenchmarkId, Criterion, criterion_group, criterion_main};
 use landingspread_decisions::host::{
@@ -11,21 +11,23 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-const OUT: usize = 32;
-/// As many commands a second as ask for a window of fifty servers.
-const GAP: Duration = Duration::from_millis(4);
-const SWEEP: u32 = 5;
+/// Requests that stay in flight.
+const REQUESTS_IN_FLIGHT: usize = 32;
+/// Time between two requests: a rate that leads to a window of fifty servers.
+const ARRIVAL_INTERVAL: Duration = Duration::from_millis(4);
+const REQUESTS_PER_SWEEP: u32 = 5;
 
-type Relays = Rc<RefCell<VecDeque<(Id, Id, Duration)>>>;
+/// Request, server and start time of each attempt in flight, in the order of their starts.
+type Attempts = Rc<RefCell<VecDeque<(Id, Id, Duration)>>>;
 
-struct Hand {
-    relays: Relays,
-    now: Rc<RefCell<Duration>>,
+struct BenchHost {
+    attempts: Attempts,
+    clock: Rc<RefCell<Duration>>,
 }
 
-impl Host for Hand {
-    fn start_attempt(&mut self, cmd: &Id, server: &Id, _: Duration) {
-        self.relays.borrow_mut().push_back((cmd.clone(), server.clone(), *self.now.borrow()));
+impl Host for BenchHost {
+    fn start_attempt(&mut self, request: &Id, server: &Id, _: Duration) {
+        self.attempts.borrow_mut().push_back((request.clone(), server.clone(), *self.clock.borrow()));
     }
 
     fn reject(&mut self, _: &Id, _: Option<Duration>) {}
@@ -47,122 +49,117 @@
     fn log(&mut self, _: &Event) {}
 }
 
-fn terms() -> Settings {
+fn settings() -> Settings {
     let text = "Discovery=automatic Balancers=1 Rules.ColdShare=0.3 Rules.Cold=8000000 Rules.TipMultiple=3 \
         Rules.Fall=2000000 PolicyLimits.MayCancel=true PolicyLimits.MostRelays=3 PolicyLimits.Probes=true \
         Verbs.count=1 Verbs.0.Effect=idempotent Verbs.0.ResponseGoal=1000000 Verbs.0.TimeLimit=3000000";
-    Settings::decode(text).expect("the bench's settings can be read")
+    Settings::decode(text).expect("the settings of the benchmark are valid")
 }
 
-fn entry(number: usize, state: Lifecycle) -> ListedServer {
+fn entry(number: usize, lifecycle: Lifecycle) -> ListedServer {
     let zone = (number % 2) as u32;
     ListedServer {
         server: format!("s{number:05}").into(),
         zone,
         cell: 0,
-        lifecycle: state,
+        lifecycle,
         nominal_capacity: 1.0,
         started_at: None,
     }
 }
 
-struct Scene {
-    policy: Policy<Hand>,
-    relays: Relays,
+struct Driver {
+    policy: Policy<BenchHost>,
+    attempts: Attempts,
     clock: Rc<RefCell<Duration>>,
-    given: u32,
+    request_count: u32,
 }
 
-impl Scene {
-    fn new(servers: usize) -> Scene {
-        let (relays, clock) = (Relays::default(), Rc::new(RefCell::new(Duration::from_secs(100))));
-        let hand = Hand { relays: relays.clone(), now: clock.clone() };
-        let mut policy = Policy::start(hand, terms(), 1, Duration::from_secs(100));
+impl Driver {
+    fn new(servers: usize) -> Driver {
+        let (attempts, clock) = (Attempts::default(), Rc::new(RefCell::new(Duration::from_secs(100))));
+        let host = BenchHost { attempts: attempts.clone(), clock: clock.clone() };
+        let mut policy = Policy::start(host, settings(), 1, Duration::from_secs(100));
         let entries: Vec<ListedServer> = (0..servers).map(|number| entry(number, Lifecycle::Ready)).collect();
         policy.endpoint_list_cached(Duration::from_secs(100), &entries);
-        let mut scene = Scene { policy, relays, clock, given: 0 };
-        // Warm: bounds, paces and the window are what they are in a copy that has run for a while.
-        (0..10_000).for_each(|_| scene.command());
-        scene
+        let mut driver = Driver { policy, attempts, clock, request_count: 0 };
+        // Warm up: concurrency limits, rates and the window reach the state of a replica that has run for a while.
+        (0..10_000).for_each(|_| driver.handle_request());
+        driver
     }
 
     fn now(&self) -> Duration {
         *self.clock.borrow()
     }
 
-    /// One command comes, and the oldest that is out is answered.
-    fn command(&mut self) {
-        self.given += 1;
-        *self.clock.borrow_mut() += GAP;
+    /// Handles the arrival of a request and, if enough are in flight, the answer to the oldest one.
+    fn handle_request(&mut self) {
+        self.request_count += 1;
+        *self.clock.borrow_mut() += ARRIVAL_INTERVAL;
         let now = self.now();
-        let id: Id = format!("c{}", self.given).into();
-        let due = now + Duration::from_secs(3);
+        let id: Id = format!("c{}", self.request_count).into();
+        let deadline = now + Duration::from_secs(3);
         self.policy.request_arrived(
             now,
-            RequestArrival {
-                id,
-                class: 0,
-                deadline: due,
-                body_incomplete: false,
-                tenant: 0,
-                declared_work: None,
-            },
+            RequestArrival { id, class: 0, deadline, body_incomplete: false, tenant: 0, declared_work: None },
         );
-        if self.relays.borrow().len() > OUT {
-            let (cmd, server, sent) = self.relays.borrow_mut().pop_front().expect("one is out");
+        if self.attempts.borrow().len() > REQUESTS_IN_FLIGHT {
+            let (request, server, started_at) =
+                self.attempts.borrow_mut().pop_front().expect("an attempt is in flight");
             let load = LoadReport { queued: Some(1.0), ..LoadReport::default() };
-            let (closed, outcome, relay, latency) = (true, Outcome::Ok, 0, now - sent);
+            let (request_closed, outcome, attempt, latency) = (true, Outcome::Ok, 0, now - started_at);
             self.policy.attempt_ended(
                 now,
                 AttemptEnd {
-                    request: cmd,
-                    request_closed: closed,
+                    request,
+                    request_closed,
                     body_consumed: false,
                     outcome,
-                    attempt: relay,
+                    attempt,
                     latency,
                     server,
                     load,
                 },
             );
         }
-        if self.given.is_multiple_of(SWEEP) {
+        if self.request_count.is_multiple_of(REQUESTS_PER_SWEEP) {
             self.policy.timer_fired(now);
         }
     }
 }
 
-fn commands(bench: &mut Criterion) {
+fn bench_requests(bench: &mut Criterion) {
     let mut group = bench.benchmark_group("command");
     for servers in [1, 10, 200, 1_000, 10_000] {
-        let mut scene = Scene::new(servers);
-        group
-            .bench_function(BenchmarkId::from_parameter(servers), |bencher| bencher.iter(|| scene.command()));
+        let mut driver = Driver::new(servers);
+        group.bench_function(BenchmarkId::from_parameter(servers), |bencher| {
+            bencher.iter(|| driver.handle_request());
+        });
     }
 }
 
-fn lists(bench: &mut Criterion) {
-    let mut scene = Scene::new(10_000);
-    let mut turn = 0;
+fn bench_lists(bench: &mut Criterion) {
+    let mut driver = Driver::new(10_000);
+    let mut round = 0;
     let mut changes = || {
-        turn += 1;
-        // A fleet in motion: 250 new ones come, and the 250 that came last time go.
-        let new = (0..250).map(|at| entry(10_000 + (turn * 250 + at), Lifecycle::Ready));
-        let old = (0..250).map(|at| entry(10_000 + ((turn - 1) * 250 + at), Lifecycle::Removed));
-        new.chain(old).collect::<Vec<_>>()
+        round += 1;
+        // A deployment in progress: 250 new servers are added, and the 250 of the previous round are removed.
+        let added = (0..250).map(|index| entry(10_000 + (round * 250 + index), Lifecycle::Ready));
+        let removed = (0..250).map(|index| entry(10_000 + ((round - 1) * 250 + index), Lifecycle::Removed));
+        added.chain(removed).collect::<Vec<_>>()
     };
     bench.bench_function("change of 500 in 10,000", |bencher| {
         bencher.iter_batched(
             &mut changes,
-            |entries| scene.policy.endpoint_list_changed(scene.clock.borrow().to_owned(), &entries),
+            |entries| driver.policy.endpoint_list_changed(driver.clock.borrow().to_owned(), &entries),
             BatchSize::PerIteration,
         );
     });
-    let whole: Vec<ListedServer> = (0..10_000).map(|number| entry(number, Lifecycle::Ready)).collect();
+    let all_servers: Vec<ListedServer> = (0..10_000).map(|number| entry(number, Lifecycle::Ready)).collect();
     bench.bench_function("whole list of 10,000", |bencher| {
-        bencher.iter(|| scene.policy.endpoint_list_received(scene.clock.borrow().to_owned(), &whole));
+        bencher.iter(|| driver.policy.endpoint_list_received(driver.clock.borrow().to_owned(), &all_servers));
     });
 }
 
-criterion_group!(benches, commands, lists);
+criterion_group!(benches, bench_requests, bench_lists);
 criterion_main!(benches);
