--- a/crates/decisions/tests/decisions/logged_run.rs
+++ b/crates/decisions/tests/decisions/logged_run.rs
@@ -190,14 +190,14 @@
             }
             10..=12 => {
                 let mut message = Outbox::default();
-                message.idle_broke(ms(300 + self.random_below(2000)));
+                message.idle_connection_broke(ms(300 + self.random_below(2000)));
                 message.class_outcome(
                     self.random_below(1 << 24) as u32,
                     self.random_below(3) as usize,
                     self.random_below(2) == 0,
                 );
                 let mut message = message.take().expect("the outbox has events");
-                message.extend(peer_messages::traffic_message(self.random_below(90) as f64));
+                message.extend(peer_messages::request_rate_message(self.random_below(90) as f64));
                 message.truncate(message.len() - self.random_below(2) as usize);
                 self.policy.peer_message_received(now, number, &message);
             }
@@ -233,7 +233,7 @@
             duration.map_or("-".into(), |duration| duration.as_nanos().to_string())
         };
         for zone in observations {
-            let (answered, silent) = (nanos(zone.answered), nanos(zone.silent));
+            let (answered, silent) = (nanos(zone.answered_ago), nanos(zone.unanswered_ago));
             network.log_line(format_args!(
                 "zone {} {} {answered} {silent} {}",
                 zone.zone, zone.ready, zone.slow
--- a/crates/decisions/tests/decisions/pinned_calls.rs
+++ b/crates/decisions/tests/decisions/pinned_calls.rs
@@ -52,7 +52,7 @@
 struct RecordingHandler(String);
 
 impl PeerMessageHandler for RecordingHandler {
-    fn idle_broke(&mut self, idle: Duration) {
+    fn idle_connection_broke(&mut self, idle: Duration) {
         writeln!(self.0, "  broke {}", idle.as_nanos()).expect("writing to a String does not fail");
     }
 
@@ -61,7 +61,7 @@
         server != 0
     }
 
-    fn traffic(&mut self, per_s: f64) {
+    fn peer_request_rate(&mut self, per_s: f64) {
         writeln!(self.0, "  traffic {per_s}").expect("writing to a String does not fail");
     }
 }
@@ -71,7 +71,7 @@
     let mut messages = Vec::new();
     let mut outbox = Outbox::default();
     for span in [0, 1, 299, 1100, 65_535, 65_536, 900_000] {
-        outbox.idle_broke(ms(span));
+        outbox.idle_connection_broke(ms(span));
     }
     messages.extend(outbox.take());
     for (server, class, answered) in
@@ -85,7 +85,7 @@
     messages.extend(outbox.take());
     messages.extend(
         [0.0, 0.04, 2.5, 6553.5, 1e9, -1.0, f64::NAN]
-            .map(|per_s| peer_messages::traffic_message(per_s).to_vec()),
+            .map(|per_s| peer_messages::request_rate_message(per_s).to_vec()),
     );
     messages.extend([
         vec![],
--- a/crates/decisions/tests/decisions/zones.rs
+++ b/crates/decisions/tests/decisions/zones.rs
@@ -90,7 +90,7 @@
             .expect("the zone has an observation")
     };
     assert_eq!((zone(0).ready, zone(1).ready), (3, 3));
-    assert!(zone(1).answered.is_some() && zone(1).silent.is_none());
+    assert!(zone(1).answered_ago.is_some() && zone(1).unanswered_ago.is_none());
     // From now on, servers of zone 1 refuse connections.
     let outcome_of = |server: &str| match server {
         "s1" | "s3" | "s5" => Outcome::ConnectFailed,
@@ -103,13 +103,13 @@
         .zone_observations(now)
         .iter()
         .find(|observation| observation.zone == 1)
-        .and_then(|observation| observation.silent);
+        .and_then(|observation| observation.unanswered_ago);
     assert!(silent.is_some_and(|ago| ago < ms(1000)), "{silent:?}");
     // Any answer counts as one, and failures older than the observation window do not count.
     harness.advance(ms(2500));
     let now = harness.now();
     let observations = harness.policy.zone_observations(now);
-    assert!(observations.iter().all(|observation| observation.silent.is_none()), "{observations:?}");
+    assert!(observations.iter().all(|observation| observation.unanswered_ago.is_none()), "{observations:?}");
 }
 
 #[test]
@@ -121,7 +121,7 @@
         observations
             .iter()
             .find(|observation| observation.zone == 1)
-            .and_then(|observation| observation.silent)
+            .and_then(|observation| observation.unanswered_ago)
             .is_some()
     };
     for trial in 1..=3 {
--- a/crates/sidecar/src/fleet/zone_failover.rs
+++ b/crates/sidecar/src/fleet/zone_failover.rs
@@ -85,7 +85,7 @@
 
 /// Converts an observation of the decision engine; `elapsed`, the time since the observation, is added to its ages.
 fn own_observation(observation: &EngineObservation, elapsed: Duration) -> OwnObservation {
-    let health = match (observation.silent, observation.answered) {
+    let health = match (observation.unanswered_ago, observation.answered_ago) {
         (Some(since), _) => ZoneHealth::Silent { since: since + elapsed },
         (None, Some(sent)) => ZoneHealth::Answering { sent_ago: sent + elapsed, slow: observation.slow },
         (None, None) => ZoneHealth::Unknown,
--- a/crates/sidecar/src/fleet/zone_failover_tests.rs
+++ b/crates/sidecar/src/fleet/zone_failover_tests.rs
@@ -25,8 +25,8 @@
     let observation = |zone, silent: Option<u64>, answered: Option<u64>, slow| EngineObservation {
         zone,
         ready: zone as usize + 2,
-        silent: silent.map(ms),
-        answered: answered.map(ms),
+        unanswered_ago: silent.map(ms),
+        answered_ago: answered.map(ms),
         slow,
     };
     let mut text = String::new();
--- a/crates/sidecar/src/net/owner/event_loop.rs
+++ b/crates/sidecar/src/net/owner/event_loop.rs
@@ -279,7 +279,7 @@
     }
 
     fn peer_message(&mut self, now: Duration, peer: u32, message: &[u8]) {
-        let ignored_before = self.policy.ignored_messages().all();
+        let ignored_before = self.policy.ignored_messages().total();
         self.policy.peer_message_received(now, peer, message);
         let IgnoredMessages { malformed, unknown_server } = self.policy.ignored_messages();
         // Logged at powers of two only, since a peer of another version sends such messages continuously.
