--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -1,31 +1,32 @@
-//! The contents of a scope: values by key, with their bounds. What a key means is up to the [`crate::ConfigHost`].
+//! The contents of a scope: a map from keys to values, with bounds on both. Only the [`crate::ConfigHost`] interprets
+//! keys.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Keys of one scope.
+/// The maximum number of keys in a scope.
 pub const MAX_KEYS: usize = 1024;
-/// Bytes of a key.
+/// The maximum length of a key in bytes.
 pub const MAX_KEY_BYTES: usize = 160;
-/// Bytes of a value.
+/// The maximum length of a value in bytes.
 pub const MAX_VALUE_BYTES: usize = 256;
 
-/// Characters of an invalid key that an error repeats.
+/// The number of characters of an invalid key that an error quotes.
 const MAX_SHOWN_KEY_CHARS: usize = 40;
 
-/// Why contents can't be used: the key at fault and the reason.
+/// An invalid key of a scope's contents, with the reason.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigError {
-    /// The key at fault.
+    /// The invalid key.
     pub key: String,
-    /// What is wrong with it or with its value.
+    /// The reason why the key or its value is invalid.
     #[serde(rename = "what")]
     pub reason: String,
 }
 
 impl ConfigError {
-    /// An error of this key.
+    /// Creates an error for `key`.
     pub fn new(key: &str, reason: impl fmt::Display) -> ConfigError {
         ConfigError { key: key.into(), reason: reason.to_string() }
     }
@@ -39,10 +40,14 @@
 
 impl std::error::Error for ConfigError {}
 
-/// All keys of a scope with their values, in order. A key that is missing keeps the value of the sidecar's own file.
+/// All keys of a scope with their values, ordered by key. For a missing key the value of the sidecar's own file
+/// applies.
 pub type Contents = BTreeMap<String, String>;
 
-/// Fails with the first key that is out of bounds.
+/// Checks the number of keys and the length and characters of each key and value.
+///
+/// # Errors
+/// The first key that violates a bound.
 pub(crate) fn check_bounds(contents: &Contents) -> Result<(), ConfigError> {
     let is_plain = |text: &str| !text.chars().any(char::is_control);
     for (number, (key, value)) in contents.iter().enumerate() {
--- a/crates/control/src/delta.rs
+++ b/crates/control/src/delta.rs
@@ -1,5 +1,5 @@
-//! Snapshots and deltas: what control machines send to sidecars and to each other, and how it is checked. Either all of a
-//! delta applies, or nothing of it does.
+//! Snapshots and deltas, the messages that control machines send to sidecars and to each other, and their checks. A
+//! delta is applied completely or not at all.
 
 use crate::config::{ConfigError, Contents, check_bounds};
 use crate::poll::{MAX_SCOPE_BYTES, is_valid_scope};
@@ -7,10 +7,10 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Bytes of a delta as JSON.
+/// The maximum length of a delta's JSON in bytes.
 pub const MAX_DELTA_BYTES: usize = 96 * 1024;
 
-/// All contents of a scope at one version. The version's digest always matches the contents.
+/// The complete contents of a scope at one version. The version's digest always matches the contents.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
     scope: String,
@@ -18,37 +18,37 @@
     contents: Contents,
 }
 
-/// The message that carries a version: the changes since `base`, or the complete contents where there is no base.
+/// The message that carries a version: the changes since `base`, or the complete contents if there is no base.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Delta {
-    /// The service that it configures.
+    /// The scope: the name of the configured service.
     pub scope: String,
-    /// The version that results from it.
+    /// The version that results from applying the delta.
     pub version: Version,
-    /// The version that it applies to; none where it is complete.
+    /// The version that the delta applies to; `None` if `set` is the complete contents.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub base: Option<Version>,
-    /// Keys that are new or have another value than in the base.
+    /// Keys that are new or have a different value than in the base.
     #[serde(default)]
     pub set: Contents,
-    /// Keys of the base that are gone.
+    /// Keys of the base that are removed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub removed: Vec<String>,
 }
 
-/// Why a delta can't be applied.
+/// Why a delta can't be parsed or applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DeltaError {
-    /// The bytes are no delta: truncated, corrupt or too long.
+    /// The bytes are not a delta: truncated, corrupt or longer than [`MAX_DELTA_BYTES`].
     Malformed(String),
-    /// It is of this scope, which is another one.
+    /// The delta belongs to this scope, which is not the expected one.
     WrongScope(String),
-    /// It applies to another version than the one that is here; a snapshot has to be requested.
+    /// The delta's base is not the current version; a snapshot has to be requested.
     BaseMismatch,
-    /// The contents that result from it don't have the digest of its version.
+    /// The digest of the resulting contents differs from the digest in the delta's version.
     DigestMismatch,
-    /// A key is out of bounds, or the scope's name is invalid.
+    /// A key violates its bounds, or the scope's name is invalid.
     Bounds(ConfigError),
 }
 
@@ -79,10 +79,10 @@
 }
 
 impl Snapshot {
-    /// A snapshot with the version of this epoch and number.
+    /// Creates a snapshot whose version has this epoch and number and the digest of the contents.
     ///
     /// # Errors
-    /// The first key that is out of bounds, or the key `scope` where the scope's name is invalid.
+    /// The first key that violates its bounds, or the key `scope` if the scope's name is invalid.
     pub fn new(scope: &str, epoch: u64, number: u64, contents: Contents) -> Result<Snapshot, ConfigError> {
         if !is_valid_scope(scope) {
             return Err(ConfigError::new(
@@ -95,12 +95,12 @@
         Ok(Snapshot { scope: scope.into(), version: Version { epoch, number, digest }, contents })
     }
 
-    /// The service that it configures.
+    /// The scope: the name of the configured service.
     pub fn scope(&self) -> &str {
         &self.scope
     }
 
-    /// Its version.
+    /// The snapshot's version.
     pub fn version(&self) -> Version {
         self.version
     }
@@ -110,13 +110,13 @@
         &self.contents
     }
 
-    /// The message with the complete contents, which needs no base.
+    /// A delta with the complete contents and no base.
     pub fn full_delta(&self) -> Delta {
         let (scope, set) = (self.scope.clone(), self.contents.clone());
         Delta { scope, version: self.version, base: None, set, removed: Vec::new() }
     }
 
-    /// The message with the changes since another snapshot of the same scope.
+    /// A delta with the changes since `base`, another snapshot of the same scope.
     pub fn delta_since(&self, base: &Snapshot) -> Delta {
         let changed = self.contents.iter().filter(|(key, value)| base.contents.get(*key) != Some(value));
         let removed = base.contents.keys().filter(|key| !self.contents.contains_key(*key));
@@ -134,7 +134,7 @@
     /// Parses a delta's JSON.
     ///
     /// # Errors
-    /// [`DeltaError::Malformed`].
+    /// [`DeltaError::Malformed`] if the bytes are too long or not a delta's JSON.
     pub fn from_json(bytes: &[u8]) -> Result<Delta, DeltaError> {
         if bytes.len() > MAX_DELTA_BYTES {
             return Err(DeltaError::Malformed(format!("it is longer than {MAX_DELTA_BYTES} bytes")));
@@ -142,16 +142,16 @@
         serde_json::from_slice(bytes).map_err(|error| DeltaError::Malformed(error.to_string()))
     }
 
-    /// The delta as JSON, for a message and for a stored file alike.
+    /// Serializes the delta as JSON, the format of both messages and stored files.
     pub fn to_json(&self) -> String {
         // Strings and lists of strings can always be serialized.
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// The snapshot that results where `current` is what is here.
+    /// Applies the delta to `current`, the current snapshot of `scope`, and returns the resulting snapshot.
     ///
     /// # Errors
-    /// Any [`DeltaError`] but [`DeltaError::Malformed`]; nothing of the delta applies then.
+    /// Any [`DeltaError`] except [`DeltaError::Malformed`]. No part of the delta is applied then.
     pub fn apply(self, scope: &str, current: Option<&Snapshot>) -> Result<Snapshot, DeltaError> {
         if self.scope != scope {
             return Err(DeltaError::WrongScope(self.scope.chars().take(MAX_SCOPE_BYTES).collect()));
--- a/crates/control/src/follower.rs
+++ b/crates/control/src/follower.rs
@@ -1,5 +1,5 @@
-//! A sidecar's side of the exchange: which version is in force, which control machine is polled, and when again. It never
-//! applies a part of a version, nor an older version than the one in force.
+//! The sidecar's side of the protocol: the version in force, the control machine to poll, and the backoff after a
+//! failure. A follower never applies part of a version, nor a version older than the one in force.
 
 use crate::config::{ConfigError, Contents};
 use crate::delta::{Delta, DeltaError, Snapshot};
@@ -10,66 +10,67 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a poll waits at the machine for a newer version. A machine that falls silent is noticed only after it, and
-/// a version has to be in force within 10 s all the same.
+/// How long a machine holds a poll while it has no newer version. A machine that stops responding is detected only
+/// after this time, and a version must still be in force everywhere within 10 s.
 const POLL_WAIT: Duration = Duration::from_secs(6);
-/// The shortest backoff.
+/// The part of every backoff that is not random.
 const MIN_BACKOFF: Duration = Duration::from_millis(20);
-/// What jitter adds to it at most while another machine has not been tried.
+/// The maximum jitter added to [`MIN_BACKOFF`] until every machine has been tried.
 const BACKOFF_JITTER: Duration = Duration::from_millis(80);
-/// The least part of the jitter that is always added.
+/// The fraction of the jitter that is always added.
 const MIN_JITTER_FRACTION: f64 = 0.2;
-/// Once every machine has failed, the jitter is this many times as long, doubled with each further round.
+/// The factor on the jitter once every machine has failed, which doubles with each round over all machines.
 const ROUND_JITTER_FACTOR: u32 = 6;
-/// Rounds after which the jitter is no longer doubled.
+/// The number of rounds after which the jitter no longer doubles.
 const MAX_BACKOFF_ROUNDS: usize = 4;
-/// The longest backoff.
+/// The maximum backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
-/// After this time at another machine, and up to as long again, the first one in order is tried again.
+/// The follower returns to the first machine in its order after this time at another, plus up to as long again in
+/// jitter.
 const FAILBACK_AFTER: Duration = Duration::from_secs(30);
 /// The increment of SplitMix64.
 const SEED_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// What applies a version to the process.
+/// Checks versions and applies them to the process.
 pub trait ConfigHost {
-    /// Whether all of the contents can be applied. It changes nothing.
+    /// Checks whether all of the contents can be applied, without changing anything.
     ///
     /// # Errors
     /// The first key that can't be applied.
     fn check(&mut self, contents: &Contents) -> Result<(), ConfigError>;
 
-    /// Applies contents that [`ConfigHost::check`] accepted, in place of all that was applied before.
+    /// Applies contents that [`ConfigHost::check`] accepted, replacing those applied before.
     fn apply(&mut self, version: &Version, contents: &Contents);
 }
 
 /// A version that the host refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// The version.
+    /// The refused version.
     pub version: Version,
     /// The key that can't be applied, and why.
     pub error: ConfigError,
-    /// When it was refused, on the caller's clock.
+    /// The time of the refusal on the caller's clock.
     pub at: Duration,
 }
 
-/// What a delta led to.
+/// The outcome of a delta that could be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// This version is in force.
+    /// This version was applied and is in force.
     Applied(Version),
-    /// The host refused the version; the one before it stays in force.
+    /// The host refused the version; the previous version stays in force.
     Refused(Refusal),
-    /// The version is in force already, or was refused before.
+    /// The version is already in force, or it is not newer than one that was refused.
     Unchanged,
 }
 
-/// Why an answer is of no use. The next machine is polled then.
+/// Why an answer can't be used. The next machine is polled then.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AnswerError {
-    /// It can't be applied.
+    /// The delta can't be parsed or applied.
     Delta(DeltaError),
-    /// The machine is behind: its version is older than the one in force.
+    /// The machine lags: its version, this one, is older than the one in force.
     Stale(Version),
 }
 
@@ -77,7 +78,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             AnswerError::Delta(error) => error.fmt(f),
-            AnswerError::Stale(version) => write!(f, "version: {version} is older than what is in force"),
+            AnswerError::Stale(version) => write!(f, "version: {version} is older than the version in force"),
         }
     }
 }
@@ -87,9 +88,9 @@
 /// Why a cached snapshot is not restored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RestoreError {
-    /// It is truncated, corrupt or of another scope.
+    /// The snapshot is truncated, corrupt or of another scope.
     Delta(DeltaError),
-    /// The host refuses it, as the sidecar's own file has changed.
+    /// The host refuses the snapshot, because the sidecar's own file has changed.
     Config(ConfigError),
 }
 
@@ -116,31 +117,31 @@
     }
 }
 
-/// A sidecar that follows the configuration of one scope.
+/// The state of a sidecar that follows the configuration of one scope.
 pub struct Follower {
     scope: String,
     name: String,
-    /// In the order in which they are tried.
+    /// The control machines in the order in which they are tried.
     machines: Vec<SocketAddr>,
-    /// The index of the one that is polled.
+    /// The index in `machines` of the machine that is polled.
     current: usize,
     in_force: Option<Snapshot>,
     refused: Option<Refusal>,
-    /// Whether the last delta did not apply to the version in force.
+    /// Whether the last delta could not be applied, so that the next poll requests a snapshot.
     wants_snapshot: bool,
     consecutive_failures: u32,
-    /// Whether the machine that is polled has answered since it was chosen.
+    /// Whether the polled machine has answered since it was selected.
     answered: bool,
     failback_at: Duration,
     seed: u64,
 }
 
 impl Follower {
-    /// How long an answer may take beyond the time that the poll waits.
+    /// How long an answer may take beyond the wait that the poll requests.
     pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-    /// A follower without a version. `name` is the sidecar's own, unique within the scope; machines of `region` are
-    /// tried first; `seed` feeds the jitter.
+    /// Creates a follower without a version. `name` is the sidecar's name, unique within the scope; machines of
+    /// `region` are tried first; `seed` seeds the jitter.
     pub fn new(scope: &str, name: &str, machines: &[ControlMachine], region: &str, seed: u64) -> Follower {
         Follower {
             scope: scope.into(),
@@ -160,7 +161,7 @@
     /// Applies the snapshot that an earlier process cached, before any machine is polled.
     ///
     /// # Errors
-    /// The snapshot can't be read or the host refuses it; nothing is applied then.
+    /// The snapshot can't be parsed, or the host refuses it. Nothing is applied then.
     pub fn restore(&mut self, cached: &[u8], host: &mut impl ConfigHost) -> Result<Version, RestoreError> {
         let snapshot = Delta::from_json(cached)?.apply(&self.scope, None)?;
         host.check(snapshot.contents())?;
@@ -170,22 +171,22 @@
         Ok(version)
     }
 
-    /// The snapshot that is in force.
+    /// The snapshot that is in force, if any.
     pub fn in_force(&self) -> Option<&Snapshot> {
         self.in_force.as_ref()
     }
 
-    /// The newest refused version, as long as no newer one is in force.
+    /// The newest refused version; `None` once a newer version is in force.
     pub fn refused(&self) -> Option<&Refusal> {
         self.refused.as_ref()
     }
 
-    /// The machine to poll; none where no machine is configured.
+    /// The address of the machine to poll; `None` if no machine is configured.
     pub fn machine(&self) -> Option<SocketAddr> {
         self.machines.get(self.current).copied()
     }
 
-    /// The next poll.
+    /// The poll to send next.
     pub fn next_poll(&self) -> Poll {
         let refused = self
             .refused
@@ -197,21 +198,22 @@
             acknowledged: self.in_force.as_ref().map(Snapshot::version),
             refused,
             wants_snapshot: self.wants_snapshot,
-            // The first poll doesn't wait, so that the current version is known soon.
+            // The first poll of a machine doesn't wait, so that its current version is known soon.
             wait: if self.answered { POLL_WAIT } else { Duration::ZERO },
         }
     }
 
-    /// The machine has no newer version. Returns whether another machine is polled from here on, over a new connection.
+    /// Handles an answer without a newer version. Returns whether a different machine is polled next, over a new
+    /// connection.
     pub fn on_unchanged(&mut self, now: Duration) -> bool {
         self.record_answer();
         self.fail_back(now)
     }
 
-    /// The machine answered with a delta, as bytes.
+    /// Handles an answer with a delta's JSON.
     ///
     /// # Errors
-    /// The answer is of no use; the version in force stays so.
+    /// The answer can't be used. The version in force doesn't change.
     pub fn on_delta(
         &mut self,
         now: Duration,
@@ -246,7 +248,7 @@
         (self.answered, self.consecutive_failures) = (true, 0);
     }
 
-    /// No answer came, or one of no use. Returns the backoff before the next machine is polled.
+    /// Handles a missing or unusable answer: selects the next machine. Returns the backoff before it is polled.
     pub fn on_failure(&mut self, now: Duration) -> Duration {
         let count = self.machines.len().max(1);
         self.current = (self.current + 1) % count;
@@ -260,16 +262,16 @@
         (MIN_BACKOFF + jitter.mul_f64(fraction)).min(MAX_BACKOFF)
     }
 
-    /// Goes back to the first machine in order when it is time.
+    /// Selects the first machine in order if the failback is is_due. Returns whether it did.
     fn fail_back(&mut self, now: Duration) -> bool {
-        let due = self.current > 0 && now >= self.failback_at;
-        if due {
+        let is_due = self.current > 0 && now >= self.failback_at;
+        if is_due {
             (self.current, self.answered) = (0, false);
         }
-        due
+        is_due
     }
 
-    /// The next pseudo-random number from 0 to 1.
+    /// The next pseudo-random number in [0, 1).
     fn random(&mut self) -> f64 {
         self.seed = self.seed.wrapping_add(SEED_INCREMENT);
         (mix64(self.seed) >> 11) as f64 / (1u64 << 53) as f64
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,12 +1,13 @@
-//! The configuration of services as numbered versions: snapshots, deltas, acknowledgements, and how control machines agree.
+//! The protocol that distributes versioned service configuration from control machines to sidecars.
 //!
-//! A *scope* is one service's configuration. A control machine keeps the last versions of each scope in its
-//! [`VersionStore`]; a sidecar is the [`Follower`] of one scope: it polls a control machine, checks the [`Delta`] that
-//! it is answered with, and applies it through its [`ConfigHost`]. The next [`Poll`] acknowledges the version, or reports
-//! its refusal. Control machines exchange complete snapshots; the greater [`Version`] wins wherever it was published.
+//! A *scope* is one service's configuration. A control machine stores the last versions of each scope in its
+//! [`VersionStore`]. A sidecar is the [`Follower`] of one scope: it polls a control machine, checks the [`Delta`] in
+//! the answer and applies it through its [`ConfigHost`]. Its next [`Poll`] acknowledges the version or reports its
+//! refusal. Control machines exchange complete snapshots; the greater [`Version`] wins regardless of where it was
+//! published.
 //!
-//! The crate does no I/O: it reads no clock and no socket and draws no seed of its own, and it doesn't know what a key
-//! means. The reasons behind the protocol are in `docs/control.md`.
+//! The crate does no I/O: callers pass in the time, the bytes and the random seed. It doesn't interpret keys. The
+//! design of the protocol is explained in `docs/control.md`.
 #![warn(missing_docs)]
 
 mod config;
--- a/crates/control/src/poll.rs
+++ b/crates/control/src/poll.rs
@@ -1,26 +1,26 @@
-//! A sidecar's poll as the query of a path, written and read. It owns the parameters' names and the percent-encoding.
+//! Encodes and decodes a sidecar's poll as a URL query. Owns the names of the parameters and the percent-encoding.
 
 use crate::version::Version;
 use serde::{Deserialize, Serialize};
 use std::fmt::{self, Write};
 use std::time::Duration;
 
-/// Bytes of a scope's name.
+/// The maximum length of a scope's name in bytes.
 pub const MAX_SCOPE_BYTES: usize = 64;
-/// Bytes of a sidecar's name.
+/// The maximum length of a sidecar's name in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
-/// The longest that a machine lets a poll wait.
+/// The maximum time for which a machine holds a poll.
 const MAX_WAIT: Duration = Duration::from_secs(60);
-/// Bytes of a refusal's reason; a longer one is truncated.
+/// The maximum length of a refusal's reason in bytes; a longer one is truncated.
 const MAX_REASON_BYTES: usize = 400;
 
-/// A sidecar's report that it refused a version. As JSON it is the list `[VERSION, REASON]`.
+/// A sidecar's report that it refused a version. Its JSON is the list `[VERSION, REASON]`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(Version, String)", into = "(Version, String)")]
 pub struct ReportedRefusal {
-    /// The refused version.
+    /// The version that the sidecar refused.
     pub version: Version,
-    /// The key at fault and what is wrong with it.
+    /// The invalid key and the reason.
     pub reason: String,
 }
 
@@ -36,24 +36,24 @@
     }
 }
 
-/// What a sidecar reports and requests with each call.
+/// A sidecar's request for a newer version, with the report of its own state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Poll {
     /// The service whose configuration is requested.
     pub scope: String,
     /// The sidecar's name, unique within the scope.
     pub name: String,
-    /// The version that is in force at the sidecar: the acknowledgement.
+    /// The version in force at the sidecar, which the poll acknowledges.
     pub acknowledged: Option<Version>,
-    /// The last refusal since then.
+    /// The last refusal since the acknowledged version came into force.
     pub refused: Option<ReportedRefusal>,
-    /// Whether the answer has to be a snapshot even where a delta would do.
+    /// Whether the answer must be a snapshot even if the machine has the base of a delta.
     pub wants_snapshot: bool,
-    /// How long the machine may wait for a newer version before it answers.
+    /// How long the machine may hold the poll until it has a newer version.
     pub wait: Duration,
 }
 
-/// A query that is no poll, with the name of its first parameter that is missing or invalid.
+/// A query that is not a poll, with the name of the first parameter that is missing or invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MalformedPoll(pub &'static str);
 
@@ -65,7 +65,7 @@
 
 impl std::error::Error for MalformedPoll {}
 
-/// Whether a text can be a scope's name. Such a name can be a file's name as well.
+/// Whether a text is a valid name of a scope. Every valid name is also a safe file name.
 pub fn is_valid_scope(text: &str) -> bool {
     let is_allowed =
         |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || matches!(byte, b'-' | b'_' | b'.');
@@ -99,17 +99,17 @@
     String::from_utf8(out).ok()
 }
 
-/// The longest beginning of the text within `max` bytes that ends between two characters.
+/// The longest prefix of the text that has at most `max` bytes and ends at a character boundary.
 fn truncated(text: &str, max: usize) -> &str {
     let end = (0..=text.len().min(max)).rev().find(|at| text.is_char_boundary(*at));
     &text[..end.unwrap_or(0)]
 }
 
-/// The parameters of a query.
+/// A query string with access to its parameters.
 struct Query<'a>(&'a str);
 
 impl<'a> Query<'a> {
-    /// The raw value of a parameter; the first where it is given twice.
+    /// The undecoded value of a parameter; the first if it occurs more than once.
     fn raw(&self, name: &str) -> Option<&'a str> {
         let pairs = self.0.split('&').filter_map(|pair| pair.split_once('='));
         pairs.filter(|(key, _)| *key == name).map(|(_, value)| value).next()
@@ -127,7 +127,7 @@
 }
 
 impl Poll {
-    /// The query `scope=...&name=...` that goes behind a path's question mark.
+    /// Encodes the poll as the query `scope=...&name=...`, without the question mark.
     pub fn to_query(&self) -> String {
         let (scope, name) = (percent_encoded(&self.scope), percent_encoded(&self.name));
         let mut query = format!("scope={scope}&name={name}");
@@ -146,7 +146,7 @@
         query
     }
 
-    /// Parses a query. Unknown parameters are ignored, as a later build may send them.
+    /// Parses a query. Unknown parameters are ignored, because a later release may send them.
     ///
     /// # Errors
     /// The first parameter that is missing or invalid.
--- a/crates/control/src/scope_status.rs
+++ b/crates/control/src/scope_status.rs
@@ -1,5 +1,5 @@
-//! How a scope stands: its version, and which followers have acknowledged or refused it. Machines exchange it as JSON to
-//! answer operators together.
+//! The status of a scope: its version, and which followers have acknowledged or refused it. Machines exchange it as
+//! JSON to combine what each of them knows for an operator.
 
 use crate::config::Contents;
 use crate::poll::ReportedRefusal;
@@ -8,16 +8,16 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A follower that has not polled for this long is silent.
+/// A follower whose last poll is older than this is reported as silent.
 const SILENT_AFTER: Duration = Duration::from_secs(20);
 
-/// One sidecar, as a control machine knows it.
+/// The status of one sidecar as a control machine knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FollowerStatus {
-    /// The version that it acknowledged last.
+    /// The version that the sidecar acknowledged last.
     #[serde(rename = "have")]
     pub acknowledged: Option<Version>,
-    /// Its last refusal since then.
+    /// Its last refusal since the acknowledged version came into force.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub refused: Option<ReportedRefusal>,
     /// Milliseconds since its last poll.
@@ -27,46 +27,46 @@
 /// A follower that has neither acknowledged nor refused the current version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LaggingFollower<'a> {
-    /// Its name.
+    /// The follower's name.
     pub name: &'a str,
-    /// Whether it has stopped polling.
+    /// Whether the follower has stopped polling.
     pub silent: bool,
 }
 
-/// How a scope stands, as one machine or several together know it.
+/// The status of a scope as one machine knows it, or as merged from several machines.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScopeStatus {
-    /// The service.
+    /// The name of the scope.
     pub scope: String,
-    /// The current version.
+    /// The current version; `None` if nothing was published.
     pub version: Option<Version>,
-    /// Its contents.
+    /// The contents of the current version.
     pub contents: Contents,
-    /// The versions that can be rolled back to, the newest last.
+    /// The versions that can be rolled back to, newest last.
     #[serde(rename = "kept")]
     pub history: Vec<Version>,
-    /// Its followers by name.
+    /// The followers by name.
     pub followers: BTreeMap<String, FollowerStatus>,
 }
 
 impl ScopeStatus {
-    /// Merges what another machine knows of the followers: of each one the status that is younger.
+    /// Merges the followers of another machine's status. For each follower the more recent status is kept.
     pub fn merge(&mut self, other: ScopeStatus) {
         for (name, status) in other.followers {
-            let younger = self.followers.get(&name).is_none_or(|known| status.age_ms < known.age_ms);
-            if younger {
+            let is_newer = self.followers.get(&name).is_none_or(|known| status.age_ms < known.age_ms);
+            if is_newer {
                 self.followers.insert(name, status);
             }
         }
     }
 
-    /// How many followers have acknowledged the current version, or a newer one.
+    /// The number of followers that have acknowledged the current version or a newer one.
     pub fn acknowledged(&self) -> usize {
         let is_current = |follower: &&FollowerStatus| follower.acknowledged >= self.version;
         self.followers.values().filter(is_current).count()
     }
 
-    /// The followers that refused the current version, with the reason of each.
+    /// The names of the followers that refused the current version, with their reasons.
     pub fn refusals(&self) -> impl Iterator<Item = (&String, &String)> {
         self.followers.iter().filter_map(|(name, follower)| {
             let refused = follower.refused.as_ref()?;
--- a/crates/control/src/version.rs
+++ b/crates/control/src/version.rs
@@ -1,25 +1,25 @@
-//! Versions: which state of a scope's contents it is, and which of two versions is newer.
+//! Versions, which identify the states of a scope's contents and order them by age.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 use std::str::FromStr;
 
-/// One state of a scope's contents.
+/// The identity of one state of a scope's contents.
 ///
-/// Versions are ordered by epoch, then number, then digest: two versions that were published on both sides of a network
-/// partition may have one number, and all machines converge on the greater digest.
+/// Versions are ordered by epoch, then number, then digest. Two versions published on both sides of a network partition
+/// may have the same number; all machines then converge on the greater digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Version {
-    /// When the scope was first published, in seconds of Unix time: a scope that is published anew, after all machines
-    /// had lost it, is newer than before.
+    /// The Unix time in seconds at which the scope was first published. A scope that is published again after all
+    /// machines lost it thereby gets a newer version than before.
     pub epoch: u64,
-    /// Counted from 1 within the epoch.
+    /// The number of the publication within the epoch, from 1.
     pub number: u64,
-    /// Over the scope's name, epoch, number and contents. It detects truncation and corruption, not forgery.
+    /// A hash over the scope's name, epoch, number and contents. It detects truncation and corruption, not forgery.
     pub digest: u128,
 }
 
-/// A text that is not a version.
+/// A text that can't be parsed as a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionParseError {
     text: String,
@@ -33,7 +33,7 @@
 
 impl std::error::Error for VersionParseError {}
 
-/// The FNV-1a hash over 128 bits.
+/// The 128-bit FNV-1a hash of a list of byte strings.
 pub(crate) struct Digest(u128);
 
 const FNV_OFFSET_BASIS: u128 = 0x6c62_272e_07bb_0142_62b8_2175_6295_c58d;
@@ -44,7 +44,7 @@
         Digest(FNV_OFFSET_BASIS)
     }
 
-    /// Adds one part. Its length goes before it, so that no two lists of parts hash the same bytes.
+    /// Adds one byte string, preceded by its length so that no two lists hash the same bytes.
     pub(crate) fn add(&mut self, part: &[u8]) {
         let length = (part.len() as u64).to_be_bytes();
         for byte in length.iter().chain(part) {
@@ -57,7 +57,7 @@
     }
 }
 
-/// `EPOCH.NUMBER.DIGEST`, the digest in 32 hexadecimal digits; the only form of a version in queries, JSON and files.
+/// Writes `EPOCH.NUMBER.DIGEST`, the digest in 32 hexadecimal digits: the form of a version in queries, JSON and files.
 impl fmt::Display for Version {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}.{}.{:032x}", self.epoch, self.number, self.digest)
@@ -74,7 +74,7 @@
 }
 
 fn parse(text: &str) -> Option<Version> {
-    /// The decimal digits of the greatest `u64`.
+    /// The number of decimal digits of `u64::MAX`.
     const MAX_DIGITS: usize = 20;
     const DIGEST_DIGITS: usize = 32;
     let mut parts = text.split('.');
--- a/crates/control/src/version_store.rs
+++ b/crates/control/src/version_store.rs
@@ -1,6 +1,6 @@
-//! A control machine's side of the exchange: the versions of each scope, and which follower has acknowledged or refused
-//! which. It owns the rule by which machines agree (the greater version wins, wherever it was published). A version
-//! without a base comes into being only where an operator publishes one.
+//! The control machine's side of the protocol: the versions of each scope, and which of them the followers have
+//! acknowledged or refused. Owns the rule by which machines converge: the greater version wins, regardless of where it
+//! was published. New versions result only from an operator's publication.
 
 use crate::config::{ConfigError, Contents};
 use crate::delta::{Delta, DeltaError, Snapshot};
@@ -11,13 +11,13 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Scopes of one machine.
+/// The maximum number of scopes on a machine.
 pub const MAX_SCOPES: usize = 16 * 1024;
-/// Versions of a scope that are stored, as bases of deltas and to roll back to.
+/// The number of versions of a scope that are stored as bases of deltas and as targets of rollbacks.
 const MAX_HISTORY: usize = 16;
-/// Followers of a scope that are remembered. Past that the one that was silent for longest is forgotten.
+/// The maximum number of followers that are tracked in a scope. Beyond it the one with the oldest poll is dropped.
 const MAX_FOLLOWERS: usize = 16 * 1024;
-/// A follower that has not polled for this long is forgotten.
+/// A follower whose last poll is older than this is dropped.
 const FOLLOWER_EXPIRY: Duration = Duration::from_secs(3600);
 
 /// The current version of each scope.
@@ -32,21 +32,21 @@
 
 #[derive(Default)]
 struct Scope {
-    /// The last one is current.
+    /// The stored versions in order; the last one is current.
     history: VecDeque<Snapshot>,
     followers: BTreeMap<String, LastPoll>,
 }
 
-/// Why a version is not published.
+/// Why a publication or a rollback is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PublishError {
-    /// The base is not the current version, which is this one.
+    /// The base differs from the current version, which is this one.
     BaseMismatch(Option<Version>),
-    /// The version to roll back to is not stored.
+    /// The version to roll back to is not in the history.
     UnknownVersion(Version),
-    /// The contents or the scope's name are out of bounds.
+    /// The contents or the scope's name are invalid.
     Config(ConfigError),
-    /// There are [`MAX_SCOPES`] scopes already.
+    /// The machine has [`MAX_SCOPES`] scopes already.
     TooManyScopes,
 }
 
@@ -57,25 +57,27 @@
             PublishError::BaseMismatch(Some(version)) => write!(f, "base: {version} holds here"),
             PublishError::UnknownVersion(version) => write!(f, "back: {version} is not kept here"),
             PublishError::Config(error) => error.fmt(f),
-            PublishError::TooManyScopes => write!(f, "scope: there are {MAX_SCOPES} of them already"),
+            PublishError::TooManyScopes => {
+                write!(f, "scope: the machine has the maximum of {MAX_SCOPES} scopes already")
+            }
         }
     }
 }
 
 impl std::error::Error for PublishError {}
 
-/// What merging another machine's version led to.
+/// The outcome of merging another machine's version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// It is the current version now.
+    /// The merged version is now current.
     Updated,
-    /// It is the current version now, in place of this one with the same number: two were published concurrently.
+    /// The merged version replaced this one, which has the same number: the two were published concurrently.
     Replaced(Version),
-    /// The version that is here is newer, or the same.
+    /// The current version is the same or newer, and stays.
     Unchanged,
 }
 
-/// The versions of all scopes, as one control machine has them.
+/// The versions of all scopes that one control machine has.
 #[derive(Default)]
 pub struct VersionStore {
     scopes: BTreeMap<String, Scope>,
@@ -93,14 +95,14 @@
         }
     }
 
-    fn forget_oldest_follower(&mut self) {
+    fn drop_oldest_follower(&mut self) {
         let oldest = self.followers.iter().min_by_key(|(_, poll)| poll.at).map(|(name, _)| name.clone());
         oldest.into_iter().for_each(|name| _ = self.followers.remove(&name));
     }
 }
 
 impl VersionStore {
-    fn has_room(&self, scope: &str) -> bool {
+    fn has_room_for(&self, scope: &str) -> bool {
         self.scopes.contains_key(scope) || self.scopes.len() < MAX_SCOPES
     }
 
@@ -114,11 +116,11 @@
         self.scopes.get(scope)?.current()
     }
 
-    /// Publishes an operator's contents in place of the current version, which has to be `base`. `epoch` is for a scope
-    /// that was never published here: the current seconds of Unix time.
+    /// Publishes an operator's contents in place of the current version, which must be `base`. `epoch` is the current
+    /// Unix time in seconds, used if the scope has no version here.
     ///
     /// # Errors
-    /// Nothing is published then.
+    /// The publication is rejected, and the current version stays.
     pub fn publish(
         &mut self,
         scope: &str,
@@ -126,18 +128,19 @@
         contents: Contents,
         epoch: u64,
     ) -> Result<Version, PublishError> {
-        if !self.has_room(scope) {
+        if !self.has_room_for(scope) {
             return Err(PublishError::TooManyScopes);
         }
         let current = self.version(scope);
         if base != current {
             return Err(PublishError::BaseMismatch(current));
         }
-        // Followers may have acknowledged a version that was lost here: whatever the clock says, the new one is newer.
+        // Followers may have acknowledged a version that was lost here. The new version must be newer than that one,
+        // even if the clock is behind.
         let followers = self.scopes.get(scope).into_iter().flat_map(|known| known.followers.values());
         let acknowledged = followers.filter_map(|follower| follower.acknowledged);
-        let lost = acknowledged.map(|version| version.epoch.saturating_add(1)).max();
-        let epoch = epoch.max(lost.unwrap_or(0));
+        let min_epoch = acknowledged.map(|version| version.epoch.saturating_add(1)).max();
+        let epoch = epoch.max(min_epoch.unwrap_or(0));
         let (epoch, number) =
             current.map_or((epoch, 1), |current| (current.epoch, current.number.saturating_add(1)));
         let next = Snapshot::new(scope, epoch, number, contents).map_err(PublishError::Config)?;
@@ -149,7 +152,7 @@
     /// Publishes the contents of the stored version `target` as a new version in place of `base`.
     ///
     /// # Errors
-    /// Nothing is published then.
+    /// The publication is rejected, and the current version stays.
     pub fn roll_back(
         &mut self,
         scope: &str,
@@ -163,14 +166,14 @@
         self.publish(scope, base, contents.ok_or(PublishError::UnknownVersion(target))?, epoch)
     }
 
-    /// Merges the version of another machine, or one that this machine stored. The greater version is current from here on.
+    /// Merges a version from another machine or from this machine's disk. The greater version becomes current.
     ///
     /// # Errors
-    /// The delta can't be applied; nothing changes then.
+    /// The delta can't be applied, or there are too many scopes. Nothing changes then.
     pub fn merge(&mut self, delta: Delta) -> Result<MergeOutcome, DeltaError> {
         let scope = delta.scope.clone();
-        if !self.has_room(&scope) {
-            // One more scope than there may be is refused like a foreign one.
+        if !self.has_room_for(&scope) {
+            // A scope beyond the maximum is rejected as a foreign one.
             return Err(DeltaError::WrongScope(scope));
         }
         let next = delta.apply(&scope, self.current(&scope))?;
@@ -185,13 +188,14 @@
         Ok(replaced.map_or(MergeOutcome::Updated, MergeOutcome::Replaced))
     }
 
-    /// The answer to a poll: a delta on what the follower has, or a snapshot; none where nothing is new for it.
+    /// The answer to a poll: a delta to the version that the follower acknowledged, or else a snapshot; `None` if the
+    /// follower needs no update.
     pub fn delta_for(&self, poll: &Poll) -> Option<Delta> {
         let scope = self.scopes.get(&poll.scope)?;
         let current = scope.current()?;
         let refused = poll.refused.as_ref().map(|refused| refused.version);
         let version = current.version();
-        // A follower that refused a newer version would refuse this one too, and poll again at once.
+        // A follower that refused a newer version ignores this one: sending it would only make it poll again.
         if poll.acknowledged == Some(version) || refused >= Some(version) {
             return None;
         }
@@ -200,27 +204,27 @@
         Some(base.map_or_else(|| current.full_delta(), |base| current.delta_since(base)))
     }
 
-    /// Records what a follower acknowledges and refuses by this poll.
+    /// Records the acknowledgement and the refusal that a poll reports.
     pub fn record_poll(&mut self, now: Duration, poll: &Poll) {
-        if !self.has_room(&poll.scope) {
+        if !self.has_room_for(&poll.scope) {
             return;
         }
         let scope = self.scopes.entry(poll.scope.clone()).or_default();
         if scope.followers.len() >= MAX_FOLLOWERS && !scope.followers.contains_key(&poll.name) {
-            scope.forget_oldest_follower();
+            scope.drop_oldest_follower();
         }
         let last = LastPoll { at: now, acknowledged: poll.acknowledged, refused: poll.refused.clone() };
         scope.followers.insert(poll.name.clone(), last);
     }
 
-    /// Whether this follower's last poll reported that it refused this version.
+    /// Whether the last poll of the follower `name` reported a refusal of this version.
     pub fn has_refused(&self, scope: &str, name: &str, version: Version) -> bool {
         let follower = self.scopes.get(scope).and_then(|scope| scope.followers.get(name));
         let refused = follower.and_then(|follower| follower.refused.as_ref());
         refused.is_some_and(|refused| refused.version == version)
     }
 
-    /// Forgets followers that have not polled for an hour, and scopes that were polled but never published.
+    /// Drops followers that have not polled for [`FOLLOWER_EXPIRY`], and unpublished scopes without followers.
     pub fn expire(&mut self, now: Duration) {
         for scope in self.scopes.values_mut() {
             scope.followers.retain(|_, follower| now < follower.at + FOLLOWER_EXPIRY);
@@ -228,7 +232,7 @@
         self.scopes.retain(|_, scope| !scope.history.is_empty() || !scope.followers.is_empty());
     }
 
-    /// How a scope stands; none where it was neither published nor polled here.
+    /// The status of a scope; `None` if it was neither published nor polled on this machine.
     pub fn scope_status(&self, now: Duration, scope: &str) -> Option<ScopeStatus> {
         let known = self.scopes.get(scope)?;
         let status = |follower: &LastPoll| FollowerStatus {
@@ -252,7 +256,7 @@
         self.scopes.iter().filter_map(version).collect()
     }
 
-    /// A digest over the summary: machines with the same digest have the same versions.
+    /// A digest over the summary. Machines with the same digest have the same versions.
     pub fn digest(&self) -> u128 {
         let mut digest = Digest::new();
         for (name, version) in self.summary() {
@@ -262,7 +266,7 @@
         digest.value()
     }
 
-    /// The scopes of which another machine has a newer version.
+    /// The scopes for which another machine's summary has a newer version.
     pub fn outdated_scopes(&self, other: &VersionSummary) -> Vec<String> {
         let is_newer = |(name, version): &(&String, &Version)| self.version(name) < Some(**version);
         other.iter().filter(is_newer).map(|(name, _)| name.clone()).take(MAX_SCOPES).collect()
--- a/crates/control/tests/convergence.rs
+++ b/crates/control/tests/convergence.rs
@@ -1,5 +1,6 @@
-//! Machines and sidecars that pass versions to each other in any order, with messages lost, doubled, held back, cut and
-//! garbled: what is in force is one published version, whole, and never an older one; after the faults all agree.
+//! Random exchanges between control machines and sidecars, with lost, duplicated, delayed, truncated and corrupted
+//! messages. The version in force is always complete and as published, and never replaced by an older one. All machines
+//! and sidecars converge once the faults end.
 
 use landingspread_control::{
     ApplyOutcome, ConfigError, ConfigHost, Contents, ControlMachine, Delta, Follower, Version, VersionStore,
@@ -13,11 +14,11 @@
 const FOLLOWERS: usize = 5;
 const SCOPE: &str = "checkout";
 
-/// What a sidecar goes by; the key `bad` can't be gone by.
+/// Records the versions that are applied, and refuses contents with the key `bad`.
 #[derive(Default)]
 struct RecordingHost {
-    now: Option<(Version, Contents)>,
-    all: Vec<Version>,
+    in_force: Option<(Version, Contents)>,
+    applied: Vec<Version>,
 }
 
 impl ConfigHost for RecordingHost {
@@ -29,20 +30,20 @@
     }
 
     fn apply(&mut self, version: &Version, contents: &Contents) {
-        self.now = Some((*version, contents.clone()));
-        self.all.push(*version);
+        self.in_force = Some((*version, contents.clone()));
+        self.applied.push(*version);
     }
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     Publish {
-        at: usize,
+        machine: usize,
         contents: Contents,
     },
     RollBack {
-        at: usize,
-        to: usize,
+        machine: usize,
+        history_index: usize,
     },
     Exchange {
         from: usize,
@@ -50,17 +51,17 @@
     },
     Poll {
         follower: usize,
-        at: usize,
+        machine: usize,
         delivery: Delivery,
     },
-    /// The process ends; what it kept may be cut.
+    /// The sidecar's process restarts with its cached snapshot, which may be truncated.
     Restart {
         follower: usize,
-        cut: bool,
+        truncated: bool,
     },
-    /// A machine loses all that it had.
+    /// A machine loses all of its versions.
     LoseState {
-        at: usize,
+        machine: usize,
     },
 }
 
@@ -68,9 +69,9 @@
 enum Delivery {
     Delivered,
     Lost,
-    Twice,
-    /// It comes only after the next one.
-    Late,
+    Duplicated,
+    /// The message is delivered after the next delayed one is sent.
+    Delayed,
     Truncated(usize),
     Corrupted(usize, u8),
     OtherScope,
@@ -85,10 +86,10 @@
     prop_oneof![
         6 => Just(Delivery::Delivered),
         1 => Just(Delivery::Lost),
-        1 => Just(Delivery::Twice),
-        2 => Just(Delivery::Late),
+        1 => Just(Delivery::Duplicated),
+        2 => Just(Delivery::Delayed),
         1 => (0usize..400).prop_map(Delivery::Truncated),
-        2 => (0usize..400, 1u8..).prop_map(|(at, by)| Delivery::Corrupted(at, by)),
+        2 => (0usize..400, 1u8..).prop_map(|(index, mask)| Delivery::Corrupted(index, mask)),
         1 => Just(Delivery::OtherScope),
     ]
 }
@@ -96,23 +97,23 @@
 fn step() -> impl Strategy<Value = Step> {
     let (machine, follower) = (0..MACHINES, 0..FOLLOWERS);
     prop_oneof![
-        3 => (machine.clone(), contents()).prop_map(|(at, contents)| Step::Publish { at, contents }),
-        1 => (machine.clone(), 0usize..9).prop_map(|(at, to)| Step::RollBack { at, to }),
+        3 => (machine.clone(), contents()).prop_map(|(machine, contents)| Step::Publish { machine, contents }),
+        1 => (machine.clone(), 0usize..9).prop_map(|(machine, history_index)| Step::RollBack { machine, history_index }),
         4 => (machine.clone(), machine.clone()).prop_map(|(from, to)| Step::Exchange { from, to }),
         10 => (follower.clone(), machine.clone(), delivery())
-            .prop_map(|(follower, at, delivery)| Step::Poll { follower, at, delivery }),
-        1 => (follower, any::<bool>()).prop_map(|(follower, cut)| Step::Restart { follower, cut }),
-        1 => machine.prop_map(|at| Step::LoseState { at }),
+            .prop_map(|(follower, machine, delivery)| Step::Poll { follower, machine, delivery }),
+        1 => (follower, any::<bool>()).prop_map(|(follower, truncated)| Step::Restart { follower, truncated }),
+        1 => machine.prop_map(|machine| Step::LoseState { machine }),
     ]
 }
 
 struct Sidecar {
     follower: Follower,
     host: RecordingHost,
-    held_back: Option<Vec<u8>>,
+    delayed: Option<Vec<u8>>,
 }
 
-fn started(number: usize) -> Follower {
+fn new_follower(number: usize) -> Follower {
     let machine = |at: usize| ControlMachine {
         address: ([127, 0, 0, 1], 7800 + at as u16).into(),
         region: String::new(),
@@ -121,18 +122,21 @@
     Follower::new(SCOPE, &format!("s{number}"), &machines, "", number as u64)
 }
 
-struct World {
+struct Cluster {
     stores: Vec<VersionStore>,
     sidecars: Vec<Sidecar>,
     published: BTreeMap<Version, Contents>,
     now: Duration,
 }
 
-impl World {
-    fn new() -> World {
-        let sidecar =
-            |number| Sidecar { follower: started(number), host: RecordingHost::default(), held_back: None };
-        World {
+impl Cluster {
+    fn new() -> Cluster {
+        let sidecar = |number| Sidecar {
+            follower: new_follower(number),
+            host: RecordingHost::default(),
+            delayed: None,
+        };
+        Cluster {
             stores: (0..MACHINES).map(|_| VersionStore::default()).collect(),
             sidecars: (0..FOLLOWERS).map(sidecar).collect(),
             published: BTreeMap::new(),
@@ -141,19 +145,23 @@
     }
 
     fn exchange(&mut self, from: usize, to: usize) {
-        let theirs = self.stores[from].summary();
-        for scope in self.stores[to].outdated_scopes(&theirs) {
-            let delta = self.stores[from].current(&scope).expect("it is in the summary").full_delta();
-            let delta = Delta::from_json(delta.to_json().as_bytes()).expect("it reads as written");
-            self.stores[to].merge(delta).expect("another machine's snapshot fits");
+        let summary = self.stores[from].summary();
+        for scope in self.stores[to].outdated_scopes(&summary) {
+            let delta = self.stores[from]
+                .current(&scope)
+                .expect("a scope of the summary has a snapshot")
+                .full_delta();
+            let delta =
+                Delta::from_json(delta.to_json().as_bytes()).expect("a serialized delta can be parsed");
+            self.stores[to].merge(delta).expect("another machine's snapshot can be merged");
         }
     }
 
-    fn poll(&mut self, number: usize, at: usize, delivery: Delivery) {
+    fn poll(&mut self, number: usize, machine: usize, delivery: Delivery) {
         let sidecar = &mut self.sidecars[number];
         let poll = sidecar.follower.next_poll();
-        self.stores[at].record_poll(self.now, &poll);
-        let Some(delta) = self.stores[at].delta_for(&poll) else {
+        self.stores[machine].record_poll(self.now, &poll);
+        let Some(delta) = self.stores[machine].delta_for(&poll) else {
             sidecar.follower.on_unchanged(self.now);
             return;
         };
@@ -163,20 +171,21 @@
                 sidecar.follower.on_failure(self.now);
                 return;
             }
-            Delivery::Late => {
-                if let Some(late) = sidecar.held_back.replace(bytes) {
-                    self.receive(number, &late);
+            Delivery::Delayed => {
+                if let Some(delayed) = sidecar.delayed.replace(bytes) {
+                    self.receive(number, &delayed);
                 }
                 return;
             }
-            Delivery::Twice => self.receive(number, &bytes),
+            Delivery::Duplicated => self.receive(number, &bytes),
             Delivery::Truncated(length) => bytes.truncate(length.min(bytes.len() - 1)),
-            Delivery::Corrupted(place, by) => {
-                let place = place % bytes.len();
-                bytes[place] ^= by;
+            Delivery::Corrupted(index, mask) => {
+                let index = index % bytes.len();
+                bytes[index] ^= mask;
             }
             Delivery::OtherScope => {
-                bytes = String::from_utf8(bytes).expect("text").replace(SCOPE, "basket").into_bytes();
+                bytes =
+                    String::from_utf8(bytes).expect("JSON is UTF-8").replace(SCOPE, "basket").into_bytes();
             }
             Delivery::Delivered => {}
         }
@@ -185,72 +194,78 @@
 
     fn receive(&mut self, number: usize, bytes: &[u8]) {
         let Sidecar { follower, host, .. } = &mut self.sidecars[number];
-        let before = host.now.clone();
+        let before = host.in_force.clone();
         match follower.on_delta(self.now, bytes, host) {
             Ok(ApplyOutcome::Applied(version)) => {
-                assert!(
-                    before.is_none_or(|(before, _)| before < version),
-                    "only a newer one is put in force"
-                );
+                assert!(before.is_none_or(|(before, _)| before < version), "only a newer version is applied");
             }
             Ok(ApplyOutcome::Refused(refusal)) => {
                 assert_eq!(refusal.error.key, "bad");
-                assert_eq!(host.now, before, "the last good one stays in force");
+                assert_eq!(host.in_force, before, "the previous version stays in force");
             }
-            Ok(ApplyOutcome::Unchanged) => assert_eq!(host.now, before),
+            Ok(ApplyOutcome::Unchanged) => assert_eq!(host.in_force, before),
             Err(_) => {
-                assert_eq!(host.now, before, "the last good one stays in force");
+                assert_eq!(host.in_force, before, "the previous version stays in force");
                 follower.on_failure(self.now);
             }
         }
     }
 
-    fn play(&mut self, step: Step) {
+    fn apply_step(&mut self, step: Step) {
         self.now += Duration::from_millis(100);
         match step {
-            Step::Publish { at, contents } => {
-                let base = self.stores[at].version(SCOPE);
-                let version =
-                    self.stores[at].publish(SCOPE, base, contents.clone(), 7).expect("it is published");
+            Step::Publish { machine, contents } => {
+                let base = self.stores[machine].version(SCOPE);
+                let version = self.stores[machine]
+                    .publish(SCOPE, base, contents.clone(), 7)
+                    .expect("valid contents are published");
                 self.published.insert(version, contents);
             }
-            Step::RollBack { at, to } => {
-                let Some(status) = self.stores[at].scope_status(self.now, SCOPE) else { return };
-                let Some(back) = status.history.get(to).copied() else { return };
-                let version = self.stores[at].roll_back(SCOPE, status.version, back, 7).expect("it is kept");
-                let contents = self.published[&back].clone();
+            Step::RollBack { machine, history_index } => {
+                let Some(status) = self.stores[machine].scope_status(self.now, SCOPE) else { return };
+                let Some(target) = status.history.get(history_index).copied() else { return };
+                let version = self.stores[machine]
+                    .roll_back(SCOPE, status.version, target, 7)
+                    .expect("a version of the history can be published again");
+                let contents = self.published[&target].clone();
                 self.published.insert(version, contents);
             }
             Step::Exchange { from, to } => self.exchange(from, to),
-            Step::Poll { follower, at, delivery } => self.poll(follower, at, delivery),
-            Step::Restart { follower: number, cut } => {
-                let kept = self.sidecars[number].follower.in_force().map(|kept| kept.full_delta().to_json());
-                let (mut follower, mut host) = (started(number), RecordingHost::default());
-                if let Some(kept) = kept {
-                    let bytes = &kept.as_bytes()[..if cut { kept.len() / 2 } else { kept.len() }];
+            Step::Poll { follower, machine, delivery } => self.poll(follower, machine, delivery),
+            Step::Restart { follower: number, truncated } => {
+                let cached =
+                    self.sidecars[number].follower.in_force().map(|snapshot| snapshot.full_delta().to_json());
+                let (mut follower, mut host) = (new_follower(number), RecordingHost::default());
+                if let Some(cached) = cached {
+                    let bytes = &cached.as_bytes()[..if truncated { cached.len() / 2 } else { cached.len() }];
                     let restored = follower.restore(bytes, &mut host);
-                    assert_eq!(restored.is_err(), cut, "{restored:?}");
+                    assert_eq!(restored.is_err(), truncated, "{restored:?}");
                 }
-                self.sidecars[number] = Sidecar { follower, host, held_back: None };
+                self.sidecars[number] = Sidecar { follower, host, delayed: None };
             }
-            Step::LoseState { at } => self.stores[at] = VersionStore::default(),
+            Step::LoseState { machine } => self.stores[machine] = VersionStore::default(),
         }
         for sidecar in &self.sidecars {
-            if let Some((version, contents)) = &sidecar.host.now {
-                assert_eq!(self.published.get(version), Some(contents), "whole, as it was published");
+            if let Some((version, contents)) = &sidecar.host.in_force {
+                assert_eq!(
+                    self.published.get(version),
+                    Some(contents),
+                    "the version in force has the published contents"
+                );
             }
         }
     }
 
-    fn settle(&mut self) {
+    fn exchange_all(&mut self) {
         for _ in 0..2 {
             (0..MACHINES).for_each(|from| (0..MACHINES).for_each(|to| self.exchange(from, to)));
         }
         for number in 0..FOLLOWERS {
-            self.sidecars[number].held_back = None;
-            for at in 0..MACHINES {
-                // The second call says what came of the first; a third where a snapshot was wanted.
-                (0..3).for_each(|_| self.poll(number, at, Delivery::Delivered));
+            self.sidecars[number].delayed = None;
+            for machine in 0..MACHINES {
+                // The second poll acknowledges or refuses the first answer; a third is needed if a snapshot was
+                // requested.
+                (0..3).for_each(|_| self.poll(number, machine, Delivery::Delivered));
             }
         }
     }
@@ -260,25 +275,25 @@
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: RngSeed::Fixed(41), failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn version_in_force_is_complete_and_monotonic_and_machines_converge_after_faults(
-        all in proptest::collection::vec(step(), 1..120)
+    fn versions_stay_complete_and_monotonic_and_converge(
+        steps in proptest::collection::vec(step(), 1..120)
     ) {
-        let mut world = World::new();
-        all.into_iter().for_each(|step| world.play(step));
-        world.settle();
-        let digests: Vec<u128> = world.stores.iter().map(VersionStore::digest).collect();
-        prop_assert!(digests.windows(2).all(|pair| pair[0] == pair[1]), "machines agree");
-        let Some(current) = world.stores[0].current(SCOPE).cloned() else { return Ok(()) };
-        let good = !current.contents().contains_key("bad");
-        for sidecar in &world.sidecars {
-            let has = sidecar.host.now.as_ref().map(|(version, _)| *version);
+        let mut cluster = Cluster::new();
+        steps.into_iter().for_each(|step| cluster.apply_step(step));
+        cluster.exchange_all();
+        let digests: Vec<u128> = cluster.stores.iter().map(VersionStore::digest).collect();
+        prop_assert!(digests.windows(2).all(|pair| pair[0] == pair[1]), "all machines have the same versions");
+        let Some(current) = cluster.stores[0].current(SCOPE).cloned() else { return Ok(()) };
+        let is_valid = !current.contents().contains_key("bad");
+        for sidecar in &cluster.sidecars {
+            let in_force = sidecar.host.in_force.as_ref().map(|(version, _)| *version);
             let refused = sidecar.follower.refused().map(|refused| refused.version);
-            // Where all machines lost what a sidecar has, it keeps that until a greater one is published.
-            let newer = has > Some(current.version()) || refused > Some(current.version());
-            if good && !newer {
-                prop_assert_eq!(has, Some(current.version()));
-            } else if !good && !newer {
-                prop_assert!(refused == Some(current.version()) && has != refused);
+            // A sidecar keeps a version that all machines have lost until a greater one is published.
+            let is_newer = in_force > Some(current.version()) || refused > Some(current.version());
+            if is_valid && !is_newer {
+                prop_assert_eq!(in_force, Some(current.version()));
+            } else if !is_valid && !is_newer {
+                prop_assert!(refused == Some(current.version()) && in_force != refused);
             }
         }
     }
--- a/crates/files/src/error.rs
+++ b/crates/files/src/error.rs
@@ -1,33 +1,33 @@
-//! The error of a file: where it is and what is wrong there.
+//! Errors of a file, with the line and the key where they occur.
 
 use crate::key_line::line_of_key;
 use std::fmt;
 
-/// What is wrong with a file, and where.
+/// An error in a file, with its position.
 ///
-/// Its text is `FILE:LINE: MESSAGE`, or `FILE: MESSAGE` where no line is known.
+/// It is displayed as `FILE:LINE: MESSAGE`, or as `FILE: MESSAGE` if no line is known.
 #[derive(Debug, PartialEq, Eq)]
 pub struct FileError {
-    /// The file as messages call it, usually its path.
+    /// The name of the file in messages, usually its path.
     pub file: String,
-    /// The line, counted from 1; none where the error lies on no line.
+    /// The line, counted from 1; `None` if no line is known.
     pub line: Option<usize>,
-    /// What is wrong.
+    /// The kind of the error, with its message.
     pub kind: FileErrorKind,
 }
 
-/// The kinds of errors that a file can have.
+/// The kinds of errors in a file.
 #[derive(Debug, PartialEq, Eq)]
 pub enum FileErrorKind {
-    /// The file can't be read; the message is the system's.
+    /// The file can't be read, with the message of the operating system.
     Unreadable(String),
-    /// The text is not TOML, or not of the expected shape.
+    /// The text is not TOML or doesn't have the expected structure, with the parser's message.
     Malformed(String),
-    /// The value at a key is rejected by the reader's own checks.
+    /// The caller's checks reject the value at a key.
     InvalidValue {
         /// The path of the key, such as `faults.2.servers`.
         key: String,
-        /// Why its value is rejected.
+        /// The reason why its value is rejected.
         reason: String,
     },
 }
@@ -53,17 +53,18 @@
 impl std::error::Error for FileError {}
 
 impl FileError {
-    /// A file that can't be read.
+    /// Creates the error of a file that can't be read.
     pub fn unreadable(file: impl Into<String>, message: impl fmt::Display) -> FileError {
         FileError { file: file.into(), line: None, kind: FileErrorKind::Unreadable(message.to_string()) }
     }
 
-    /// A rejected value at a key such as `faults.2.servers`; its line is looked up in the file's text.
+    /// Creates the error of a rejected value at a key such as `faults.2.servers`, and finds its line in the file's
+    /// text.
     pub fn at_key(file: &str, text: &str, key: &str, reason: impl fmt::Display) -> FileError {
         FileError::at_line(file, line_of_key(text, key), key, reason)
     }
 
-    /// A rejected value at a key whose line the caller knows.
+    /// Creates the error of a rejected value at a key, on a line that the caller provides.
     pub fn at_line(file: &str, line: Option<usize>, key: &str, reason: impl fmt::Display) -> FileError {
         let kind = FileErrorKind::InvalidValue { key: key.into(), reason: reason.to_string() };
         FileError { file: file.into(), line, kind }
--- a/crates/files/src/key_line.rs
+++ b/crates/files/src/key_line.rs
@@ -1,7 +1,7 @@
-//! Finds the line of a key in a TOML text, for errors found after parsing, when positions are gone.
+//! Finds the line of a key in a TOML text, for errors detected after parsing, when the parser's positions are lost.
 
-/// The line, counted from 1, of the key at a path such as `faults.2.servers`; the line of its table where the table does
-/// not write the key out.
+/// The line, counted from 1, of the key at a path such as `faults.2.servers`, or the line of the table's header if the
+/// table doesn't contain the key.
 pub(crate) fn line_of_key(text: &str, path: &str) -> Option<usize> {
     let parts: Vec<&str> = path.split('.').collect();
     let (table, rest) = parts.split_first()?;
@@ -21,7 +21,7 @@
     Some(found.map_or(start, |(at, _)| at) + 1)
 }
 
-/// Whether the line assigns this key, or a key below it.
+/// Whether the line assigns this key or a dotted key that starts with it.
 fn assigns(line: &str, key: &str) -> bool {
     line.strip_prefix(key).is_some_and(|rest| rest.trim_start().starts_with(['=', '.']))
 }
--- a/crates/files/src/lib.rs
+++ b/crates/files/src/lib.rs
@@ -1,7 +1,7 @@
-//! Reads TOML files that people write into plain types, and reports what is wrong with one by file, line, key, expected
-//! value and nearest known name.
+//! Parses hand-written TOML files into plain types. Errors name the file, the line, the key, the expected value and the
+//! nearest known name.
 //!
-//! The crate knows nothing about what a file configures: each reader brings its own types and checks.
+//! The crate is independent of what a file configures: callers provide the types and the checks.
 #![warn(missing_docs)]
 
 mod error;
--- a/crates/files/src/read.rs
+++ b/crates/files/src/read.rs
@@ -1,14 +1,14 @@
-//! Reading a file's text and parsing it.
+//! Reads a file and parses its text.
 
 use crate::error::{FileError, FileErrorKind};
 use serde::de::DeserializeOwned;
 use std::ops::Range;
 use std::path::Path;
 
-/// The name by which messages call the file, and its text.
+/// Reads a file and returns its name for messages and its text.
 ///
 /// # Errors
-/// [`FileErrorKind::Unreadable`] with the system's message.
+/// [`FileErrorKind::Unreadable`] with the message of the operating system.
 pub fn read_text(path: &Path) -> Result<(String, String), FileError> {
     let file = path.display().to_string();
     match std::fs::read_to_string(path) {
@@ -17,10 +17,10 @@
     }
 }
 
-/// Parses TOML into a type; an unknown key is reported with the nearest known name where the type denies unknown fields.
+/// Parses TOML into a type. If the type denies unknown fields, an unknown key is reported with the nearest known name.
 ///
 /// # Errors
-/// [`FileErrorKind::Malformed`] with the line where the parser stopped.
+/// [`FileErrorKind::Malformed`] with the line at which the parser failed.
 pub fn parse_toml<T: DeserializeOwned>(file: &str, text: &str) -> Result<T, FileError> {
     toml::from_str(text).map_err(|error| FileError {
         file: file.into(),
@@ -34,12 +34,12 @@
     1 + before.matches('\n').count()
 }
 
-/// Adds the nearest known name to a message about an unknown one.
+/// Adds the nearest known name to the parser's message about an unknown name.
 fn with_suggestion(message: &str) -> String {
     if !message.starts_with("unknown") {
         return message.into();
     }
-    // Serde names the unknown word first and the known ones after it, all between backticks.
+    // Serde's message has the unknown name first and the known names after it, each in backticks.
     let mut words = message.split('`').skip(1).step_by(2);
     let Some(unknown) = words.next() else { return message.into() };
     let distance = |known: &&str| strsim::damerau_levenshtein(unknown, known);
