--- a/crates/control/tests/convergence.rs
+++ b/crates/control/tests/convergence.rs
@@ -98,7 +98,8 @@
     let (machine, follower) = (0..MACHINES, 0..FOLLOWERS);
     prop_oneof![
         3 => (machine.clone(), contents()).prop_map(|(machine, contents)| Step::Publish { machine, contents }),
-        1 => (machine.clone(), 0usize..9).prop_map(|(machine, history_index)| Step::RollBack { machine, history_index }),
+        1 => (machine.clone(), 0usize..9)
+            .prop_map(|(machine, history_index)| Step::RollBack { machine, history_index }),
         4 => (machine.clone(), machine.clone()).prop_map(|(from, to)| Step::Exchange { from, to }),
         10 => (follower.clone(), machine.clone(), delivery())
             .prop_map(|(follower, machine, delivery)| Step::Poll { follower, machine, delivery }),
--- a/crates/sidecar/src/control/client.rs
+++ b/crates/sidecar/src/control/client.rs
@@ -1,4 +1,4 @@
-//! HTTP calls to a control machine, by a sidecar and by other machines.
+//! The HTTP client with which sidecars and other control machines call a control machine.
 
 use super::status::ControlStatus;
 use crate::net::buffers::{self, ResourcePool};
@@ -12,27 +12,27 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// For connecting, and for writing a request.
+/// The maximum time to connect, and the maximum time to write a request.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Buffers that a delta fits, with its head.
+/// The number of buffers for a response with the largest delta and its head.
 const DELTA_BUFFERS: usize = MAX_DELTA_BYTES / buffers::BUFFER_SIZE + 1;
-/// About what a poll's head has besides the path, in bytes.
+/// The approximate size of a poll's head without the request target, in bytes.
 const REQUEST_HEAD_BYTES: usize = 40;
-/// About what the head of an answer with a delta has, in bytes.
+/// The approximate size of the head of a response with a delta, in bytes.
 const DELTA_HEAD_BYTES: usize = 72;
-/// About what an answer without a delta has, in bytes.
+/// The approximate size of a response without a delta, in bytes.
 const NO_CONTENT_BYTES: usize = 27;
 
 /// Why a call to a control machine failed.
 #[derive(Debug)]
 pub enum CallError {
-    /// Connecting, writing or the answer took longer than this.
+    /// Connecting, writing the request or waiting for the response took longer than this.
     Timeout(Duration),
-    /// The connection could not be made, or broke.
+    /// The connection can't be established, or it failed.
     Io(io::Error),
-    /// The answer is no HTTP message that can be used.
+    /// The response is not a usable HTTP message.
     Http(http::HttpError),
-    /// The machine answered with this status.
+    /// The response has this status, which doesn't signal success.
     Status(u16),
 }
 
@@ -61,37 +61,37 @@
     }
 }
 
-/// What is asked of a machine, and the bounds of the answer.
+/// A request to a control machine, with the bounds of its response.
 pub struct Request<'a> {
-    /// The method and the path.
+    /// The method and the path with its query, separated by a space.
     pub target: &'a str,
-    /// Empty where there is none.
+    /// The body; empty if the request has none.
     pub body: &'a [u8],
-    /// The buffers that the answer may take.
+    /// The maximum number of buffers for the response.
     pub max_buffers: usize,
-    /// How long the answer may take once the request is written.
+    /// The maximum time from the end of writing the request to the end of the response.
     pub timeout: Duration,
 }
 
-/// A machine's answer.
+/// A control machine's response.
 pub struct Response {
-    /// 0 where the head has none.
+    /// The HTTP status; 0 if the head has none.
     pub status: u16,
-    /// Without the head.
+    /// The body without the head.
     pub body: Vec<u8>,
 }
 
-/// A client of control machines, with a connection that is reused between calls.
+/// A client of control machines that reuses its connection between calls.
 #[derive(Default)]
 pub struct ControlClient(Option<Async<TcpStream>>);
 
 impl ControlClient {
-    /// Closes the connection; the next call makes a new one.
+    /// Closes the connection. The next call opens a new one.
     pub fn close(&mut self) {
         self.0 = None;
     }
 
-    /// Makes one call. Any error closes the connection.
+    /// Sends one request and returns the response. An error closes the connection.
     pub async fn call(
         &mut self,
         machine: SocketAddr,
@@ -101,26 +101,26 @@
         let Request { target, body, max_buffers, timeout } = *request;
         let stream = match self.0.take() {
             Some(stream) => stream,
-            None => within(CONNECT_TIMEOUT, Async::<TcpStream>::connect(machine)).await?,
+            None => with_timeout(CONNECT_TIMEOUT, Async::<TcpStream>::connect(machine)).await?,
         };
         let _ = stream.get_ref().set_nodelay(true);
         let length =
             if body.is_empty() { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
         let head = format!("{target} HTTP/1.1\r\nHost: {machine}\r\n{length}\r\n");
-        within(CONNECT_TIMEOUT, http::write(&stream, head.as_bytes(), body)).await?;
-        let answer = async {
-            // No buffer is taken before there is something to read.
+        with_timeout(CONNECT_TIMEOUT, http::write(&stream, head.as_bytes(), body)).await?;
+        let response = async {
+            // Buffers are taken only once there is something to read.
             stream.readable().await.map_err(|_| http::HttpError::Broken)?;
             http::read_buffered_response(&stream, resources, max_buffers).await
         };
-        let (status, keep_alive, reader) = within(timeout, answer).await?;
+        let (status, keep_alive, reader) = with_timeout(timeout, response).await?;
         let mut body = Vec::new();
         reader.take((max_buffers * buffers::BUFFER_SIZE) as u64).read_to_end(&mut body)?;
         self.0 = keep_alive.then_some(stream);
         Ok(Response { status: status.unwrap_or(0), body })
     }
 
-    /// Sends a sidecar's poll. The answer is a delta as bytes, or none where the machine has no newer version.
+    /// Sends a sidecar's poll. Returns the JSON of a delta, or `None` if the machine has no newer version.
     pub async fn poll(
         &mut self,
         machine: SocketAddr,
@@ -133,7 +133,7 @@
         let request = Request { target: &target, body: b"", max_buffers: DELTA_BUFFERS, timeout };
         let response = self.call(machine, &request, resources).await?;
         let head = if response.status == 200 { DELTA_HEAD_BYTES } else { NO_CONTENT_BYTES };
-        status.count_call(target.len() + REQUEST_HEAD_BYTES, response.body.len() + head);
+        status.record_call(target.len() + REQUEST_HEAD_BYTES, response.body.len() + head);
         match response.status {
             200 => Ok(Some(response.body)),
             204 => Ok(None),
@@ -142,10 +142,10 @@
     }
 }
 
-async fn within<T, E>(time: Duration, work: impl Future<Output = Result<T, E>>) -> Result<T, CallError>
+async fn with_timeout<T, E>(time: Duration, work: impl Future<Output = Result<T, E>>) -> Result<T, CallError>
 where
     CallError: From<E>,
 {
-    let done = timeout(time, work).await.ok_or(CallError::Timeout(time))?;
-    Ok(done?)
+    let result = timeout(time, work).await.ok_or(CallError::Timeout(time))?;
+    Ok(result?)
 }
--- a/crates/sidecar/src/control/followers.rs
+++ b/crates/sidecar/src/control/followers.rs
@@ -1,5 +1,6 @@
-//! Many followers in one process, for measurements: sidecars that do nothing but follow the configuration, by the program's
-//! own task on real sockets. Standard output tells when each has which version in force; the lab reads these lines.
+//! Runs many followers in one process for load measurements: they follow the configuration as sidecars do, with the
+//! same task on real sockets, and do nothing else. The lab reads from standard output which version came into force
+//! when.
 
 use super::FollowTask;
 use super::host::AsyncConfigHost;
@@ -15,23 +16,23 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime};
 
-/// The followers start over this time: a fleet does not start in one moment.
-const START_OVER: Duration = Duration::from_secs(4);
+/// The time over which the starts of the followers are spread, as those of a fleet are.
+const START_SPREAD: Duration = Duration::from_secs(4);
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 const MAX_FOLLOWERS: u32 = 20_000;
-/// Followers that can read an answer at a time; the rest wait for their turn, as they would in processes of their own.
+/// The number of followers that can read an answer at the same time; the others wait for a free buffer.
 const CONCURRENT_ANSWERS: usize = 64;
-/// Tells the followers' seeds apart from those of sidecars.
+/// Makes the seeds of followers differ from those of sidecars.
 const SEED_MASK: u64 = 0x51;
-/// A version with this key is refused.
+/// Versions that contain this key are refused.
 const REFUSED_KEY: &str = "refuse";
 
-/// Why the followers don't start.
+/// Why the followers can't be started.
 #[derive(Debug)]
 pub enum FollowersError {
-    /// The counts are out of bounds.
+    /// The number of followers or scopes is out of bounds.
     Counts,
-    /// This machine is no address.
+    /// This text is not the address of a control machine.
     Machine(String),
 }
 
@@ -39,16 +40,16 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             FollowersError::Counts => {
-                write!(f, "count, scopes: at most {MAX_FOLLOWERS}, and at least one")
+                write!(f, "count, scopes: expected at most {MAX_FOLLOWERS} followers and at least one scope")
             }
-            FollowersError::Machine(text) => write!(f, "machines: {text:?} is no address with a port"),
+            FollowersError::Machine(text) => write!(f, "machines: {text:?} is not an address with a port"),
         }
     }
 }
 
 impl std::error::Error for FollowersError {}
 
-/// Applies every version but those with the refused key, and prints when.
+/// Accepts every version without [`REFUSED_KEY`] and prints when it came into force.
 struct PrintingHost {
     number: u32,
 }
@@ -56,25 +57,25 @@
 impl ConfigHost for PrintingHost {
     fn check(&mut self, contents: &Contents) -> Result<(), ConfigError> {
         match contents.contains_key(REFUSED_KEY) {
-            true => Err(ConfigError::new(REFUSED_KEY, "as it says")),
+            true => Err(ConfigError::new(REFUSED_KEY, "versions with this key are refused")),
             false => Ok(()),
         }
     }
 
     fn apply(&mut self, version: &Version, _contents: &Contents) {
-        let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        println!("enforced {} {} {version}", since.as_micros(), self.number);
+        let unix_time = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+        println!("enforced {} {} {version}", unix_time.as_micros(), self.number);
     }
 }
 
 impl AsyncConfigHost for PrintingHost {
-    async fn settled(&mut self) {
-        // All of those that come together are written together.
+    async fn wait_until_applied(&mut self) {
+        // Lines of versions that arrive together are flushed together.
         let _ = std::io::stdout().flush();
     }
 }
 
-/// Parses `ADDRESS=REGION`, with commas between machines.
+/// Parses a comma-separated list of `ADDRESS=REGION`; the region is optional.
 fn parse_machines(text: &str) -> Result<Vec<ControlMachine>, FollowersError> {
     let machine = |text: &str| {
         let (address, region) = text.split_once('=').unwrap_or((text, ""));
@@ -91,7 +92,8 @@
     regions
 }
 
-/// Runs this many followers until standard input ends.
+/// Runs `count` followers, spread over `scopes` scopes and all regions, until standard input ends. `machines` lists the
+/// control machines as `ADDRESS=REGION`, separated by commas; the name of a follower is `prefix` and its number.
 pub fn run(count: u32, scopes: u32, prefix: &str, machines: &str) -> Result<(), FollowersError> {
     if count > MAX_FOLLOWERS || scopes == 0 {
         return Err(FollowersError::Counts);
@@ -115,7 +117,7 @@
             cache: None,
             status,
         };
-        let delay = START_OVER.mul_f64(f64::from(number) / f64::from(count));
+        let delay = START_SPREAD.mul_f64(f64::from(number) / f64::from(count));
         let start = async move {
             Timer::after(delay).await;
             task.run().await;
@@ -127,13 +129,13 @@
     Ok(())
 }
 
-/// Ends the process with the one that started it.
+/// Exits once standard input ends, so that the process doesn't outlive its parent.
 fn exit_with_standard_input() {
     let _ = std::io::copy(&mut std::io::stdin(), &mut std::io::sink());
     std::process::exit(0);
 }
 
-/// Prints the sums of calls and bytes, for ever.
+/// Prints the total calls and bytes of all followers at every [`REPORT_INTERVAL`], without end.
 async fn report(statuses: &[ControlStatus]) {
     loop {
         Timer::after(REPORT_INTERVAL).await;
--- a/crates/sidecar/src/control/machine/connections.rs
+++ b/crates/sidecar/src/control/machine/connections.rs
@@ -1,4 +1,4 @@
-//! The connections of sidecars, operators and other machines. A connection that waits holds no buffer.
+//! The connections of sidecars, operators and other machines. A connection whose poll waits holds no buffer.
 
 use super::Server;
 use super::reply::Reply;
@@ -12,13 +12,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// For a request to arrive once it has begun, and for an answer to be taken.
+/// The maximum time to read a request after its first byte, and the maximum time to write the reply.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// A connection without a request is closed after this.
+/// A connection on which no request begins is closed after this time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// The delay before the next accept after a failed one.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Waits for bytes, an end or an error: a wake-up alone may be spurious.
+/// Waits until the stream has bytes, is closed or fails. Peeking sorts out spurious wake-ups.
 pub async fn readable(stream: &Async<TcpStream>) {
     let is_spurious =
         |error: &io::Error| matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted);
@@ -30,7 +31,7 @@
 }
 
 impl Server {
-    /// Accepts connections for ever, each served by a task of its own.
+    /// Accepts connections without end and spawns a task for each.
     pub(super) async fn accept(
         self: Rc<Self>,
         listener: Async<TcpListener>,
@@ -38,7 +39,7 @@
     ) {
         loop {
             match listener.accept().await {
-                // A sidecar that finds no room goes to the next machine.
+                // The connection is closed beyond the maximum, and the sidecar polls the next machine.
                 Ok(_) if self.connections.get() >= self.max_connections => {}
                 Ok((stream, _)) => {
                     self.connections.set(self.connections.get() + 1);
@@ -65,7 +66,7 @@
                 Some(Ok(request)) => {
                     let (keep_alive, head, body) =
                         (request.keep_alive, request.head.clone(), request.body_bytes());
-                    // Its buffers must not be held while a poll waits.
+                    // The request's buffers must not be held while a poll waits.
                     drop(request);
                     match self.handle(&stream, &head, &body).await {
                         Some(reply) => (reply, keep_alive),
@@ -76,14 +77,16 @@
                 | Some(Err(http::HttpError::TimedOut | http::HttpError::Closed | http::HttpError::Broken)) => {
                     return;
                 }
-                Some(Err(http::HttpError::TooLarge)) => (Reply::error(413, "the call is too large"), false),
+                Some(Err(http::HttpError::TooLarge)) => {
+                    (Reply::error(413, "the request is too large"), false)
+                }
                 Some(Err(http::HttpError::Malformed)) => {
                     (Reply::error(400, "this is no HTTP/1.1 message"), false)
                 }
             };
             let head = reply.head(keep_alive);
             let written = http::write(&stream, &head, reply.body.as_bytes());
-            let failed = timeout(REQUEST_TIMEOUT, written).await.is_none_or(|done| done.is_err());
+            let failed = timeout(REQUEST_TIMEOUT, written).await.is_none_or(|result| result.is_err());
             if failed || !keep_alive {
                 return;
             }
--- a/crates/sidecar/src/control/machine/mod.rs
+++ b/crates/sidecar/src/control/machine/mod.rs
@@ -1,8 +1,7 @@
-//! A control machine: answers each sidecar's polls with the configuration of its service, and takes what operators publish.
+//! A control machine: answers sidecars' polls with their service's configuration and accepts publications of operators.
 //!
-//! It owns the sockets, the polls that wait and the folder of stored versions; what a version is, and which one is newer,
-//! is the [`VersionStore`]'s. All machines are alike: an operator publishes at any of them, and each machine polls all
-//! others every second.
+//! Owns the sockets, the waiting polls and the folder of stored versions; the [`VersionStore`] owns versions and their
+//! order. All machines are equal: operators publish at any of them, and each one polls all others every second.
 
 mod connections;
 mod peers;
@@ -33,20 +32,22 @@
 use std::rc::Rc;
 use std::sync::mpsc;
 
-/// Buffers for messages in progress: most connections wait, and hold none.
+/// The number of buffers for messages in transfer. Most connections wait with a poll and hold none.
 const BUFFERS: usize = 768;
-/// The sidecars of lost machines all connect at once; one that finds no room in the queue tries again only after a second.
+/// The length of the accept queue. The sidecars of failed machines connect all at once, and one whose connection
+/// attempt overflows the queue is delayed by a second, until TCP retransmits it.
 const LISTEN_BACKLOG: i32 = 4096;
 
-/// Why a control machine doesn't run.
+/// Why a control machine can't run.
 #[derive(Debug)]
 pub enum MachineError {
-    /// Its file can't be used.
+    /// The file with its settings is invalid.
     Settings(FileError),
-    /// The system refuses a socket or the signal's handler.
+    /// The listening socket or the signal handler can't be set up.
     Io {
-        /// Where it would listen.
+        /// The configured listening address.
         listen: SocketAddr,
+        /// The error of the operating system.
         error: io::Error,
     },
 }
@@ -68,26 +69,26 @@
     }
 }
 
-/// A running control machine. All of its tasks share it, on one thread.
+/// The state of a running control machine, shared by all of its tasks on one thread.
 struct Server {
     listen: SocketAddr,
     clock: Clock,
     store: RefCell<VersionStore>,
-    /// The store's digest; none where it has changed since it was computed.
+    /// The cached digest of the store; `None` if the store has changed since.
     digest: Cell<Option<u128>>,
     waiting: RefCell<WaitingPolls>,
     resources: Rc<ResourcePool>,
     connections: Cell<usize>,
     max_connections: usize,
     peers: Vec<Peer>,
-    /// The writer's queue; none where nothing is stored.
+    /// The queue of the writer thread; `None` if no versions are stored.
     writes: Option<mpsc::SyncSender<versions::Write>>,
-    state: Option<PathBuf>,
+    state_folder: Option<PathBuf>,
 }
 
-/// Runs the machine of this file until SIGTERM.
+/// Runs the control machine that the file configures until SIGTERM.
 pub fn run(path: &Path) -> Result<(), MachineError> {
-    let Settings { listen, peers, state, max_connections } = Settings::read(path)?;
+    let Settings { listen, peers, state_folder, max_connections } = Settings::read(path)?;
     let (peers, pushes): (Vec<_>, Vec<_>) = peers.into_iter().map(Peer::new).unzip();
     let server = Rc::new(Server {
         listen,
@@ -99,8 +100,8 @@
         connections: Cell::new(0),
         max_connections,
         peers,
-        writes: state.is_some().then(versions::spawn_writer),
-        state,
+        writes: state_folder.is_some().then(versions::spawn_writer),
+        state_folder,
     });
     server.restore();
     let executor = Rc::new(LocalExecutor::new());
@@ -108,8 +109,8 @@
         executor.spawn(server.clone().synchronize(number, pushes)).detach();
     }
     executor.spawn(server.clone().expire()).detach();
-    let served = async_io::block_on(executor.run(server.run(executor.clone())));
-    served.map_err(|error| MachineError::Io { listen, error })
+    let result = async_io::block_on(executor.run(server.run(executor.clone())));
+    result.map_err(|error| MachineError::Io { listen, error })
 }
 
 impl Server {
@@ -125,7 +126,7 @@
             signals.next().await;
         };
         or(self.accept(listener, executor), terminated).await;
-        tracing::info!("SIGTERM: followers go to the next control machine");
+        tracing::info!("SIGTERM: the control machine stops, followers poll the next one");
         Ok(())
     }
 }
--- a/crates/sidecar/src/control/machine/peers.rs
+++ b/crates/sidecar/src/control/machine/peers.rs
@@ -1,5 +1,5 @@
-//! How control machines keep each other up to date. A version is pushed once when it is published, and each machine polls
-//! each other one every second by one digest over all versions: whatever was missed, for however long, is fetched then.
+//! Replication between control machines. A version is pushed to all peers once when it is published. Every second each
+//! machine also compares the digest over all versions with every peer and fetches the versions that it missed.
 
 use super::super::client::{CallError, ControlClient, Request};
 use super::Server;
@@ -13,30 +13,34 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
+/// The time between two polls of a peer.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// The maximum time for a peer's answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// A peer that has answered within this time is available. Longer than a poll that fails.
+/// A peer that has answered within this time counts as available. It is longer than a failing poll takes.
 const AVAILABLE_FOR: Duration = Duration::from_secs(4);
-/// Pushes that wait for a peer; what is past that it finds by polling.
+/// The maximum number of queued pushes to a peer. The peer's polls fetch the versions beyond it.
 const MAX_PENDING_PUSHES: usize = 1024;
-/// Buffers for the versions of all scopes that there may be.
+/// The number of buffers for the summary of the maximum number of scopes.
 const SUMMARY_BUFFERS: usize = 256;
+/// The number of buffers for a digest or an answer without a body.
 const DIGEST_BUFFERS: usize = 1;
+/// The number of buffers for a response with the largest snapshot.
 const SNAPSHOT_BUFFERS: usize = MAX_DELTA_BYTES / buffers::BUFFER_SIZE + 1;
 
-/// A scope whose version is pushed.
+/// The push of a scope's current version to a peer.
 pub struct Push {
     scope: String,
     /// Notified once the peer has the version.
     done: Sender<()>,
 }
 
-/// Another control machine.
+/// Another control machine, as this one sees it.
 pub struct Peer {
-    /// Where it listens.
+    /// The address at which the peer listens.
     pub address: SocketAddr,
     pushes: Sender<Push>,
-    answered: Cell<Option<Instant>>,
+    answered_at: Cell<Option<Instant>>,
 }
 
 /// Why an exchange with a peer failed.
@@ -77,36 +81,36 @@
 }
 
 impl Peer {
-    /// A peer that has not answered yet, and the pushes that are queued for it.
+    /// Creates a peer that has not answered yet, with the receiver of the pushes to it.
     pub fn new(address: SocketAddr) -> (Peer, Receiver<Push>) {
-        let (pushes, pushed) = async_channel::bounded(MAX_PENDING_PUSHES);
-        (Peer { address, pushes, answered: Cell::new(None) }, pushed)
+        let (pushes, receiver) = async_channel::bounded(MAX_PENDING_PUSHES);
+        (Peer { address, pushes, answered_at: Cell::new(None) }, receiver)
     }
 
-    /// Queues the current version of a scope.
+    /// Queues a push of the scope's current version. `done` is notified once the peer has it.
     pub fn push(&self, scope: &str, done: Sender<()>) {
         let _ = self.pushes.try_send(Push { scope: scope.into(), done });
     }
 
-    /// Whether it can be expected to answer: others would hold up those who wait for them.
+    /// Whether the peer has answered recently. Callers don't wait for unavailable peers.
     pub fn is_available(&self) -> bool {
         self.last_answer_age().is_some_and(|age| age < AVAILABLE_FOR)
     }
 
-    /// How long ago it last answered.
+    /// The time since the peer's last answer; `None` if it has not answered yet.
     pub fn last_answer_age(&self) -> Option<Duration> {
-        self.answered.get().map(|at| at.elapsed())
+        self.answered_at.get().map(|at| at.elapsed())
     }
 }
 
 impl Server {
-    /// Pushes to and polls one peer, for ever.
+    /// Sends the queued pushes to one peer and polls it, without end.
     pub(super) async fn synchronize(self: Rc<Self>, number: usize, pushes: Receiver<Push>) {
         let Some(peer) = self.peers.get(number) else { return };
         let (mut client, mut poll_at, mut was_available) = (ControlClient::default(), Instant::now(), None);
         loop {
             let remaining = poll_at.saturating_duration_since(Instant::now());
-            let done = match timeout(remaining, pushes.recv()).await {
+            let result = match timeout(remaining, pushes.recv()).await {
                 Some(Ok(Push { scope, done })) => {
                     let pushed = self.push(peer, &mut client, &scope).await;
                     pushed.map(|()| _ = done.try_send(()))
@@ -118,12 +122,12 @@
                     polled
                 }
             };
-            match &done {
-                Ok(()) => peer.answered.set(Some(Instant::now())),
+            match &result {
+                Ok(()) => peer.answered_at.set(Some(Instant::now())),
                 Err(_) => client.close(),
             }
-            if was_available.replace(done.is_ok()) != Some(done.is_ok()) {
-                log_availability(peer, done);
+            if was_available.replace(result.is_ok()) != Some(result.is_ok()) {
+                log_availability(peer, result);
             }
         }
     }
@@ -152,15 +156,15 @@
         Ok(())
     }
 
-    /// Fetches the versions of which the peer has newer ones.
+    /// Fetches and merges the versions that are newer on the peer than here.
     async fn poll(&self, peer: &Peer, client: &mut ControlClient) -> Result<(), SyncError> {
-        let theirs = self.request(peer, client, "GET /control/v1/digest", "", DIGEST_BUFFERS).await?;
-        if theirs == format!("{:032x}", self.digest()).into_bytes() {
+        let digest = self.request(peer, client, "GET /control/v1/digest", "", DIGEST_BUFFERS).await?;
+        if digest == format!("{:032x}", self.digest()).into_bytes() {
             return Ok(());
         }
-        let theirs = self.request(peer, client, "GET /control/v1/versions", "", SUMMARY_BUFFERS).await?;
-        let theirs: VersionSummary = serde_json::from_slice(&theirs)?;
-        let outdated = self.store.borrow().outdated_scopes(&theirs);
+        let summary = self.request(peer, client, "GET /control/v1/versions", "", SUMMARY_BUFFERS).await?;
+        let summary: VersionSummary = serde_json::from_slice(&summary)?;
+        let outdated = self.store.borrow().outdated_scopes(&summary);
         for scope in outdated {
             let target = format!("GET /control/v1/snapshot?scope={scope}");
             let bytes = self.request(peer, client, &target, "", SNAPSHOT_BUFFERS).await?;
@@ -170,8 +174,8 @@
     }
 }
 
-fn log_availability(peer: &Peer, done: Result<(), SyncError>) {
-    match done {
+fn log_availability(peer: &Peer, result: Result<(), SyncError>) {
+    match result {
         Ok(()) => tracing::info!(machine = %peer.address, "control machine: peer answers"),
         Err(error) => {
             tracing::warn!(machine = %peer.address, "control machine: peer does not answer: {error}");
--- a/crates/sidecar/src/control/machine/polls.rs
+++ b/crates/sidecar/src/control/machine/polls.rs
@@ -1,4 +1,5 @@
-//! Sidecars' polls: answered at once where a newer version is known, else held until one is published or the wait is over.
+//! Long polls of sidecars. A poll is answered at once if the machine has a newer version; otherwise it waits until one
+//! is published or the requested time is over.
 
 use super::Server;
 use super::connections::readable;
@@ -12,14 +13,14 @@
 use std::net::TcpStream;
 use std::time::Instant;
 
-/// Polls of a scope beyond which those that have ended are removed.
+/// The minimum number of waiting polls of a scope at which the ended ones are removed.
 const MIN_PRUNE_AT: usize = 16;
 
 /// The polls that wait for the next version of a scope.
 #[derive(Default)]
 struct Waiting {
     polls: Vec<Sender<()>>,
-    /// At this size polls that have ended are removed.
+    /// The length of `polls` at which the ended ones are removed.
     prune_at: usize,
 }
 
@@ -28,7 +29,7 @@
 pub struct WaitingPolls(BTreeMap<String, Waiting>);
 
 impl WaitingPolls {
-    /// Adds a poll, which is notified by the receiver.
+    /// Adds a poll and returns the receiver that wakes it.
     fn add(&mut self, scope: &str) -> Receiver<()> {
         let (notify, notified) = async_channel::bounded(1);
         let waiting = self.0.entry(scope.into()).or_default();
@@ -40,12 +41,12 @@
         notified
     }
 
-    /// Wakes all polls of a scope: dropping their senders closes the channels.
+    /// Wakes all polls of a scope by dropping their senders, which closes the channels.
     pub fn notify(&mut self, scope: &str) {
         self.0.remove(scope);
     }
 
-    /// Removes polls that have ended.
+    /// Removes the polls of all scopes that have ended.
     pub fn prune(&mut self) {
         for waiting in self.0.values_mut() {
             waiting.polls.retain(|poll| !poll.is_closed());
@@ -55,7 +56,7 @@
 }
 
 impl Server {
-    /// Answers a poll; none where the client left meanwhile.
+    /// Answers a poll; `None` if the client disconnects while it waits.
     pub(super) async fn answer_poll(&self, stream: &Async<TcpStream>, query: &str) -> Option<Reply> {
         let poll = match Poll::from_query(query) {
             Ok(poll) => poll,
@@ -76,7 +77,7 @@
                 let _ = timeout(remaining, notified.recv()).await;
                 Some(())
             };
-            // The client sends nothing while it waits: what can be read is its end.
+            // The client sends nothing while its poll waits, so a readable stream is a disconnect.
             let disconnected = async {
                 readable(stream).await;
                 None
@@ -85,12 +86,13 @@
         }
     }
 
-    /// Records what a poll acknowledges, and logs a refusal once.
+    /// Records the version that a poll acknowledges, and logs each refusal once.
     fn record_poll(&self, poll: &Poll) {
         let (now, mut store) = (self.clock.now(), self.store.borrow_mut());
         let refused = poll.refused.as_ref();
-        let new = refused.filter(|refused| !store.has_refused(&poll.scope, &poll.name, refused.version));
-        if let Some(ReportedRefusal { version, reason }) = new {
+        let new_refusal =
+            refused.filter(|refused| !store.has_refused(&poll.scope, &poll.name, refused.version));
+        if let Some(ReportedRefusal { version, reason }) = new_refusal {
             let (scope, name) = (&poll.scope, &poll.name);
             tracing::warn!(scope, name, %version, "control machine: follower refused version: {reason}");
         }
--- a/crates/sidecar/src/control/machine/reply.rs
+++ b/crates/sidecar/src/control/machine/reply.rs
@@ -1,38 +1,38 @@
-//! A control machine's answers as HTTP.
+//! The HTTP replies of a control machine.
 
 use crate::net::http;
 
-/// An answer, without its head.
+/// A reply's status and body, from which its head is generated.
 pub struct Reply {
-    /// The HTTP status.
+    /// The HTTP status of the reply.
     pub status: u16,
-    /// Empty where there is nothing to send.
+    /// The body; empty if there is none.
     pub body: String,
     json: bool,
 }
 
 impl Reply {
-    /// A plain text.
+    /// Creates a reply with a plain text body.
     pub fn text(status: u16, body: String) -> Reply {
         Reply { status, body, json: false }
     }
 
-    /// A JSON text.
+    /// Creates a reply with a JSON body.
     pub fn json(status: u16, body: String) -> Reply {
         Reply { status, body, json: true }
     }
 
-    /// The call succeeded and there is nothing to send.
+    /// Creates the reply 204 without a body.
     pub fn no_content() -> Reply {
         Reply::text(204, String::new())
     }
 
-    /// The call failed, for this reason.
+    /// Creates the reply to a failed call with the reason as its body.
     pub fn error(status: u16, reason: &str) -> Reply {
         Reply::text(status, format!("no: {reason}\n"))
     }
 
-    /// The head that goes before the body.
+    /// Generates the HTTP head.
     pub fn head(&self, keep_alive: bool) -> Vec<u8> {
         let (status, reason, length) = (self.status, http::reason_phrase(self.status), self.body.len());
         let end = if keep_alive { "" } else { "Connection: close\r\n" };
--- a/crates/sidecar/src/control/machine/report.rs
+++ b/crates/sidecar/src/control/machine/report.rs
@@ -1,5 +1,4 @@
-//! What a control machine reports to operators: how a scope stands, as all machines that answer know it, and how the
-//! machine itself does.
+//! Reports for operators: the status of a scope, merged from all machines that answer, and the status of this machine.
 
 use super::super::client::{ControlClient, Request};
 use super::Server;
@@ -10,15 +9,15 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// How long each other machine has to report the followers that it knows.
+/// The maximum time for a peer's answer with the followers that it knows.
 const PEER_TIMEOUT: Duration = Duration::from_millis(800);
-/// Buffers for what one machine knows of a scope.
+/// The number of buffers for one machine's status of a scope.
 const STATUS_BUFFERS: usize = 256;
-/// Names of followers in a text; JSON has all of them.
+/// The maximum number of follower names per list in a text report; JSON lists all.
 const MAX_NAMES: usize = 50;
 
 impl Server {
-    /// What this machine alone knows of a scope, for other machines.
+    /// The status of a scope as this machine alone knows it, for other machines.
     pub(super) fn own_scope_status(&self, scope: &str) -> Reply {
         match self.store.borrow().scope_status(self.clock.now(), scope) {
             Some(status) => Reply::json(200, serde_json::to_string(&status).unwrap_or_default()),
@@ -26,19 +25,19 @@
         }
     }
 
-    /// What all machines that answer know of a scope, as JSON or as text.
+    /// The status of a scope merged from all machines that answer, as JSON or as text.
     pub(super) async fn scope_status(&self, scope: &str, json: bool) -> Reply {
         let mut status = self.store.borrow().scope_status(self.clock.now(), scope);
         let mut answered = 1;
         for peer in self.peers.iter().filter(|peer| peer.is_available()) {
-            let Ok(theirs) = self.peer_scope_status(peer, scope).await else { continue };
+            let Ok(peer_status) = self.peer_scope_status(peer, scope).await else { continue };
             answered += 1;
-            status = match (status, theirs) {
-                (Some(mut ours), Some(theirs)) => {
-                    ours.merge(theirs);
-                    Some(ours)
+            status = match (status, peer_status) {
+                (Some(mut merged), Some(peer_status)) => {
+                    merged.merge(peer_status);
+                    Some(merged)
                 }
-                (ours, theirs) => ours.or(theirs),
+                (status, peer_status) => status.or(peer_status),
             };
         }
         match status {
@@ -48,7 +47,7 @@
         }
     }
 
-    /// What another machine knows of a scope; none where it knows nothing.
+    /// Requests a peer's status of a scope; `None` if the peer doesn't know the scope.
     async fn peer_scope_status(
         &self,
         peer: &Peer,
@@ -64,7 +63,7 @@
     fn status_json(&self, status: &ScopeStatus, answered: usize) -> String {
         let refused: serde_json::Map<_, _> =
             status.refusals().map(|(name, reason)| (name.clone(), reason.as_str().into())).collect();
-        let behind: serde_json::Map<_, _> =
+        let lagging: serde_json::Map<_, _> =
             status.lagging().map(|follower| (follower.name.into(), follower.silent.into())).collect();
         let history: Vec<String> = status.history.iter().map(Version::to_string).collect();
         let report = json!({
@@ -73,7 +72,7 @@
             "contents": status.contents,
             "acknowledged": status.acknowledged(),
             "refused": refused,
-            "behind_and_silent": behind,
+            "behind_and_silent": lagging,
             "kept": history,
             "machines": self.peers.len() + 1,
             "machines_heard": answered,
@@ -83,7 +82,7 @@
 
     fn status_text(&self, status: &ScopeStatus, answered: usize) -> String {
         let version = status.version.map_or("none".into(), |version| version.to_string());
-        let (refused, behind): (Vec<_>, Vec<_>) = (status.refusals().collect(), status.lagging().collect());
+        let (refused, lagging): (Vec<_>, Vec<_>) = (status.refusals().collect(), status.lagging().collect());
         let mut text = format!("scope         {}\nversion       {version}\n", status.scope);
         // Writing to a String cannot fail.
         let _ = writeln!(text, "machines      {answered} of {} heard", self.peers.len() + 1);
@@ -92,8 +91,8 @@
         for (name, reason) in refused.iter().take(MAX_NAMES) {
             let _ = writeln!(text, "    {name}: {reason}");
         }
-        let _ = writeln!(text, "behind        {}", behind.len());
-        for LaggingFollower { name, silent } in behind.iter().take(MAX_NAMES) {
+        let _ = writeln!(text, "behind        {}", lagging.len());
+        for LaggingFollower { name, silent } in lagging.iter().take(MAX_NAMES) {
             let _ = writeln!(text, "    {name}{}", if *silent { ", silent" } else { "" });
         }
         for (key, value) in &status.contents {
@@ -105,7 +104,7 @@
         text
     }
 
-    /// The machine's own status as text.
+    /// The status of this machine as text.
     pub(super) fn machine_status(&self) -> String {
         let scopes = self.store.borrow().summary().len();
         let connections = self.connections.get();
--- a/crates/sidecar/src/control/machine/routes.rs
+++ b/crates/sidecar/src/control/machine/routes.rs
@@ -1,4 +1,4 @@
-//! A control machine's calls: parsed into a typed request, then handled.
+//! The HTTP routes of a control machine: parses a call into a typed request and handles it.
 
 use super::Server;
 use super::reply::Reply;
@@ -9,23 +9,25 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::SystemTime;
 
-/// A call, parsed.
+/// A parsed call with its parameters.
 enum Request<'a> {
-    /// A sidecar's poll, which may wait.
+    /// A sidecar's poll, which may wait for a newer version.
     Poll { query: &'a str },
-    /// The digest over all versions, for other machines.
+    /// Requests the digest over all versions, for other machines.
     Digest,
-    /// The version of each scope, for other machines.
+    /// Requests the current version of each scope, for other machines.
     Versions,
-    /// A scope's current snapshot, for other machines.
+    /// Requests a scope's current snapshot, for other machines.
     GetSnapshot { scope: Option<&'a str> },
-    /// Another machine's snapshot; `from` is its address.
+    /// Pushes a snapshot of another machine, whose address is `from`.
     PutSnapshot { from: Option<&'a str> },
-    /// This machine's own status.
+    /// Requests the status of this machine.
     MachineStatus,
-    /// An operator's contents in place of the version `base`, or the stored version `target` again.
+    /// Publishes an operator's contents, or the contents of the stored version `target`, in place of the version
+    /// `base`.
     Publish { scope: &'a str, base: Option<&'a str>, target: Option<&'a str> },
-    /// How a scope stands, as this machine knows it where `own`, else as all machines that answer do.
+    /// Requests the status of a scope: only as this machine knows it if `own`, else merged from all machines that
+    /// answer.
     ScopeStatus { scope: &'a str, own: bool, json: bool },
 }
 
@@ -69,7 +71,7 @@
     }
 }
 
-/// An operator's JSON as contents; numbers and booleans become texts.
+/// Parses an operator's JSON object into contents. Numbers and booleans become texts.
 fn parse_contents(body: &[u8]) -> Result<Contents, ConfigError> {
     let entries = serde_json::from_slice::<serde_json::Map<String, Value>>(body);
     let not_an_object = |error| ConfigError::new("body", format_args!("it is no JSON object: {error}"));
@@ -81,23 +83,23 @@
     entries.map_err(not_an_object)?.into_iter().map(entry).collect()
 }
 
-/// A version in a parameter of this name.
+/// Parses the version in `parameter`, the name for the error.
 fn parse_version(parameter: &str, text: &str) -> Result<Version, Reply> {
     text.parse::<Version>().map_err(|error| Reply::error(400, &format!("{parameter}: {error}")))
 }
 
-/// The version that a publication replaces; none for the first one of a scope.
+/// Parses the version that a publication replaces; `None` for the first version of a scope.
 fn parse_base(base: Option<&str>) -> Result<Option<Version>, Reply> {
     match base {
         Some("none") => Ok(None),
         Some(text) => parse_version("base", text).map(Some),
-        // Nobody may publish over what he has not seen: a first version says so.
+        // The base is mandatory, so that an operator can't overwrite a version that he has not seen.
         None => Err(Reply::error(400, "base: a version is wanted, or none for the first")),
     }
 }
 
 impl Server {
-    /// Handles one call; none where the client left meanwhile.
+    /// Handles one call; `None` if the client disconnects while its poll waits.
     pub(super) async fn handle(&self, stream: &Async<TcpStream>, head: &[u8], body: &[u8]) -> Option<Reply> {
         let mut headers = http::no_headers();
         let mut parsed = httparse::Request::new(&mut headers);
--- a/crates/sidecar/src/control/machine/versions.rs
+++ b/crates/sidecar/src/control/machine/versions.rs
@@ -1,5 +1,5 @@
-//! The versions of a control machine: restored at the start, merged from other machines, stored and announced when they
-//! change.
+//! The versions of a control machine: restored at the start, merged from other machines, and stored and distributed
+//! when they change.
 
 use super::Server;
 use crate::control::snapshot_cache::write;
@@ -14,16 +14,18 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-/// How long an operator waits at most until other machines have what was published.
+/// The maximum time that a publication waits for the acknowledgements of other machines.
 const DISTRIBUTE_TIMEOUT: Duration = Duration::from_millis(800);
+/// The time between two removals of expired followers and ended polls.
 const EXPIRE_INTERVAL: Duration = Duration::from_secs(60);
-/// Versions that wait to be written; past that the next start has to fetch them from other machines.
+/// The maximum number of versions in the writer's queue. Versions beyond it are not stored, and after a restart they
+/// have to be fetched from other machines.
 const MAX_PENDING_WRITES: usize = 4096;
 
-/// A file to be written, with its text.
+/// A queued write: the path of the file and its text.
 pub type Write = (PathBuf, String);
 
-/// Why a stored version is not restored.
+/// Why a stored version can't be restored.
 enum RestoreError {
     Io(io::Error),
     Delta(DeltaError),
@@ -38,7 +40,7 @@
     }
 }
 
-/// Files are written by a thread: a slow disk must not keep a version from the polls that wait for it.
+/// Starts the thread that writes files, so that a slow disk doesn't delay the answers to waiting polls.
 pub fn spawn_writer() -> mpsc::SyncSender<Write> {
     let (send, receive) = mpsc::sync_channel::<Write>(MAX_PENDING_WRITES);
     std::thread::spawn(move || receive.iter().for_each(|(path, text)| write(&path, text.as_bytes())));
@@ -46,13 +48,13 @@
 }
 
 impl Server {
-    /// Restores what an earlier process stored; what was published since then is fetched from other machines.
+    /// Restores the versions that an earlier process stored. Later ones are fetched from other machines.
     pub(super) fn restore(&self) {
-        let Some(folder) = &self.state else { return };
+        let Some(folder) = &self.state_folder else { return };
         let _ = std::fs::create_dir_all(folder);
         let entries = std::fs::read_dir(folder).into_iter().flatten().flatten().map(|entry| entry.path());
         let mut paths: Vec<PathBuf> =
-            entries.filter(|path| path.extension().is_some_and(|ending| ending == "json")).collect();
+            entries.filter(|path| path.extension().is_some_and(|extension| extension == "json")).collect();
         paths.sort();
         for path in paths.into_iter().take(MAX_SCOPES) {
             if let Err(error) = self.restore_version(&path) {
@@ -69,26 +71,28 @@
         self.store.borrow_mut().merge(delta).map(drop).map_err(RestoreError::Delta)
     }
 
-    /// A scope has a newer version: its polls are answered, and it is stored.
+    /// Wakes the waiting polls of a scope that has a new version, and queues the version for writing.
     fn on_new_version(&self, scope: &str) {
         self.digest.set(None);
         self.waiting.borrow_mut().notify(scope);
         let store = self.store.borrow();
-        if let (Some(writes), Some(folder), Some(current)) = (&self.writes, &self.state, store.current(scope))
+        if let (Some(writes), Some(folder), Some(current)) =
+            (&self.writes, &self.state_folder, store.current(scope))
         {
             let path = folder.join(format!("{scope}.json"));
             if writes.try_send((path, current.full_delta().to_json())).is_err() {
-                tracing::warn!(scope, "control machine: the disk is too slow: this version is not stored");
+                tracing::warn!(scope, "control machine: the write queue is full; the version is not stored");
             }
         }
     }
 
-    /// Announces an operator's version, made here. Returns how many machines have it, this one included, once all that
-    /// are available have it or after a while: a version that only one machine has is lost with it.
+    /// Distributes a version that an operator published here, because a version on only one machine is lost with it.
+    /// Waits until all available machines have it, at most [`DISTRIBUTE_TIMEOUT`], and returns how many machines have
+    /// it, including this one.
     pub(super) async fn distribute(&self, scope: &str, version: Version) -> usize {
         self.on_new_version(scope);
         let (done, acknowledged) = async_channel::bounded(self.peers.len().max(1));
-        // Machines that are not available find it by their own polls.
+        // Machines that are unavailable fetch the version later by their own polls.
         self.peers.iter().filter(|peer| peer.is_available()).for_each(|peer| peer.push(scope, done.clone()));
         drop(done);
         let (deadline, mut count) = (Instant::now() + DISTRIBUTE_TIMEOUT, 1);
@@ -96,7 +100,7 @@
             let remaining = deadline.saturating_duration_since(Instant::now());
             match timeout(remaining, acknowledged.recv()).await {
                 Some(Ok(())) => count += 1,
-                // No machine is left that could acknowledge it, or the time is over.
+                // All pushes have ended, or the time is over.
                 Some(Err(_)) | None => break,
             }
         }
@@ -104,7 +108,7 @@
         count
     }
 
-    /// Merges another machine's version.
+    /// Merges another machine's version. A newer one is stored and answers waiting polls.
     pub(super) fn merge(&self, delta: Delta, from: SocketAddr) -> Result<(), DeltaError> {
         let (scope, version) = (delta.scope.clone(), delta.version);
         let merged = self.store.borrow_mut().merge(delta)?;
@@ -122,14 +126,14 @@
         Ok(())
     }
 
-    /// The digest over all versions, cached until one changes.
+    /// The digest over all versions, cached until a version changes.
     pub(super) fn digest(&self) -> u128 {
         let digest = self.digest.get().unwrap_or_else(|| self.store.borrow().digest());
         self.digest.set(Some(digest));
         digest
     }
 
-    /// Forgets silent followers and polls that have ended, for ever.
+    /// Removes expired followers and ended polls at every [`EXPIRE_INTERVAL`], without end.
     pub(super) async fn expire(self: Rc<Self>) {
         loop {
             Timer::after(EXPIRE_INTERVAL).await;
--- a/crates/sidecar/src/control/mod.rs
+++ b/crates/sidecar/src/control/mod.rs
@@ -1,9 +1,9 @@
-//! A service's configuration by control machines: the task by which a sidecar follows it (`task.rs`), and the control
-//! machine itself (`machine/`).
+//! Distribution of service configuration: the sidecar's task that follows it (`task.rs`) and the control machine
+//! (`machine/`).
 //!
-//! This module owns the exchange over HTTP, the cached snapshot and what the console reports. Versions, deltas and which
-//! version is newer are `landingspread_control`'s. It must never make a request wait: without any machine the version in
-//! force stays so.
+//! Owns the HTTP calls, the cached snapshot and the console's report; versions and deltas are
+//! `landingspread_control`'s. Nothing here may delay a request: while no machine can be reached, the version in force
+//! stays.
 
 mod client;
 pub mod followers;
--- a/crates/sidecar/src/control/status.rs
+++ b/crates/sidecar/src/control/status.rs
@@ -1,5 +1,6 @@
-//! What a sidecar's console reports of its configuration: the version in force and since when, the machine that is polled,
-//! and the last refusal. The task that follows the configuration writes it, and the console's thread reads it.
+//! The status of the followed configuration that a sidecar's console reports: the version in force and its age, the
+//! polled machine, and the last refusal. The task that follows the configuration writes it, and the console's thread
+//! reads it.
 
 use landingspread_control::{Contents, Follower, Refusal, Version};
 use serde_json::{Value, json};
@@ -31,24 +32,24 @@
 struct State {
     in_force: Option<InForce>,
     machine: Option<SocketAddr>,
-    answered: Option<Instant>,
+    answered_at: Option<Instant>,
     refused: Option<RefusedVersion>,
     rejected: Option<RejectedAnswer>,
     traffic: Traffic,
 }
 
-/// What following the configuration has cost.
+/// The network traffic of following the configuration.
 #[derive(Clone, Copy, Default)]
 pub struct Traffic {
-    /// Polls that were answered.
+    /// The number of answered polls.
     pub calls: u64,
-    /// Bytes of the polls, with an estimate of their heads.
+    /// Bytes of the answered polls, with an estimate for their heads.
     pub sent: u64,
-    /// Bytes of the answers, with an estimate of their heads.
+    /// Bytes of the answers, with an estimate for their heads.
     pub received: u64,
 }
 
-/// A handle to the status; its clones share it.
+/// A handle to the status, which all clones share.
 #[derive(Clone)]
 pub struct ControlStatus {
     scope: Arc<str>,
@@ -56,7 +57,7 @@
 }
 
 impl ControlStatus {
-    /// The status of a scope that nothing is known of yet.
+    /// Creates the status of a scope without a version or a poll.
     pub fn new(scope: &str) -> ControlStatus {
         ControlStatus { scope: scope.into(), state: Arc::default() }
     }
@@ -65,31 +66,31 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// This machine is polled from now on.
-    pub fn polls(&self, machine: SocketAddr) {
+    /// Records the machine that is polled from now on.
+    pub fn set_machine(&self, machine: SocketAddr) {
         self.state().machine = Some(machine);
     }
 
-    /// The machine answered.
-    pub fn answered(&self) {
-        self.state().answered = Some(Instant::now());
+    /// Records that the polled machine has just answered.
+    pub fn record_answer(&self) {
+        self.state().answered_at = Some(Instant::now());
     }
 
-    /// Counts a call with the bytes that were sent and received.
-    pub fn count_call(&self, sent: usize, received: usize) {
+    /// Counts an answered poll with its sent and received bytes.
+    pub fn record_call(&self, sent: usize, received: usize) {
         let traffic = &mut self.state().traffic;
         traffic.calls += 1;
         traffic.sent += sent as u64;
         traffic.received += received as u64;
     }
 
-    /// The calls so far, with their bytes.
+    /// The number of answered polls since the start, with their bytes.
     pub fn traffic(&self) -> Traffic {
         self.state().traffic
     }
 
-    /// The follower's version is in force from now on.
-    pub fn applied(&self, follower: &Follower) {
+    /// Records the follower's version, which is in force from now on.
+    pub fn record_applied(&self, follower: &Follower) {
         let in_force = follower.in_force().map(|snapshot| InForce {
             version: snapshot.version(),
             since: Instant::now(),
@@ -98,20 +99,20 @@
         self.state().in_force = in_force;
     }
 
-    /// A version was refused.
-    pub fn refused(&self, refusal: &Refusal) {
+    /// Records that the host refused a version.
+    pub fn record_refusal(&self, refusal: &Refusal) {
         let (key, reason) = (refusal.error.key.clone(), refusal.error.reason.clone());
         let refused = RefusedVersion { version: refusal.version, key, reason, at: Instant::now() };
         self.state().refused = Some(refused);
     }
 
-    /// A machine's answer was of no use.
-    pub fn rejected(&self, machine: SocketAddr, reason: &str) {
+    /// Records that a machine's answer was unusable.
+    pub fn record_rejected_answer(&self, machine: SocketAddr, reason: &str) {
         let rejected = RejectedAnswer { machine, reason: reason.to_string(), at: Instant::now() };
         self.state().rejected = Some(rejected);
     }
 
-    /// The status as `GET /control` reports it.
+    /// The response body of `GET /control`, as JSON or as text.
     pub fn report(&self, json: bool) -> String {
         let state = self.state();
         if json { self.to_json(&state) } else { self.to_text(&state) }
@@ -122,7 +123,7 @@
             "scope": &*self.scope,
             "in_force": state.in_force.as_ref().map(InForce::to_json),
             "machine": state.machine.map(|machine| machine.to_string()),
-            "answered_ms_ago": state.answered.map(ms_since),
+            "answered_ms_ago": state.answered_at.map(ms_since),
             "refused": state.refused.as_ref().map(RefusedVersion::to_json),
             "turned_away": state.rejected.as_ref().map(RejectedAnswer::to_json),
             "calls": state.traffic.calls,
@@ -142,7 +143,8 @@
             None => writeln!(text, "in force    nothing but the file"),
         };
         if let Some(machine) = state.machine {
-            let answered = state.answered.map_or("never".into(), |at| format!("{} ago", seconds_since(at)));
+            let answered =
+                state.answered_at.map_or("never".into(), |at| format!("{} ago", seconds_since(at)));
             let _ = writeln!(text, "machine     {machine}, answered {answered}");
         }
         if let Some(RefusedVersion { version, key, reason, at }) = &state.refused {
--- a/crates/sidecar/src/control/task.rs
+++ b/crates/sidecar/src/control/task.rs
@@ -1,5 +1,5 @@
-//! The task that follows the configuration of a scope: polls a control machine, applies what it answers, and goes on to
-//! the next machine when one fails. Without any machine the version in force stays so.
+//! The task that follows the configuration of a scope: it polls a control machine, applies the versions in the answers,
+//! and fails over to the next machine. While no machine can be reached, the version in force stays.
 
 use super::client::{CallError, ControlClient};
 use super::host::{AsyncConfigHost, SidecarHost};
@@ -18,15 +18,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Buffers that an answer fits, with its head.
+/// The number of buffers for the largest answer with its head.
 pub const ANSWER_BUFFERS: usize = MAX_DELTA_BYTES / BUFFER_SIZE + 2;
 
-/// Why a poll led to nothing: the next machine is polled.
+/// Why a poll failed. The next machine is polled then.
 enum PollError {
     Call(CallError),
     Answer(AnswerError),
-    /// The machine answered at once with a version that is known here.
-    NothingNew,
+    /// The answer holds the version in force, or one not newer than a refused version.
+    KnownVersion,
 }
 
 impl fmt::Display for PollError {
@@ -34,30 +34,32 @@
         match self {
             PollError::Call(error) => error.fmt(f),
             PollError::Answer(error) => error.fmt(f),
-            PollError::NothingNew => f.write_str("the answer is a version that is known here"),
+            PollError::KnownVersion => {
+                f.write_str("the answer is a version that is in force or was refused before")
+            }
         }
     }
 }
 
-/// A follower with all that it needs to run.
+/// A follower with its host, clock, buffers, cache and status.
 pub struct FollowTask<H> {
-    /// Which version is in force, and which machine is polled.
+    /// Selects the machine to poll and holds the version in force.
     pub follower: Follower,
-    /// What applies a version.
+    /// Applies versions to the process.
     pub host: H,
-    /// The time of refusals and of going back to the first machine.
+    /// The clock for the times of refusals and of the failback to the first machine.
     pub clock: Clock,
-    /// Buffers for answers.
+    /// The pool of buffers for answers.
     pub resources: Rc<ResourcePool>,
-    /// None where no version outlives the process.
+    /// The file with the version in force; `None` if it is not kept across restarts.
     pub cache: Option<SnapshotCache>,
-    /// What the console reports.
+    /// The status that the console reports.
     pub status: ControlStatus,
 }
 
 impl FollowTask<SidecarHost> {
-    /// The sidecar's own task; none where the configuration comes from the file alone. What an earlier process cached is in
-    /// force when this returns.
+    /// Creates the task of this sidecar; `None` if its only source of configuration is the file. A usable snapshot that
+    /// an earlier process cached is in force when this returns.
     pub fn for_sidecar(
         configuration: &Configuration,
         queue: EventQueue,
@@ -75,7 +77,7 @@
         );
         if let Some(cache) = &cache {
             cache.restore(&mut follower, &mut host);
-            status.applied(&follower);
+            status.record_applied(&follower);
         }
         let resources = ResourcePool::buffers_only(ANSWER_BUFFERS);
         Some(FollowTask { follower, host, clock: configuration.clock.clone(), resources, cache, status })
@@ -83,12 +85,12 @@
 }
 
 impl<H: AsyncConfigHost> FollowTask<H> {
-    /// Follows for ever.
+    /// Follows the configuration without end. Returns only if no control machine is configured.
     pub async fn run(mut self) {
         let (mut client, mut failures) = (ControlClient::default(), 0u64);
         loop {
             let Some(machine) = self.follower.machine() else { return };
-            self.status.polls(machine);
+            self.status.set_machine(machine);
             let answer =
                 client.poll(machine, &self.follower.next_poll(), &self.resources, &self.status).await;
             let now = self.clock.now();
@@ -96,17 +98,17 @@
                 failures = 0;
                 continue;
             };
-            // Logged at failure 1, 2, 4, 8 and so on: an outage may last for an hour.
+            // Only failures 1, 2, 4, 8 and so on are logged, because an outage may last for an hour.
             failures += 1;
             if failures.is_power_of_two() {
-                tracing::warn!(%machine, failures, "control: the version in force stays: {error}");
+                tracing::warn!(%machine, failures, "control: poll failed, the version in force stays: {error}");
             }
             client.close();
             Timer::after(self.follower.on_failure(now)).await;
         }
     }
 
-    /// Takes an answer: a delta as bytes, or none where the machine has no newer version.
+    /// Handles an answer: the JSON of a delta, or `None` if the machine has no newer version.
     async fn handle(
         &mut self,
         machine: SocketAddr,
@@ -115,8 +117,8 @@
         client: &mut ControlClient,
     ) -> Result<(), PollError> {
         let Some(bytes) = answer.map_err(PollError::Call)? else {
-            self.status.answered();
-            // A version that arrived while an earlier one was being written was left out.
+            self.status.record_answer();
+            // A version is not saved if it arrives while an earlier one is being written, so the save is repeated here.
             self.save();
             if self.follower.on_unchanged(now) {
                 client.close();
@@ -124,28 +126,28 @@
             return Ok(());
         };
         match self.follower.on_delta(now, &bytes, &mut self.host) {
-            Ok(ApplyOutcome::Applied(version)) => self.applied(version, machine).await,
-            Ok(ApplyOutcome::Refused(refusal)) => self.refused(&refusal),
-            Ok(ApplyOutcome::Unchanged) => return Err(PollError::NothingNew),
+            Ok(ApplyOutcome::Applied(version)) => self.on_applied(version, machine).await,
+            Ok(ApplyOutcome::Refused(refusal)) => self.on_refused(&refusal),
+            Ok(ApplyOutcome::Unchanged) => return Err(PollError::KnownVersion),
             Err(error) => {
-                self.status.rejected(machine, &error.to_string());
+                self.status.record_rejected_answer(machine, &error.to_string());
                 return Err(PollError::Answer(error));
             }
         }
         Ok(())
     }
 
-    async fn applied(&mut self, version: Version, machine: SocketAddr) {
-        self.host.settled().await;
-        self.status.answered();
-        self.status.applied(&self.follower);
+    async fn on_applied(&mut self, version: Version, machine: SocketAddr) {
+        self.host.wait_until_applied().await;
+        self.status.record_answer();
+        self.status.record_applied(&self.follower);
         tracing::info!(%version, %machine, "control: in force");
         self.save();
     }
 
-    fn refused(&self, refusal: &Refusal) {
-        self.status.answered();
-        self.status.refused(refusal);
+    fn on_refused(&self, refusal: &Refusal) {
+        self.status.record_answer();
+        self.status.record_refusal(refusal);
         let (version, key) = (refusal.version, &refusal.error.key);
         tracing::error!(%version, key, "control: refused version: {}", refusal.error.reason);
     }
