--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -18,7 +18,7 @@
 /// An invalid key of a scope's contents, with the reason.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigError {
-    /// The invalid key.
+    /// The key that is invalid or has an invalid value.
     pub key: String,
     /// The reason why the key or its value is invalid.
     #[serde(rename = "what")]
--- a/crates/control/src/delta.rs
+++ b/crates/control/src/delta.rs
@@ -100,7 +100,7 @@
         &self.scope
     }
 
-    /// The snapshot's version.
+    /// The version of these contents.
     pub fn version(&self) -> Version {
         self.version
     }
--- a/crates/control/src/follower.rs
+++ b/crates/control/src/follower.rs
@@ -23,7 +23,7 @@
 const ROUND_JITTER_FACTOR: u32 = 6;
 /// The number of rounds after which the jitter no longer doubles.
 const MAX_BACKOFF_ROUNDS: usize = 4;
-/// The maximum backoff.
+/// The maximum backoff, jitter included.
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
 /// The follower returns to the first machine in its order after this time at another, plus up to as long again in
 /// jitter.
@@ -46,7 +46,7 @@
 /// A version that the host refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// The refused version.
+    /// The version that the host refused.
     pub version: Version,
     /// The key that can't be applied, and why.
     pub error: ConfigError,
--- a/crates/control/src/scope_status.rs
+++ b/crates/control/src/scope_status.rs
@@ -27,7 +27,7 @@
 /// A follower that has neither acknowledged nor refused the current version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LaggingFollower<'a> {
-    /// The follower's name.
+    /// The name of the sidecar.
     pub name: &'a str,
     /// Whether the follower has stopped polling.
     pub silent: bool,
--- a/crates/control/tests/formats.rs
+++ b/crates/control/tests/formats.rs
@@ -1,4 +1,4 @@
-//! Compares the crate's outputs with those of earlier releases: messages, stored snapshots, digests, the order of
+//! Compares the crate's output with fixtures of earlier releases: messages, stored snapshots, digests, the order of
 //! machines and the pseudo-random backoffs. Each line of the fixture is `NAME<tab>TEXT`.
 
 use landingspread_control::{
--- a/crates/sidecar/src/configuration/environment.rs
+++ b/crates/sidecar/src/configuration/environment.rs
@@ -1,41 +1,41 @@
-//! Environment variables that the configuration reads.
+//! The environment variables that the configuration reads.
 
 use super::error::{ConfigError, Problem, at_key};
 use std::net::SocketAddr;
 use std::os::fd::RawFd;
 
-/// The configuration file.
+/// The path of the configuration file.
 pub const NODE_CONFIG: &str = "NODE_CONFIG";
-/// The address of the operators' console.
+/// The listening address of the operators' console.
 pub const NODE_CONSOLE: &str = "NODE_CONSOLE";
 /// The address of discovery.
 pub const NODE_DISCOVERY: &str = "NODE_DISCOVERY";
-/// The descriptor of the inherited listening socket.
+/// The file descriptor of the inherited listening socket.
 pub const NODE_FD: &str = "NODE_FD";
-/// The address that callers connect to.
+/// The listening address for clients.
 pub const NODE_LISTEN: &str = "NODE_LISTEN";
-/// The lowest level that is logged: error, warn, info, debug or trace.
+/// The least severe level that is logged: error, warn, info, debug or trace.
 pub const NODE_LOG: &str = "NODE_LOG";
 /// The format of the log: text or json.
 pub const NODE_LOG_FORMAT: &str = "NODE_LOG_FORMAT";
-/// The sidecar's name.
+/// The name of the sidecar.
 pub const NODE_NAME: &str = "NODE_NAME";
-/// The platform's private folder of the sidecar.
+/// The private folder that the platform gives the sidecar.
 pub const TMPDIR: &str = "TMPDIR";
 
-/// Which variables a reader sees.
+/// The set of environment variables that a reader uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Environment {
     /// All variables of the process.
     Process,
-    /// Those of the process but the address of discovery: on a reload the file's is newer.
+    /// All variables except the address of discovery, because on a reload the file's address is newer.
     Reload,
-    /// None at all.
+    /// None of the variables, as if all were unset.
     Empty,
 }
 
 impl Environment {
-    /// The value of a variable; an empty one counts as unset.
+    /// The value of a variable; `None` if it is unset or empty.
     pub fn get(self, variable: &str) -> Option<String> {
         match self {
             Environment::Empty => None,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The address that a variable holds; None where it is unset.
+    /// The address in a variable; `None` if it is unset or empty.
     pub fn address(self, variable: &str) -> Result<Option<SocketAddr>, ConfigError> {
         let Some(text) = self.get(variable) else { return Ok(None) };
         match text.parse() {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The descriptor of the listening socket that this process inherits, by NODE_FD.
+    /// The file descriptor of the inherited listening socket, from NODE_FD; `None` if it is unset or empty.
     pub fn inherited_listener(self) -> Result<Option<RawFd>, ConfigError> {
         let Some(text) = self.get(NODE_FD) else { return Ok(None) };
         match text.parse().ok().filter(|descriptor: &RawFd| *descriptor >= 0) {
--- a/crates/sidecar/src/configuration/error.rs
+++ b/crates/sidecar/src/configuration/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the configuration. Their texts are shown to operators by `landingspread check`, and are pinned by fixtures.
+//! Errors of the configuration. `landingspread check` shows their texts to operators, and fixtures pin them.
 
 use crate::catalog::CatalogError;
 use landingspread_decisions::settings::SettingError;
@@ -15,15 +15,15 @@
     OperatorFile(FileError),
     /// A file in the platform's form can't be read.
     UnreadableFile { path: PathBuf, error: std::io::Error },
-    /// A file in the platform's form is no JSON.
+    /// A file in the platform's form is not JSON.
     NotJson { path: PathBuf, error: serde_json::Error },
-    /// The `settings` of the platform's form are incomplete or have a value that is refused.
+    /// The `settings` of the platform's form lack a value or have one that is refused.
     PlatformSettings(SettingError),
-    /// The value of a key or of a variable is refused.
+    /// The value of a key or of an environment variable is refused.
     Value { key: String, problem: Problem },
 }
 
-/// An error of a key or of an environment variable.
+/// Creates the error of a key or of an environment variable.
 pub fn at_key(key: &str, problem: impl Into<Problem>) -> ConfigError {
     ConfigError::Value { key: key.into(), problem: problem.into() }
 }
@@ -48,7 +48,7 @@
     }
 }
 
-/// A key of the operators' form and what is wrong with its value; its line is not looked up yet.
+/// A key of the operators' form with the problem of its value, before its line is looked up.
 #[derive(Debug)]
 pub struct Refusal {
     pub key: String,
@@ -56,13 +56,13 @@
 }
 
 impl Refusal {
-    /// A refusal of the value at a key.
+    /// Creates the refusal of the value at a key.
     pub fn new(key: impl Into<String>, problem: impl Into<Problem>) -> Refusal {
         Refusal { key: key.into(), problem: problem.into() }
     }
 }
 
-/// What is wrong with a value, where the text shows the value.
+/// Why a value is refused, with the value that the message shows.
 #[derive(Debug)]
 pub enum Problem {
     UnknownLogLevel(String),
@@ -86,12 +86,12 @@
     Rule(BrokenRule),
 }
 
-/// A rule that a value breaks, where the text is the same for all values.
+/// A rule that a value violates, with a message that is the same for all values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BrokenRule {
-    Set,
-    Present,
-    Named,
+    VariableRequired,
+    KeyRequired,
+    NameRequired,
     GoalWithinLimit,
     DelayWithinRange,
     AtLeastOne,
@@ -103,8 +103,8 @@
     FleetAddressWithoutPeers,
     ReachableFleetAddress,
     PeersOverIpv4,
-    NeedsFleet,
-    TwoZones,
+    FleetRequired,
+    AtLeastTwoZones,
     SidecarName,
     ServiceName,
     ControlMachineCount,
@@ -152,9 +152,9 @@
 impl fmt::Display for BrokenRule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            BrokenRule::Set => "is not set",
-            BrokenRule::Present => "is missing",
-            BrokenRule::Named => "has no name",
+            BrokenRule::VariableRequired => "is not set",
+            BrokenRule::KeyRequired => "is missing",
+            BrokenRule::NameRequired => "has no name",
             BrokenRule::GoalWithinLimit => "it is nothing, or longer than the limit",
             BrokenRule::DelayWithinRange => "it does not lie from 100 ms to 10 minutes",
             BrokenRule::AtLeastOne => "at least one is wanted",
@@ -168,8 +168,8 @@
             BrokenRule::PeersOverIpv4 => {
                 "copies hear each other over IPv4 alone, and a peer has another address"
             }
-            BrokenRule::NeedsFleet => "it needs the [fleet] part",
-            BrokenRule::TwoZones => "there are no two zones to choose from",
+            BrokenRule::FleetRequired => "it needs the [fleet] part",
+            BrokenRule::AtLeastTwoZones => "there are no two zones to choose from",
             BrokenRule::SidecarName => "machines know sidecars by it: it is empty, too long or no plain text",
             BrokenRule::ServiceName => "it is empty, too long, or has other signs than a-z, 0-9, -, _ and .",
             BrokenRule::ControlMachineCount => "from one to 64 are wanted",
--- a/crates/sidecar/src/configuration/mod.rs
+++ b/crates/sidecar/src/configuration/mod.rs
@@ -1,8 +1,8 @@
-//! Reads and checks the configuration, at the start and again on SIGHUP.
+//! Reads and checks the configuration, at the start and again on SIGHUP. Callers apply it.
 //!
-//! This is the only reader of the environment and of the configuration file. Two forms come to one checked type,
-//! [`Configuration`]: the operators' TOML (`operator_form`) and the platform's JSON (`platform_form`). An error names
-//! the key or the variable at fault. Applying a change is left to the caller.
+//! Only this module reads the environment and the configuration file. Both forms of the file, the operators' TOML
+//! (`operator_form`) and the platform's JSON (`platform_form`), result in one checked type, [`Configuration`]. An error
+//! names the invalid key or variable.
 
 mod class_limits;
 mod environment;
@@ -21,19 +21,19 @@
 use error::{BrokenRule, Problem, at_key};
 use std::path::{Path, PathBuf};
 
-/// The lowest level that is logged, by the variable NODE_LOG.
+/// The least severe level that is logged, from the variable NODE_LOG; `INFO` if it is unset.
 ///
 /// # Errors
-/// The variable names no level.
+/// The value of the variable is not a level.
 pub fn log_level() -> Result<tracing::Level, ConfigError> {
     let Some(text) = Environment::Process.get(NODE_LOG) else { return Ok(tracing::Level::INFO) };
     text.parse().map_err(|_| at_key(NODE_LOG, Problem::UnknownLogLevel(text)))
 }
 
-/// Whether the log is one JSON object a line, by the variable NODE_LOG_FORMAT.
+/// Whether each line of the log is a JSON object, from the variable NODE_LOG_FORMAT.
 ///
 /// # Errors
-/// The variable names no format.
+/// The value of the variable is neither `text` nor `json`.
 pub fn log_as_json() -> Result<bool, ConfigError> {
     match Environment::Process.get(NODE_LOG_FORMAT).as_deref() {
         None | Some("text") => Ok(false),
@@ -42,8 +42,8 @@
     }
 }
 
-/// Reads the named file, or the one that NODE_CONFIG names. Where the environment and the file both set a value, the
-/// environment's counts: it is nearer to what the platform does now.
+/// Reads the file at `path`, or else the file that NODE_CONFIG names. If the environment and the file both set a value,
+/// the environment's applies, because it reflects the platform's current state.
 ///
 /// # Errors
 /// The first key or variable whose value is refused.
@@ -51,16 +51,16 @@
     read_with(path, Environment::Process)
 }
 
-/// Reads the file again for SIGHUP. A process keeps the environment that it started with, so that the file's address of
-/// discovery is the newer one.
+/// Reads the file again on SIGHUP. The address of discovery in the environment is ignored: the environment never
+/// changes after the start, so the file's address is newer.
 ///
 /// # Errors
-/// As [`read`].
+/// The same errors as [`read`].
 pub fn read_again(path: Option<&Path>) -> Result<Configuration, ConfigError> {
     read_with(path, Environment::Reload)
 }
 
-/// Parses one configuration in the operators' form, whatever the environment says. `name` stands for the file in errors.
+/// Parses a configuration in the operators' form and ignores the environment. Errors refer to the file as `name`.
 ///
 /// # Errors
 /// The first key whose value is refused, with its line.
@@ -68,7 +68,7 @@
     operator_form::parse(name, text, Environment::Empty)
 }
 
-/// A file whose name ends in `.toml` is in the operators' form, any other in the platform's.
+/// Reads a file with the extension `toml` in the operators' form and any other file in the platform's form.
 fn read_with(path: Option<&Path>, environment: Environment) -> Result<Configuration, ConfigError> {
     let path = match path {
         Some(path) => path.to_path_buf(),
@@ -83,5 +83,5 @@
 
 fn configured_path(environment: Environment) -> Result<PathBuf, ConfigError> {
     let path = environment.get(NODE_CONFIG).map(PathBuf::from);
-    path.ok_or_else(|| at_key(NODE_CONFIG, BrokenRule::Set))
+    path.ok_or_else(|| at_key(NODE_CONFIG, BrokenRule::VariableRequired))
 }
--- a/crates/sidecar/src/configuration/operator_form/build.rs
+++ b/crates/sidecar/src/configuration/operator_form/build.rs
@@ -1,4 +1,4 @@
-//! Turns a checked file of the operators' form into a [`Configuration`].
+//! Converts a checked file of the operators' form into a [`Configuration`].
 
 use super::schema::{self, ClassTable, File, Rules, Server, WatchStart};
 use super::{control, localities};
@@ -13,11 +13,11 @@
 use std::os::fd::RawFd;
 use std::time::Duration;
 
-/// A server that is warming up crashes if it is sent more than this multiple of its present capacity for the window.
+/// A server in slow start crashes if its load exceeds this multiple of its current capacity for [`OVERLOAD_WINDOW`].
 const OVERLOAD_MULTIPLE: f64 = 3.0;
 const OVERLOAD_WINDOW: Duration = Duration::from_secs(2);
 
-/// The configuration of a file in which no key was refused.
+/// Builds the configuration from a file in which no key was refused.
 pub fn configuration(mut file: File, inherited_listener: Option<RawFd>) -> Configuration {
     let own_peer = file.peers.get(file.ordinal as usize).copied();
     let own_zone = file.zone.as_ref().or(file.zones.first()).cloned().unwrap_or_default();
@@ -27,7 +27,7 @@
     Configuration {
         listen: file.listen,
         discovery: file.discovery.as_ref().map(|discovery| discovery.address),
-        // Two sidecars that start together must not draw alike.
+        // Sidecars that start at the same time must not draw the same random numbers.
         seed: file.seed.unwrap_or_else(|| RandomState::new().hash_one(std::process::id())),
         max_sockets: file.limits.max_sockets as usize,
         memory_mb: file.limits.memory_mb as usize,
@@ -53,10 +53,10 @@
     }
 }
 
-/// The number of a zone; that of the first where none is named.
+/// The number of the named zone, or of the first zone if none is named.
 fn zone_number(file: &File, name: Option<&String>) -> u32 {
-    let place = name.and_then(|name| file.zones.iter().position(|zone| zone == name));
-    place.unwrap_or(0) as u32
+    let index = name.and_then(|name| file.zones.iter().position(|zone| zone == name));
+    index.unwrap_or(0) as u32
 }
 
 fn initial_servers(file: &File) -> Catalog {
@@ -74,7 +74,7 @@
     Catalog { generation: 0, complete: true, entries: file.servers.iter().map(entry).collect() }
 }
 
-/// What the front has to know of a class.
+/// The settings of a class that the client side needs to parse requests.
 fn request_class(class: &ClassTable) -> RequestClass {
     RequestClass {
         name: class.name.clone(),
@@ -84,7 +84,7 @@
     }
 }
 
-/// The settings of the decisions.
+/// The settings that the decisions use.
 fn policy(file: &File) -> Settings {
     let rules = &file.rules;
     Settings {
@@ -119,7 +119,7 @@
         hedging: file.rules.hedging,
         peer_messages: !file.peers.is_empty(),
         max_attempts: file.rules.max_attempts,
-        max_retry_after: Some(file.rules.max_retry_after).filter(|most| !most.is_zero()),
+        max_retry_after: Some(file.rules.max_retry_after).filter(|maximum| !maximum.is_zero()),
     }
 }
 
@@ -141,7 +141,7 @@
     }
 }
 
-/// What the decisions have to know of a class.
+/// The settings of a class that the decisions use.
 fn policy_class(class: &ClassTable) -> settings::RequestClass {
     let scope = match class.dedup_scope {
         None | Some(schema::DedupScope::All) => DedupScope::All,
--- a/crates/sidecar/src/configuration/operator_form/checks.rs
+++ b/crates/sidecar/src/configuration/operator_form/checks.rs
@@ -1,16 +1,16 @@
-//! Checks of the operators' form, in a fixed order: of several faults the first is shown.
+//! Checks of the operators' form. Their order is fixed, and only the first error is reported.
 
 use super::schema::{ClassTable, File, RetrySafety, Server, Tenant};
 use crate::configuration::class_limits::ClassLimits;
 use crate::configuration::error::{BrokenRule, Problem, Refusal};
-use crate::configuration::settings::{MINIMUM_MEMORY_MB, MINIMUM_SOCKETS};
+use crate::configuration::settings::{MIN_MEMORY_MB, MIN_SOCKETS};
 
-const HIGHEST_WEIGHT: f64 = 1e6;
-const HIGHEST_QUOTA: f64 = 1e9;
+const MAX_WEIGHT: f64 = 1e6;
+const MAX_QUOTA: f64 = 1e9;
 
-/// The first key whose value is refused.
+/// The first key whose value is refused; `None` if the file is valid.
 pub fn first_refusal(file: &File) -> Option<Refusal> {
-    places(file)
+    lists(file)
         .or_else(|| optional_tables(file))
         .or_else(|| cost_header(file))
         .or_else(|| bounds(file))
@@ -30,16 +30,16 @@
 }
 
 fn at_most(key: &str, value: f64, maximum: f64) -> Option<Refusal> {
-    let within = value.is_finite() && (0.0..=maximum).contains(&value);
-    if within { None } else { refuse(key, Problem::OutsideRange { value, maximum }) }
+    let is_valid = value.is_finite() && (0.0..=maximum).contains(&value);
+    if is_valid { None } else { refuse(key, Problem::OutsideRange { value, maximum }) }
 }
 
 fn at_least(key: &str, value: u64, minimum: u64) -> Option<Refusal> {
     if value >= minimum { None } else { refuse(key, Problem::BelowMinimum { value, minimum }) }
 }
 
-/// Zones, verbs, servers and peers as lists.
-fn places(file: &File) -> Option<Refusal> {
+/// Checks the lists of zones, request classes, servers and peers.
+fn lists(file: &File) -> Option<Refusal> {
     if let Some(zone) = file.zone.as_ref().filter(|zone| !file.zones.contains(zone)) {
         return refuse("zone", Problem::UnknownZone(zone.clone()));
     }
@@ -52,9 +52,9 @@
     if file.discovery.is_none() && file.servers.is_empty() {
         return refuse("servers", BrokenRule::ServersWithoutDiscovery);
     }
-    let copies = file.replicas as usize;
-    if !file.peers.is_empty() && (file.peers.len() != copies || file.ordinal >= file.replicas) {
-        return refuse("peers", Problem::PeerCount { addresses: file.peers.len(), copies });
+    let replicas = file.replicas as usize;
+    if !file.peers.is_empty() && (file.peers.len() != replicas || file.ordinal >= file.replicas) {
+        return refuse("peers", Problem::PeerCount { addresses: file.peers.len(), copies: replicas });
     }
     None
 }
@@ -69,13 +69,13 @@
 
 fn cost_header(file: &File) -> Option<Refusal> {
     let name = file.work_header.as_ref()?;
-    let refused = name.is_empty() || name.contains([':', ' ']);
-    if refused { refuse("cost_header", BrokenRule::HeaderName) } else { None }
+    let is_invalid = name.is_empty() || name.contains([':', ' ']);
+    if is_invalid { refuse("cost_header", BrokenRule::HeaderName) } else { None }
 }
 
 fn bounds(file: &File) -> Option<Refusal> {
-    at_least("limits.sockets", file.limits.max_sockets, MINIMUM_SOCKETS)
-        .or_else(|| at_least("limits.memory_mb", file.limits.memory_mb, MINIMUM_MEMORY_MB))
+    at_least("limits.sockets", file.limits.max_sockets, MIN_SOCKETS)
+        .or_else(|| at_least("limits.memory_mb", file.limits.memory_mb, MIN_MEMORY_MB))
         .or_else(|| at_least("limits.max_open", file.limits.max_open_requests, 1))
         .or_else(|| at_least("copies", u64::from(file.replicas), 1))
         .or_else(|| at_least("rules.relays", u64::from(file.rules.max_attempts), 1))
@@ -89,9 +89,9 @@
 }
 
 fn class(file: &File, index: usize, class: &ClassTable) -> Option<Refusal> {
-    let key = |leaf: &str| format!("verbs.{index}.{leaf}");
-    let usable_in_path = !class.name.is_empty() && !class.name.contains(['/', '?', ' ']);
-    if !usable_in_path || file.classes[..index].iter().any(|other| other.name == class.name) {
+    let key = |field: &str| format!("verbs.{index}.{field}");
+    let is_path_segment = !class.name.is_empty() && !class.name.contains(['/', '?', ' ']);
+    if !is_path_segment || file.classes[..index].iter().any(|other| other.name == class.name) {
         return refuse(key("name"), Problem::ClassName(class.name.clone()));
     }
     let limits = ClassLimits {
@@ -103,32 +103,32 @@
     if let Some(refusal) = limits.refusal() {
         return refuse(key(refusal.keys[0]), refusal.problem);
     }
-    let keyed = class.retry_safety == RetrySafety::IdempotencyKeyed;
-    if keyed && (class.dedup_scope.is_none() || class.dedup_window.is_none()) {
+    let is_keyed = class.retry_safety == RetrySafety::IdempotencyKeyed;
+    if is_keyed && (class.dedup_scope.is_none() || class.dedup_window.is_none()) {
         let missing = if class.dedup_scope.is_none() { "group" } else { "memory" };
         return refuse(key(missing), BrokenRule::NeededForIdempotencyKeys);
     }
-    if !keyed && (class.dedup_scope.is_some() || class.dedup_window.is_some()) {
-        let superfluous = if class.dedup_scope.is_some() { "group" } else { "memory" };
-        return refuse(key(superfluous), BrokenRule::OnlyForIdempotencyKeys);
+    if !is_keyed && (class.dedup_scope.is_some() || class.dedup_window.is_some()) {
+        let unexpected = if class.dedup_scope.is_some() { "group" } else { "memory" };
+        return refuse(key(unexpected), BrokenRule::OnlyForIdempotencyKeys);
     }
     None
 }
 
 fn server(file: &File, index: usize, server: &Server) -> Option<Refusal> {
-    let key = |leaf: &str| format!("servers.{index}.{leaf}");
+    let key = |field: &str| format!("servers.{index}.{field}");
     if server.id.is_empty() || file.servers[..index].iter().any(|other| other.id == server.id) {
         return refuse(key("id"), Problem::ServerId(server.id.clone()));
     }
     if let Some(zone) = server.zone.as_ref().filter(|zone| !file.zones.contains(zone)) {
         return refuse(key("zone"), Problem::UnknownZone(zone.clone()));
     }
-    at_most(&key("weight"), server.weight, HIGHEST_WEIGHT)
+    at_most(&key("weight"), server.weight, MAX_WEIGHT)
 }
 
 fn tenant(file: &File, index: usize, tenant: &Tenant) -> Option<Refusal> {
     if file.tenants[..index].iter().any(|other| other.name == tenant.name) {
         return refuse(format!("tenants.{index}.name"), Problem::Duplicate(tenant.name.clone()));
     }
-    tenant.quota.and_then(|quota| at_most(&format!("tenants.{index}.quota"), quota, HIGHEST_QUOTA))
+    tenant.quota.and_then(|quota| at_most(&format!("tenants.{index}.quota"), quota, MAX_QUOTA))
 }
--- a/crates/sidecar/src/configuration/operator_form/control.rs
+++ b/crates/sidecar/src/configuration/operator_form/control.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// The keys of the table.
+/// The keys of the `[control]` table.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Part")]
 pub struct ControlTable {
@@ -19,7 +19,7 @@
     cache_file: Option<PathBuf>,
 }
 
-/// One control machine.
+/// An entry of the key `machines`: a control machine.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct At")]
 pub struct MachineEntry {
@@ -28,10 +28,11 @@
     region: String,
 }
 
-const MAXIMUM_MACHINES: usize = 64;
+/// The maximum number of control machines in the table.
+const MAX_MACHINES: usize = 64;
 
 impl ControlTable {
-    /// The first key whose value is refused; `name` is the sidecar's.
+    /// The first key whose value is refused. `name` is the sidecar's name, by which control machines identify it.
     pub fn first_refusal(&self, name: &str) -> Option<Refusal> {
         let refuse = |key: &str, rule: BrokenRule| Some(Refusal::new(key, rule));
         if name.is_empty() || name.len() > MAX_NAME_BYTES || name.chars().any(char::is_control) {
@@ -40,7 +41,7 @@
         if !is_valid_scope(&self.scope) {
             return refuse("control.scope", BrokenRule::ServiceName);
         }
-        if self.machines.is_empty() || self.machines.len() > MAXIMUM_MACHINES {
+        if self.machines.is_empty() || self.machines.len() > MAX_MACHINES {
             return refuse("control.machines", BrokenRule::ControlMachineCount);
         }
         if self.has_duplicate_machine() {
@@ -51,10 +52,12 @@
 
     fn has_duplicate_machine(&self) -> bool {
         let mut machines = self.machines.iter().enumerate();
-        machines.any(|(index, one)| self.machines[..index].iter().any(|other| other.address == one.address))
+        machines.any(|(index, machine)| {
+            self.machines[..index].iter().any(|other| other.address == machine.address)
+        })
     }
 
-    /// The settings of a table in which no key was refused.
+    /// Converts a table in which no key was refused into settings.
     pub fn checked(self) -> ControlSettings {
         let machine =
             |machine: MachineEntry| ControlMachine { address: machine.address, region: machine.region };
--- a/crates/sidecar/src/configuration/operator_form/fleet.rs
+++ b/crates/sidecar/src/configuration/operator_form/fleet.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The keys of the table.
+/// The keys of the `[fleet]` table.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Part")]
 pub struct FleetTable {
@@ -22,10 +22,12 @@
     kilobytes_per_s: u32,
 }
 
-/// With fewer, probes alone would not fit.
-const MINIMUM_DATAGRAMS_PER_S: u32 = 40;
-const MINIMUM_KILOBYTES_PER_S: u32 = 16;
-const MAXIMUM_PER_S: u32 = 100_000;
+/// The minimum of the key `datagrams`. A smaller budget can't carry the probes alone.
+const MIN_DATAGRAMS_PER_S: u32 = 40;
+/// The minimum of the key `kilobytes`.
+const MIN_KILOBYTES_PER_S: u32 = 16;
+/// The maximum of both keys.
+const MAX_PER_S: u32 = 100_000;
 
 fn default_name() -> String {
     "fleet".into()
@@ -47,7 +49,7 @@
 }
 
 impl FleetTable {
-    /// The first key whose value is refused; `own_peer` is this copy's address among the peers, where it has any.
+    /// The first key whose value is refused. `own_peer` is this replica's address in `peers`, if the list has one.
     pub fn first_refusal(&self, peers: &[SocketAddr], own_peer: Option<&SocketAddr>) -> Option<Refusal> {
         let refuse = |key: &str, rule: BrokenRule| Some(Refusal::new(format!("fleet.{key}"), rule));
         if self.name.is_empty() || self.name.len() > MAX_NAME_BYTES {
@@ -64,17 +66,18 @@
         if self.listen.is_none() && peers.iter().any(|peer| ipv4(peer).is_none()) {
             return refuse("listen", BrokenRule::PeersOverIpv4);
         }
-        per_second("fleet.datagrams", self.datagrams_per_s, MINIMUM_DATAGRAMS_PER_S)
-            .or_else(|| per_second("fleet.kilobytes", self.kilobytes_per_s, MINIMUM_KILOBYTES_PER_S))
+        per_second("fleet.datagrams", self.datagrams_per_s, MIN_DATAGRAMS_PER_S)
+            .or_else(|| per_second("fleet.kilobytes", self.kilobytes_per_s, MIN_KILOBYTES_PER_S))
     }
 
-    /// None where `first_refusal` would have found one.
+    /// Converts a table in which no key was refused into settings; `None` if there is no listening address, which
+    /// `first_refusal` refuses.
     pub fn checked(
         self,
         peers: &[SocketAddr],
         own_peer: Option<&SocketAddr>,
         zone: &str,
-        copies: u32,
+        replicas: u32,
     ) -> Option<FleetSettings> {
         let uses_peer_socket = self.listen.is_none();
         let listen = self.listen.or(own_peer.and_then(ipv4))?;
@@ -91,14 +94,14 @@
             seeds,
             zone: zone.to_string(),
             budget: Budget { datagrams_per_s: self.datagrams_per_s, bytes_per_s: self.kilobytes_per_s << 10 },
-            configured_replicas: f64::from(copies),
+            configured_replicas: f64::from(replicas),
         })
     }
 }
 
 fn per_second(key: &str, value: u32, minimum: u32) -> Option<Refusal> {
-    if (minimum..=MAXIMUM_PER_S).contains(&value) {
+    if (minimum..=MAX_PER_S).contains(&value) {
         return None;
     }
-    Some(Refusal::new(key, Problem::OutsideBounds { value, minimum, maximum: MAXIMUM_PER_S }))
+    Some(Refusal::new(key, Problem::OutsideBounds { value, minimum, maximum: MAX_PER_S }))
 }
--- a/crates/sidecar/src/configuration/operator_form/mod.rs
+++ b/crates/sidecar/src/configuration/operator_form/mod.rs
@@ -1,8 +1,7 @@
-//! The operators' form of the configuration: one TOML file, `landingspread.toml`.
+//! The operators' form of the configuration: a TOML file, `landingspread.toml`.
 //!
-//! It owns the names of this form, every default and every check of them (`schema`, `checks` and one file for each
-//! optional table); `build` turns what was checked into a [`Configuration`]. An error names the file, the line and the
-//! key.
+//! Owns the keys of this form with their defaults and checks (`schema`, `checks` and a module for each optional table);
+//! `build` converts a checked file into a [`Configuration`]. An error names the file, the line and the key.
 
 mod build;
 mod checks;
@@ -18,19 +17,19 @@
 use schema::{DiscoveryTable, File, WatchStart};
 use std::path::Path;
 
-/// What `landingspread init` prints.
+/// The example file that `landingspread init` prints.
 pub const EXAMPLE: &str = include_str!("example.toml");
 
-/// Reads and checks a file.
+/// Reads and checks a file in the operators' form.
 pub fn read(path: &Path, environment: Environment) -> Result<Configuration, ConfigError> {
     let (name, text) = read_text(path)?;
     parse(&name, &text, environment)
 }
 
-/// Checks the text of a file; `name` stands for it in errors.
+/// Parses and checks the text of a file. Errors refer to the file as `name`.
 pub fn parse(name: &str, text: &str, environment: Environment) -> Result<Configuration, ConfigError> {
     let mut file: File = parse_toml(name, text)?;
-    override_by(environment, &mut file)?;
+    apply_environment(environment, &mut file)?;
     if let Some(refusal) = checks::first_refusal(&file) {
         return Err(FileError::at_key(name, text, &refusal.key, refusal.problem).into());
     }
@@ -38,8 +37,8 @@
     Ok(build::configuration(file, inherited_listener))
 }
 
-/// Puts the variables of the environment in the place of the file's values.
-fn override_by(environment: Environment, file: &mut File) -> Result<(), ConfigError> {
+/// Overrides values of the file by the environment variables that are set.
+fn apply_environment(environment: Environment, file: &mut File) -> Result<(), ConfigError> {
     if let Some(address) = environment.address(NODE_LISTEN)? {
         file.listen = address;
     }
--- a/crates/sidecar/src/configuration/operator_form/operator_form_tests.rs
+++ b/crates/sidecar/src/configuration/operator_form/operator_form_tests.rs
@@ -1,3 +1,5 @@
+//! The example file and the errors of the operators' form.
+
 use super::*;
 use landingspread_decisions::settings::{DedupScope, RetrySafety};
 
@@ -5,18 +7,19 @@
     parse("l.toml", text, Environment::Empty).map_err(|error| error.to_string())
 }
 
-fn refused(from: &str, to: &str) -> String {
+/// The error of the example with the first occurrence of `from` replaced by `to`.
+fn error_with(from: &str, to: &str) -> String {
     assert!(EXAMPLE.contains(from), "{from}");
-    parsed(&EXAMPLE.replacen(from, to, 1)).err().expect("an error")
+    parsed(&EXAMPLE.replacen(from, to, 1)).err().expect("the file is refused")
 }
 
 #[test]
-fn the_example_is_valid_and_shows_the_defaults() {
-    let configuration = parsed(EXAMPLE).expect("it can be read");
+fn example_is_valid_and_shows_the_defaults() {
+    let configuration = parsed(EXAMPLE).expect("the file is valid");
     assert_eq!((configuration.initial_catalog.entries.len(), configuration.classes.len()), (2, 3));
     assert_eq!(configuration.policy.classes[1].retry_safety, RetrySafety::IdempotencyKeyed(DedupScope::All));
-    // Each key that is commented out, as the default that its comment shows.
-    let opened: Vec<&str> = EXAMPLE
+    // The example with every key that is commented out set to the default that it shows.
+    let uncommented: Vec<&str> = EXAMPLE
         .lines()
         .map(|line| match line.strip_prefix("# ") {
             Some(rest) if rest.contains(" = ") && !rest.contains(". ") => rest,
@@ -28,9 +31,9 @@
             _ => line,
         })
         .collect();
-    // There is nothing to leave where there is one zone.
-    let opened = opened.join("\n").replacen("zones = [\"a\"]", "zones = [\"a\", \"b\"]", 1);
-    let shown = parsed(&opened).expect("its comments can be read");
+    // Localities need at least two zones.
+    let uncommented = uncommented.join("\n").replacen("zones = [\"a\"]", "zones = [\"a\", \"b\"]", 1);
+    let shown = parsed(&uncommented).expect("the commented keys are valid");
     assert_eq!(shown.localities, Some(landingspread_localities::RecoveryTimings::default()));
     assert!(
         configuration.control.is_none() && shown.control.is_some_and(|control| control.machines.len() == 2)
@@ -50,64 +53,68 @@
 
 #[test]
 fn errors_name_the_line_and_the_key() {
-    let unknown = refused("listen = ", "lisen = ");
+    let unknown = error_with("listen = ", "lisen = ");
     assert!(unknown.starts_with("l.toml:8: ") && unknown.contains("did you mean `listen`"), "{unknown}");
-    let goal = refused("goal = \"300ms\"", "goal = \"3s\"");
+    let goal = error_with("goal = \"300ms\"", "goal = \"3s\"");
     assert!(goal.contains("verbs.0.goal: it is nothing, or longer"), "{goal}");
-    let span = refused("limit = \"1s\"", "limit = \"soon\"");
-    assert!(span.starts_with("l.toml:"), "{span}");
-    assert!(refused("group = \"all\"", "").contains("verbs.1.group: a receipted verb needs it"));
+    let duration = error_with("limit = \"1s\"", "limit = \"soon\"");
+    assert!(duration.starts_with("l.toml:"), "{duration}");
+    assert!(error_with("group = \"all\"", "").contains("verbs.1.group: a receipted verb needs it"));
     assert!(
-        refused("id = \"s2\"", "id = \"s1\"").contains("servers.1.id: \"s1\" is empty or stands here twice")
+        error_with("id = \"s2\"", "id = \"s1\"")
+            .contains("servers.1.id: \"s1\" is empty or stands here twice")
     );
-    assert!(refused("# sockets = 1024", "sockets = 3").contains("limits.sockets: 3 is under 40"));
-    assert!(refused("# zone = \"a\"", "zone = \"z\"").contains("none of the zones"));
-    let peers = refused("# peers = []", "peers = [\"127.0.0.1:1\", \"127.0.0.1:2\"]");
+    assert!(error_with("# sockets = 1024", "sockets = 3").contains("limits.sockets: 3 is under 40"));
+    assert!(error_with("# zone = \"a\"", "zone = \"z\"").contains("none of the zones"));
+    let peers = error_with("# peers = []", "peers = [\"127.0.0.1:1\", \"127.0.0.1:2\"]");
     assert!(peers.contains("peers: 2 addresses for 1 copies"), "{peers}");
-    assert!(refused("# cost_header = \"x-cost-ms\"", "cost_header = \"a b\"").contains("cost_header: "));
-    for (key, figure) in
+    assert!(error_with("# cost_header = \"x-cost-ms\"", "cost_header = \"a b\"").contains("cost_header: "));
+    for (key, value) in
         [("check", "nan"), ("connection", "inf"), ("worst_verb", "2.0"), ("cold_share", "nan")]
     {
         let line = EXAMPLE.lines().find(|line| line.starts_with(&format!("# {key} = "))).expect(key);
-        let text = refused(line, &format!("{key} = {figure}"));
+        let text = error_with(line, &format!("{key} = {value}"));
         assert!(text.contains(&format!("rules.{key}: ")) && text.starts_with("l.toml:"), "{text}");
     }
-    assert!(refused("# weight = 1.0", "weight = nan").contains("servers.0.weight: "));
-    assert!(refused("# check = 0.0", "check = -1.0").contains("rules.check: -1 does not lie"));
+    assert!(error_with("# weight = 1.0", "weight = nan").contains("servers.0.weight: "));
+    assert!(error_with("# check = 0.0", "check = -1.0").contains("rules.check: -1 does not lie"));
 }
 
 #[test]
-fn a_fleet_has_its_defaults_and_errors_of_it_name_the_line_and_the_key() {
-    assert!(parsed(EXAMPLE).expect("it can be read").fleet.is_none(), "off where it is not configured");
-    let with = |part: &str| EXAMPLE.replacen("# [fleet]", &format!("[fleet]\n{part}"), 1);
-    let fleet = parsed(&with("listen = \"127.0.0.1:7946\"")).expect("it can be read").fleet.expect("a fleet");
+fn fleet_has_defaults_and_its_errors_name_the_line_and_key() {
+    assert!(parsed(EXAMPLE).expect("the file is valid").fleet.is_none(), "no fleet unless it is configured");
+    let with_fleet = |keys: &str| EXAMPLE.replacen("# [fleet]", &format!("[fleet]\n{keys}"), 1);
+    let fleet = parsed(&with_fleet("listen = \"127.0.0.1:7946\""))
+        .expect("the file is valid")
+        .fleet
+        .expect("a fleet is configured");
     assert_eq!((fleet.listen, fleet.advertise, fleet.uses_peer_socket), (fleet.listen, fleet.listen, false));
     assert_eq!((fleet.name.as_str(), fleet.zone.as_str(), fleet.configured_replicas), ("fleet", "a", 1.0));
     assert_eq!(fleet.budget, landingspread_membership::Budget::default());
-    let refused = |part: &str| parsed(&with(part)).err().expect("an error");
-    let line = 1 + EXAMPLE.lines().position(|line| line == "# [fleet]").expect("a line");
-    for (part, wanted) in [
+    let fleet_error = |keys: &str| parsed(&with_fleet(keys)).err().expect("the fleet is refused");
+    let line = 1 + EXAMPLE.lines().position(|line| line == "# [fleet]").expect("the example has a fleet");
+    for (keys, expected) in [
         ("name = \"f\"", "fleet.listen: an IPv4 address is wanted"),
         ("listen = \"0.0.0.0:7946\"", "fleet.listen: others can send nothing"),
         ("advertise = \"10.0.0.1:0\"\nlisten = \"0.0.0.0:7946\"", "fleet.advertise: others can send nothing"),
         ("name = \"\"\nlisten = \"127.0.0.1:7946\"", "fleet.name: it is empty"),
         ("kilobytes = 3\nlisten = \"127.0.0.1:7946\"", "fleet.kilobytes: 3 does not lie"),
     ] {
-        let text = refused(part);
-        let named: Option<usize> = text.split(':').nth(1).and_then(|text| text.parse().ok());
-        assert!(text.contains(wanted) && named.is_some_and(|named| named >= line), "{part:?}: {text}");
+        let text = fleet_error(keys);
+        let error_line: Option<usize> = text.split(':').nth(1).and_then(|text| text.parse().ok());
+        assert!(text.contains(expected) && error_line.is_some_and(|at| at >= line), "{keys:?}: {text}");
     }
-    assert!(refused("listen = \"[::1]:7946\"").starts_with("l.toml:"), "IPv4 alone");
-    assert!(refused("sead = 3").contains("did you mean `seeds`"));
-    // With peers their socket is used, and they are the seeds.
+    assert!(fleet_error("listen = \"[::1]:7946\"").starts_with("l.toml:"), "IPv6 is refused");
+    assert!(fleet_error("sead = 3").contains("did you mean `seeds`"));
+    // With peers the fleet uses their socket, and their addresses are the seeds.
     let peers = "peers = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\ncopies = 2\nordinal = 1";
-    let text = with("name = \"f\"").replacen("# peers = []", peers, 1);
-    let fleet = parsed(&text).expect("it can be read").fleet.expect("a fleet");
+    let text = with_fleet("name = \"f\"").replacen("# peers = []", peers, 1);
+    let fleet = parsed(&text).expect("the file is valid").fleet.expect("a fleet is configured");
     assert_eq!((fleet.listen.port(), fleet.uses_peer_socket, fleet.seeds.len()), (2, true, 2));
 }
 
 #[test]
-fn costs_peers_and_health_checks_can_be_set() {
+fn costs_peers_and_health_checks_are_configurable() {
     let mut text = EXAMPLE.to_string();
     for (key, value) in [
         ("peers", "[\"127.0.0.1:1\", \"127.0.0.1:2\"]"),
@@ -123,13 +130,13 @@
         let line = text.lines().find(|line| line.starts_with(&format!("# {key} = "))).expect(key).to_string();
         text = text.replacen(&line, &format!("{key} = {value}"), 1);
     }
-    let plain = parsed(EXAMPLE).expect("it can be read").policy;
+    let default_policy = parsed(EXAMPLE).expect("the file is valid").policy;
     assert!(
-        !plain.capabilities.peer_messages
-            && !plain.health_checks_report_load
-            && plain.costs.health_check == 0.0
+        !default_policy.capabilities.peer_messages
+            && !default_policy.health_checks_report_load
+            && default_policy.costs.health_check == 0.0
     );
-    let policy = parsed(&text).expect("it can be read").policy;
+    let policy = parsed(&text).expect("the file is valid").policy;
     assert!(policy.capabilities.peer_messages && policy.health_checks_report_load && policy.value_by_work);
     let costs = &policy.costs;
     assert_eq!((costs.health_check, costs.peer_message, costs.connection), (0.002, 0.01, 0.04));
--- a/crates/sidecar/src/configuration/operator_form/schema.rs
+++ b/crates/sidecar/src/configuration/operator_form/schema.rs
@@ -1,7 +1,8 @@
 //! The tables and keys of the operators' form, with their defaults.
 //!
-//! `rename` gives the key of the file where the field has the name that the rest of the code uses. Serde shows the name
-//! of a type in the error for a value of a wrong type: `expecting` keeps that text where a type was renamed.
+//! A `rename` attribute has the key in the file if the field is named differently. Serde shows the name of a type in
+//! the error for a value of the wrong type; an `expecting` attribute keeps the former name of a renamed type in that
+//! error.
 
 use super::{control, fleet, localities};
 use crate::configuration::settings::{
@@ -13,7 +14,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The whole file.
+/// The complete configuration file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct File {
@@ -29,7 +30,7 @@
     pub replicas: u32,
     #[serde(default)]
     pub ordinal: u32,
-    /// Every copy's address for messages between copies, by its ordinal.
+    /// The addresses for messages between replicas, indexed by ordinal.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
     pub fleet: Option<fleet::FleetTable>,
@@ -55,7 +56,7 @@
     pub rules: Rules,
 }
 
-/// Where the endpoint list is watched: the table `[discovery]`.
+/// The service that the endpoint list is watched at: the table `[discovery]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Discovered")]
 pub struct DiscoveryTable {
@@ -64,18 +65,18 @@
     pub watch_start: WatchStart,
 }
 
-/// When the watch of discovery is opened.
+/// When the watch of the endpoint list is opened.
 #[derive(Deserialize, Default, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub enum WatchStart {
     /// At the start of the process.
     #[default]
     Automatic,
-    /// Once the decisions ask for it.
+    /// When the decisions request it.
     Subscribe,
 }
 
-/// A server that is known at the start: an entry of `[[servers]]`.
+/// A server that is known at the start of the process: an entry of `[[servers]]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Server {
@@ -88,7 +89,7 @@
     pub weight: f64,
 }
 
-/// Whether a request may be sent again.
+/// Whether a request of a class may be retried.
 #[derive(Clone, Copy, Deserialize, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub enum RetrySafety {
@@ -100,7 +101,7 @@
     NonIdempotent,
 }
 
-/// Among which servers repeats of one idempotency key are recognized.
+/// The group of servers that together recognize retries by their idempotency key.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DedupScope {
@@ -109,7 +110,7 @@
     Cell,
 }
 
-/// A class of requests, those with one verb in their path: an entry of `[[verbs]]`.
+/// A request class, identified by the first segment of the path: an entry of `[[verbs]]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Verb")]
 pub struct ClassTable {
@@ -130,7 +131,7 @@
     pub late_value: f64,
 }
 
-/// A caller with a quota in requests a second: an entry of `[[tenants]]`.
+/// A client with a quota in requests per second: an entry of `[[tenants]]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
@@ -138,7 +139,7 @@
     pub quota: Option<f64>,
 }
 
-/// Bounds of what the process takes of the machine: the table `[limits]`.
+/// Bounds on the resources of the process: the table `[limits]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
@@ -165,7 +166,7 @@
     }
 }
 
-/// What the decisions go by: the table `[rules]`.
+/// Settings of the decisions: the table `[rules]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
@@ -223,14 +224,17 @@
     }
 }
 
+/// The default of the key `zones`.
 fn one_zone() -> Vec<String> {
     vec!["a".into()]
 }
 
+/// The default of the key `copies`.
 fn one() -> u32 {
     1
 }
 
+/// The default weight of a server and the default value of a response.
 fn full() -> f64 {
     1.0
 }
--- a/crates/sidecar/src/configuration/platform_form/mod.rs
+++ b/crates/sidecar/src/configuration/platform_form/mod.rs
@@ -1,5 +1,5 @@
-//! The platform's form of the configuration: one JSON file and the NODE_ variables. It owns the names of this form,
-//! every default and every check of them.
+//! The platform's form of the configuration: a JSON file and the NODE_ variables. Owns the keys of this form with their
+//! defaults and checks.
 
 mod json;
 mod pairs;
@@ -8,7 +8,7 @@
 use super::error::{BrokenRule, ConfigError, Problem, at_key};
 use super::settings::{
     Configuration, DEFAULT_CONNECT_TIMEOUT, DEFAULT_IDLE_CONNECTION_TIMEOUT, DEFAULT_MAX_OPEN_REQUESTS,
-    DEFAULT_MAX_SOCKETS, DEFAULT_MEMORY_MB, MINIMUM_MEMORY_MB, MINIMUM_SOCKETS, RequestClass,
+    DEFAULT_MAX_SOCKETS, DEFAULT_MEMORY_MB, MIN_MEMORY_MB, MIN_SOCKETS, RequestClass,
 };
 use crate::catalog::Catalog;
 use crate::clock::Clock;
@@ -22,7 +22,7 @@
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// Reads and checks a file.
+/// Reads and checks a file in the platform's form.
 pub fn read(path: &Path, environment: Environment) -> Result<Configuration, ConfigError> {
     let text = std::fs::read_to_string(path)
         .map_err(|error| ConfigError::UnreadableFile { path: path.to_path_buf(), error })?;
@@ -35,20 +35,20 @@
     let clock = Clock::start();
     let console = console(root, environment)?;
     let zones = names_at(root, "settings.Localities", None)?;
-    let known = initial_servers(root, &zones, &clock)?;
+    let initial_catalog = initial_servers(root, &zones, &clock)?;
     let mut policy = policy(root)?;
     let peers = peers(root, &policy)?;
-    // A copy without addresses of others has nobody to send to.
+    // Without the addresses of other replicas no messages can be sent to them.
     policy.capabilities.peer_messages &= !peers.is_empty();
     Ok(Configuration {
         name: text_of(root, environment, NODE_NAME, "name")?,
         listen: address_of(root, environment, NODE_LISTEN, "listen")?,
         discovery: Some(address_of(root, environment, NODE_DISCOVERY, "discovery")?),
         seed: seed(root)?,
-        max_sockets: number_at(root, "limits.sockets", DEFAULT_MAX_SOCKETS, MINIMUM_SOCKETS)? as usize,
-        memory_mb: number_at(root, "limits.memory_mb", DEFAULT_MEMORY_MB, MINIMUM_MEMORY_MB)? as usize,
+        max_sockets: number_at(root, "limits.sockets", DEFAULT_MAX_SOCKETS, MIN_SOCKETS)? as usize,
+        memory_mb: number_at(root, "limits.memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB)? as usize,
         clock,
-        initial_catalog: known,
+        initial_catalog,
         zones,
         classes: classes(root)?,
         tenants: names_at(root, "settings.Tenants", Some("Name"))?,
@@ -62,7 +62,7 @@
             as usize,
         policy,
         peers,
-        // This form has no keys for these.
+        // This form has no keys for the fleet, the control machines and the localities.
         fleet: None,
         control: None,
         localities: None,
@@ -70,12 +70,12 @@
         statistics_file: optional_text_at(root, "learnt")?.map(Into::into),
         console,
         inherited_listener: environment.inherited_listener()?,
-        // The platform gives each sidecar a private one.
+        // The platform gives each sidecar a private temporary folder.
         state_folder: environment.get(TMPDIR).map(Into::into),
     })
 }
 
-/// The value of a variable, or of a key where the variable is unset.
+/// The value of a variable, or else the text at a key.
 fn text_of(root: &Value, environment: Environment, variable: &str, key: &str) -> Result<String, ConfigError> {
     match environment.get(variable) {
         Some(text) => Ok(text),
@@ -106,11 +106,11 @@
 }
 
 fn policy(root: &Value) -> Result<Settings, ConfigError> {
-    let settings = value_at(root, "settings").ok_or_else(|| at_key("settings", BrokenRule::Present))?;
+    let settings = value_at(root, "settings").ok_or_else(|| at_key("settings", BrokenRule::KeyRequired))?;
     Settings::decode(&pairs::flattened(settings)).map_err(ConfigError::PlatformSettings)
 }
 
-/// The seed is written in hexadecimal digits; of any other text the hash is the seed.
+/// The seed in hexadecimal digits. Any other text is hashed into a seed.
 fn seed(root: &Value) -> Result<u64, ConfigError> {
     let text = text_at(root, "seed")?;
     Ok(u64::from_str_radix(text, 16).unwrap_or_else(|_| fnv1(text.as_bytes())))
@@ -124,9 +124,9 @@
     let items = items_at(root, "peers")?.iter().enumerate();
     let peers: Vec<SocketAddr> =
         items.map(|(index, item)| address_at(&format!("peers.{index}"), item)).collect::<Result<_, _>>()?;
-    let copies = policy.replicas as usize;
-    if !peers.is_empty() && (peers.len() != copies || policy.ordinal as usize >= copies) {
-        return Err(at_key("peers", Problem::PeerCount { addresses: peers.len(), copies }));
+    let replicas = policy.replicas as usize;
+    if !peers.is_empty() && (peers.len() != replicas || policy.ordinal as usize >= replicas) {
+        return Err(at_key("peers", Problem::PeerCount { addresses: peers.len(), copies: replicas }));
     }
     Ok(peers)
 }
@@ -136,7 +136,7 @@
 }
 
 fn class(root: &Value, index: usize) -> Result<RequestClass, ConfigError> {
-    let key = |leaf: &str| format!("settings.Verbs.{index}.{leaf}");
+    let key = |field: &str| format!("settings.Verbs.{index}.{field}");
     let effect = text_at(root, &key("Effect"))?;
     Ok(RequestClass {
         name: text_at(root, &key("Name"))?.to_string(),
--- a/crates/sidecar/src/configuration/runtime_change.rs
+++ b/crates/sidecar/src/configuration/runtime_change.rs
@@ -1,8 +1,8 @@
-//! What of the configuration may change while the process runs: tenants' quotas, goals, limits and utilities of verbs,
-//! and discovery's address.
+//! The part of the configuration that may change while the process runs: the quotas of tenants, the latency objectives,
+//! time limits and values of request classes, and the address of discovery.
 //!
-//! It owns the names and checks of these keys; all others need a restart. A change is read as a whole, on top of the
-//! file: a key that it does not name has the file's value.
+//! Owns the names and checks of these keys; all others need a restart. A change is applied to the file's values: a key
+//! that the change does not contain has the value of the file.
 
 use super::class_limits::ClassLimits;
 use super::settings::Configuration;
@@ -12,8 +12,8 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Keys of the file that exist and need a restart.
-const NEED_A_RESTART: [&str; 20] = [
+/// The top-level keys of the file that can't change without a restart.
+const RESTART_KEYS: [&str; 20] = [
     "name",
     "listen",
     "seed",
@@ -35,13 +35,14 @@
     "control",
     "discovery",
 ];
-const HIGHEST_QUOTA: f64 = 1e9;
+/// The maximum quota of a tenant, in requests per second.
+const MAX_QUOTA: f64 = 1e9;
 
-/// The file's values of the keys that may change.
+/// The file's values of the keys that may change at run time.
 pub struct RuntimeSettings {
     classes: Vec<NamedClass>,
     tenants: Vec<NamedQuota>,
-    /// Whether there is a discovery that could be moved.
+    /// Whether the file configures discovery, so that its address may change.
     has_discovery: bool,
 }
 
@@ -55,19 +56,19 @@
     quota: f64,
 }
 
-/// The values that hold by a change, all of them checked.
+/// The checked values that apply after a change.
 #[derive(Clone, Debug)]
 pub struct RuntimeChange {
-    /// Requests a second over all copies, by the tenants' numbers.
+    /// The quotas in requests per second over all replicas, indexed by tenant.
     pub quotas: Vec<f64>,
-    /// The settings of classes, by their numbers.
+    /// The settings of the request classes, indexed by class.
     pub classes: Vec<RequestClass>,
-    /// The address of discovery in place of the file's.
+    /// The address of discovery; `None` if the file's address applies.
     pub discovery: Option<SocketAddr>,
 }
 
 impl RuntimeSettings {
-    /// The values of a configuration.
+    /// Copies the changeable values of a configuration.
     pub fn new(configuration: &Configuration) -> RuntimeSettings {
         let classes = configuration.classes.iter().zip(&configuration.policy.classes);
         let tenants = configuration.tenants.iter().zip(&configuration.policy.quotas);
@@ -80,10 +81,10 @@
         }
     }
 
-    /// Reads a change.
+    /// Reads and checks a change.
     ///
     /// # Errors
-    /// The first key whose value is refused; nothing of the change holds then.
+    /// The first key whose value is refused. No part of the change applies then.
     pub fn read(&self, contents: &Contents) -> Result<RuntimeChange, ConfigError> {
         let mut change = RuntimeChange {
             quotas: self.tenants.iter().map(|tenant| tenant.quota).collect(),
@@ -95,7 +96,7 @@
         Ok(change)
     }
 
-    /// Settings of one class may be fine each and not fit together.
+    /// Checks the settings of each class together, because each may be valid while their combination is not.
     fn check_classes(&self, contents: &Contents, change: &RuntimeChange) -> Result<(), ConfigError> {
         for (NamedClass { name, .. }, class) in self.classes.iter().zip(&change.classes) {
             let limits = ClassLimits {
@@ -105,7 +106,7 @@
                 late_value: class.late_value,
             };
             if let Some(refusal) = limits.refusal() {
-                let key = |leaf: &&str| format!("verbs.{name}.{leaf}");
+                let key = |field: &&str| format!("verbs.{name}.{field}");
                 let changed = refusal.keys.iter().map(key).find(|key| contents.contains_key(key));
                 let key = changed.unwrap_or_else(|| key(&refusal.keys[0]));
                 return Err(ConfigError::new(&key, refusal.problem));
@@ -114,25 +115,25 @@
         Ok(())
     }
 
-    fn read_key(&self, key: &str, value: &str, into: &mut RuntimeChange) -> Result<(), ConfigError> {
+    fn read_key(&self, key: &str, value: &str, change: &mut RuntimeChange) -> Result<(), ConfigError> {
         let (table, rest) = key.split_once('.').unwrap_or((key, ""));
         match (table, rest.rsplit_once('.')) {
-            ("discovery", None) if rest == "address" => self.read_discovery(key, value, into),
-            ("tenants", Some((name, "quota"))) => self.read_quota(key, name, value, into),
-            ("verbs", Some((name, leaf @ ("goal" | "limit" | "utility" | "overdue_utility")))) => {
+            ("discovery", None) if rest == "address" => self.read_discovery(key, value, change),
+            ("tenants", Some((name, "quota"))) => self.read_quota(key, name, value, change),
+            ("verbs", Some((name, field @ ("goal" | "limit" | "utility" | "overdue_utility")))) => {
                 let index = self.classes.iter().position(|known| known.name == name);
-                let class = index.and_then(|index| into.classes.get_mut(index));
+                let class = index.and_then(|index| change.classes.get_mut(index));
                 let class = class.ok_or_else(|| ConfigError::new(key, "a new verb needs a restart"))?;
-                read_class(key, leaf, value, class)
+                read_class(key, field, value, class)
             }
             ("verbs" | "tenants", Some(_)) => Err(needs_a_restart(key)),
-            _ if NEED_A_RESTART.contains(&table) => Err(needs_a_restart(key)),
+            _ if RESTART_KEYS.contains(&table) => Err(needs_a_restart(key)),
             _ => Err(ConfigError::new(key, "there is no such key")),
         }
     }
 
-    fn read_discovery(&self, key: &str, value: &str, into: &mut RuntimeChange) -> Result<(), ConfigError> {
-        into.discovery = Some(parsed(key, value, "an address with a port")?);
+    fn read_discovery(&self, key: &str, value: &str, change: &mut RuntimeChange) -> Result<(), ConfigError> {
+        change.discovery = Some(parsed(key, value, "an address with a port")?);
         if self.has_discovery { Ok(()) } else { Err(needs_a_restart(key)) }
     }
 
@@ -141,24 +142,21 @@
         key: &str,
         name: &str,
         value: &str,
-        into: &mut RuntimeChange,
+        change: &mut RuntimeChange,
     ) -> Result<(), ConfigError> {
         let index = self.tenants.iter().position(|known| known.name == name);
         let index = index.ok_or_else(|| ConfigError::new(key, "a new tenant needs a restart"))?;
         let quota: f64 = parsed(key, value, "a number")?;
-        if !(0.0..=HIGHEST_QUOTA).contains(&quota) {
-            return Err(ConfigError::new(
-                key,
-                format_args!("{value} does not lie from 0 to {HIGHEST_QUOTA}"),
-            ));
+        if !(0.0..=MAX_QUOTA).contains(&quota) {
+            return Err(ConfigError::new(key, format_args!("{value} does not lie from 0 to {MAX_QUOTA}")));
         }
-        into.quotas[index] = quota;
+        change.quotas[index] = quota;
         Ok(())
     }
 }
 
-fn read_class(key: &str, leaf: &str, value: &str, class: &mut RequestClass) -> Result<(), ConfigError> {
-    match leaf {
+fn read_class(key: &str, field: &str, value: &str, class: &mut RequestClass) -> Result<(), ConfigError> {
+    match field {
         "goal" => class.latency_objective = duration(key, value)?,
         "limit" => class.time_limit = duration(key, value)?,
         "utility" => class.value = parsed(key, value, "a number")?,
@@ -176,8 +174,8 @@
         .map_err(|_| ConfigError::new(key, format_args!("{value:?} is no span such as \"300ms\"")))
 }
 
-fn parsed<T: FromStr>(key: &str, value: &str, wanted: &str) -> Result<T, ConfigError> {
-    value.parse().map_err(|_| ConfigError::new(key, format_args!("{value:?} is not {wanted}")))
+fn parsed<T: FromStr>(key: &str, value: &str, expected: &str) -> Result<T, ConfigError> {
+    value.parse().map_err(|_| ConfigError::new(key, format_args!("{value:?} is not {expected}")))
 }
 
 #[cfg(test)]
--- a/crates/sidecar/src/configuration/runtime_change_tests.rs
+++ b/crates/sidecar/src/configuration/runtime_change_tests.rs
@@ -1,21 +1,23 @@
+//! Changes of the configuration at run time: accepted values and the exact texts of errors.
+
 use super::*;
 use crate::configuration::{EXAMPLE, parse};
 
-/// What changes by one key, or which key is at fault and why.
-fn read(discovery: bool, changes: &[(&str, &str)]) -> Result<RuntimeChange, String> {
+/// Reads a change on top of the example, with a tenant and optionally with discovery. An error is `KEY | REASON`.
+fn read(with_discovery: bool, changes: &[(&str, &str)]) -> Result<RuntimeChange, String> {
     let tenants = EXAMPLE.replace("# [[tenants]]\n# name", "[[tenants]]\nname");
-    let with_discovery = tenants.replace("# [discovery]\n# address", "[discovery]\naddress");
-    let configuration =
-        parse("l.toml", if discovery { &with_discovery } else { &tenants }).map_err(|_| "the example")?;
+    let discovery_text = tenants.replace("# [discovery]\n# address", "[discovery]\naddress");
+    let configuration = parse("l.toml", if with_discovery { &discovery_text } else { &tenants })
+        .map_err(|_| "the example")?;
     let contents = changes.iter().map(|(key, value)| (key.to_string(), value.to_string())).collect();
     RuntimeSettings::new(&configuration)
         .read(&contents)
-        .map_err(|fault| format!("{} | {}", fault.key, fault.reason))
+        .map_err(|error| format!("{} | {}", error.key, error.reason))
 }
 
 #[test]
-fn faults_of_a_change_keep_their_texts() {
-    for (key, value, wanted) in [
+fn errors_of_a_change_have_their_exact_texts() {
+    for (key, value, expected) in [
         ("discovery.address", "x", "discovery.address | \"x\" is not an address with a port"),
         ("tenants.acme.quota", "x", "tenants.acme.quota | \"x\" is not a number"),
         ("tenants.acme.quota", "-1", "tenants.acme.quota | -1 does not lie from 0 to 1000000000"),
@@ -33,18 +35,19 @@
         ("listen", "127.0.0.1:1", "listen | it needs a restart"),
         ("colour", "red", "colour | there is no such key"),
     ] {
-        assert_eq!(read(true, &[(key, value)]).err().as_deref(), Some(wanted), "{key}={value}");
+        assert_eq!(read(true, &[(key, value)]).err().as_deref(), Some(expected), "{key}={value}");
     }
-    let unknown = read(false, &[("discovery.address", "127.0.0.1:1")]).err();
-    assert_eq!(unknown.as_deref(), Some("discovery.address | it needs a restart"));
+    let unconfigured = read(false, &[("discovery.address", "127.0.0.1:1")]).err();
+    assert_eq!(unconfigured.as_deref(), Some("discovery.address | it needs a restart"));
 }
 
 #[test]
-fn a_change_is_read_on_top_of_the_file() {
+fn change_is_applied_to_the_values_of_the_file() {
     let changes =
         [("discovery.address", "127.0.0.1:1"), ("tenants.acme.quota", "7"), ("verbs.view.goal", "20ms")];
-    let changed = read(true, &changes).expect("it can be gone by");
-    assert_eq!((changed.quotas, changed.discovery), (vec![7.0], "127.0.0.1:1".parse().ok()));
-    let goals: Vec<u128> = changed.classes.iter().map(|class| class.latency_objective.as_millis()).collect();
-    assert_eq!(goals, [20, 500, 800]);
+    let change = read(true, &changes).expect("the change is valid");
+    assert_eq!((change.quotas, change.discovery), (vec![7.0], "127.0.0.1:1".parse().ok()));
+    let objectives_ms: Vec<u128> =
+        change.classes.iter().map(|class| class.latency_objective.as_millis()).collect();
+    assert_eq!(objectives_ms, [20, 500, 800]);
 }
--- a/crates/sidecar/src/configuration/settings.rs
+++ b/crates/sidecar/src/configuration/settings.rs
@@ -1,4 +1,4 @@
-//! The checked configuration that both forms come to, and the defaults and minima that they share.
+//! The checked configuration that results from both forms, with the defaults and minima that they share.
 
 use crate::catalog::Catalog;
 use crate::clock::Clock;
@@ -12,102 +12,104 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// File descriptors where the configuration sets no bound.
+/// The default maximum number of open file descriptors.
 pub const DEFAULT_MAX_SOCKETS: u64 = 1024;
-/// With fewer file descriptors the process can't serve.
-pub const MINIMUM_SOCKETS: u64 = 40;
-/// Memory in MB where the configuration sets no bound.
+/// The smallest accepted maximum of file descriptors. With fewer the process can't serve.
+pub const MIN_SOCKETS: u64 = 40;
+/// The default memory bound in MB.
 pub const DEFAULT_MEMORY_MB: u64 = 192;
-/// With less memory, in MB, the process can't serve.
-pub const MINIMUM_MEMORY_MB: u64 = 16;
-/// How long servers keep idle connections by default.
+/// The smallest accepted memory bound in MB. With less the process can't serve.
+pub const MIN_MEMORY_MB: u64 = 16;
+/// The default time after which servers close idle connections.
 pub const DEFAULT_IDLE_CONNECTION_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long connecting to a server may take by default.
+/// The default timeout for connecting to a server.
 pub const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Open requests where the configuration sets no bound.
+/// The default maximum number of open requests.
 pub const DEFAULT_MAX_OPEN_REQUESTS: u64 = 20_000;
 
-/// What the front has to know of a class of requests, a verb of the file, to read them; the rest is in the decisions'
-/// settings.
+/// The settings of a request class (a verb in the file) that the client side needs to parse requests. All others are in
+/// the settings of the decisions.
 #[derive(Clone)]
 pub struct RequestClass {
+    /// The class's name, the first segment of the path.
     pub name: String,
+    /// The HTTP method of requests of the class.
     pub method: &'static str,
-    /// Whether its requests bear an idempotency key.
+    /// Whether requests of the class must have an idempotency key.
     pub idempotency_keyed: bool,
-    /// The longest time limit of a request.
+    /// The maximum time limit of a request.
     pub time_limit: Duration,
 }
 
-/// How this copy takes part in a fleet.
+/// The settings of this replica's membership in a fleet.
 #[derive(Debug)]
 pub struct FleetSettings {
     pub name: String,
-    /// The address at which it receives datagrams of other copies.
+    /// The address at which this replica receives datagrams of others.
     pub listen: Address,
-    /// The address that other copies send to.
+    /// The address to which other replicas send.
     pub advertise: Address,
-    /// Whether it receives datagrams by the peers' socket.
+    /// Whether datagrams of the fleet are received on the socket for peer messages.
     pub uses_peer_socket: bool,
     pub seeds: Vec<Address>,
     pub zone: String,
     pub budget: Budget,
-    /// The number of copies by configuration, which holds until others are heard.
+    /// The configured number of replicas, which applies until other members of the fleet are discovered.
     pub configured_replicas: f64,
 }
 
-/// How this sidecar follows its service's configuration.
+/// The settings by which this sidecar follows its service's configuration.
 #[derive(Clone, Debug)]
 pub struct ControlSettings {
-    /// The service whose configuration it follows.
+    /// The scope, which is the name of the service.
     pub scope: String,
-    /// Machines of the same region are polled first.
+    /// The sidecar's region; control machines of the same region are polled first.
     pub region: String,
     pub machines: Vec<ControlMachine>,
-    /// Caches the last good version for the next process.
+    /// The file that caches the version in force for the next process.
     pub cache_file: Option<PathBuf>,
 }
 
-/// All that a sidecar is configured with, checked.
+/// The complete, checked configuration of a sidecar.
 pub struct Configuration {
     pub name: String,
     pub listen: SocketAddr,
-    /// Where the endpoint list is watched; none where the configuration lists the servers itself.
+    /// The address at which the endpoint list is watched; `None` if the configuration lists the servers.
     pub discovery: Option<SocketAddr>,
     pub seed: u64,
-    /// The most file descriptors that are open at a time.
+    /// The maximum number of open file descriptors.
     pub max_sockets: usize,
     pub memory_mb: usize,
     pub clock: Clock,
-    /// The servers that are known before the first list of discovery.
+    /// The servers that are known before discovery sends the first endpoint list.
     pub initial_catalog: Catalog,
     pub zones: Vec<String>,
     pub classes: Vec<RequestClass>,
     pub tenants: Vec<String>,
-    /// Servers close connections that were idle for so long.
+    /// The time after which servers close idle connections.
     pub idle_connection_timeout: Duration,
     pub connect_timeout: Duration,
-    /// The most requests that are open at a time.
+    /// The maximum number of open requests.
     pub max_open_requests: usize,
-    /// The settings of the decisions.
+    /// The settings that the decisions use.
     pub policy: Settings,
-    /// Every copy's address for messages between copies, by its ordinal; empty where they send each other none.
+    /// The addresses for messages between replicas, indexed by ordinal; empty if replicas exchange no messages.
     pub peers: Vec<SocketAddr>,
-    /// None where the copy takes part in no fleet.
+    /// The fleet of this replica; `None` if it belongs to no fleet.
     pub fleet: Option<FleetSettings>,
-    /// None where the file is the only source of configuration.
+    /// The control machines to follow; `None` if the file is the only source of configuration.
     pub control: Option<ControlSettings>,
-    /// None where the fleet leaves no zones.
+    /// The timings of the failover between zones; `None` if the fleet never evacuates a zone.
     pub localities: Option<RecoveryTimings>,
-    /// The header in which callers state a request's work, in milliseconds on a standard core.
+    /// The header in which clients state the work of a request, in milliseconds on a standard core.
     pub work_header: Option<String>,
-    /// Holds the statistics learned of servers for the next process.
+    /// The file that keeps the statistics of servers for the next process.
     pub statistics_file: Option<PathBuf>,
-    /// The address of the operators' console.
+    /// The listening address of the operators' console.
     pub console: Option<SocketAddr>,
-    /// The descriptor of the listening socket that the platform holds for every process of this sidecar.
+    /// The file descriptor of the listening socket that the platform passes to every process of this sidecar.
     pub inherited_listener: Option<RawFd>,
-    /// The folder through which a process hands over to its successor.
+    /// The folder through which a process hands over its state to its successor.
     pub state_folder: Option<PathBuf>,
 }
 
--- a/crates/sidecar/src/control/followers.rs
+++ b/crates/sidecar/src/control/followers.rs
@@ -16,13 +16,13 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime};
 
-/// The time over which the starts of the followers are spread, as those of a fleet are.
+/// The followers start evenly over this time, because the sidecars of a fleet don't start all at once.
 const START_SPREAD: Duration = Duration::from_secs(4);
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 const MAX_FOLLOWERS: u32 = 20_000;
 /// The number of followers that can read an answer at the same time; the others wait for a free buffer.
 const CONCURRENT_ANSWERS: usize = 64;
-/// Makes the seeds of followers differ from those of sidecars.
+/// XORed with the number of a follower, so that its seed differs from those of sidecars.
 const SEED_MASK: u64 = 0x51;
 /// Versions that contain this key are refused.
 const REFUSED_KEY: &str = "refuse";
