--- a/crates/control/src/config.rs
+++ b/crates/control/src/config.rs
@@ -1,5 +1,4 @@
-//! The contents of a scope: a map from keys to values, with bounds on both. Only the [`crate::ConfigHost`] interprets
-//! keys.
+//! The contents of a scope: keys and values, with bounds on both. Only the [`crate::ConfigHost`] interprets keys.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -40,8 +39,7 @@
 
 impl std::error::Error for ConfigError {}
 
-/// All keys of a scope with their values, ordered by key. For a missing key the value of the sidecar's own file
-/// applies.
+/// The keys and values of a scope, ordered by key. For a missing key the value of the sidecar's own file applies.
 pub type Contents = BTreeMap<String, String>;
 
 /// Checks the number of keys and the length and characters of each key and value.
--- a/crates/control/src/follower.rs
+++ b/crates/control/src/follower.rs
@@ -25,8 +25,7 @@
 const MAX_BACKOFF_ROUNDS: usize = 4;
 /// The maximum backoff, jitter included.
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
-/// The follower returns to the first machine in its order after this time at another, plus up to as long again in
-/// jitter.
+/// The follower returns to the first machine in its order after this time at another, plus jitter up to this time.
 const FAILBACK_AFTER: Duration = Duration::from_secs(30);
 /// The increment of SplitMix64.
 const SEED_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
@@ -203,7 +202,7 @@
         }
     }
 
-    /// Handles an answer without a newer version. Returns whether a different machine is polled next, over a new
+    /// Handles an answer without a newer version. Returns whether a different machine is polled next, which needs a new
     /// connection.
     pub fn on_unchanged(&mut self, now: Duration) -> bool {
         self.record_answer();
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,13 +1,8 @@
-//! The protocol that distributes versioned service configuration from control machines to sidecars.
-//!
-//! A *scope* is one service's configuration. A control machine stores the last versions of each scope in its
-//! [`VersionStore`]. A sidecar is the [`Follower`] of one scope: it polls a control machine, checks the [`Delta`] in
-//! the answer and applies it through its [`ConfigHost`]. Its next [`Poll`] acknowledges the version or reports its
-//! refusal. Control machines exchange complete snapshots; the greater [`Version`] wins regardless of where it was
-//! published.
-//!
-//! The crate does no I/O: callers pass in the time, the bytes and the random seed. It doesn't interpret keys. The
-//! design of the protocol is explained in `docs/control.md`.
+//! Distributes versioned service configuration from control machines to sidecars. A *scope* is one service's
+//! configuration: a machine stores its last versions in a [`VersionStore`]; a sidecar is a [`Follower`] that polls,
+//! applies each [`Delta`] through its [`ConfigHost`], and acknowledges or refuses it with the next [`Poll`]. Machines
+//! exchange complete snapshots; the greater [`Version`] wins regardless of origin. The crate does no I/O (callers
+//! pass in time, bytes and random seed) and doesn't interpret keys. `docs/control.md` explains the design.
 #![warn(missing_docs)]
 
 mod config;
--- a/crates/control/src/version_store.rs
+++ b/crates/control/src/version_store.rs
@@ -224,7 +224,7 @@
         refused.is_some_and(|refused| refused.version == version)
     }
 
-    /// Drops followers that have not polled for [`FOLLOWER_EXPIRY`], and unpublished scopes without followers.
+    /// Drops followers that have not polled for an hour, and unpublished scopes without followers.
     pub fn expire(&mut self, now: Duration) {
         for scope in self.scopes.values_mut() {
             scope.followers.retain(|_, follower| now < follower.at + FOLLOWER_EXPIRY);
--- a/crates/control/tests/protocol.rs
+++ b/crates/control/tests/protocol.rs
@@ -214,8 +214,7 @@
     assert_eq!(result, expected);
     assert_eq!((one.version("basket"), one.digest()), (Some(here.max(there)), other.digest()));
     assert!(one.outdated_scopes(&other.summary()).is_empty());
-    // A version that is published on a machine that lost its state wins over the older ones, because its epoch is
-    // later.
+    // A version published on a machine that lost its state wins over older ones, because its epoch is later.
     let mut restarted = VersionStore::default();
     restarted.publish("basket", None, contents_of(&[("a", "9")]), 200).expect("valid contents are published");
     assert_eq!(one.outdated_scopes(&restarted.summary()), ["basket"]);
--- a/crates/files/src/error.rs
+++ b/crates/files/src/error.rs
@@ -58,8 +58,7 @@
         FileError { file: file.into(), line: None, kind: FileErrorKind::Unreadable(message.to_string()) }
     }
 
-    /// Creates the error of a rejected value at a key such as `faults.2.servers`, and finds its line in the file's
-    /// text.
+    /// Creates the error of a rejected value at a key such as `faults.2.servers`. Its line is found in `text`.
     pub fn at_key(file: &str, text: &str, key: &str, reason: impl fmt::Display) -> FileError {
         FileError::at_line(file, line_of_key(text, key), key, reason)
     }
--- a/crates/sidecar/src/configuration/operator_form/schema.rs
+++ b/crates/sidecar/src/configuration/operator_form/schema.rs
@@ -1,8 +1,7 @@
 //! The tables and keys of the operators' form, with their defaults.
 //!
 //! A `rename` attribute has the key in the file if the field is named differently. Serde shows the name of a type in
-//! the error for a value of the wrong type; an `expecting` attribute keeps the former name of a renamed type in that
-//! error.
+//! the error for a value of the wrong type; an `expecting` attribute keeps a renamed type's former name there.
 
 use super::{control, fleet, localities};
 use crate::configuration::settings::{
--- a/crates/sidecar/src/configuration/platform_form/pairs.rs
+++ b/crates/sidecar/src/configuration/platform_form/pairs.rs
@@ -44,8 +44,7 @@
     let _ = write!(pairs, "{path}={text} ");
 }
 
-/// Writes a whole number without a decimal point even if JSON has one, because the decisions expect durations as whole
-/// microseconds.
+/// Writes whole numbers without a decimal point, which JSON may have: the decisions expect whole microseconds.
 fn number_text(number: &serde_json::Number) -> String {
     match number.as_f64().filter(|float| float.fract() == 0.0 && float.abs() < MAX_EXACT_INTEGER) {
         Some(integer) => format!("{integer:.0}"),
--- a/crates/sidecar/src/control/followers.rs
+++ b/crates/sidecar/src/control/followers.rs
@@ -1,6 +1,6 @@
 //! Runs many followers in one process for load measurements: they follow the configuration as sidecars do, with the
-//! same task on real sockets, and do nothing else. The lab reads from standard output which version came into force
-//! when.
+//! same task on real sockets, and do nothing else. They print when each version came into force,
+//! for the lab.
 
 use super::FollowTask;
 use super::host::AsyncConfigHost;
--- a/crates/sidecar/src/control/machine/routes.rs
+++ b/crates/sidecar/src/control/machine/routes.rs
@@ -23,11 +23,9 @@
     PutSnapshot { from: Option<&'a str> },
     /// Requests the status of this machine.
     MachineStatus,
-    /// Publishes an operator's contents, or the contents of the stored version `target`, in place of the version
-    /// `base`.
+    /// Publishes an operator's contents, or those of the stored version `target`, in place of the version `base`.
     Publish { scope: &'a str, base: Option<&'a str>, target: Option<&'a str> },
-    /// Requests the status of a scope: only as this machine knows it if `own`, else merged from all machines that
-    /// answer.
+    /// Requests the status of a scope: this machine's if `own`, else merged from all machines that answer.
     ScopeStatus { scope: &'a str, own: bool, json: bool },
 }
 
--- a/crates/sidecar/src/control/machine/versions.rs
+++ b/crates/sidecar/src/control/machine/versions.rs
@@ -1,5 +1,4 @@
-//! The versions of a control machine: restored at the start, merged from other machines, and stored and distributed
-//! when they change.
+//! The versions of a control machine: restores, merges, stores and distributes them.
 
 use super::Server;
 use crate::control::snapshot_cache::write;
--- a/crates/sidecar/src/control/mod.rs
+++ b/crates/sidecar/src/control/mod.rs
@@ -1,9 +1,7 @@
-//! Distribution of service configuration: the sidecar's task that follows it (`task.rs`) and the control machine
-//! (`machine/`).
+//! Service configuration by HTTP: the sidecar's task that follows it (`task.rs`) and the control machine (`machine/`).
 //!
-//! Owns the HTTP calls, the cached snapshot and the console's report; versions and deltas are
-//! `landingspread_control`'s. Nothing here may delay a request: while no machine can be reached, the version in force
-//! stays.
+//! Owns the calls, the cached snapshot and the console's report; `landingspread_control` owns versions and deltas.
+//! Nothing here may delay a request: while no machine can be reached, the version in force stays.
 
 mod client;
 pub mod followers;
--- a/crates/sidecar/src/control/status.rs
+++ b/crates/sidecar/src/control/status.rs
@@ -1,6 +1,5 @@
-//! The status of the followed configuration that a sidecar's console reports: the version in force and its age, the
-//! polled machine, and the last refusal. The task that follows the configuration writes it, and the console's thread
-//! reads it.
+//! The status of the followed configuration for the console: the version in force and its age, the polled machine and
+//! the last refusal. The task that follows the configuration writes it, and the console's thread reads it.
 
 use landingspread_control::{Contents, Follower, Refusal, Version};
 use serde_json::{Value, json};
