--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,12 +1,8 @@
-//! The configuration of services as numbered versions: snapshots, deltas, acknowledgements, and how control machines agree.
-//!
-//! A *scope* is one service's configuration. A control machine keeps the last versions of each scope in its
-//! [`VersionStore`]; a sidecar is the [`Follower`] of one scope: it polls a control machine, checks the [`Delta`] that
-//! it is answered with, and applies it through its [`ConfigHost`]. The next [`Poll`] acknowledges the version, or reports
-//! its refusal. Control machines exchange complete snapshots; the greater [`Version`] wins wherever it was published.
-//!
-//! The crate does no I/O: it reads no clock and no socket and draws no seed of its own, and it doesn't know what a key
-//! means. The reasons behind the protocol are in `docs/control.md`.
+//! Distributes versioned service configuration from control machines to sidecars. A *scope* is one service's
+//! configuration: a machine stores its last versions in a [`VersionStore`]; a sidecar is a [`Follower`] that polls,
+//! applies each [`Delta`] through its [`ConfigHost`], and acknowledges or refuses it with the next [`Poll`]. Machines
+//! exchange complete snapshots; the greater [`Version`] wins regardless of origin. The crate does no I/O (callers
+//! pass in time, bytes and random seed) and doesn't interpret keys. `docs/control.md` explains the design.
 #![warn(missing_docs)]
 
 mod config;
