--- a/crates/lab/src/args.rs
+++ b/crates/lab/src/args.rs
@@ -1,7 +1,7 @@
 //! The command line's words.
 
 use argh::FromArgs;
-use landingspread_lab::pickers::Named;
+use landingspread_lab::pickers::LoadBalancerKind;
 use std::path::PathBuf;
 
 /// landingspread's lab: an emulated world for the decisions, with faults, a referee and reports
@@ -135,14 +135,14 @@
     #[argh(option)]
     pub case: Option<String>,
     /// the picker
-    #[argh(option, default = "Named::Landingspread")]
-    pub picker: Named,
+    #[argh(option, default = "LoadBalancerKind::Landingspread")]
+    pub picker: LoadBalancerKind,
     /// the seed
     #[argh(option, default = "1")]
     pub seed: u64,
     /// a further picker to play beside it, for the report; may be given several times
     #[argh(option)]
-    pub against: Vec<Named>,
+    pub against: Vec<LoadBalancerKind>,
     /// where a page with plots goes
     #[argh(option)]
     pub report: Option<PathBuf>,
@@ -169,7 +169,7 @@
     pub seeds: Option<u64>,
     /// a picker, in place of the file's; may be given several times
     #[argh(option)]
-    pub picker: Vec<Named>,
+    pub picker: Vec<LoadBalancerKind>,
 }
 
 /// hold one picker against the others, seed by seed, in results of a sweep
@@ -180,8 +180,8 @@
     #[argh(positional)]
     pub results: PathBuf,
     /// the picker that the others are held against
-    #[argh(option, default = "Named::Landingspread")]
-    pub picker: Named,
+    #[argh(option, default = "LoadBalancerKind::Landingspread")]
+    pub picker: LoadBalancerKind,
 }
 
 /// play one case on real sockets, round real landingspread processes
--- a/crates/lab/src/cases.rs
+++ b/crates/lab/src/cases.rs
@@ -1,12 +1,12 @@
 //! From the names on the command line to what is played.
 
-use landingspread_lab::experiment::{self, Ready, Setting};
+use landingspread_lab::experiment::{self, PreparedExperiment, Setting};
 
-pub fn find(name: &str) -> Result<Ready, String> {
+pub fn find(name: &str) -> Result<PreparedExperiment, String> {
     experiment::find(name).map_err(|wrong| wrong.to_string())
 }
 
-pub fn case_of<'a>(ready: &'a Ready, case: Option<&str>) -> Result<&'a Setting, String> {
+pub fn case_of<'a>(ready: &'a PreparedExperiment, case: Option<&str>) -> Result<&'a Setting, String> {
     let setting = match case {
         None => ready.settings.first(),
         Some(case) => ready.settings.iter().find(|setting| setting.case == case),
--- a/crates/lab/src/experiment/compare.rs
+++ b/crates/lab/src/experiment/compare.rs
@@ -2,8 +2,8 @@
 //! interval (Efron and Tibshirani, 1993, chapter 13: percentiles of resampled means).
 
 use super::results::{Results, Row};
-use crate::cold::Peaks;
-use crate::pickers::Named;
+use crate::cold::ColdPeaks;
+use crate::pickers::LoadBalancerKind;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::collections::BTreeMap;
@@ -15,8 +15,8 @@
 #[derive(Clone, Debug)]
 pub struct Difference {
     pub setting: String,
-    pub picker: Named,
-    pub base: Named,
+    pub load_balancer: LoadBalancerKind,
+    pub base: LoadBalancerKind,
     pub seeds: usize,
     pub mean: f64,
     /// Nineteen in twenty resamples lie from the first to the second.
@@ -26,7 +26,7 @@
 type BySeed = BTreeMap<u64, f64>;
 
 fn kept_by_seed<'a>(rows: impl Iterator<Item = &'a Row>) -> BySeed {
-    rows.map(|row| (row.seed, row.totals.kept)).collect()
+    rows.map(|row| (row.seed, row.totals.utility_fraction)).collect()
 }
 
 /// Settings' names in the order of the results.
@@ -42,11 +42,15 @@
     names
 }
 
-fn rows_of<'a>(results: &'a Results, setting: &'a str, picker: Named) -> impl Iterator<Item = &'a Row> {
-    results.rows.iter().filter(move |row| row.picker == picker && row.name() == setting)
+fn rows_of<'a>(
+    results: &'a Results,
+    setting: &'a str,
+    picker: LoadBalancerKind,
+) -> impl Iterator<Item = &'a Row> {
+    results.rows.iter().filter(move |row| row.load_balancer == picker && row.name() == setting)
 }
 
-pub fn compare(results: &Results, picker: Named, base: Named) -> Vec<Difference> {
+pub fn compare(results: &Results, picker: LoadBalancerKind, base: LoadBalancerKind) -> Vec<Difference> {
     let one = |setting: String| {
         let ours = kept_by_seed(rows_of(results, &setting, picker));
         let theirs = kept_by_seed(rows_of(results, &setting, base));
@@ -55,7 +59,7 @@
         let interval = bootstrap(&pairs);
         (!pairs.is_empty()).then_some(Difference {
             setting,
-            picker,
+            load_balancer: picker,
             base,
             seeds: pairs.len(),
             mean,
@@ -86,7 +90,7 @@
 fn broken<'a>(rows: impl Iterator<Item = &'a Row>) -> String {
     let mut counts = [0; 4];
     for row in rows {
-        counts.iter_mut().zip(&row.broken).for_each(|(count, more)| *count += more);
+        counts.iter_mut().zip(&row.breach_counts).for_each(|(count, more)| *count += more);
     }
     let told = (1..).zip(counts).filter(|(_, count)| *count > 0);
     let told: Vec<String> = told.map(|(rule, count)| format!("r{rule} x{count}")).collect();
@@ -94,13 +98,13 @@
 }
 
 /// Mean kept utility of each picker in each setting, and the relays of a run to servers that could not be reached; behind each base, `picker`'s difference and its interval.
-pub fn table(results: &Results, picker: Named) -> String {
-    let pickers = &results.header.experiment.pickers;
+pub fn table(results: &Results, picker: LoadBalancerKind) -> String {
+    let pickers = &results.header.experiment.load_balancers;
     let mut text = String::from("| case |");
     pickers.iter().for_each(|named| text += &format!(" {} |", named.name()));
     text += "\n| --- |";
     pickers.iter().for_each(|_| text += " --- |");
-    let differences: BTreeMap<(String, Named), Difference> = pickers
+    let differences: BTreeMap<(String, LoadBalancerKind), Difference> = pickers
         .iter()
         .filter(|base| **base != picker)
         .flat_map(|base| compare(results, picker, *base))
@@ -116,7 +120,8 @@
                 let (low, high) = difference.interval;
                 let _ = write!(text, " ({:+.3}: {low:+.3} to {high:+.3})", difference.mean);
             }
-            let vain: u64 = rows_of(results, &setting, *named).map(|row| row.totals.vain).sum();
+            let vain: u64 =
+                rows_of(results, &setting, *named).map(|row| row.totals.unreachable_attempts).sum();
             if vain > 0 {
                 let _ = write!(text, ", {:.0} relays in vain", vain as f64 / kept.len().max(1) as f64);
             }
@@ -131,10 +136,10 @@
 pub fn cold_lines(results: &Results) -> Vec<String> {
     let mut lines = Vec::new();
     for setting in settings(results) {
-        for named in &results.header.experiment.pickers {
-            let mut all = Peaks::default();
-            rows_of(results, &setting, *named).for_each(|row| all.join(&row.cold));
-            lines.extend(all.told().map(|told| format!("{setting}, {}: {told}", named.name())));
+        for named in &results.header.experiment.load_balancers {
+            let mut all = ColdPeaks::default();
+            rows_of(results, &setting, *named).for_each(|row| all.merge(&row.cold_peaks));
+            lines.extend(all.summary().map(|told| format!("{setting}, {}: {told}", named.name())));
         }
     }
     lines
@@ -147,7 +152,7 @@
     if !deep {
         return None;
     }
-    let pickers = &results.header.experiment.pickers;
+    let pickers = &results.header.experiment.load_balancers;
     let mut text = String::from("| relays at the bottom over calls at the top |");
     pickers.iter().for_each(|named| text += &format!(" {} |", named.name()));
     text += "\n| --- |";
@@ -156,7 +161,7 @@
         let _ = write!(text, "\n| {setting} |");
         for named in pickers {
             let of: Vec<&Row> = rows_of(results, &setting, *named).collect();
-            let ratios: Vec<f64> = of.iter().map(|row| row.totals.bottom_over_top()).collect();
+            let ratios: Vec<f64> = of.iter().map(|row| row.totals.attempt_amplification()).collect();
             let mean = ratios.iter().sum::<f64>() / ratios.len().max(1) as f64;
             let least = ratios.iter().copied().fold(f64::MAX, f64::min);
             let most = ratios.iter().copied().fold(0.0, f64::max);
--- a/crates/lab/src/experiment/ready.rs
+++ b/crates/lab/src/experiment/ready.rs
@@ -2,7 +2,7 @@
 //! one run. It owns how a file becomes runs and in which order; the runs themselves know nothing of it.
 
 use super::builtin::{builtin, builtins};
-use crate::pickers::Named;
+use crate::pickers::LoadBalancerKind;
 use crate::plan::{self, Fault, Scenario};
 use landingspread_files::{FileError, parse_toml};
 use serde::{Deserialize, Serialize};
@@ -23,7 +23,8 @@
     #[serde(default = "calm")]
     pub cases: Vec<Case>,
     #[serde(default = "own")]
-    pub pickers: Vec<Named>,
+    #[serde(rename = "pickers")]
+    pub load_balancers: Vec<LoadBalancerKind>,
     #[serde(default)]
     pub seeds: Seeds,
     #[serde(default)]
@@ -66,8 +67,8 @@
     vec![Case { name: "calm".into(), about: String::new(), faults: Vec::new() }]
 }
 
-fn own() -> Vec<Named> {
-    vec![Named::Landingspread]
+fn own() -> Vec<LoadBalancerKind> {
+    vec![LoadBalancerKind::Landingspread]
 }
 
 /// One world with one case's faults, at one point of the axes.
@@ -81,20 +82,20 @@
 
 /// One run to be made.
 #[derive(Clone, Debug)]
-pub struct Planned {
+pub struct PlannedRun {
     pub setting: usize,
-    pub picker: Named,
+    pub load_balancer: LoadBalancerKind,
     pub seed: u64,
 }
 
 /// An experiment made ready: the settings, and the runs in their stated order (settings, pickers, seeds).
-pub struct Ready {
+pub struct PreparedExperiment {
     pub experiment: Experiment,
     pub settings: Vec<Setting>,
-    pub runs: Vec<Planned>,
+    pub runs: Vec<PlannedRun>,
 }
 
-impl Ready {
+impl PreparedExperiment {
     /// As many seeds as this, in place of the file's.
     pub fn reseed(&mut self, count: u64) {
         self.experiment.seeds.count = count;
@@ -103,7 +104,7 @@
 }
 
 /// Finds an experiment or a world by a built-in name or a file. A world alone is an experiment with one case.
-pub fn find(name: &str) -> Result<Ready, FileError> {
+pub fn find(name: &str) -> Result<PreparedExperiment, FileError> {
     let (file, text) = text_of(name, None)?;
     let is_experiment = text.lines().any(|line| line.trim_start().starts_with("world"));
     if is_experiment {
@@ -117,13 +118,13 @@
         name,
         about,
         cases: calm(),
-        pickers: own(),
+        load_balancers: own(),
         seeds: Seeds::default(),
         axes: Vec::new(),
     };
     let settings =
         vec![Setting { case: "calm".into(), about: experiment.about.clone(), point: Vec::new(), scenario }];
-    Ok(Ready { runs: runs_of(&experiment, &settings), experiment, settings })
+    Ok(PreparedExperiment { runs: runs_of(&experiment, &settings), experiment, settings })
 }
 
 /// The text behind a name, and what messages call it.
@@ -140,7 +141,7 @@
     }
 }
 
-fn ready(file: &str, text: &str, experiment: Experiment) -> Result<Ready, FileError> {
+fn ready(file: &str, text: &str, experiment: Experiment) -> Result<PreparedExperiment, FileError> {
     let wrong = |key: &str, what: String| {
         let line = text.lines().position(|line| line.trim_start().starts_with(key)).map(|at| at + 1);
         FileError::at_line(file, line, key, what)
@@ -149,11 +150,11 @@
     // The world is checked as it stands, so that its faults are told by its own lines.
     plan::parse(&world_file, &world)?;
     let bare: toml::Value = parse_toml(&world_file, &world)?;
-    if experiment.cases.is_empty() || experiment.pickers.is_empty() {
+    if experiment.cases.is_empty() || experiment.load_balancers.is_empty() {
         return Err(wrong("cases", "at least one case and one picker are wanted".into()));
     }
     let points: usize = experiment.axes.iter().map(|axis| axis.values.len()).product();
-    let each = experiment.pickers.len().saturating_mul(experiment.seeds.count as usize);
+    let each = experiment.load_balancers.len().saturating_mul(experiment.seeds.count as usize);
     let runs = points.saturating_mul(experiment.cases.len()).saturating_mul(each);
     if runs == 0 || runs > RUNS_MOST {
         return Err(wrong("seeds", format!("{runs} runs; from 1 to {RUNS_MOST} can be made")));
@@ -168,7 +169,7 @@
         for (number, case) in experiment.cases.iter().enumerate() {
             let mut scenario = plan::parse(&name_of(&world_file, &point), &told)?;
             scenario.faults.extend(case.faults.iter().cloned());
-            if let Some((key, what)) = plan::check_fault(&scenario) {
+            if let Some((key, what)) = plan::first_error(&scenario) {
                 let own = scenario.faults.len() - case.faults.len();
                 let key = renumber(&key, own);
                 let (at, line) = (format!("cases.{number} ({})", case.name), line_of_case(text, number));
@@ -179,7 +180,7 @@
             settings.push(Setting { case: case.name.clone(), about, point, scenario });
         }
     }
-    Ok(Ready { runs: runs_of(&experiment, &settings), experiment, settings })
+    Ok(PreparedExperiment { runs: runs_of(&experiment, &settings), experiment, settings })
 }
 
 /// A case's faults come after the world's own in the scenario: told as the case counts them.
@@ -240,12 +241,12 @@
     Ok(())
 }
 
-fn runs_of(experiment: &Experiment, settings: &[Setting]) -> Vec<Planned> {
+fn runs_of(experiment: &Experiment, settings: &[Setting]) -> Vec<PlannedRun> {
     let mut runs = Vec::new();
     for setting in 0..settings.len() {
-        for picker in &experiment.pickers {
+        for picker in &experiment.load_balancers {
             for seed in experiment.seeds.from..experiment.seeds.from.saturating_add(experiment.seeds.count) {
-                runs.push(Planned { setting, picker: *picker, seed });
+                runs.push(PlannedRun { setting, load_balancer: *picker, seed });
             }
         }
     }
@@ -253,15 +254,15 @@
 }
 
 /// Whether a setting can be played in virtual time.
-pub fn playable(setting: &Setting) -> Result<(), String> {
-    match setting.scenario.on_sockets_only() {
+pub fn check_virtual_time(setting: &Setting) -> Result<(), String> {
+    match setting.scenario.first_socket_only_fault() {
         None => Ok(()),
         Some(fault) => Err(format!("{}: {} can be played on real sockets only", setting.case, fault.label())),
     }
 }
 
 /// Plays one run.
-pub fn play_one(scenario: &Scenario, picker: Named, seed: u64) -> crate::world::Run {
+pub fn run_one(scenario: &Scenario, picker: LoadBalancerKind, seed: u64) -> crate::world::Run {
     let plan = Rc::new(scenario.clone());
-    crate::world::play(&plan, seed, &|hand, terms, seed, now| picker.make(hand, terms, seed, now))
+    crate::world::simulate(&plan, seed, &|hand, terms, seed, now| picker.make(hand, terms, seed, now))
 }
--- a/crates/lab/src/experiment/results.rs
+++ b/crates/lab/src/experiment/results.rs
@@ -1,9 +1,9 @@
 //! Results as JSON lines: a header with the experiment, every setting and the build, then one line for each run.
 //! They hold nothing of the machine or the moment: the same build, file and seeds write the same bytes.
 
-use super::ready::{Experiment, Ready, Setting};
-use crate::cold::Peaks;
-use crate::pickers::Named;
+use super::ready::{Experiment, PreparedExperiment, Setting};
+use crate::cold::ColdPeaks;
+use crate::pickers::LoadBalancerKind;
 use crate::plan::Scenario;
 use crate::referee::Breach;
 use crate::tally::Totals;
@@ -21,11 +21,11 @@
     pub build: String,
     pub experiment: Experiment,
     /// By number, as rows name them.
-    pub settings: Vec<Told>,
+    pub settings: Vec<SettingRecord>,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Told {
+pub struct SettingRecord {
     pub case: String,
     pub point: Vec<(String, String)>,
     pub scenario: Scenario,
@@ -36,21 +36,25 @@
     pub setting: usize,
     pub case: String,
     pub point: Vec<(String, String)>,
-    pub picker: Named,
+    #[serde(rename = "picker")]
+    pub load_balancer: LoadBalancerKind,
     pub seed: u64,
     pub totals: Totals,
     /// Breaches of the four rules, in order.
-    pub broken: [u64; 4],
+    #[serde(rename = "broken")]
+    pub breach_counts: [u64; 4],
     /// The first few, told one by one.
     pub breaches: Vec<String>,
     /// What cold servers were brought by all copies together.
     #[serde(default)]
-    pub cold: Peaks,
-    pub steps: u64,
+    #[serde(rename = "cold")]
+    pub cold_peaks: ColdPeaks,
+    #[serde(rename = "steps")]
+    pub events: u64,
 }
 
 impl Row {
-    pub fn new(ready: &Ready, number: usize, run: &Run) -> Row {
+    pub fn new(ready: &PreparedExperiment, number: usize, run: &Run) -> Row {
         const TOLD: usize = 3;
         let planned = &ready.runs[number];
         let setting = &ready.settings[planned.setting];
@@ -58,13 +62,13 @@
             setting: planned.setting,
             case: setting.case.clone(),
             point: setting.point.clone(),
-            picker: planned.picker,
+            load_balancer: planned.load_balancer,
             seed: planned.seed,
             totals: run.totals.clone(),
-            broken: run.breach_counts,
+            breach_counts: run.breach_counts,
             breaches: run.breaches.iter().take(TOLD).map(Breach::to_string).collect(),
-            cold: run.cold.clone(),
-            steps: run.steps,
+            cold_peaks: run.cold_peaks.clone(),
+            events: run.events,
         }
     }
 
@@ -82,8 +86,8 @@
 }
 
 impl Results {
-    pub fn header_of(ready: &Ready) -> Header {
-        let told = |setting: &Setting| Told {
+    pub fn header_of(ready: &PreparedExperiment) -> Header {
+        let told = |setting: &Setting| SettingRecord {
             case: setting.case.clone(),
             point: setting.point.clone(),
             scenario: setting.scenario.clone(),
--- a/crates/lab/src/fleet/rig/mod.rs
+++ b/crates/lab/src/fleet/rig/mod.rs
@@ -11,9 +11,9 @@
 use super::views::{Allowed, Figures, Judge, Look, Set, Truth};
 use super::weather::{Fate, Party, Weather};
 use super::zones::{self, Lost};
-use crate::cold::Peaks;
-use crate::plan::{Repeats, Spread};
-use crate::referee::{Breach, Final};
+use crate::cold::ColdPeaks;
+use crate::plan::{RetrySafety, WorkDistribution};
+use crate::referee::{Breach, FinalOutcome};
 use crate::sockets::callers::{Asking, CallPlan, Done, Pace, run as run_callers};
 use crate::sockets::{ColdMost, Doing, Fleet as Servers, Ledger, Make, Verbs};
 use copy::Copy;
@@ -96,7 +96,7 @@
     pub seen: Vec<Seen>,
     pub broken_rules: [u64; 4],
     /// What cold servers were brought by all copies together.
-    pub cold: Peaks,
+    pub cold: ColdPeaks,
     pub breaches: Vec<String>,
     /// The share of the commands that were answered within their goal.
     pub kept: f64,
@@ -152,15 +152,18 @@
 }
 
 fn verbs(plan: &FleetPlan) -> Verbs {
-    let one = |name: &str, repeats: Repeats| Doing {
+    let one = |name: &str, repeats: RetrySafety| Doing {
         name: name.into(),
         repeats,
         work: plan.work,
-        spread: Spread::Exponential,
+        spread: WorkDistribution::Exponential,
         calls: 0,
     };
-    let all =
-        [one("view", Repeats::Pure), one("hold", Repeats::ReceiptedAll), one("confirm", Repeats::Effectful)];
+    let all = [
+        one("view", RetrySafety::Idempotent),
+        one("hold", RetrySafety::KeyedEverywhere),
+        one("confirm", RetrySafety::NonIdempotent),
+    ];
     Arc::new(all.into())
 }
 
@@ -239,7 +242,7 @@
         let asking = |doing: &Doing| Asking {
             name: doing.name.clone(),
             repeats: doing.repeats,
-            share: if doing.repeats == Repeats::Pure { 0.5 } else { 0.25 },
+            share: if doing.repeats == RetrySafety::Idempotent { 0.5 } else { 0.25 },
             limit: copy::LIMIT,
         };
         let rate = self.plan.rate_each * self.plan.processes as f64;
@@ -269,7 +272,7 @@
         let seconds = Mutex::new(Vec::<Second>::new());
         let kept = Mutex::new((0u64, 0u64));
         let (ledger, disturbed) = (self.ledger.clone(), self.disturbed.clone());
-        let repeats: Vec<Repeats> = verbs(self.plan).iter().map(|doing| doing.repeats).collect();
+        let repeats: Vec<RetrySafety> = verbs(self.plan).iter().map(|doing| doing.repeats).collect();
         self.began = Instant::now();
         let began = self.began;
         let watch = || -> Box<dyn FnMut(&Done) + '_> {
@@ -316,9 +319,9 @@
         self.copies.iter().filter_map(|copy| cpu_of(copy.sidecar.pid())).sum()
     }
 
-    fn cold_peaks(&self) -> Peaks {
-        let mut all = Peaks::default();
-        self.servers.servers.iter().for_each(|server| all.join(&server.cold_peaks()));
+    fn cold_peaks(&self) -> ColdPeaks {
+        let mut all = ColdPeaks::default();
+        self.servers.servers.iter().for_each(|server| all.merge(&server.cold_peaks()));
         all
     }
 
@@ -592,7 +595,7 @@
     seconds: &Mutex<Vec<Second>>,
     ledger: &Ledger,
     disturbed: &Mutex<BTreeMap<SocketAddr, f64>>,
-    repeats: &[Repeats],
+    repeats: &[RetrySafety],
     kept: &Mutex<(u64, u64)>,
     done: &Done,
 ) {
@@ -606,18 +609,18 @@
         let second = &mut seconds[at];
         second.came += 1;
         match done.word {
-            Final::Answered => second.answered += 1,
-            Final::Declined => second.declined += 1,
-            Final::Terminated => second.terminated += 1,
+            FinalOutcome::Answered => second.answered += 1,
+            FinalOutcome::Declined => second.declined += 1,
+            FinalOutcome::Terminated => second.terminated += 1,
             _ => second.lost += 1,
         }
     }
     {
         let mut kept = locked(kept);
         kept.1 += 1;
-        kept.0 += u64::from(done.word == Final::Answered && took <= copy::GOAL);
+        kept.0 += u64::from(done.word == FinalOutcome::Answered && took <= copy::GOAL);
     }
-    if done.word == Final::Declined {
+    if done.word == FinalOutcome::Declined {
         ledger.declined(done.cmd, repeats[done.verb]);
     }
     let until = locked(disturbed).get(&done.to).copied().unwrap_or(f64::NEG_INFINITY);
--- a/crates/lab/src/fleets.rs
+++ b/crates/lab/src/fleets.rs
@@ -83,7 +83,7 @@
 fn told(plan: &FleetPlan, played: &rig::Played, wanted: &Fleet) -> ExitCode {
     let figures = &played.figures;
     figures.agreed_after.iter().for_each(|(what, took)| println!("{took:5.1} s  {what}"));
-    played.cold.told().iter().for_each(|line| println!("{line}"));
+    played.cold.summary().iter().for_each(|line| println!("{line}"));
     let zones = &played.zones;
     let all = figures.broken.iter().chain(&zones.broken).chain(&played.breaches);
     all.for_each(|text| println!("  {text}"));
--- a/crates/lab/src/live.rs
+++ b/crates/lab/src/live.rs
@@ -3,7 +3,7 @@
 use crate::args::{Added, Bench, Load, Sockets};
 use crate::cases::{case_of, find};
 use landingspread_lab::experiment::Setting;
-use landingspread_lab::report::{self, Line, Story};
+use landingspread_lab::report::{self, ReportData, RunReport};
 use landingspread_lab::sockets::added::{self, Turns};
 use landingspread_lab::sockets::{self, LoadPlan, Seen, bench as points};
 use std::io::{IsTerminal, Write};
@@ -30,7 +30,7 @@
         let mut text = format!(
             "{:3} s  came {:4}  answered {:4}  declined {:3}  terminated {:2}  p50 {:6.1} ms  p99 {:6.1} ms  {}\n",
             seen.second + 1,
-            second.came,
+            second.arrived,
             second.answered,
             second.declined,
             second.terminated,
@@ -52,7 +52,7 @@
     }
 }
 
-fn play(setting: &Setting, seed: u64, program: &Path, name: &str) -> Result<(Line, PathBuf), String> {
+fn play(setting: &Setting, seed: u64, program: &Path, name: &str) -> Result<(RunReport, PathBuf), String> {
     let dir = sockets::run_dir(name)?;
     let mut table = Table::new();
     let line = sockets::play(&setting.scenario, seed, program, &dir, &mut |seen| table.show(seen))?;
@@ -63,28 +63,28 @@
     setting: &Setting,
     title: &str,
     command: String,
-    line: Line,
+    line: RunReport,
     path: &Path,
 ) -> Result<(), String> {
-    let story = Story::new(&setting.scenario, title, &setting.about, command, vec![line]);
+    let story = ReportData::new(&setting.scenario, title, &setting.about, command, vec![line]);
     let page = report::page(&story).map_err(|wrong| wrong.to_string())?;
     std::fs::write(path, page).map_err(|wrong| format!("{}: {wrong}", path.display()))
 }
 
-fn tell(line: &Line) {
+fn tell(line: &RunReport) {
     let totals = &line.totals;
     println!(
         "kept {:.3} of the utility; {} came, {} answered, {} declined, {} terminated, {} lost; p50 {:.1} ms, \
          p99 {:.1} ms; rules broken {:?}",
-        totals.kept,
-        totals.came,
+        totals.utility_fraction,
+        totals.arrived,
         totals.answered,
         totals.declined,
         totals.terminated,
         totals.lost,
         totals.p50,
         totals.p99,
-        line.broken,
+        line.breach_counts,
     );
     line.breaches.iter().take(10).for_each(|breach| println!("{breach}"));
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -13,8 +13,8 @@
 use cases::{case_of, find};
 use indicatif::{ProgressBar, ProgressStyle};
 use landingspread_lab::experiment::{self, Results, Setting};
-use landingspread_lab::pickers::Named;
-use landingspread_lab::report::{self, Line, Story};
+use landingspread_lab::pickers::LoadBalancerKind;
+use landingspread_lab::report::{self, ReportData, RunReport};
 use landingspread_lab::world::Run as Played;
 use std::fs::File;
 use std::io::{BufReader, BufWriter};
@@ -40,9 +40,9 @@
 fn run(run: &Run) -> Result<(), String> {
     let ready = find(&run.name)?;
     let setting = case_of(&ready, run.case.as_deref())?;
-    experiment::playable(setting)?;
+    experiment::check_virtual_time(setting)?;
     let began = std::time::Instant::now();
-    let played = experiment::play_one(&setting.scenario, run.picker, run.seed);
+    let played = experiment::run_one(&setting.scenario, run.picker, run.seed);
     let took = began.elapsed().as_secs_f64();
     if let Some(path) = &run.report {
         report(run, setting, &played, path)?;
@@ -50,7 +50,7 @@
     for (at, second) in played.seconds.iter().enumerate().filter(|_| run.seconds) {
         println!(
             "{at:4} s  came {:5}  answered {:5}  declined {:4}  terminated {:3}  lost {:3}  earned {:.3}  p99 {:6.1} ms",
-            second.came,
+            second.arrived,
             second.answered,
             second.declined,
             second.terminated,
@@ -62,17 +62,17 @@
     let totals = serde_json::to_string_pretty(&played.totals).map_err(|wrong| wrong.to_string())?;
     println!("{totals}");
     println!("rules broken {:?}", played.breach_counts);
-    played.cold.told().iter().for_each(|line| println!("{line}"));
+    played.cold_peaks.summary().iter().for_each(|line| println!("{line}"));
     played.breaches.iter().take(10).for_each(|breach| println!("{breach}"));
-    eprintln!("{} steps in {took:.2} s; at most {} to come", played.steps, played.agenda_most);
+    eprintln!("{} steps in {took:.2} s; at most {} to come", played.events, played.max_queued_events);
     Ok(())
 }
 
 fn report(run: &Run, setting: &Setting, played: &Played, path: &Path) -> Result<(), String> {
     let (case, scenario) = (&setting.case, &setting.scenario);
-    let mut lines = vec![Line::of(run.picker.name(), played.clone())];
+    let mut lines = vec![RunReport::new(run.picker.name(), played.clone())];
     for picker in &run.against {
-        lines.push(Line::of(picker.name(), experiment::play_one(scenario, *picker, run.seed)));
+        lines.push(RunReport::new(picker.name(), experiment::run_one(scenario, *picker, run.seed)));
     }
     let title = format!("{}: {case}", run.name);
     let command = format!(
@@ -81,7 +81,7 @@
         run.picker.name(),
         run.seed
     );
-    let story = Story::new(scenario, &title, &setting.about, command, lines);
+    let story = ReportData::new(scenario, &title, &setting.about, command, lines);
     let page = report::page(&story).map_err(|wrong| wrong.to_string())?;
     std::fs::write(path, page).map_err(|wrong| format!("{}: {wrong}", path.display()))
 }
@@ -89,7 +89,7 @@
 fn sweep(sweep: &Sweep) -> Result<(), String> {
     let mut ready = find(&sweep.name)?;
     if !sweep.picker.is_empty() {
-        ready.experiment.pickers.clone_from(&sweep.picker);
+        ready.experiment.load_balancers.clone_from(&sweep.picker);
     }
     ready.reseed(sweep.seeds.unwrap_or(ready.experiment.seeds.count));
     let bar = ProgressBar::new(ready.runs.len() as u64);
@@ -102,10 +102,10 @@
         let mut file = BufWriter::new(File::create(path).map_err(told)?);
         results.write(&mut file).map_err(told)?;
     }
-    let first = ready.experiment.pickers.first().copied().unwrap_or(Named::Landingspread);
+    let first = ready.experiment.load_balancers.first().copied().unwrap_or(LoadBalancerKind::Landingspread);
     print!("{}", experiment::table(&results, first));
     experiment::depth_table(&results).iter().for_each(|table| print!("\n{table}"));
-    let told = results.rows.iter().filter(|row| row.picker == first).flat_map(|row| {
+    let told = results.rows.iter().filter(|row| row.load_balancer == first).flat_map(|row| {
         row.breaches.iter().map(move |breach| format!("{} seed {}: {breach}", row.name(), row.seed))
     });
     told.take(20).for_each(|breach| println!("{breach}"));
--- a/crates/lab/src/picker.rs
+++ b/crates/lab/src/picker.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// What can happen to a copy, one method for each: the decision module's own.
-pub trait Picker {
+pub trait LoadBalancer {
     fn endpoint_list_cached(&mut self, now: Duration, entries: &[ListedServer]);
     fn endpoint_list_received(&mut self, now: Duration, entries: &[ListedServer]);
     fn endpoint_list_changed(&mut self, now: Duration, entries: &[ListedServer]);
@@ -20,10 +20,10 @@
     /// Words of another copy's decisions, by its number.
     fn peer_message_received(&mut self, _now: Duration, _peer: u32, _words: &[u8]) {}
     /// A datagram of the fleet.
-    fn datagram_came(&mut self, _now: Duration, _bytes: &[u8]) {}
+    fn datagram_received(&mut self, _now: Duration, _bytes: &[u8]) {}
 }
 
-impl<H: Host> Picker for Policy<H> {
+impl<H: Host> LoadBalancer for Policy<H> {
     fn endpoint_list_cached(&mut self, now: Duration, entries: &[ListedServer]) {
         Policy::endpoint_list_cached(self, now, entries);
     }
--- a/crates/lab/src/pickers/fleeted.rs
+++ b/crates/lab/src/pickers/fleeted.rs
@@ -2,8 +2,8 @@
 //! only what joins the two: the program's own thread does the same.
 
 use crate::fleet::emulated::{address_of, copy_of};
-use crate::picker::Picker;
-use crate::world::Hand;
+use crate::picker::LoadBalancer;
+use crate::world::HostHandle;
 use landingspread_decisions::host::{
     AttemptEnd, Id, ListedServer, LoadReport, Outcome, ReplicaView, RequestArrival,
 };
@@ -21,16 +21,16 @@
 /// The time of day at the world's start, in milliseconds.
 const BEGAN: u64 = 1_800_000_000_000;
 
-struct Mail(Hand);
+struct Mail(HostHandle);
 
 impl Host for Mail {
     fn send(&mut self, to: Address, bytes: &[u8]) {
-        copy_of(to).into_iter().for_each(|copy| self.0.datagram(copy, bytes));
+        copy_of(to).into_iter().for_each(|copy| self.0.send_datagram(copy, bytes));
     }
 }
 
 /// Verdicts that a copy passed go to its notes, beside its marks.
-struct Notes(Hand);
+struct Notes(HostHandle);
 
 impl localities::Host for Notes {
     fn verdict_issued(&mut self, zone: &str, verdict: &localities::Verdict, _: &localities::Evidence) {
@@ -39,7 +39,7 @@
 }
 
 pub struct Fleeted {
-    policy: Policy<Hand>,
+    policy: Policy<HostHandle>,
     membership: Membership<Mail>,
     zones: Option<ZoneFailover<Notes>>,
     /// What this copy says of zones is made up.
@@ -61,8 +61,15 @@
 
 impl Fleeted {
     /// `zones`: whether the fleet leaves any; `lies`: whether a seventh of the copies says of them what is not so.
-    pub fn start(hand: Hand, terms: Settings, seed: u64, now: Duration, zones: bool, lies: bool) -> Fleeted {
-        let (copy, zone, copies, first) = hand.about();
+    pub fn start(
+        hand: HostHandle,
+        terms: Settings,
+        seed: u64,
+        now: Duration,
+        zones: bool,
+        lies: bool,
+    ) -> Fleeted {
+        let (copy, zone, copies, first) = hand.membership_identity();
         let of_zones = localities::FailoverConfig {
             id: copy as u64,
             zone: zone.clone(),
@@ -126,7 +133,7 @@
     }
 }
 
-impl Picker for Fleeted {
+impl LoadBalancer for Fleeted {
     fn endpoint_list_cached(&mut self, now: Duration, entries: &[ListedServer]) {
         self.policy.endpoint_list_cached(now, entries);
     }
@@ -181,7 +188,7 @@
         self.policy.peer_message_received(now, peer, words);
     }
 
-    fn datagram_came(&mut self, now: Duration, bytes: &[u8]) {
+    fn datagram_received(&mut self, now: Duration, bytes: &[u8]) {
         self.membership.receive(now, bytes);
     }
 }
--- a/crates/lab/src/pickers/mod.rs
+++ b/crates/lab/src/pickers/mod.rs
@@ -6,5 +6,5 @@
 mod plain;
 mod rules;
 
-pub use crate::picker::Picker;
-pub use named::Named;
+pub use crate::picker::LoadBalancer;
+pub use named::LoadBalancerKind;
--- a/crates/lab/src/pickers/plain.rs
+++ b/crates/lab/src/pickers/plain.rs
@@ -2,8 +2,8 @@
 //! another server after a failure while that is harmless, mark nothing, hold nothing and know no cold start.
 
 use super::rules::{Sent, may_decline, may_go};
-use crate::picker::Picker;
-use crate::world::Hand;
+use crate::picker::LoadBalancer;
+use crate::world::HostHandle;
 use landingspread_decisions::host::{
     AttemptEnd, Host, Id, Lifecycle, ListedServer, LoadReport, Outcome, RequestArrival,
 };
@@ -60,7 +60,7 @@
 }
 
 pub struct Plain {
-    hand: Hand,
+    hand: HostHandle,
     terms: Settings,
     way: Way,
     tries: Tries,
@@ -73,7 +73,7 @@
 }
 
 impl Plain {
-    pub fn new(hand: Hand, terms: Settings, seed: u64, way: Way, tries: Tries) -> Plain {
+    pub fn new(hand: HostHandle, terms: Settings, seed: u64, way: Way, tries: Tries) -> Plain {
         let rng = ChaCha8Rng::seed_from_u64(seed);
         Plain {
             hand,
@@ -165,7 +165,7 @@
     }
 }
 
-impl Picker for Plain {
+impl LoadBalancer for Plain {
     fn endpoint_list_cached(&mut self, _now: Duration, entries: &[ListedServer]) {
         self.servers.iter_mut().for_each(|server| server.ready = false);
         self.take(entries);
--- a/crates/lab/src/plan/faults.rs
+++ b/crates/lab/src/plan/faults.rs
@@ -5,7 +5,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum FaultKind {
     /// Processes end; their connections are reset and new ones refused; they come back cold after `for`.
     Crash,
     /// Machines fall silent: nothing is refused, nothing answered. They come back cold.
@@ -41,22 +41,27 @@
     /// All that is in `zone` falls silent, and comes back cold; its copies too.
     ZoneLost,
     /// `count` copies of the front, or a `share` of them, die, one every `seconds`, and start anew 1 s later, knowing an old list.
-    CopiesRestarted,
+    #[serde(rename = "copies_restarted")]
+    ReplicasRestarted,
     /// The first `count` copies of the front, or a `share` of them, end, and start again after `for`.
-    CopiesDown,
+    #[serde(rename = "copies_down")]
+    ReplicasDown,
     /// Words pass neither way between the first `count` copies of the front, or a `share` of them, and all others (virtual time only).
-    CopiesApart,
+    #[serde(rename = "copies_apart")]
+    ReplicasPartitioned,
     /// A `share` of the words between copies is lost (virtual time only).
-    WordsLost,
+    #[serde(rename = "words_lost")]
+    PeerMessagesLost,
     /// Load reports are `says`.
-    ReportsLie,
+    #[serde(rename = "reports_lie")]
+    FalseLoadReports,
     /// Connections that one side takes for open and the other has forgotten: on real sockets only.
     HalfOpen,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Lie {
+pub enum FalseLoad {
     Idle,
     Busy,
     Frozen,
@@ -65,12 +70,12 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// Seconds since the start.
     pub at: f64,
     /// How long it lasts, in seconds.
     #[serde(rename = "for", default)]
-    pub lasts: f64,
+    pub duration: f64,
     #[serde(default)]
     pub tier: usize,
     /// Places in the tier, counted from 0.
@@ -78,18 +83,20 @@
     pub servers: Vec<usize>,
     pub factor: Option<f64>,
     pub share: Option<f64>,
-    pub verb: Option<String>,
+    #[serde(rename = "verb")]
+    pub request_class: Option<String>,
     pub count: Option<usize>,
     pub seconds: Option<f64>,
     pub zone: Option<String>,
-    pub says: Option<Lie>,
+    #[serde(rename = "says")]
+    pub false_load: Option<FalseLoad>,
 }
 
 impl Fault {
     /// Whether it acts on servers that the file must name.
     pub fn names_servers(&self) -> bool {
-        use Kind::*;
-        matches!(self.kind, Crash | Vanish | Slow | Errors | Pause | Shrink | ListFlapping | ReportsLie)
+        use FaultKind::*;
+        matches!(self.kind, Crash | Vanish | Slow | Errors | Pause | Shrink | ListFlapping | FalseLoadReports)
     }
 
     /// A few words for a report's axis.
--- a/crates/lab/src/plan/mod.rs
+++ b/crates/lab/src/plan/mod.rs
@@ -5,7 +5,7 @@
 mod read;
 mod scenario;
 
-pub use check::fault_of as check_fault;
-pub use faults::{Fault, Kind, Lie};
+pub use check::first_error;
+pub use faults::{FalseLoad, Fault, FaultKind};
 pub use read::{parse, read};
 pub use scenario::*;
--- a/crates/lab/src/plan/read.rs
+++ b/crates/lab/src/plan/read.rs
@@ -14,7 +14,7 @@
 /// Takes a scenario's text; `file` is what messages call it.
 pub fn parse(file: &str, text: &str) -> Result<Scenario, FileError> {
     let scenario: Scenario = parse_toml(file, text)?;
-    match check::fault_of(&scenario) {
+    match check::first_error(&scenario) {
         None => Ok(scenario),
         Some((key, what)) => Err(FileError::at_key(file, text, &key, what)),
     }
--- a/crates/lab/src/plan/scenario.rs
+++ b/crates/lab/src/plan/scenario.rs
@@ -3,12 +3,12 @@
 //!
 //! Unknown keys are errors with the nearest known name; `check` says what else can't be played, by key and line.
 
-use super::faults::{Fault, Kind};
+use super::faults::{Fault, FaultKind};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
 /// Seconds of a file as a span; what is no span (negative, not a number) is none.
-pub fn span(seconds: f64) -> Duration {
+pub fn to_duration(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds).unwrap_or_default()
 }
 
@@ -24,18 +24,20 @@
     #[serde(default = "two")]
     pub settle: f64,
     pub load: Load,
-    pub verbs: Vec<Verb>,
+    #[serde(rename = "verbs")]
+    pub request_classes: Vec<RequestClass>,
     #[serde(default = "one_tenant")]
     pub tenants: Vec<Tenant>,
     #[serde(default = "one_zone")]
     pub zones: Vec<String>,
     #[serde(default)]
-    pub front: Front,
+    pub front: FrontTier,
     pub tiers: Vec<Tier>,
     #[serde(default)]
     pub network: Network,
     #[serde(default)]
-    pub lists: Lists,
+    #[serde(rename = "lists")]
+    pub discovery: Discovery,
     #[serde(default)]
     pub rules: Rules,
     #[serde(default)]
@@ -56,23 +58,29 @@
     pub backoff: f64,
     /// The share of clients that go away before their time limit.
     #[serde(default)]
-    pub quits: f64,
+    #[serde(rename = "quits")]
+    pub disconnect_fraction: f64,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Repeats {
+pub enum RetrySafety {
     #[default]
-    Pure,
-    ReceiptedAll,
-    ReceiptedZone,
-    ReceiptedCell,
-    Effectful,
+    #[serde(rename = "pure")]
+    Idempotent,
+    #[serde(rename = "receipted_all")]
+    KeyedEverywhere,
+    #[serde(rename = "receipted_zone")]
+    KeyedInZone,
+    #[serde(rename = "receipted_cell")]
+    KeyedInCell,
+    #[serde(rename = "effectful")]
+    NonIdempotent,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Spread {
+pub enum WorkDistribution {
     Fixed,
     #[default]
     Exponential,
@@ -84,31 +92,38 @@
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Verb {
+pub struct RequestClass {
     pub name: String,
     #[serde(default = "one")]
     pub share: f64,
     #[serde(default)]
-    pub repeats: Repeats,
+    #[serde(rename = "repeats")]
+    pub retry_safety: RetrySafety,
     /// How long a server's group drops repeats, in seconds.
     #[serde(default = "thirty")]
-    pub memory: f64,
-    pub goal: f64,
-    pub limit: f64,
+    #[serde(rename = "memory")]
+    pub dedup_window: f64,
+    #[serde(rename = "goal")]
+    pub latency_objective: f64,
+    #[serde(rename = "limit")]
+    pub time_limit: f64,
     #[serde(default = "one")]
     pub utility: f64,
     #[serde(default)]
-    pub overdue_utility: f64,
+    #[serde(rename = "overdue_utility")]
+    pub late_utility: f64,
     /// Mean seconds of one core at speed 1, for each tier; the last figure goes for the tiers after it.
     pub work: Vec<f64>,
     #[serde(default)]
-    pub spread: Spread,
+    #[serde(rename = "spread")]
+    pub work_distribution: WorkDistribution,
     /// Calls to the next tier that a server makes for one command, one after another.
     #[serde(default = "one_call")]
-    pub calls: u32,
+    #[serde(rename = "calls")]
+    pub downstream_calls: u32,
 }
 
-impl Verb {
+impl RequestClass {
     pub fn mean_work(&self, tier: usize) -> f64 {
         self.work.get(tier).or(self.work.last()).copied().unwrap_or(0.0)
     }
@@ -127,25 +142,28 @@
 /// The copies that clients speak to.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Front {
-    pub copies: usize,
+pub struct FrontTier {
+    #[serde(rename = "copies")]
+    pub replicas: usize,
     /// How long clients go on coming to a copy that has died, in seconds; they hear at once that it is gone.
-    pub notice: f64,
+    #[serde(rename = "notice")]
+    pub detection_delay: f64,
     /// Copies' parts of the clients of their zone, dealt out in turn; even where it is empty. In virtual time only.
-    pub traffic: Vec<f64>,
+    #[serde(rename = "traffic")]
+    pub traffic_shares: Vec<f64>,
     /// Zones' parts of the clients; even where it is empty.
     pub zone_shares: Vec<f64>,
 }
 
-impl Default for Front {
-    fn default() -> Front {
-        Front { copies: 4, notice: 1.0, traffic: Vec::new(), zone_shares: Vec::new() }
+impl Default for FrontTier {
+    fn default() -> FrontTier {
+        FrontTier { replicas: 4, detection_delay: 1.0, traffic_shares: Vec::new(), zone_shares: Vec::new() }
     }
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Reports {
+pub enum ReportedLoad {
     None,
     InFlight,
     #[default]
@@ -164,22 +182,29 @@
     pub speeds: Vec<f64>,
     /// Whether the list tells the speeds as weights.
     #[serde(default = "yes")]
-    pub weights_told: bool,
+    #[serde(rename = "weights_told")]
+    pub lists_weights: bool,
     /// Commands that may wait at a server; past it one is turned away.
     #[serde(default = "sixty_four")]
-    pub queue: usize,
+    #[serde(rename = "queue")]
+    pub queue_limit: usize,
     #[serde(default = "four_cells")]
     pub cells: u32,
     #[serde(default)]
-    pub reports: Reports,
+    #[serde(rename = "reports")]
+    pub load_reports: ReportedLoad,
     /// How long a reported figure stands before the server reckons it anew, in seconds.
     #[serde(default)]
-    pub report_every: f64,
+    #[serde(rename = "report_every")]
+    pub report_interval: f64,
     #[serde(default = "yes")]
-    pub checks: bool,
+    #[serde(rename = "checks")]
+    pub health_checks: bool,
     #[serde(default)]
-    pub cold: Cold,
-    pub jam: Option<Jam>,
+    #[serde(rename = "cold")]
+    pub cold_start: ColdStart,
+    #[serde(rename = "jam")]
+    pub congestion: Option<Congestion>,
     #[serde(default)]
     pub connections: Connections,
 }
@@ -188,22 +213,35 @@
 /// over (Nishtala et al., NSDI 2013, section 4.3).
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Cold {
+pub struct ColdStart {
     /// Its speed at the start, as a share of its warm one, growing evenly.
-    pub share: f64,
-    pub warm_after: f64,
+    #[serde(rename = "share")]
+    pub initial_fraction: f64,
+    #[serde(rename = "warm_after")]
+    pub warmup: f64,
     /// It falls when the work brought to it within `window` is more than this many times what it can do by then.
-    pub multiple: f64,
-    pub window: f64,
+    #[serde(rename = "multiple")]
+    pub overload_multiple: f64,
+    #[serde(rename = "window")]
+    pub overload_window: f64,
     /// Fewer commands than this within a window push it over only beyond what is put down to chance as well.
-    pub least: u32,
+    #[serde(rename = "least")]
+    pub min_requests: u32,
     /// How long it is away after a fall.
-    pub down: f64,
-}
-
-impl Default for Cold {
-    fn default() -> Cold {
-        Cold { share: 0.3, warm_after: 8.0, multiple: 3.0, window: 2.0, least: 10, down: 3.0 }
+    #[serde(rename = "down")]
+    pub restart_delay: f64,
+}
+
+impl Default for ColdStart {
+    fn default() -> ColdStart {
+        ColdStart {
+            initial_fraction: 0.3,
+            warmup: 8.0,
+            overload_multiple: 3.0,
+            overload_window: 2.0,
+            min_requests: 10,
+            restart_delay: 3.0,
+        }
     }
 }
 
@@ -211,11 +249,13 @@
 /// al., OSDI 2022).
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Jam {
+pub struct Congestion {
     /// Commands in a server for each core, at which it jams.
-    pub at: f64,
+    #[serde(rename = "at")]
+    pub onset: f64,
     /// And at which it is free again.
-    pub clear: f64,
+    #[serde(rename = "clear")]
+    pub recovery: f64,
     pub speed: f64,
 }
 
@@ -225,14 +265,16 @@
     /// Seconds of a core that a new connection costs its server; it also costs one round trip more.
     pub work: f64,
     /// How long an idle one is kept, in seconds.
-    pub idle: f64,
+    #[serde(rename = "idle")]
+    pub idle_timeout: f64,
     /// How long is waited for one that does not come up, in seconds.
-    pub dial: f64,
+    #[serde(rename = "dial")]
+    pub connect_timeout: f64,
 }
 
 impl Default for Connections {
     fn default() -> Connections {
-        Connections { work: 0.0005, idle: 30.0, dial: 0.1 }
+        Connections { work: 0.0005, idle_timeout: 30.0, connect_timeout: 0.1 }
     }
 }
 
@@ -240,35 +282,47 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
-    pub near: f64,
-    pub far: f64,
+    #[serde(rename = "near")]
+    pub same_zone_delay: f64,
+    #[serde(rename = "far")]
+    pub cross_zone_delay: f64,
     /// The shares of the words between copies that are lost, and that come twice.
-    pub words_lost: f64,
-    pub words_doubled: f64,
+    #[serde(rename = "words_lost")]
+    pub peer_message_loss: f64,
+    #[serde(rename = "words_doubled")]
+    pub peer_message_duplication: f64,
 }
 
 impl Default for Network {
     fn default() -> Network {
-        Network { near: 0.0002, far: 0.001, words_lost: 0.0, words_doubled: 0.0 }
+        Network {
+            same_zone_delay: 0.0002,
+            cross_zone_delay: 0.001,
+            peer_message_loss: 0.0,
+            peer_message_duplication: 0.0,
+        }
     }
 }
 
 /// The list source.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Lists {
+pub struct Discovery {
     /// From a change to the copies' hearing of it, in seconds, and the random part of that.
-    pub lag: f64,
+    #[serde(rename = "lag")]
+    pub delay: f64,
     pub jitter: f64,
     /// How long a server that drains goes on before it ends, in seconds.
-    pub drain: f64,
+    #[serde(rename = "drain")]
+    pub drain_time: f64,
     /// How long it takes until the list drops a server that died, in seconds.
-    pub notice: f64,
+    #[serde(rename = "notice")]
+    pub removal_delay: f64,
 }
 
-impl Default for Lists {
-    fn default() -> Lists {
-        Lists { lag: 0.2, jitter: 0.3, drain: 5.0, notice: 3.0 }
+impl Default for Discovery {
+    fn default() -> Discovery {
+        Discovery { delay: 0.2, jitter: 0.3, drain_time: 5.0, removal_delay: 3.0 }
     }
 }
 
@@ -276,61 +330,75 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    pub relays: u32,
-    pub cancel: bool,
-    pub parallel: bool,
+    #[serde(rename = "relays")]
+    pub max_attempts: u32,
+    #[serde(rename = "cancel")]
+    pub cancellation: bool,
+    #[serde(rename = "parallel")]
+    pub hedging: bool,
     /// The longest come-back time that clients heed, in seconds; 0 where they hear none.
-    pub come_back: f64,
+    #[serde(rename = "come_back")]
+    pub max_retry_after: f64,
     /// Rule 3's grace after a copy was told, in seconds.
-    pub grace: f64,
+    #[serde(rename = "grace")]
+    pub removal_grace: f64,
     /// How much later than its time limit a final answer still counts as in time, in seconds.
-    pub slack: f64,
-    pub crossing: f64,
-    pub beyond_quota: f64,
+    #[serde(rename = "slack")]
+    pub deadline_slack: f64,
+    #[serde(rename = "crossing")]
+    pub cross_zone_cost: f64,
+    #[serde(rename = "beyond_quota")]
+    pub over_quota_value: f64,
     /// Whether copies' decisions tell each other words.
-    pub words: bool,
+    #[serde(rename = "words")]
+    pub peer_messages: bool,
     /// Whether a server's calls to the next tier carry the time that its own caller has left. Where they do not, each
     /// has its verb's whole limit, and a server goes on until it sees that its caller waits no longer.
-    pub passes_deadline: bool,
+    #[serde(rename = "passes_deadline")]
+    pub propagates_deadline: bool,
     /// Whether a server's answer says that it failed only as its own call did: such a failure is not sent again above, so
     /// that only the tier that met it first repeats. A proposal: no published protocol says it.
-    pub nearest_repeats: bool,
+    #[serde(rename = "nearest_repeats")]
+    pub nearest_tier_retries: bool,
 }
 
 impl Default for Rules {
     fn default() -> Rules {
         Rules {
-            relays: 3,
-            cancel: true,
-            parallel: false,
-            come_back: 1.0,
-            grace: 0.5,
-            slack: 0.05,
-            crossing: 0.02,
-            beyond_quota: 0.2,
-            words: false,
-            passes_deadline: true,
-            nearest_repeats: false,
+            max_attempts: 3,
+            cancellation: true,
+            hedging: false,
+            max_retry_after: 1.0,
+            removal_grace: 0.5,
+            deadline_slack: 0.05,
+            cross_zone_cost: 0.02,
+            over_quota_value: 0.2,
+            peer_messages: false,
+            propagates_deadline: true,
+            nearest_tier_retries: false,
         }
     }
 }
 
 impl Scenario {
     /// How many of the front's copies a fault strikes: the first `count`, or the first `share` of them, one at least.
-    pub fn copies_of(&self, fault: &Fault) -> usize {
-        let by_share = || fault.share.map_or(0, |share| ((share * self.front.copies as f64) as usize).max(1));
+    pub fn affected_replicas(&self, fault: &Fault) -> usize {
+        let by_share =
+            || fault.share.map_or(0, |share| ((share * self.front.replicas as f64) as usize).max(1));
         fault.count.unwrap_or_else(by_share)
     }
 
     /// The first fault that only real sockets can play.
-    pub fn on_sockets_only(&self) -> Option<&Fault> {
-        self.faults.iter().find(|fault| fault.kind == Kind::HalfOpen)
+    pub fn first_socket_only_fault(&self) -> Option<&Fault> {
+        self.faults.iter().find(|fault| fault.kind == FaultKind::HalfOpen)
     }
 
     /// The first fault that only virtual time can play: no packet is lost on loopback.
-    pub fn in_virtual_time_only(&self) -> Option<&Fault> {
-        use Kind::{CopiesApart, CopiesDown, WordsLost, ZoneCut};
-        let only = |fault: &&Fault| matches!(fault.kind, ZoneCut | CopiesApart | CopiesDown | WordsLost);
+    pub fn first_virtual_time_only_fault(&self) -> Option<&Fault> {
+        use FaultKind::{PeerMessagesLost, ReplicasDown, ReplicasPartitioned, ZoneCut};
+        let only = |fault: &&Fault| {
+            matches!(fault.kind, ZoneCut | ReplicasPartitioned | ReplicasDown | PeerMessagesLost)
+        };
         self.faults.iter().find(only)
     }
 }
--- a/crates/lab/src/report/mod.rs
+++ b/crates/lab/src/report/mod.rs
@@ -6,4 +6,4 @@
 mod story;
 
 pub use page::page;
-pub use story::{Line, Span, Story};
+pub use story::{FaultSpan, ReportData, RunReport};
--- a/crates/lab/src/report/page.rs
+++ b/crates/lab/src/report/page.rs
@@ -1,7 +1,7 @@
 //! The page itself: figures first, then the plots, then what was broken.
 
 use super::plots;
-use super::story::{Line, Story};
+use super::story::{ReportData, RunReport};
 use std::fmt::Write;
 
 const STYLE: &str = "body{font:15px/1.5 sans-serif;max-width:1040px;margin:2em auto;padding:0 1em;color:#222}\
@@ -14,36 +14,36 @@
 }
 
 /// The whole page. Errors are those of drawing.
-pub fn page(story: &Story) -> Result<String, Box<dyn std::error::Error>> {
+pub fn page(story: &ReportData) -> Result<String, Box<dyn std::error::Error>> {
     let mut html = String::new();
     let (title, about) = (escaped(&story.title), escaped(&story.about));
     write!(html, "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{title}</title>")?;
     write!(html, "<style>{STYLE}</style><h1>{title}</h1><p>{about}</p>")?;
     let (build, command) = (escaped(&story.build), escaped(&story.command));
     write!(html, "<p class=\"meta\">build {build}; made by <code>{command}</code></p>")?;
-    figures(&mut html, &story.lines)?;
+    figures(&mut html, &story.runs)?;
     html += &plots::utility(story)?;
     html += &plots::latency(story)?;
-    if let Some(first) = story.lines.first() {
+    if let Some(first) = story.runs.first() {
         html += &plots::finals(story, first)?;
         html += &plots::load(story, first)?;
-        if !first.marks.is_empty() {
+        if !first.ejections.is_empty() {
             html += &plots::marks(story, first)?;
         }
     }
     faults(&mut html, story)?;
-    breaches(&mut html, &story.lines)?;
+    breaches(&mut html, &story.runs)?;
     html += "</html>\n";
     Ok(html)
 }
 
-fn figures(html: &mut String, lines: &[Line]) -> std::fmt::Result {
+fn figures(html: &mut String, lines: &[RunReport]) -> std::fmt::Result {
     html.push_str(
         "<table><tr><th></th><th>utility kept</th><th>commands</th><th>answered</th><th>declined</th>\
          <th>terminated</th><th>left</th><th>lost</th><th>relays each</th><th>p50 ms</th><th>p99 ms</th>\
          <th>rules broken</th></tr>",
     );
-    for Line { name, totals, broken, .. } in lines {
+    for RunReport { name, totals, breach_counts: broken, .. } in lines {
         let total: u64 = broken.iter().sum();
         let class = if total > 0 { " class=\"bad\"" } else { "" };
         write!(
@@ -51,14 +51,14 @@
             "<tr><td>{}</td><td>{:.3}</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td><td>{}</td>\
              <td>{:.3}</td><td>{:.1}</td><td>{:.1}</td><td{class}>{total}</td></tr>",
             escaped(name),
-            totals.kept,
-            totals.came,
+            totals.utility_fraction,
+            totals.arrived,
             totals.answered,
             totals.declined,
             totals.terminated,
             totals.left,
             totals.lost,
-            totals.relays_each,
+            totals.attempts_per_request,
             totals.p50,
             totals.p99,
         )?;
@@ -67,12 +67,12 @@
     Ok(())
 }
 
-fn faults(html: &mut String, story: &Story) -> std::fmt::Result {
-    if story.spans.is_empty() {
+fn faults(html: &mut String, story: &ReportData) -> std::fmt::Result {
+    if story.faults.is_empty() {
         return Ok(());
     }
     html.push_str("<h2>Faults</h2><table><tr><th>fault</th><th>from s</th><th>to s</th></tr>");
-    for span in &story.spans {
+    for span in &story.faults {
         let label = escaped(&span.label);
         write!(html, "<tr><td>{label}</td><td>{:.1}</td><td>{:.1}</td></tr>", span.from, span.to)?;
     }
@@ -80,7 +80,7 @@
     Ok(())
 }
 
-fn breaches(html: &mut String, lines: &[Line]) -> std::fmt::Result {
+fn breaches(html: &mut String, lines: &[RunReport]) -> std::fmt::Result {
     const TOLD: usize = 20;
     for line in lines.iter().filter(|line| !line.breaches.is_empty()) {
         write!(html, "<h2 class=\"bad\">Rules broken: {}</h2><ul>", escaped(&line.name))?;
--- a/crates/lab/src/report/plots.rs
+++ b/crates/lab/src/report/plots.rs
@@ -1,6 +1,6 @@
 //! The plots of a page, each one SVG text.
 
-use super::story::{Line, Span, Story};
+use super::story::{FaultSpan, ReportData, RunReport};
 use crate::tally::Second;
 use plotters::coord::Shift;
 use plotters::coord::types::RangedCoordf64;
@@ -35,8 +35,8 @@
     seconds.iter().enumerate().map(|(at, second)| (at as f64 + 0.5, read(second))).collect()
 }
 
-fn length(story: &Story) -> f64 {
-    story.lines.iter().map(|line| line.seconds.len()).max().unwrap_or(1).max(1) as f64
+fn length(story: &ReportData) -> f64 {
+    story.runs.iter().map(|line| line.seconds.len()).max().unwrap_or(1).max(1) as f64
 }
 
 fn most(points: &[Vec<(f64, f64)>]) -> f64 {
@@ -45,7 +45,7 @@
 
 /// Draws a plot of `what` over the run's seconds, with the faults behind it.
 fn over_time(
-    story: &Story,
+    story: &ReportData,
     title: &str,
     top: f64,
     what: impl FnOnce(&mut Chart) -> Result<(), Wrong>,
@@ -55,7 +55,7 @@
         let root = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
         let top = if top > 0.0 { top * 1.08 } else { 1.0 };
         let mut chart = frame(&root, title, length(story), top)?;
-        faults(&mut chart, &story.spans, top)?;
+        faults(&mut chart, &story.faults, top)?;
         what(&mut chart)?;
         chart
             .configure_series_labels()
@@ -93,7 +93,7 @@
     Ok(chart)
 }
 
-fn faults(chart: &mut Chart, spans: &[Span], top: f64) -> Result<(), Wrong> {
+fn faults(chart: &mut Chart, spans: &[FaultSpan], top: f64) -> Result<(), Wrong> {
     for (number, span) in spans.iter().enumerate() {
         let to = span.to.max(span.from + 0.05);
         let area = Rectangle::new([(span.from, 0.0), (to, top)], FAULT.mix(0.08).filled());
@@ -122,15 +122,15 @@
 }
 
 /// Offered utility, and what each line earned.
-pub fn utility(story: &Story) -> Result<String, Wrong> {
-    let Some(first) = story.lines.first() else { return Ok(String::new()) };
+pub fn utility(story: &ReportData) -> Result<String, Wrong> {
+    let Some(first) = story.runs.first() else { return Ok(String::new()) };
     let offered = points(&first.seconds, |second| second.offered);
     let earned: Vec<_> =
-        story.lines.iter().map(|line| points(&line.seconds, |second| second.earned)).collect();
+        story.runs.iter().map(|line| points(&line.seconds, |second| second.earned)).collect();
     let top = most(&earned).max(most(std::slice::from_ref(&offered)));
     over_time(story, "utility a second: offered and earned", top, |chart| {
         line(chart, offered, "offered", GREY, 1)?;
-        for (number, (points, told)) in earned.into_iter().zip(&story.lines).enumerate() {
+        for (number, (points, told)) in earned.into_iter().zip(&story.runs).enumerate() {
             line(chart, points, &format!("earned: {}", told.name), colour(number), 2)?;
         }
         Ok(())
@@ -138,9 +138,9 @@
 }
 
 /// Half and 99 of 100 answers, in milliseconds.
-pub fn latency(story: &Story) -> Result<String, Wrong> {
+pub fn latency(story: &ReportData) -> Result<String, Wrong> {
     let read: Vec<_> = story
-        .lines
+        .runs
         .iter()
         .map(|line| {
             let (half, most) = (points(&line.seconds, |s| s.p50), points(&line.seconds, |s| s.p99));
@@ -158,7 +158,7 @@
 }
 
 /// Commands in each server for each of its cores, of one line.
-pub fn load(story: &Story, told: &Line) -> Result<String, Wrong> {
+pub fn load(story: &ReportData, told: &RunReport) -> Result<String, Wrong> {
     let servers = told.seconds.iter().map(|second| second.loads.len()).max().unwrap_or(0);
     let one = |server: usize| points(&told.seconds, |s| s.loads.get(server).copied().unwrap_or(0.0));
     let each: Vec<_> = (0..servers).map(one).collect();
@@ -174,7 +174,7 @@
 }
 
 /// Final answers a second by kind, of one line.
-pub fn finals(story: &Story, told: &Line) -> Result<String, Wrong> {
+pub fn finals(story: &ReportData, told: &RunReport) -> Result<String, Wrong> {
     type Read = fn(&Second) -> f64;
     let kinds: [(&str, Read); 5] = [
         ("answered", |second| f64::from(second.answered)),
@@ -194,11 +194,11 @@
 }
 
 /// Which server was marked and returned when, by how many copies at once.
-pub fn marks(story: &Story, told: &Line) -> Result<String, Wrong> {
+pub fn marks(story: &ReportData, told: &RunReport) -> Result<String, Wrong> {
     let server = |note: &str| note.rsplit('s').next().and_then(|number| number.trim().parse::<f64>().ok());
     let read = |kind: &str| -> Vec<(f64, f64)> {
-        let of_kind = told.marks.iter().filter(|mark| mark.note.starts_with(kind));
-        of_kind.filter_map(|mark| Some((mark.at, server(&mark.note)?))).collect()
+        let of_kind = told.ejections.iter().filter(|mark| mark.text.starts_with(kind));
+        of_kind.filter_map(|mark| Some((mark.at, server(&mark.text)?))).collect()
     };
     let (marked, returned) = (read("mark"), read("return"));
     let top = most(&[marked.clone(), returned.clone()]) + 1.0;
--- a/crates/lab/src/sockets/added.rs
+++ b/crates/lab/src/sockets/added.rs
@@ -3,8 +3,8 @@
 
 use super::bench::{Rig, rig};
 use super::callers::{Asking, CallPlan, Done, Pace, run};
-use crate::plan::Repeats;
-use crate::referee::Final;
+use crate::plan::RetrySafety;
+use crate::referee::FinalOutcome;
 use std::fmt::Write;
 use std::fs;
 use std::net::SocketAddr;
@@ -64,7 +64,12 @@
 fn turn(turns: &Turns, targets: Vec<SocketAddr>, seed: u64) -> Turn {
     let plan = CallPlan {
         targets,
-        verbs: vec![Asking { name: "view".into(), repeats: Repeats::Pure, share: 1.0, limit: LIMIT }],
+        verbs: vec![Asking {
+            name: "view".into(),
+            repeats: RetrySafety::Idempotent,
+            share: 1.0,
+            limit: LIMIT,
+        }],
         tenants: vec![("lab".into(), 1.0)],
         connections: turns.connections,
         length: SETTLE + turns.length,
@@ -80,7 +85,7 @@
             }
             let ms = |from: Duration| done.ended.saturating_sub(from).as_secs_f64() * 1e3;
             let mut seen = seen.lock().unwrap_or_else(PoisonError::into_inner);
-            if done.word == Final::Answered {
+            if done.word == FinalOutcome::Answered {
                 seen.sent.push(ms(done.sent));
                 seen.intended.push(ms(done.intended));
             } else {
--- a/crates/lab/src/sockets/bench.rs
+++ b/crates/lab/src/sockets/bench.rs
@@ -8,7 +8,7 @@
 use super::load::{Figures, LoadPlan, load};
 use super::ports::unused;
 use super::settings::{Told, config_of};
-use crate::plan::{Repeats, Scenario, Spread};
+use crate::plan::{RetrySafety, Scenario, WorkDistribution};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::sync::Arc;
@@ -27,8 +27,8 @@
 }
 
 fn at_once() -> Arc<Vec<Doing>> {
-    let (name, spread) = ("view".into(), Spread::Fixed);
-    Arc::new(vec![Doing { name, repeats: Repeats::Pure, work: 0.0, spread, calls: 0 }])
+    let (name, spread) = ("view".into(), WorkDistribution::Fixed);
+    Arc::new(vec![Doing { name, repeats: RetrySafety::Idempotent, work: 0.0, spread, calls: 0 }])
 }
 
 /// Stand-ins that answer at once.
--- a/crates/lab/src/sockets/callers.rs
+++ b/crates/lab/src/sockets/callers.rs
@@ -3,8 +3,8 @@
 //! slow too (Tene's "coordinated omission").
 
 use super::message::{Heard, Peer};
-use crate::plan::Repeats;
-use crate::referee::Final;
+use crate::plan::RetrySafety;
+use crate::referee::FinalOutcome;
 use crate::world::exponential;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub struct Asking {
     pub name: String,
-    pub repeats: Repeats,
+    pub repeats: RetrySafety,
     pub share: f64,
     pub limit: Duration,
 }
@@ -70,7 +70,7 @@
     /// When its caller had a connection free for it.
     pub sent: Duration,
     pub ended: Duration,
-    pub word: Final,
+    pub word: FinalOutcome,
     /// Why it is lost, where it is.
     pub lost: Option<&'static str>,
     /// Whom it was asked of last.
@@ -121,8 +121,8 @@
             schedule.next = now;
         }
         let (verb, tenant) = (schedule.rng.random(), schedule.rng.random());
-        let verb = crate::world::deal(self.plan.verbs.iter().map(|verb| verb.share), verb);
-        let tenant = crate::world::deal(self.plan.tenants.iter().map(|(_, share)| *share), tenant);
+        let verb = crate::world::weighted_index(self.plan.verbs.iter().map(|verb| verb.share), verb);
+        let tenant = crate::world::weighted_index(self.plan.tenants.iter().map(|(_, share)| *share), tenant);
         (schedule.next, verb, tenant)
     }
 
@@ -160,8 +160,8 @@
         let common =
             format!("Host: lab\r\nX-Trace-Id: {cmd}\r\nX-Customer: {tenant}\r\nX-Expires-In-Ms: {left}\r\n");
         match repeats {
-            Repeats::Pure => format!("GET /{name} HTTP/1.1\r\n{common}\r\n"),
-            Repeats::Effectful => {
+            RetrySafety::Idempotent => format!("GET /{name} HTTP/1.1\r\n{common}\r\n"),
+            RetrySafety::NonIdempotent => {
                 format!("POST /{name} HTTP/1.1\r\n{common}Content-Length: 4\r\n\r\nbody")
             }
             _ => format!(
@@ -178,12 +178,12 @@
         until: Duration,
         conn: &mut Option<Peer>,
         target: &mut usize,
-    ) -> (Final, Option<&'static str>) {
+    ) -> (FinalOutcome, Option<&'static str>) {
         // Once for a kept connection that was closed meanwhile, and once for each copy that may be gone.
         for _ in 0..=self.plan.targets.len() {
             let left = until.saturating_sub(self.began.elapsed());
             if left.is_zero() {
-                return (Final::Lost, None);
+                return (FinalOutcome::Lost, None);
             }
             // One that its copy closed while it was idle has carried nothing of this command: a client dials anew.
             conn.take_if(|peer| peer.is_closed());
@@ -207,24 +207,24 @@
                     return (word, None);
                 }
                 Err(wrong) if matches!(wrong.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                    return (Final::Lost, Some("no final answer in time"));
+                    return (FinalOutcome::Lost, Some("no final answer in time"));
                 }
                 Err(_) if kept && self.may_ask_again(verb) => {}
-                Err(_) => return (Final::Lost, Some("its connection ended with no answer")),
+                Err(_) => return (FinalOutcome::Lost, Some("its connection ended with no answer")),
             }
         }
-        (Final::Lost, None)
+        (FinalOutcome::Lost, None)
     }
 
     fn may_ask_again(&self, verb: usize) -> bool {
-        self.plan.effects_again || self.plan.verbs[verb].repeats != Repeats::Effectful
+        self.plan.effects_again || self.plan.verbs[verb].repeats != RetrySafety::NonIdempotent
     }
 
-    fn word(heard: &Heard) -> Final {
+    fn word(heard: &Heard) -> FinalOutcome {
         match heard.status() {
-            Some(200) => Final::Answered,
-            Some(429 | 503) => Final::Declined,
-            _ => Final::Terminated,
+            Some(200) => FinalOutcome::Answered,
+            Some(429 | 503) => FinalOutcome::Declined,
+            _ => FinalOutcome::Terminated,
         }
     }
 }
--- a/crates/lab/src/sockets/fleet.rs
+++ b/crates/lab/src/sockets/fleet.rs
@@ -4,9 +4,9 @@
 use super::ledger::Ledger;
 use super::message::{Heard, Peer, answer};
 use super::ports::free;
-use crate::cold::{Bound, Brought, Peaks};
-use crate::plan::{Repeats, Spread};
-use crate::world::size;
+use crate::cold::{ColdPeaks, OfferedWork, OverloadBound};
+use crate::plan::{RetrySafety, WorkDistribution};
+use crate::world::work_multiple;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::io;
@@ -25,10 +25,10 @@
 #[derive(Clone, Debug)]
 pub struct Doing {
     pub name: String,
-    pub repeats: Repeats,
+    pub repeats: RetrySafety,
     /// Mean seconds of a core.
     pub work: f64,
-    pub spread: Spread,
+    pub spread: WorkDistribution,
     /// Calls to the next tier.
     pub calls: u32,
 }
@@ -56,7 +56,7 @@
     pub half_open_before: Option<Instant>,
     pub cold_from: Option<Instant>,
     pub draining_since: Option<Instant>,
-    pub says: Option<crate::plan::Lie>,
+    pub says: Option<crate::plan::FalseLoad>,
 }
 
 impl Default for Serving {
@@ -113,7 +113,7 @@
     cores: Mutex<usize>,
     freed: Condvar,
     /// What was brought to it while it was cold, and over all its lives before.
-    brought: Mutex<(Option<Instant>, Brought, Peaks)>,
+    brought: Mutex<(Option<Instant>, OfferedWork, ColdPeaks)>,
     waiting: AtomicU32,
     inside: AtomicU32,
     pub taken: AtomicU64,
@@ -301,7 +301,8 @@
         let fails = hit && serving.errors > 0.0 && rng.random::<f64>() < serving.errors;
         if !fails && doing.work > 0.0 {
             let heavy = serving.heavy_share > 0.0 && rng.random::<f64>() < serving.heavy_share;
-            let work = doing.work * size(doing.spread, rng) * if heavy { serving.heavy } else { 1.0 };
+            let work =
+                doing.work * work_multiple(doing.spread, rng) * if heavy { serving.heavy } else { 1.0 };
             thread::sleep(Duration::from_secs_f64(work * serving.slow / self.speed(&serving)));
         }
         self.give_core();
@@ -322,21 +323,25 @@
         let (mut brought, mean) = (locked(&self.brought), mean.max(1e-9));
         let (life, brought, peaks) = &mut *brought;
         if life.replace(from) != Some(from) {
-            brought.end(peaks);
+            brought.finish_process(peaks);
         }
         let able = self.make.cores as f64 * self.speed(serving) * rule.window.as_secs_f64();
-        let bound = Bound { window: rule.window, budget: rule.multiple * able / mean, least: rule.least };
-        if brought.bring(&self.make.name, self.ledger.now(), work / mean, bound) {
-            self.ledger.pushed_over(&self.make.name, brought.sent() * mean, able);
-            brought.forget();
+        let bound = OverloadBound {
+            window: rule.window,
+            budget: rule.multiple * able / mean,
+            min_requests: rule.least,
+        };
+        if brought.record(&self.make.name, self.ledger.now(), work / mean, bound) {
+            self.ledger.pushed_over(&self.make.name, brought.total() * mean, able);
+            brought.clear();
         }
     }
 
     /// What it was brought in its cold lives until now, which ends here.
-    pub fn cold_peaks(&self) -> Peaks {
+    pub fn cold_peaks(&self) -> ColdPeaks {
         let mut brought = locked(&self.brought);
         let (_, brought, peaks) = &mut *brought;
-        brought.end(peaks);
+        brought.finish_process(peaks);
         peaks.clone()
     }
 
@@ -377,7 +382,7 @@
         let left: u64 = heard.header("x-expires-in-ms").and_then(|text| text.parse().ok()).unwrap_or(1000);
         let method = heard.method();
         let key = match doing.repeats {
-            Repeats::Pure | Repeats::Effectful => String::new(),
+            RetrySafety::Idempotent | RetrySafety::NonIdempotent => String::new(),
             _ => format!("Idempotency-Key: {cmd}.{call}\r\n"),
         };
         let length = if method == "GET" { "" } else { "Content-Length: 0\r\n" };
@@ -411,14 +416,14 @@
     }
 
     fn report(&self) -> String {
-        use crate::plan::Lie;
+        use crate::plan::FalseLoad;
         let (queue, inside) = match self.serving().says {
-            Some(Lie::Idle) => (0, 0),
-            Some(Lie::Frozen) => {
+            Some(FalseLoad::Idle) => (0, 0),
+            Some(FalseLoad::Frozen) => {
                 let told = self.told.load(Ordering::Relaxed);
                 (told as u32, (told >> 32) as u32)
             }
-            Some(Lie::Busy) => (self.make.queue as u32, self.make.queue as u32),
+            Some(FalseLoad::Busy) => (self.make.queue as u32, self.make.queue as u32),
             None => {
                 let (queue, inside) =
                     (self.waiting.load(Ordering::Relaxed), self.inside.load(Ordering::Relaxed));
@@ -459,9 +464,9 @@
         };
         let doing = Doing {
             name: "view".into(),
-            repeats: Repeats::Pure,
+            repeats: RetrySafety::Idempotent,
             work: 0.05,
-            spread: Spread::Fixed,
+            spread: WorkDistribution::Fixed,
             calls: 0,
         };
         let mut fleet = Fleet::empty();
--- a/crates/lab/src/sockets/ledger.rs
+++ b/crates/lab/src/sockets/ledger.rs
@@ -1,7 +1,7 @@
 //! What the stand-ins saw, put together: which command began where and when, and how it ended. On sockets it is
 //! the referee of the rules that can be seen from outside.
 
-use crate::plan::Repeats;
+use crate::plan::RetrySafety;
 use crate::referee::Breach;
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -15,7 +15,7 @@
 struct Books {
     /// By command: the servers that began it.
     ran: BTreeMap<String, Vec<String>>,
-    declined: BTreeMap<String, Repeats>,
+    declined: BTreeMap<String, RetrySafety>,
     breaches: Vec<Breach>,
     counts: [u64; 4],
 }
@@ -42,8 +42,8 @@
     }
 
     /// A server begins a command: a second effect is a breach of rule 2, and so is one after a decline.
-    pub fn began(&self, cmd: &str, server: &str, repeats: Repeats) {
-        if cmd.is_empty() || repeats == Repeats::Pure {
+    pub fn began(&self, cmd: &str, server: &str, repeats: RetrySafety) {
+        if cmd.is_empty() || repeats == RetrySafety::Idempotent {
             return;
         }
         self.with(|books, at| {
@@ -52,8 +52,8 @@
             }
             let ran = books.ran.entry(cmd.to_string()).or_default();
             ran.push(server.to_string());
-            let twice = repeats == Repeats::Effectful && ran.len() > 1;
-            let declined = repeats == Repeats::Effectful && books.declined.contains_key(cmd);
+            let twice = repeats == RetrySafety::NonIdempotent && ran.len() > 1;
+            let declined = repeats == RetrySafety::NonIdempotent && books.declined.contains_key(cmd);
             if twice || declined {
                 let what = if twice { "a second effect" } else { "an effect of what was declined" };
                 books.breach(2, at, cmd, Some(server), what);
@@ -61,12 +61,12 @@
         });
     }
 
-    pub fn declined(&self, cmd: &str, repeats: Repeats) {
+    pub fn declined(&self, cmd: &str, repeats: RetrySafety) {
         self.with(|books, at| {
-            if repeats == Repeats::Effectful && books.ran.contains_key(cmd) {
+            if repeats == RetrySafety::NonIdempotent && books.ran.contains_key(cmd) {
                 books.breach(2, at, cmd, None, "a decline of what has run");
             }
-            if repeats == Repeats::Effectful {
+            if repeats == RetrySafety::NonIdempotent {
                 if books.declined.len() >= REMEMBERED_MOST {
                     books.declined.pop_first();
                 }
@@ -103,7 +103,7 @@
         if self.breaches.len() < TOLD_MOST {
             let server = server.map(str::to_string);
             let what = format!("{what} ({cmd})");
-            self.breaches.push(Breach { rule, at, cmd: None, server, copy: None, what });
+            self.breaches.push(Breach { rule, at, request: None, server, replica: None, description: what });
         }
     }
 }
--- a/crates/lab/src/sockets/load.rs
+++ b/crates/lab/src/sockets/load.rs
@@ -2,8 +2,8 @@
 //! the intended send.
 
 use super::callers::{Asking, CallPlan, Done, Pace, run};
-use crate::plan::Repeats;
-use crate::referee::Final;
+use crate::plan::RetrySafety;
+use crate::referee::FinalOutcome;
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::net::SocketAddr;
@@ -55,12 +55,12 @@
 impl Own<'_> {
     fn count(&mut self, done: &Done) {
         match done.word {
-            Final::Answered => self.figures.answered += 1,
-            Final::Declined => self.figures.declined += 1,
-            Final::Terminated => self.figures.terminated += 1,
-            Final::Left | Final::Lost => self.figures.lost += 1,
+            FinalOutcome::Answered => self.figures.answered += 1,
+            FinalOutcome::Declined => self.figures.declined += 1,
+            FinalOutcome::Terminated => self.figures.terminated += 1,
+            FinalOutcome::Left | FinalOutcome::Lost => self.figures.lost += 1,
         }
-        if done.word == Final::Answered {
+        if done.word == FinalOutcome::Answered {
             let took = done.ended.saturating_sub(done.intended).as_micros() as u64;
             self.latency.saturating_record(took.max(1));
         }
@@ -81,7 +81,8 @@
 }
 
 pub fn load(plan: &LoadPlan) -> Figures {
-    let asking = Asking { name: plan.verb.clone(), repeats: Repeats::Pure, share: 1.0, limit: plan.limit };
+    let asking =
+        Asking { name: plan.verb.clone(), repeats: RetrySafety::Idempotent, share: 1.0, limit: plan.limit };
     let calls = CallPlan {
         targets: plan.targets.clone(),
         verbs: vec![asking],
--- a/crates/lab/src/sockets/scene.rs
+++ b/crates/lab/src/sockets/scene.rs
@@ -10,10 +10,10 @@
 use super::ledger::Ledger;
 use super::ports::unused;
 use super::settings::{Told, config_of};
-use crate::plan::{Fault, Kind, Scenario, span};
-use crate::referee::Final;
-use crate::report::Line;
-use crate::tally::Tally;
+use crate::plan::{Fault, FaultKind, Scenario, to_duration};
+use crate::referee::FinalOutcome;
+use crate::report::RunReport;
+use crate::tally::Statistics;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -62,8 +62,8 @@
     program: &Path,
     dir: &Path,
     show: &mut dyn FnMut(&Seen),
-) -> Result<Line, String> {
-    if let Some(fault) = plan.in_virtual_time_only() {
+) -> Result<RunReport, String> {
+    if let Some(fault) = plan.first_virtual_time_only_fault() {
         return Err(format!("{} can be played in virtual time only", fault.label()));
     }
     let mut scene = Scene::build(plan, seed, program, dir)?;
@@ -74,14 +74,14 @@
 
 fn doing(plan: &Scenario, tier: usize) -> Verbs {
     let last = tier + 1 >= plan.tiers.len();
-    let one = |verb: &crate::plan::Verb| Doing {
+    let one = |verb: &crate::plan::RequestClass| Doing {
         name: verb.name.clone(),
-        repeats: verb.repeats,
+        repeats: verb.retry_safety,
         work: verb.mean_work(tier),
-        spread: verb.spread,
-        calls: if last { 0 } else { verb.calls },
+        spread: verb.work_distribution,
+        calls: if last { 0 } else { verb.downstream_calls },
     };
-    Arc::new(plan.verbs.iter().map(one).collect())
+    Arc::new(plan.request_classes.iter().map(one).collect())
 }
 
 fn io_told(wrong: std::io::Error) -> String {
@@ -137,13 +137,15 @@
         let make = Make {
             name: format!("t{number}s{place}"),
             cores: plan.cores,
-            queue: plan.queue,
+            queue: plan.queue_limit,
             speed: plan.speeds[place % plan.speeds.len()],
-            cold_share: plan.cold.share,
-            warm_after: span(plan.cold.warm_after),
+            cold_share: plan.cold_start.initial_fraction,
+            warm_after: to_duration(plan.cold_start.warmup),
             cold_most: None,
-            grace: span(self.plan.rules.grace) + span(self.plan.lists.lag) + Duration::from_millis(100),
-            reports: plan.reports != crate::plan::Reports::None,
+            grace: to_duration(self.plan.rules.removal_grace)
+                + to_duration(self.plan.discovery.delay)
+                + Duration::from_millis(100),
+            reports: plan.load_reports != crate::plan::ReportedLoad::None,
             behind,
             seed: self.seed,
         };
@@ -167,7 +169,7 @@
             zone: self.plan.zones[place % zones].clone(),
             cell: (place / zones) as u32 % self.plan.tiers[tier].cells,
             state,
-            weight: if self.plan.tiers[tier].weights_told { server.make.speed } else { 1.0 },
+            weight: if self.plan.tiers[tier].lists_weights { server.make.speed } else { 1.0 },
             started,
         }
     }
@@ -179,7 +181,7 @@
         program: &Path,
         dir: &Path,
     ) -> Result<Vec<Sidecar>, String> {
-        let copies = self.plan.front.copies;
+        let copies = self.plan.front.replicas;
         let one = |ordinal: usize| {
             let name = format!("t{number}n{ordinal}");
             let listen = unused().into();
@@ -202,32 +204,35 @@
     }
 
     fn call_plan(&self) -> CallPlan {
-        let limit = self.plan.verbs.iter().map(|verb| verb.limit).fold(0.0, f64::max);
-        let asking = |verb: &crate::plan::Verb| Asking {
+        let limit = self.plan.request_classes.iter().map(|verb| verb.time_limit).fold(0.0, f64::max);
+        let asking = |verb: &crate::plan::RequestClass| Asking {
             name: verb.name.clone(),
-            repeats: verb.repeats,
+            repeats: verb.retry_safety,
             share: verb.share,
-            limit: span(verb.limit),
+            limit: to_duration(verb.time_limit),
         };
         CallPlan {
             targets: self.tiers[0].sidecars.iter().map(|sidecar| sidecar.address).collect(),
-            verbs: self.plan.verbs.iter().map(asking).collect(),
+            verbs: self.plan.request_classes.iter().map(asking).collect(),
             tenants: self.plan.tenants.iter().map(|tenant| (tenant.name.clone(), tenant.share)).collect(),
             connections: (self.plan.load.rate * limit).clamp(8.0, CONNECTIONS_MOST) as usize,
-            length: span(self.plan.seconds),
+            length: to_duration(self.plan.seconds),
             seed: self.seed,
             prefix: "c".into(),
             effects_again: true,
         }
     }
 
-    fn run(&mut self, show: &mut dyn FnMut(&Seen)) -> Result<Line, String> {
+    fn run(&mut self, show: &mut dyn FnMut(&Seen)) -> Result<RunReport, String> {
         let calls = self.call_plan();
-        let tally = Mutex::new(Tally::new(span(self.plan.settle), self.plan.tenants.len(), 0));
+        let tally = Mutex::new(Statistics::new(to_duration(self.plan.settle), self.plan.tenants.len(), 0));
         let (pace, stop) = (Pace::new(self.plan.load.rate), AtomicBool::new(false));
         // Where copies die, what they held is lost: no decision of theirs.
-        let strict =
-            !self.plan.faults.iter().any(|f| matches!(f.kind, Kind::CopiesRestarted | Kind::ZoneLost));
+        let strict = !self
+            .plan
+            .faults
+            .iter()
+            .any(|f| matches!(f.kind, FaultKind::ReplicasRestarted | FaultKind::ZoneLost));
         let (ledger, plan) = (self.ledger.clone(), self.plan.clone());
         self.began = Instant::now();
         let began = self.began;
@@ -248,29 +253,29 @@
         driven?;
         let (breaches, counts) = self.ledger.close();
         let tally = tally.into_inner().unwrap_or_else(PoisonError::into_inner);
-        let (mut totals, seconds, marks) = tally.close();
+        let (mut totals, seconds, marks) = tally.finish();
         // Stand-ins count what came to them over the whole run, the settling time included.
         let taken = |server: &Arc<Server>| server.taken.load(Ordering::Relaxed);
-        totals.relays = self.tiers[0].fleet.servers.iter().map(taken).sum();
-        let came: u64 = seconds.iter().map(|second| u64::from(second.came)).sum();
-        totals.relays_each = totals.relays as f64 / came.max(1) as f64;
-        Ok(Line {
+        totals.attempts = self.tiers[0].fleet.servers.iter().map(taken).sum();
+        let came: u64 = seconds.iter().map(|second| u64::from(second.arrived)).sum();
+        totals.attempts_per_request = totals.attempts as f64 / came.max(1) as f64;
+        Ok(RunReport {
             name: "landingspread on sockets".into(),
             totals,
             seconds,
-            marks,
-            broken: counts,
+            ejections: marks,
+            breach_counts: counts,
             breaches: breaches.iter().map(ToString::to_string).collect(),
         })
     }
 
     fn drive(
         &mut self,
-        tally: &Mutex<Tally>,
+        tally: &Mutex<Statistics>,
         pace: &Pace,
         show: &mut dyn FnMut(&Seen),
     ) -> Result<(), String> {
-        let length = span(self.plan.seconds);
+        let length = to_duration(self.plan.seconds);
         let mut second = 0;
         while self.began.elapsed() < length {
             thread::sleep(TICK);
@@ -290,8 +295,8 @@
             if now.as_secs() as usize > second {
                 let loads = self.loads();
                 let mut tally = tally.lock().unwrap_or_else(PoisonError::into_inner);
-                tally.sample(now, &loads);
-                if let Some(of) = tally.last() {
+                tally.end_second(now, &loads);
+                if let Some(of) = tally.last_second() {
                     show(&Seen { second, of, servers: self.standing(), faults: self.fault_names() });
                 }
                 second += 1;
@@ -342,12 +347,12 @@
     fn faults(&mut self, now: Duration, pace: &Pace) -> Result<(), String> {
         for (number, fault) in self.plan.clone().faults.iter().enumerate() {
             let begun = self.active.contains(&number) || self.ended.contains(&number);
-            if !begun && now >= span(fault.at) {
+            if !begun && now >= to_duration(fault.at) {
                 self.active.push(number);
                 self.begin(number, fault, now)?;
                 self.settle();
             }
-            if self.active.contains(&number) && now >= span(fault.at + fault.lasts) {
+            if self.active.contains(&number) && now >= to_duration(fault.at + fault.duration) {
                 self.active.retain(|active| *active != number);
                 self.ended.push(number);
                 self.finish(fault, now);
@@ -374,7 +379,7 @@
             self.tell(tier, place, "gone", None, now);
         }
         let surges = self.active.iter().map(|number| &self.plan.faults[*number]);
-        let factor: f64 = surges.filter(|f| f.kind == Kind::Surge).filter_map(|f| f.factor).product();
+        let factor: f64 = surges.filter(|f| f.kind == FaultKind::Surge).filter_map(|f| f.factor).product();
         pace.set(self.plan.load.rate * factor);
         Ok(())
     }
@@ -395,7 +400,7 @@
     ) {
         let late = self.active.iter().map(|number| &self.plan.faults[*number]);
         let late: f64 = late
-            .filter(|fault| fault.kind == Kind::ListLate && fault.tier == tier)
+            .filter(|fault| fault.kind == FaultKind::ListLate && fault.tier == tier)
             .filter_map(|fault| fault.seconds)
             .sum();
         let server = self.tiers[tier].fleet.servers[place].clone();
@@ -405,7 +410,7 @@
         {
             entry.started = known.started;
         }
-        self.words.push((now + span(self.plan.lists.lag + late), tier, entry));
+        self.words.push((now + to_duration(self.plan.discovery.delay + late), tier, entry));
     }
 
     fn say_words(&mut self, now: Duration) {
@@ -422,28 +427,30 @@
         for (tier, built) in self.tiers.iter().enumerate() {
             for (place, server) in built.fleet.servers.iter().enumerate() {
                 let mine = |fault: &&Fault| fault.tier == tier && fault.servers.contains(&place);
-                let of = |kind: Kind| faults.iter().filter(mine).find(move |fault| fault.kind == kind);
-                let all =
-                    |kind: Kind| faults.iter().find(move |fault| fault.kind == kind && fault.tier == tier);
-                let slow = of(Kind::Slow).and_then(|fault| fault.factor).unwrap_or(1.0);
-                let shared = all(Kind::SharedSlowness).and_then(|fault| fault.factor).unwrap_or(1.0);
+                let of = |kind: FaultKind| faults.iter().filter(mine).find(move |fault| fault.kind == kind);
+                let all = |kind: FaultKind| {
+                    faults.iter().find(move |fault| fault.kind == kind && fault.tier == tier)
+                };
+                let slow = of(FaultKind::Slow).and_then(|fault| fault.factor).unwrap_or(1.0);
+                let shared = all(FaultKind::SharedSlowness).and_then(|fault| fault.factor).unwrap_or(1.0);
                 server.change(|serving| {
                     serving.slow = slow * shared;
-                    serving.errors = of(Kind::Errors).and_then(|fault| fault.share).unwrap_or(0.0);
-                    serving.errors_of = of(Kind::Errors).and_then(|fault| fault.verb.clone());
-                    serving.heavy = all(Kind::Heavy).and_then(|fault| fault.factor).unwrap_or(1.0);
-                    serving.heavy_share = all(Kind::Heavy).map_or(0.0, |fault| fault.share.unwrap_or(1.0));
-                    serving.paused = of(Kind::Pause).is_some();
-                    serving.says = of(Kind::ReportsLie).and_then(|fault| fault.says);
+                    serving.errors = of(FaultKind::Errors).and_then(|fault| fault.share).unwrap_or(0.0);
+                    serving.errors_of = of(FaultKind::Errors).and_then(|fault| fault.request_class.clone());
+                    serving.heavy = all(FaultKind::Heavy).and_then(|fault| fault.factor).unwrap_or(1.0);
+                    serving.heavy_share =
+                        all(FaultKind::Heavy).map_or(0.0, |fault| fault.share.unwrap_or(1.0));
+                    serving.paused = of(FaultKind::Pause).is_some();
+                    serving.says = of(FaultKind::FalseLoadReports).and_then(|fault| fault.false_load);
                 });
             }
         }
         for (tier, built) in self.tiers.iter().enumerate() {
-            let has = |kind: Kind| faults.iter().any(|fault| fault.kind == kind && fault.tier == tier);
+            let has = |kind: FaultKind| faults.iter().any(|fault| fault.kind == kind && fault.tier == tier);
             let trouble = match () {
-                () if has(Kind::ListDown) => Trouble::Down,
-                () if has(Kind::ListEmpty) => Trouble::Empty,
-                () if has(Kind::ListStale) => Trouble::Stale,
+                () if has(FaultKind::ListDown) => Trouble::Down,
+                () if has(FaultKind::ListEmpty) => Trouble::Empty,
+                () if has(FaultKind::ListStale) => Trouble::Stale,
                 () => Trouble::None,
             };
             built.discovery.set_trouble_if_new(trouble);
@@ -451,35 +458,39 @@
     }
 
     fn begin(&mut self, number: usize, fault: &Fault, now: Duration) -> Result<(), String> {
-        let notice = span(self.plan.lists.notice);
+        let notice = to_duration(self.plan.discovery.removal_delay);
         match fault.kind {
-            Kind::Crash | Kind::Vanish => {
+            FaultKind::Crash | FaultKind::Vanish => {
                 for (server, place) in self.struck(fault).into_iter().zip(&fault.servers) {
                     server.change(|serving| match fault.kind {
-                        Kind::Crash => serving.down = true,
+                        FaultKind::Crash => serving.down = true,
                         _ => serving.silent = true,
                     });
                     // A short absence is over before the list notices it.
-                    if fault.lasts > self.plan.lists.notice {
+                    if fault.duration > self.plan.discovery.removal_delay {
                         self.tell(fault.tier, *place, "gone", None, now + notice);
                     }
                 }
             }
-            Kind::HalfOpen => {
+            FaultKind::HalfOpen => {
                 let forget =
                     |serving: &mut super::fleet::Serving| serving.half_open_before = Some(Instant::now());
                 self.struck(fault).iter().for_each(|server| server.change(forget));
             }
-            Kind::Grow => self.grow(fault, now)?,
-            Kind::Shrink => {
+            FaultKind::Grow => self.grow(fault, now)?,
+            FaultKind::Shrink => {
                 for (server, place) in self.struck(fault).into_iter().zip(&fault.servers) {
                     self.tell(fault.tier, *place, "draining", None, now);
                     server.change(|serving| serving.draining_since = Some(Instant::now()));
-                    self.leaving.push((now + span(self.plan.lists.drain), fault.tier, *place));
+                    self.leaving.push((
+                        now + to_duration(self.plan.discovery.drain_time),
+                        fault.tier,
+                        *place,
+                    ));
                 }
             }
-            Kind::ListFlapping | Kind::CopiesRestarted => self.steps.push((now, number, 0)),
-            Kind::ZoneLost => self.lose_zone(fault, now),
+            FaultKind::ListFlapping | FaultKind::ReplicasRestarted => self.steps.push((now, number, 0)),
+            FaultKind::ZoneLost => self.lose_zone(fault, now),
             _ => {}
         }
         Ok(())
@@ -487,13 +498,13 @@
 
     fn finish(&mut self, fault: &Fault, now: Duration) {
         match fault.kind {
-            Kind::Crash | Kind::Vanish => {
+            FaultKind::Crash | FaultKind::Vanish => {
                 fault.servers.iter().for_each(|place| self.start_server(fault.tier, *place, now));
             }
-            Kind::ListFlapping => {
+            FaultKind::ListFlapping => {
                 fault.servers.iter().for_each(|place| self.tell(fault.tier, *place, "ready", None, now));
             }
-            Kind::ZoneLost => {
+            FaultKind::ZoneLost => {
                 for tier in 0..self.tiers.len() {
                     for place in self.places_in(tier, fault) {
                         self.start_server(tier, place, now);
@@ -541,27 +552,27 @@
         for tier in 0..self.tiers.len() {
             for place in self.places_in(tier, fault) {
                 self.tiers[tier].fleet.servers[place].change(|serving| serving.silent = true);
-                self.tell(tier, place, "gone", None, now + span(self.plan.lists.notice));
+                self.tell(tier, place, "gone", None, now + to_duration(self.plan.discovery.removal_delay));
             }
         }
         let zone = self.plan.zones.iter().position(|zone| Some(zone) == fault.zone.as_ref());
         for copy in 0..self.tiers[0].sidecars.len() {
             if Some(copy % self.plan.zones.len()) == zone {
                 self.tiers[0].sidecars[copy].kill();
-                self.away.push((span(fault.at + fault.lasts), copy));
+                self.away.push((to_duration(fault.at + fault.duration), copy));
             }
         }
     }
 
     fn step(&mut self, number: usize, step: u32, now: Duration) {
         let fault = self.plan.faults[number].clone();
-        let every = span(fault.seconds.unwrap_or(1.0));
+        let every = to_duration(fault.seconds.unwrap_or(1.0));
         match fault.kind {
-            Kind::ListFlapping if self.active.contains(&number) => {
+            FaultKind::ListFlapping if self.active.contains(&number) => {
                 let state = if step.is_multiple_of(2) { "draining" } else { "ready" };
                 fault.servers.iter().for_each(|place| self.tell(fault.tier, *place, state, None, now));
             }
-            Kind::CopiesRestarted if (step as usize) < self.plan.copies_of(&fault) => {
+            FaultKind::ReplicasRestarted if (step as usize) < self.plan.affected_replicas(&fault) => {
                 self.tiers[0].sidecars[step as usize].kill();
                 self.away.push((now + Duration::from_secs(1), step as usize));
             }
@@ -584,17 +595,17 @@
     }
 }
 
-fn note(tally: &mut Tally, ledger: &Ledger, plan: &Scenario, done: &Done, strict: bool) {
-    let verb = &plan.verbs[done.verb];
-    tally.offered(done.intended, verb.utility, done.tenant);
-    tally.final_word(done.ended, done.intended, done.word);
+fn note(tally: &mut Statistics, ledger: &Ledger, plan: &Scenario, done: &Done, strict: bool) {
+    let verb = &plan.request_classes[done.verb];
+    tally.record_arrival(done.intended, verb.utility, done.tenant);
+    tally.record_final_outcome(done.ended, done.intended, done.word);
     let took = done.ended.saturating_sub(done.intended).as_secs_f64();
-    if done.word == Final::Answered {
-        let earned = if took <= verb.goal { verb.utility } else { verb.overdue_utility };
-        tally.earned(done.ended, done.intended, earned, done.tenant);
+    if done.word == FinalOutcome::Answered {
+        let earned = if took <= verb.latency_objective { verb.utility } else { verb.late_utility };
+        tally.record_utility(done.ended, done.intended, earned, done.tenant);
     }
-    if done.word == Final::Declined {
-        ledger.declined(done.cmd, verb.repeats);
+    if done.word == FinalOutcome::Declined {
+        ledger.declined(done.cmd, verb.retry_safety);
     }
     if let Some(why) = done.lost.filter(|_| strict) {
         ledger.unanswered(done.cmd, why);
@@ -602,9 +613,9 @@
 }
 
 /// Notes the ejections and returns in the sidecars' logs.
-fn note_mark(tally: &mut Tally, now: Duration, copy: usize, line: &str) {
+fn note_mark(tally: &mut Statistics, now: Duration, copy: usize, line: &str) {
     if let Some(note) = ejection_note(line) {
-        tally.noted(now, copy, &note);
+        tally.record_note(now, copy, &note);
     }
 }
 
--- a/crates/lab/src/sockets/settings.rs
+++ b/crates/lab/src/sockets/settings.rs
@@ -1,6 +1,6 @@
 //! A scenario as the configuration of a real sidecar, in the platform's form.
 
-use crate::plan::{Repeats, Scenario, Verb};
+use crate::plan::{RequestClass, RetrySafety, Scenario};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
@@ -23,17 +23,17 @@
     (seconds * 1e6).round() as u64
 }
 
-fn verb(verb: &Verb) -> Value {
-    let (effect, scope) = match verb.repeats {
-        Repeats::Pure => ("idempotent", "all"),
-        Repeats::ReceiptedAll => ("deduplicated", "all"),
-        Repeats::ReceiptedZone => ("deduplicated", "zone"),
-        Repeats::ReceiptedCell => ("deduplicated", "cell"),
-        Repeats::Effectful => ("at_most_once", "all"),
+fn verb(verb: &RequestClass) -> Value {
+    let (effect, scope) = match verb.retry_safety {
+        RetrySafety::Idempotent => ("idempotent", "all"),
+        RetrySafety::KeyedEverywhere => ("deduplicated", "all"),
+        RetrySafety::KeyedInZone => ("deduplicated", "zone"),
+        RetrySafety::KeyedInCell => ("deduplicated", "cell"),
+        RetrySafety::NonIdempotent => ("at_most_once", "all"),
     };
-    json!({"Name": verb.name, "Effect": effect, "KeyScope": scope, "MemorySpan": micros(verb.memory),
-        "TimeLimit": micros(verb.limit), "ResponseGoal": micros(verb.goal), "Utility": verb.utility,
-        "OverdueUtility": verb.overdue_utility})
+    json!({"Name": verb.name, "Effect": effect, "KeyScope": scope, "MemorySpan": micros(verb.dedup_window),
+        "TimeLimit": micros(verb.time_limit), "ResponseGoal": micros(verb.latency_objective), "Utility": verb.utility,
+        "OverdueUtility": verb.late_utility})
 }
 
 pub fn config_of(plan: &Scenario, told: &Told) -> Value {
@@ -51,15 +51,15 @@
         "limits": {"cores": 1.0, "memory_mb": told.memory_mb, "sockets": told.sockets}, "known": told.known,
         "settings": {"Balancers": told.copies, "Ordinal": told.ordinal, "Discovery": "automatic",
             "Localities": plan.zones, "MyZone": told.zone, "Tier": told.tier, "Resolution": 1000,
-            "BeyondShareUtility": rules.beyond_quota,
-            "Verbs": plan.verbs.iter().map(verb).collect::<Vec<_>>(),
+            "BeyondShareUtility": rules.over_quota_value,
+            "Verbs": plan.request_classes.iter().map(verb).collect::<Vec<_>>(),
             "Tenants": tenants.collect::<Vec<_>>(),
-            "Costs": {"CrossZone": rules.crossing},
-            "PolicyLimits": {"MayCancel": rules.cancel, "Probes": tier.checks, "MostRelays": rules.relays,
-                "ConnIdle": micros(tier.connections.idle), "DialTimeout": micros(tier.connections.dial),
-                "RetryAfter": rules.come_back > 0.0, "MaxRetryAfter": micros(rules.come_back),
+            "Costs": {"CrossZone": rules.cross_zone_cost},
+            "PolicyLimits": {"MayCancel": rules.cancellation, "Probes": tier.health_checks, "MostRelays": rules.max_attempts,
+                "ConnIdle": micros(tier.connections.idle_timeout), "DialTimeout": micros(tier.connections.connect_timeout),
+                "RetryAfter": rules.max_retry_after > 0.0, "MaxRetryAfter": micros(rules.max_retry_after),
                 "MaxOpen": 20_000},
-            "Rules": {"ColdShare": tier.cold.share, "Cold": micros(tier.cold.warm_after),
-                "TipMultiple": tier.cold.multiple, "Fall": micros(tier.cold.window),
-                "DrainGrace": micros(rules.grace), "AskEvery": 10_000_000, "AnswerSlack": 20_000}}})
+            "Rules": {"ColdShare": tier.cold_start.initial_fraction, "Cold": micros(tier.cold_start.warmup),
+                "TipMultiple": tier.cold_start.overload_multiple, "Fall": micros(tier.cold_start.overload_window),
+                "DrainGrace": micros(rules.removal_grace), "AskEvery": 10_000_000, "AnswerSlack": 20_000}}})
 }
--- a/crates/lab/src/tally.rs
+++ b/crates/lab/src/tally.rs
@@ -1,6 +1,6 @@
 //! What a run is measured by: final answers, utility, latencies, marks and loads, second by second.
 
-use crate::referee::Final;
+use crate::referee::FinalOutcome;
 use hdrhistogram::Histogram;
 use landingspread_decisions::host::Outcome;
 use serde::{Deserialize, Serialize};
@@ -15,7 +15,8 @@
 pub struct Second {
     pub offered: f64,
     pub earned: f64,
-    pub came: u32,
+    #[serde(rename = "came")]
+    pub arrived: u32,
     pub answered: u32,
     pub declined: u32,
     pub terminated: u32,
@@ -31,16 +32,18 @@
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-pub struct Marked {
+pub struct EjectionNote {
     pub at: f64,
-    pub copy: usize,
+    #[serde(rename = "copy")]
+    pub replica: usize,
     /// The copy's own words: `mark s3`, `return s3`.
-    pub note: String,
+    #[serde(rename = "note")]
+    pub text: String,
 }
 
 /// Relays to one tier, of commands that came to the first tier past the settling time.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq)]
-pub struct TierTotals {
+pub struct TierAttempts {
     /// First relays: one for each call that was sent on at all.
     pub first: u64,
     /// Further ones, by how the one before ended: it never ran.
@@ -51,8 +54,8 @@
     pub after_cancelled: u64,
 }
 
-impl TierTotals {
-    pub fn relays(&self) -> u64 {
+impl TierAttempts {
+    pub fn total(&self) -> u64 {
         self.first + self.after_never_ran + self.after_failed + self.after_cancelled
     }
 }
@@ -61,39 +64,47 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub struct Totals {
     /// Earned utility as a share of the offered.
-    pub kept: f64,
-    pub came: u64,
+    #[serde(rename = "kept")]
+    pub utility_fraction: f64,
+    #[serde(rename = "came")]
+    pub arrived: u64,
     pub answered: u64,
-    pub in_goal: u64,
+    #[serde(rename = "in_goal")]
+    pub within_objective: u64,
     pub declined: u64,
     pub terminated: u64,
     pub left: u64,
     pub lost: u64,
-    pub relays: u64,
+    #[serde(rename = "relays")]
+    pub attempts: u64,
     /// Relays for each command.
-    pub relays_each: f64,
+    #[serde(rename = "relays_each")]
+    pub attempts_per_request: f64,
     /// Milliseconds from a command's coming to its answer.
     pub p50: f64,
     pub p90: f64,
     pub p99: f64,
     pub p999: f64,
     /// Commands that clients had no copy for, or the world no room.
-    pub unheard: u64,
+    #[serde(rename = "unheard")]
+    pub not_accepted: u64,
     /// Relays to servers that could not be reached, and when the last of them was sent, in seconds since the start.
     #[serde(default)]
-    pub vain: u64,
+    #[serde(rename = "vain")]
+    pub unreachable_attempts: u64,
     #[serde(default)]
-    pub vain_last: f64,
+    #[serde(rename = "vain_last")]
+    pub last_unreachable_at: f64,
     pub tenants: Vec<f64>,
     /// In order of the tiers.
     #[serde(default)]
-    pub tiers: Vec<TierTotals>,
+    pub tiers: Vec<TierAttempts>,
 }
 
 impl Totals {
     /// Relays to the last tier over the commands that clients wanted: 1 where nothing is repeated or given up.
-    pub fn bottom_over_top(&self) -> f64 {
-        self.tiers.last().map_or(0, TierTotals::relays) as f64 / self.came.max(1) as f64
+    pub fn attempt_amplification(&self) -> f64 {
+        self.tiers.last().map_or(0, TierAttempts::total) as f64 / self.arrived.max(1) as f64
     }
 }
 
@@ -102,7 +113,7 @@
     Histogram::new_with_bounds(1, 3_600_000_000, 2).expect("bounds and digits are within what it takes")
 }
 
-pub struct Tally {
+pub struct Statistics {
     settle: Duration,
     seconds: Vec<Second>,
     within: Histogram<u64>,
@@ -111,7 +122,7 @@
     offered: f64,
     earned: f64,
     by_tenant: Vec<(f64, f64)>,
-    marks: Vec<Marked>,
+    marks: Vec<EjectionNote>,
     filled: usize,
 }
 
@@ -119,14 +130,14 @@
     histogram.value_at_quantile(share) as f64 / 1000.0
 }
 
-impl Tally {
-    pub fn new(settle: Duration, tenants: usize, tiers: usize) -> Tally {
-        Tally {
+impl Statistics {
+    pub fn new(settle: Duration, tenants: usize, tiers: usize) -> Statistics {
+        Statistics {
             settle,
             seconds: Vec::new(),
             within: histogram(),
             all: histogram(),
-            totals: Totals { tiers: vec![TierTotals::default(); tiers], ..Totals::default() },
+            totals: Totals { tiers: vec![TierAttempts::default(); tiers], ..Totals::default() },
             offered: 0.0,
             earned: 0.0,
             by_tenant: vec![(0.0, 0.0); tenants],
@@ -144,46 +155,46 @@
     }
 
     /// `counted` is whether its first coming lies past the settling time.
-    pub fn offered(&mut self, now: Duration, utility: f64, tenant: usize) {
+    pub fn record_arrival(&mut self, now: Duration, utility: f64, tenant: usize) {
         let second = self.second(now);
         second.offered += utility;
-        second.came += 1;
+        second.arrived += 1;
         if now >= self.settle {
-            self.totals.came += 1;
+            self.totals.arrived += 1;
             self.offered += utility;
             self.by_tenant[tenant].0 += utility;
         }
     }
 
-    pub fn earned(&mut self, now: Duration, since: Duration, utility: f64, tenant: usize) {
+    pub fn record_utility(&mut self, now: Duration, since: Duration, utility: f64, tenant: usize) {
         self.second(now).earned += utility;
         if since >= self.settle {
             self.earned += utility;
-            self.totals.in_goal += u64::from(utility > 0.0);
+            self.totals.within_objective += u64::from(utility > 0.0);
             self.by_tenant[tenant].1 += utility;
         }
     }
 
-    pub fn final_word(&mut self, now: Duration, since: Duration, word: Final) {
+    pub fn record_final_outcome(&mut self, now: Duration, since: Duration, word: FinalOutcome) {
         let counted = u64::from(since >= self.settle);
         let second = self.second(now);
         let of_second = match word {
-            Final::Answered => &mut second.answered,
-            Final::Declined => &mut second.declined,
-            Final::Terminated => &mut second.terminated,
-            Final::Left => &mut second.left,
-            Final::Lost => &mut second.lost,
+            FinalOutcome::Answered => &mut second.answered,
+            FinalOutcome::Declined => &mut second.declined,
+            FinalOutcome::Terminated => &mut second.terminated,
+            FinalOutcome::Left => &mut second.left,
+            FinalOutcome::Lost => &mut second.lost,
         };
         *of_second += 1;
         let of_all = match word {
-            Final::Answered => &mut self.totals.answered,
-            Final::Declined => &mut self.totals.declined,
-            Final::Terminated => &mut self.totals.terminated,
-            Final::Left => &mut self.totals.left,
-            Final::Lost => &mut self.totals.lost,
+            FinalOutcome::Answered => &mut self.totals.answered,
+            FinalOutcome::Declined => &mut self.totals.declined,
+            FinalOutcome::Terminated => &mut self.totals.terminated,
+            FinalOutcome::Left => &mut self.totals.left,
+            FinalOutcome::Lost => &mut self.totals.lost,
         };
         *of_all += counted;
-        if word == Final::Answered {
+        if word == FinalOutcome::Answered {
             let took = now.saturating_sub(since).as_micros() as u64;
             self.within.saturating_record(took.max(1));
             if counted > 0 {
@@ -193,16 +204,16 @@
     }
 
     /// `vain`: its server can't be reached from there.
-    pub fn relayed(&mut self, now: Duration, vain: bool) {
-        self.totals.relays += u64::from(now >= self.settle);
+    pub fn record_attempt(&mut self, now: Duration, vain: bool) {
+        self.totals.attempts += u64::from(now >= self.settle);
         if vain && now >= self.settle {
-            self.totals.vain += 1;
-            self.totals.vain_last = now.as_secs_f64();
+            self.totals.unreachable_attempts += 1;
+            self.totals.last_unreachable_at = now.as_secs_f64();
         }
     }
 
     /// `since` is when its command came to the first tier; `before` how the relay before it ended, if there was one.
-    pub fn relayed_at(&mut self, tier: usize, since: Duration, before: Option<Option<Outcome>>) {
+    pub fn record_tier_attempt(&mut self, tier: usize, since: Duration, before: Option<Option<Outcome>>) {
         let Some(of_tier) = self.totals.tiers.get_mut(tier).filter(|_| since >= self.settle) else { return };
         match before {
             None => of_tier.first += 1,
@@ -212,18 +223,18 @@
         }
     }
 
-    pub fn unheard(&mut self, now: Duration) {
-        self.totals.unheard += u64::from(now >= self.settle);
+    pub fn record_not_accepted(&mut self, now: Duration) {
+        self.totals.not_accepted += u64::from(now >= self.settle);
     }
 
-    pub fn noted(&mut self, now: Duration, copy: usize, note: &str) {
+    pub fn record_note(&mut self, now: Duration, copy: usize, note: &str) {
         if self.marks.len() < MARKS_MOST && (note.starts_with("mark") || note.starts_with("return")) {
-            self.marks.push(Marked { at: now.as_secs_f64(), copy, note: note.into() });
+            self.marks.push(EjectionNote { at: now.as_secs_f64(), replica: copy, text: note.into() });
         }
     }
 
     /// Ends a second. `loads` are the servers' commands for each core.
-    pub fn sample(&mut self, now: Duration, loads: &[f64]) {
+    pub fn end_second(&mut self, now: Duration, loads: &[f64]) {
         let (p50, p99) = (ms(&self.within, 0.5), ms(&self.within, 0.99));
         self.within.reset();
         let at = self.filled;
@@ -236,16 +247,16 @@
     }
 
     /// The second that was ended last.
-    pub fn last(&self) -> Option<&Second> {
+    pub fn last_second(&self) -> Option<&Second> {
         self.seconds.get(self.filled.checked_sub(1)?)
     }
 
-    pub fn close(mut self) -> (Totals, Vec<Second>, Vec<Marked>) {
+    pub fn finish(mut self) -> (Totals, Vec<Second>, Vec<EjectionNote>) {
         let part = |(offered, earned): &(f64, f64)| if *offered > 0.0 { earned / offered } else { 1.0 };
         let whole = (self.offered, self.earned);
-        self.totals.kept = part(&whole);
+        self.totals.utility_fraction = part(&whole);
         self.totals.tenants = self.by_tenant.iter().map(part).collect();
-        self.totals.relays_each = self.totals.relays as f64 / self.totals.came.max(1) as f64;
+        self.totals.attempts_per_request = self.totals.attempts as f64 / self.totals.arrived.max(1) as f64;
         self.totals.p50 = ms(&self.all, 0.5);
         self.totals.p90 = ms(&self.all, 0.9);
         self.totals.p99 = ms(&self.all, 0.99);
--- a/crates/lab/src/world/clients.rs
+++ b/crates/lab/src/world/clients.rs
@@ -1,11 +1,11 @@
 //! Clients: they send at a rate that nothing slows down, go away, and try again. It owns what a final word means
 //! to whoever asked, a client or a server of the tier before.
 
-use super::dice::{deal, exponential, size};
+use super::dice::{exponential, weighted_index, work_multiple};
 use super::ground::{CMDS_MOST, Cmd, Ground, Origin};
 use super::happening::{Happening, Leg};
-use crate::plan::{Kind, Repeats, span};
-use crate::referee::Final;
+use crate::plan::{FaultKind, RetrySafety, to_duration};
+use crate::referee::FinalOutcome;
 use landingspread_decisions::host::Outcome;
 use rand::Rng;
 use std::time::Duration;
@@ -13,7 +13,8 @@
 impl Ground {
     /// Commands a second that clients send now.
     fn rate(&self) -> f64 {
-        let surges = self.faults().filter(|fault| fault.kind == Kind::Surge).filter_map(|fault| fault.factor);
+        let surges =
+            self.faults().filter(|fault| fault.kind == FaultKind::Surge).filter_map(|fault| fault.factor);
         self.plan.load.rate * surges.product::<f64>()
     }
 
@@ -21,10 +22,10 @@
     /// changes nothing of what came before it.
     pub fn arrival(&mut self) {
         let most = self.rate_most();
-        if most <= 0.0 || self.now >= span(self.plan.seconds) {
+        if most <= 0.0 || self.now >= to_duration(self.plan.seconds) {
             return;
         }
-        let gap = span(exponential(&mut self.dice.arrivals) / most);
+        let gap = to_duration(exponential(&mut self.dice.arrivals) / most);
         self.put_in(gap, Happening::Arrival);
         let dice = &mut self.dice.arrivals;
         let (kept, zone, tenant, verb) = (dice.random(), dice.random(), dice.random(), dice.random());
@@ -34,23 +35,23 @@
         let plan = self.plan.clone();
         let zones = &plan.front.zone_shares;
         let zone = match zones.is_empty() {
-            true => deal(plan.zones.iter().map(|_| 1.0), zone),
-            false => deal(zones.iter().copied(), zone),
+            true => weighted_index(plan.zones.iter().map(|_| 1.0), zone),
+            false => weighted_index(zones.iter().copied(), zone),
         };
-        let tenant = deal(plan.tenants.iter().map(|tenant| tenant.share), tenant);
-        let verb = deal(plan.verbs.iter().map(|verb| verb.share), verb);
-        let size = size(plan.verbs[verb].spread, &mut self.dice.arrivals);
+        let tenant = weighted_index(plan.tenants.iter().map(|tenant| tenant.share), tenant);
+        let verb = weighted_index(plan.request_classes.iter().map(|verb| verb.share), verb);
+        let size = work_multiple(plan.request_classes[verb].work_distribution, &mut self.dice.arrivals);
         let beyond = self.beyond_quota(tenant);
         let origin =
             Origin { verb, tenant, zone: zone as u32, size, tries: 0, beyond, ran: Vec::new(), live: 1 };
-        let utility = self.utility(&origin, plan.verbs[verb].utility);
-        self.tally.offered(self.now, utility, tenant);
+        let utility = self.utility(&origin, plan.request_classes[verb].utility);
+        self.tally.record_arrival(self.now, utility, tenant);
         let origin = self.origins.add(origin);
         self.send(origin);
     }
 
     fn rate_most(&self) -> f64 {
-        let surge = |fault: &&crate::plan::Fault| fault.kind == Kind::Surge;
+        let surge = |fault: &&crate::plan::Fault| fault.kind == FaultKind::Surge;
         let factors = self.plan.faults.iter().filter(surge).filter_map(|fault| fault.factor);
         self.plan.load.rate * factors.map(|factor| factor.max(1.0)).product::<f64>()
     }
@@ -67,7 +68,7 @@
     }
 
     fn utility(&self, origin: &Origin, full: f64) -> f64 {
-        full * if origin.beyond { self.plan.rules.beyond_quota } else { 1.0 }
+        full * if origin.beyond { self.plan.rules.over_quota_value } else { 1.0 }
     }
 
     /// A client sends what it wants, once more or for the first time.
@@ -76,12 +77,12 @@
         let (verb, tenant, zone) = (origin.verb, origin.tenant, origin.zone);
         let copy = self.pick_copy(zone).filter(|_| self.cmds.live() < CMDS_MOST);
         let Some(copy) = copy else {
-            self.tally.unheard(self.now);
+            self.tally.record_not_accepted(self.now);
             self.try_again(number, true, None);
             self.origin_lets_go(number);
             return;
         };
-        let limit = span(self.plan.verbs[verb].limit);
+        let limit = to_duration(self.plan.request_classes[verb].time_limit);
         let cmd = Cmd {
             id: "".into(),
             copy: self.as_alive(copy),
@@ -98,7 +99,9 @@
         };
         let cmd = self.cmds.add(cmd);
         self.put_in(Duration::ZERO, Happening::Come(cmd));
-        if self.plan.load.quits > 0.0 && self.dice.clients.random::<f64>() < self.plan.load.quits {
+        if self.plan.load.disconnect_fraction > 0.0
+            && self.dice.clients.random::<f64>() < self.plan.load.disconnect_fraction
+        {
             let after = limit.mul_f64(self.dice.clients.random::<f64>());
             self.put_in(after, Happening::Quit(cmd));
         }
@@ -107,8 +110,8 @@
     /// One of the zone's copies that are up, else any that is.
     fn pick_copy(&mut self, zone: u32) -> Option<usize> {
         let point: f64 = self.dice.clients.random();
-        let count = self.plan.front.copies;
-        let traffic = &self.plan.front.traffic;
+        let count = self.plan.front.replicas;
+        let traffic = &self.plan.front.traffic_shares;
         if !traffic.is_empty() {
             let up = |copy: usize, near: bool| {
                 let here = &self.copies[copy];
@@ -116,7 +119,7 @@
             };
             let near = (0..count).any(|copy| up(copy, true));
             let share = |copy: usize| if up(copy, near) { traffic[copy % traffic.len()] } else { 0.0 };
-            let copy = deal((0..count).map(share), point);
+            let copy = weighted_index((0..count).map(share), point);
             return Some(copy).filter(|copy| up(*copy, near));
         }
         let pick = |here: &dyn Fn(usize) -> bool| {
@@ -131,10 +134,10 @@
     pub fn come(&mut self, number: u64) -> bool {
         let Some(cmd) = self.cmds.get(number) else { return false };
         let (copy, due) = (cmd.copy, cmd.due);
-        let slack = span(self.plan.rules.slack);
+        let slack = to_duration(self.plan.rules.deadline_slack);
         self.put(due + slack + Duration::from_nanos(1), Happening::Due(number));
         if !self.alive(copy) {
-            self.finish(number, Final::Lost, None);
+            self.finish(number, FinalOutcome::Lost, None);
             return false;
         }
         if let Some(cmd) = self.cmds.get_mut(number) {
@@ -144,9 +147,9 @@
     }
 
     /// A command's final word: to the referee, to the books, and to whoever asked.
-    pub fn finish(&mut self, number: u64, word: Final, come_back: Option<Duration>) {
+    pub fn finish(&mut self, number: u64, word: FinalOutcome, come_back: Option<Duration>) {
         let now = self.now;
-        self.judge(number, |referee, facts| referee.final_word(now, facts, word));
+        self.judge(number, |referee, facts| referee.request_finished(now, facts, word));
         let Some(cmd) = self.cmds.get_mut(number) else { return };
         if cmd.finished.is_some() {
             return;
@@ -154,40 +157,40 @@
         cmd.finished = Some(word);
         let (origin, parent, came, verb) = (cmd.origin, cmd.parent, cmd.came, cmd.verb);
         if let Some(key) = parent {
-            self.put_in(Duration::ZERO, Happening::CallEnded(key, word == Final::Answered));
+            self.put_in(Duration::ZERO, Happening::CallEnded(key, word == FinalOutcome::Answered));
             return;
         }
-        self.tally.final_word(now, came, word);
+        self.tally.record_final_outcome(now, came, word);
         match word {
-            Final::Answered => self.earn(origin, came),
-            Final::Declined => self.try_again(origin, true, come_back),
-            Final::Lost | Final::Terminated => {
-                self.try_again(origin, self.repeats(verb) == Repeats::Pure, None);
+            FinalOutcome::Answered => self.earn(origin, came),
+            FinalOutcome::Declined => self.try_again(origin, true, come_back),
+            FinalOutcome::Lost | FinalOutcome::Terminated => {
+                self.try_again(origin, self.repeats(verb) == RetrySafety::Idempotent, None);
             }
-            Final::Left => {}
+            FinalOutcome::Left => {}
         }
     }
 
     fn earn(&mut self, number: u64, came: Duration) {
         let Some(origin) = self.origins.get(number) else { return };
-        let verb = &self.plan.verbs[origin.verb];
+        let verb = &self.plan.request_classes[origin.verb];
         let took = self.now.saturating_sub(came).as_secs_f64();
-        let full = if took <= verb.goal { verb.utility } else { verb.overdue_utility };
+        let full = if took <= verb.latency_objective { verb.utility } else { verb.late_utility };
         let (utility, tenant) = (self.utility(origin, full), origin.tenant);
-        self.tally.earned(self.now, came, utility, tenant);
+        self.tally.record_utility(self.now, came, utility, tenant);
     }
 
     fn try_again(&mut self, number: u64, harmless: bool, come_back: Option<Duration>) {
         let Some(origin) = self.origins.get_mut(number) else { return };
-        let over = self.now >= span(self.plan.seconds);
+        let over = self.now >= to_duration(self.plan.seconds);
         if !harmless || over || origin.tries >= self.plan.load.retries {
             return;
         }
         origin.tries += 1;
         origin.live += 1;
-        let wait = match come_back.filter(|_| self.plan.rules.come_back > 0.0) {
+        let wait = match come_back.filter(|_| self.plan.rules.max_retry_after > 0.0) {
             Some(told) => told.mul_f64(1.0 + 0.2 * self.dice.clients.random::<f64>()),
-            None => span(self.plan.load.backoff * exponential(&mut self.dice.clients)),
+            None => to_duration(self.plan.load.backoff * exponential(&mut self.dice.clients)),
         };
         self.put_in(wait, Happening::Again(number));
     }
@@ -195,7 +198,7 @@
     /// The time limit is over: nothing may be open; what nothing holds any more is forgotten.
     pub fn due(&mut self, number: u64) {
         let now = self.now;
-        self.judge(number, |referee, facts| referee.due(now, facts));
+        self.judge(number, |referee, facts| referee.deadline_passed(now, facts));
         if self.cmds.get(number).is_some_and(|cmd| cmd.finished.is_none()) {
             self.tally_unfinished(number);
         }
@@ -206,11 +209,11 @@
     fn tally_unfinished(&mut self, number: u64) {
         let now = self.now;
         let Some(cmd) = self.cmds.get_mut(number) else { return };
-        cmd.finished = Some(Final::Lost);
+        cmd.finished = Some(FinalOutcome::Lost);
         let (parent, came) = (cmd.parent, cmd.came);
         match parent {
             Some(key) => self.put_in(Duration::ZERO, Happening::CallEnded(key, false)),
-            None => self.tally.final_word(now, came, Final::Lost),
+            None => self.tally.record_final_outcome(now, came, FinalOutcome::Lost),
         }
     }
 
@@ -250,7 +253,7 @@
         for cmd in mine {
             self.close_relays(cmd);
             if self.cmds.get(cmd).is_some_and(|cmd| cmd.finished.is_none()) {
-                self.finish(cmd, Final::Lost, None);
+                self.finish(cmd, FinalOutcome::Lost, None);
             }
         }
     }
--- a/crates/lab/src/world/dice.rs
+++ b/crates/lab/src/world/dice.rs
@@ -1,7 +1,7 @@
 //! Chance. One stream for each concern, so that what clients send does not depend on what a picker does with it:
 //! two runs with one seed differ by their decisions alone.
 
-use crate::plan::Spread;
+use crate::plan::WorkDistribution;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, LogNormal};
@@ -39,16 +39,16 @@
 }
 
 /// A work's size as a multiple of its mean.
-pub fn size(spread: Spread, rng: &mut ChaCha8Rng) -> f64 {
+pub fn work_multiple(spread: WorkDistribution, rng: &mut ChaCha8Rng) -> f64 {
     match spread {
-        Spread::Fixed => 1.0,
-        Spread::Exponential => exponential(rng),
-        Spread::Lognormal => {
+        WorkDistribution::Fixed => 1.0,
+        WorkDistribution::Exponential => exponential(rng),
+        WorkDistribution::Lognormal => {
             // Mean 1 and coefficient of variation 1.5: sigma^2 = ln(1 + 1.5^2), mu = -sigma^2 / 2.
             let variance = (1.0f64 + 2.25).ln();
             LogNormal::new(-variance / 2.0, variance.sqrt()).map_or(1.0, |law| law.sample(rng))
         }
-        Spread::Pareto => pareto(rng.random::<f64>()),
+        WorkDistribution::Pareto => pareto(rng.random::<f64>()),
     }
 }
 
@@ -62,7 +62,7 @@
 }
 
 /// The place of a share among shares, at `point` from 0 to 1.
-pub fn deal(shares: impl Iterator<Item = f64> + Clone, point: f64) -> usize {
+pub fn weighted_index(shares: impl Iterator<Item = f64> + Clone, point: f64) -> usize {
     let total: f64 = shares.clone().sum();
     let mut left = point * total;
     let mut last = 0;
--- a/crates/lab/src/world/faults.rs
+++ b/crates/lab/src/world/faults.rs
@@ -3,14 +3,14 @@
 
 use super::ground::{Ground, Standing};
 use super::happening::Happening;
-use crate::plan::{Fault, Kind, span};
+use crate::plan::{Fault, FaultKind, to_duration};
 use std::time::Duration;
 
 impl Ground {
     pub fn put_faults(&mut self) {
         for (number, fault) in self.plan.clone().faults.iter().enumerate() {
-            self.put(span(fault.at), Happening::FaultBegins(number));
-            self.put(span(fault.at + fault.lasts), Happening::FaultEnds(number));
+            self.put(to_duration(fault.at), Happening::FaultBegins(number));
+            self.put(to_duration(fault.at + fault.duration), Happening::FaultEnds(number));
         }
     }
 
@@ -22,20 +22,22 @@
     pub fn fault_begins(&mut self, number: usize) {
         let plan = self.plan.clone();
         let fault = &plan.faults[number];
-        if fault.kind == Kind::ListStale {
+        if fault.kind == FaultKind::ListStale {
             self.remember_lists(fault.tier);
         }
         self.active.push(number);
         match fault.kind {
-            Kind::Crash => self.strike_all(self.struck(fault), Standing::Down),
-            Kind::Vanish => self.strike_all(self.struck(fault), Standing::Silent),
-            Kind::Grow => self.grow(fault),
-            Kind::Shrink => self.shrink(fault),
-            Kind::ListEmpty => self.tell_whole(fault.tier),
-            Kind::ListDown => self.end_watches(fault.tier),
-            Kind::ZoneLost => self.lose_zone(fault),
-            Kind::ListFlapping | Kind::CopiesRestarted => self.fault_step(number, 0),
-            Kind::CopiesDown => (0..plan.copies_of(fault)).for_each(|copy| self.copy_dies(copy)),
+            FaultKind::Crash => self.strike_all(self.struck(fault), Standing::Down),
+            FaultKind::Vanish => self.strike_all(self.struck(fault), Standing::Silent),
+            FaultKind::Grow => self.grow(fault),
+            FaultKind::Shrink => self.shrink(fault),
+            FaultKind::ListEmpty => self.tell_whole(fault.tier),
+            FaultKind::ListDown => self.end_watches(fault.tier),
+            FaultKind::ZoneLost => self.lose_zone(fault),
+            FaultKind::ListFlapping | FaultKind::ReplicasRestarted => self.fault_step(number, 0),
+            FaultKind::ReplicasDown => {
+                (0..plan.affected_replicas(fault)).for_each(|copy| self.copy_dies(copy))
+            }
             _ => {}
         }
     }
@@ -45,17 +47,17 @@
         let fault = &plan.faults[number];
         self.active.retain(|active| *active != number);
         match fault.kind {
-            Kind::Crash | Kind::Vanish => {
+            FaultKind::Crash | FaultKind::Vanish => {
                 self.struck(fault).into_iter().for_each(|server| self.put_up(server));
             }
-            Kind::Pause => {
+            FaultKind::Pause => {
                 let struck = self.struck(fault);
                 struck.into_iter().for_each(|server| self.put_in(Duration::ZERO, Happening::GoesOn(server)));
             }
-            Kind::ZoneLost => self.regain_zone(fault),
-            Kind::ListEmpty | Kind::ListStale => self.tell_whole(fault.tier),
-            Kind::ListFlapping => self.flap(fault, false),
-            Kind::CopiesDown => (0..plan.copies_of(fault))
+            FaultKind::ZoneLost => self.regain_zone(fault),
+            FaultKind::ListEmpty | FaultKind::ListStale => self.tell_whole(fault.tier),
+            FaultKind::ListFlapping => self.flap(fault, false),
+            FaultKind::ReplicasDown => (0..plan.affected_replicas(fault))
                 .for_each(|copy| self.put_in(Duration::ZERO, Happening::CopyUp(copy))),
             _ => {}
         }
@@ -72,8 +74,9 @@
     /// A process starts that is away now; one that another fault still holds down waits for that one's end.
     fn put_up(&mut self, server: usize) {
         let held = self.faults().any(|fault| {
-            matches!(fault.kind, Kind::Crash | Kind::Vanish) && self.strikes(fault, &self.servers[server])
-                || fault.kind == Kind::ZoneLost
+            matches!(fault.kind, FaultKind::Crash | FaultKind::Vanish)
+                && self.strikes(fault, &self.servers[server])
+                || fault.kind == FaultKind::ZoneLost
                     && self.zone_number(fault.zone.as_ref()) == Some(self.servers[server].zone)
         });
         if !held && self.servers[server].standing != Standing::Up {
@@ -102,7 +105,7 @@
     }
 
     fn shrink(&mut self, fault: &Fault) {
-        let drain = span(self.plan.lists.drain);
+        let drain = to_duration(self.plan.discovery.drain_time);
         for server in self.struck(fault) {
             self.servers[server].draining = true;
             self.list_hears(server);
@@ -145,16 +148,16 @@
     pub fn fault_step(&mut self, number: usize, step: u32) {
         let plan = self.plan.clone();
         let fault = &plan.faults[number];
-        if !self.active.contains(&number) && fault.kind == Kind::ListFlapping {
+        if !self.active.contains(&number) && fault.kind == FaultKind::ListFlapping {
             return;
         }
-        let every = span(fault.seconds.unwrap_or(1.0));
+        let every = to_duration(fault.seconds.unwrap_or(1.0));
         match fault.kind {
-            Kind::ListFlapping => self.flap(fault, step.is_multiple_of(2)),
-            Kind::CopiesRestarted => {
+            FaultKind::ListFlapping => self.flap(fault, step.is_multiple_of(2)),
+            FaultKind::ReplicasRestarted => {
                 self.copy_dies(step as usize);
                 self.put_in(Duration::from_secs(1), Happening::CopyUp(step as usize));
-                if step as usize + 1 >= plan.copies_of(fault) {
+                if step as usize + 1 >= plan.affected_replicas(fault) {
                     return;
                 }
             }
--- a/crates/lab/src/world/ground.rs
+++ b/crates/lab/src/world/ground.rs
@@ -7,10 +7,10 @@
 use super::happening::{Alive, Happening, JobKey, Leg};
 use super::source::Source;
 use super::window::Window;
-use crate::cold::{Brought, Peaks};
-use crate::plan::{Fault, Repeats, Scenario, span};
-use crate::referee::{Earlier, Facts, Final, Place, Referee};
-use crate::tally::Tally;
+use crate::cold::{ColdPeaks, OfferedWork};
+use crate::plan::{Fault, RetrySafety, Scenario, to_duration};
+use crate::referee::{FinalOutcome, Location, PriorAttempt, Referee, RequestFacts};
+use crate::tally::Statistics;
 use landingspread_decisions::host::{Id, ListedServer, Outcome};
 use rand::Rng;
 use slab::Slab;
@@ -50,15 +50,15 @@
     pub jobs: usize,
     pub jammed: bool,
     /// What was brought while it was cold.
-    pub brought: Brought,
+    pub brought: OfferedWork,
     pub reported: (Duration, f64, f64),
     /// The copy by which it calls the next tier.
     pub copy: Option<usize>,
 }
 
 impl Server {
-    pub fn where_it_is(&self, number: usize) -> Place {
-        Place { server: number, zone: self.zone, cell: self.cell }
+    pub fn where_it_is(&self, number: usize) -> Location {
+        Location { server: number, zone: self.zone, cell: self.cell }
     }
 }
 
@@ -102,7 +102,7 @@
     pub since: Duration,
     pub due: Duration,
     pub origin: u64,
-    pub finished: Option<Final>,
+    pub finished: Option<FinalOutcome>,
     pub relays: Vec<Relay>,
     /// Jobs of it that some server still holds.
     pub jobs: u32,
@@ -119,7 +119,7 @@
     pub tries: u32,
     pub beyond: bool,
     /// Where and when it was begun, but for dropped repeats.
-    pub ran: Vec<(Place, Duration, u64)>,
+    pub ran: Vec<(Location, Duration, u64)>,
     /// Commands of it that are not forgotten, and a try to come.
     pub live: u32,
 }
@@ -165,16 +165,16 @@
     /// Numbers of the faults that act now.
     pub active: Vec<usize>,
     pub referee: Referee,
-    pub tally: Tally,
+    pub tally: Statistics,
     /// What cold servers were brought, over all their lives.
-    pub cold: Peaks,
+    pub cold: ColdPeaks,
     pub tenants: Vec<(u64, f64)>,
     pub steps: u64,
 }
 
 impl Ground {
     pub fn new(plan: Rc<Scenario>, seed: u64) -> Ground {
-        let settle = span(plan.settle);
+        let settle = to_duration(plan.settle);
         let mut ground = Ground {
             now: Duration::ZERO,
             agenda: Agenda::default(),
@@ -189,8 +189,8 @@
             source: Source::default(),
             active: Vec::new(),
             referee: Referee::new(&plan.rules),
-            tally: Tally::new(settle, plan.tenants.len(), plan.tiers.len()),
-            cold: Peaks::default(),
+            tally: Statistics::new(settle, plan.tenants.len(), plan.tiers.len()),
+            cold: ColdPeaks::default(),
             tenants: vec![(0, 0.0); plan.tenants.len()],
             steps: 0,
             plan,
@@ -206,7 +206,7 @@
                 self.add_server(tier);
             }
         }
-        for ordinal in 0..plan.front.copies {
+        for ordinal in 0..plan.front.replicas {
             let zone = (ordinal % plan.zones.len()) as u32;
             self.add_copy(0, zone, ordinal as u32, None);
         }
@@ -238,7 +238,7 @@
             running: 0,
             jobs: 0,
             jammed: false,
-            brought: Brought::default(),
+            brought: OfferedWork::default(),
             reported: (Duration::ZERO, 0.0, 0.0),
             copy: None,
         });
@@ -316,72 +316,75 @@
 
     /// Whether nothing passes between two zones.
     pub fn cut(&self, one: u32, other: u32) -> bool {
-        use crate::plan::Kind;
+        use crate::plan::FaultKind;
         one != other
             && self.faults().any(|fault| {
                 let zone = self.zone_number(fault.zone.as_ref());
-                fault.kind == Kind::ZoneCut && (zone == Some(one) || zone == Some(other))
+                fault.kind == FaultKind::ZoneCut && (zone == Some(one) || zone == Some(other))
             })
     }
 
     /// A message's time one way.
     pub fn delay(&mut self, one: u32, other: u32) -> Duration {
         let network = &self.plan.network;
-        let base = if one == other { network.near } else { network.far };
-        span(base * (1.0 + 0.2 * exponential(&mut self.dice.network)))
+        let base = if one == other { network.same_zone_delay } else { network.cross_zone_delay };
+        to_duration(base * (1.0 + 0.2 * exponential(&mut self.dice.network)))
     }
 
     /// Carries a word from copy to copy, as the network does by now: perhaps never, perhaps twice.
     pub fn carry(&mut self, from: usize, to: usize, word: &dyn Fn() -> Happening) {
-        use crate::plan::Kind;
+        use crate::plan::FaultKind;
         let (here, there) = (self.copies[from].zone, self.copies[to].zone);
         let apart = |fault: &Fault, copy: usize| {
             self.copies[copy].beside.is_none()
-                && (self.copies[copy].ordinal as usize) < self.plan.copies_of(fault)
+                && (self.copies[copy].ordinal as usize) < self.plan.affected_replicas(fault)
         };
-        let parted = self
-            .faults()
-            .any(|fault| fault.kind == Kind::CopiesApart && apart(fault, from) != apart(fault, to));
+        let parted = self.faults().any(|fault| {
+            fault.kind == FaultKind::ReplicasPartitioned && apart(fault, from) != apart(fault, to)
+        });
         if parted || self.cut(here, there) {
             return;
         }
         let passes: f64 = self
             .faults()
-            .filter(|fault| fault.kind == Kind::WordsLost)
+            .filter(|fault| fault.kind == FaultKind::PeerMessagesLost)
             .map(|fault| 1.0 - fault.share.unwrap_or(0.0))
             .product();
         let network = &self.plan.network;
-        let (base, doubled) = (if here == there { network.near } else { network.far }, network.words_doubled);
+        let (base, doubled) = (
+            if here == there { network.same_zone_delay } else { network.cross_zone_delay },
+            network.peer_message_duplication,
+        );
         let rng = &mut self.dice.words;
-        if rng.random::<f64>() >= passes * (1.0 - network.words_lost) {
+        if rng.random::<f64>() >= passes * (1.0 - network.peer_message_loss) {
             return;
         }
         for _ in 0..if rng.random::<f64>() < doubled { 2 } else { 1 } {
-            let way = span(base * (1.0 + 0.2 * exponential(rng)));
+            let way = to_duration(base * (1.0 + 0.2 * exponential(rng)));
             self.agenda.put(self.now + way, word());
         }
     }
 
-    pub fn repeats(&self, verb: usize) -> Repeats {
-        self.plan.verbs[verb].repeats
+    pub fn repeats(&self, verb: usize) -> RetrySafety {
+        self.plan.request_classes[verb].retry_safety
     }
 
     /// Hands a command's facts to the referee.
-    pub fn judge(&mut self, number: u64, what: impl FnOnce(&mut Referee, &Facts)) {
+    pub fn judge(&mut self, number: u64, what: impl FnOnce(&mut Referee, &RequestFacts)) {
         let Some(cmd) = self.cmds.get(number) else { return };
         let place = |relay: &Relay| self.servers[relay.server].where_it_is(relay.server);
         let earlier =
-            |relay: &Relay| Earlier { place: place(relay), sent: relay.sent, outcome: relay.outcome };
-        let earlier: Vec<Earlier> = cmd.relays.iter().map(earlier).collect();
-        let verb = &self.plan.verbs[cmd.verb];
-        let facts = Facts {
-            cmd: number,
-            copy: cmd.copy.copy,
-            repeats: verb.repeats,
-            memory: span(verb.memory),
-            due: cmd.due,
-            finished: cmd.finished,
-            earlier: &earlier,
+            |relay: &Relay| PriorAttempt { location: place(relay), sent: relay.sent, outcome: relay.outcome };
+        let earlier: Vec<PriorAttempt> = cmd.relays.iter().map(earlier).collect();
+        let verb = &self.plan.request_classes[cmd.verb];
+        let facts = RequestFacts {
+            request: number,
+            replica: cmd.copy.copy,
+            retry_safety: verb.retry_safety,
+            dedup_window: to_duration(verb.dedup_window),
+            deadline: cmd.due,
+            final_outcome: cmd.finished,
+            prior_attempts: &earlier,
         };
         what(&mut self.referee, &facts);
     }
--- a/crates/lab/src/world/hand.rs
+++ b/crates/lab/src/world/hand.rs
@@ -3,8 +3,8 @@
 
 use super::ground::{Ground, Kept, Relay, Standing};
 use super::happening::{Alive, Happening, Leg};
-use crate::plan::span;
-use crate::referee::Final;
+use crate::plan::to_duration;
+use crate::referee::FinalOutcome;
 use landingspread_decisions::host::{Event, Host, Id, LoadReport, Outcome};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -12,12 +12,12 @@
 
 /// One copy's side of the world, in one of its lives.
 #[derive(Clone)]
-pub struct Hand {
+pub struct HostHandle {
     pub(super) ground: Rc<RefCell<Ground>>,
     pub(super) alive: Alive,
 }
 
-impl Hand {
+impl HostHandle {
     /// The command of this copy that the id names.
     fn own(&self, ground: &Ground, id: &Id) -> Option<u64> {
         let number = Ground::number(id)?;
@@ -35,19 +35,19 @@
         let zone = ground.copies[self.alive.copy].zone;
         let away = here.standing != Standing::Up || here.draining || here.gone || ground.cut(zone, here.zone);
         let cores = tier.cores as f64;
-        let jams = tier.jam.as_ref().is_some_and(|jam| (here.jobs + 1) as f64 / cores >= jam.at);
+        let jams = tier.congestion.as_ref().is_some_and(|jam| (here.jobs + 1) as f64 / cores >= jam.onset);
         if away || jams || ground.paused(here) {
             return None;
         }
         let speed = ground.speed(number).max(1e-9);
         let waits = (here.jobs as f64 + 1.0 - cores).max(0.0) * ground.mean_work(here.tier) / cores;
-        Some((waits + ground.plan.verbs.get(verb)?.mean_work(here.tier)) / speed)
+        Some((waits + ground.plan.request_classes.get(verb)?.mean_work(here.tier)) / speed)
     }
 }
 
-impl Hand {
+impl HostHandle {
     /// Sends a datagram of the fleet to another copy, by its number.
-    pub fn datagram(&mut self, to: usize, bytes: &[u8]) {
+    pub fn send_datagram(&mut self, to: usize, bytes: &[u8]) {
         let ground = &mut *self.ground.borrow_mut();
         if to < ground.copies.len() {
             let (alive, bytes): (Alive, Rc<[u8]>) = (ground.as_alive(to), bytes.into());
@@ -62,7 +62,7 @@
 
     /// What a copy's membership is told of itself and the others: its number, its zone's name, how many copies its tier
     /// has, and the number of the first of them.
-    pub fn about(&self) -> (usize, String, usize, usize) {
+    pub fn membership_identity(&self) -> (usize, String, usize, usize) {
         let ground = self.ground.borrow();
         let own = &ground.copies[self.alive.copy];
         let mut of_tier = (0..ground.copies.len()).filter(|copy| ground.copies[*copy].tier == own.tier);
@@ -71,20 +71,20 @@
     }
 }
 
-impl Host for Hand {
+impl Host for HostHandle {
     fn start_attempt(&mut self, cmd: &Id, server: &Id, not_past: Duration) {
         let ground = &mut *self.ground.borrow_mut();
         let (Some(number), Some(to)) = (self.own(ground, cmd), ground.server_number(server)) else { return };
         let now = ground.now;
         let place = ground.servers[to].where_it_is(to);
         let off = ground.copies[self.alive.copy].off_since.get(&to).copied();
-        ground.judge(number, |referee, facts| referee.relay(now, facts, place, server, off));
+        ground.judge(number, |referee, facts| referee.attempt_started(now, facts, place, server, off));
         let (zone, other) = (ground.copies[self.alive.copy].zone, ground.servers[to].zone);
         let vain = ground.servers[to].standing != Standing::Up || ground.cut(zone, other);
-        ground.tally.relayed(now, vain);
+        ground.tally.record_attempt(now, vain);
         let tier = ground.servers[to].tier;
         if let Some(cmd) = ground.cmds.get(number) {
-            ground.tally.relayed_at(tier, cmd.since, cmd.relays.last().map(|relay| relay.outcome));
+            ground.tally.record_tier_attempt(tier, cmd.since, cmd.relays.last().map(|relay| relay.outcome));
         }
         let delay = ground.delay(zone, other);
         let fresh = ground.take_connection(self.alive.copy, to);
@@ -115,21 +115,21 @@
     fn reject(&mut self, cmd: &Id, come_back: Option<Duration>) {
         let ground = &mut *self.ground.borrow_mut();
         if let Some(number) = self.own(ground, cmd) {
-            ground.finish(number, Final::Declined, come_back);
+            ground.finish(number, FinalOutcome::Declined, come_back);
         }
     }
 
     fn fail(&mut self, cmd: &Id) {
         let ground = &mut *self.ground.borrow_mut();
         if let Some(number) = self.own(ground, cmd) {
-            ground.finish(number, Final::Terminated, None);
+            ground.finish(number, FinalOutcome::Terminated, None);
         }
     }
 
     fn cancel_attempt(&mut self, cmd: &Id, relay: u32) {
         let ground = &mut *self.ground.borrow_mut();
         let Some(number) = self.own(ground, cmd) else { return };
-        if ground.plan.rules.cancel {
+        if ground.plan.rules.cancellation {
             let leg = Leg { cmd: number, relay };
             ground.put_in(Duration::ZERO, Happening::Ended(leg, Outcome::Cancelled, LoadReport::default()));
         }
@@ -186,12 +186,12 @@
     }
 }
 
-impl Hand {
+impl HostHandle {
     /// Adds a line to the copy's notes.
     pub fn note(&self, text: &str) {
         let ground = &mut *self.ground.borrow_mut();
         let now = ground.now;
-        ground.tally.noted(now, self.alive.copy, text);
+        ground.tally.record_note(now, self.alive.copy, text);
     }
 }
 
@@ -199,7 +199,7 @@
     /// Takes a kept connection, or says that a fresh one is needed.
     fn take_connection(&mut self, copy: usize, server: usize) -> bool {
         let here = &self.servers[server];
-        let idle = span(self.plan.tiers[here.tier].connections.idle);
+        let idle = to_duration(self.plan.tiers[here.tier].connections.idle_timeout);
         let (life, silent, now) = (here.life, here.standing == Standing::Silent, self.now);
         let Some(kept) = self.copies[copy].kept.get_mut(&server) else { return true };
         // One of an earlier life is known to be broken, but for those to a machine that has fallen silent.
@@ -240,7 +240,7 @@
             _ => {}
         }
         if outcome == Outcome::Ok && !closed {
-            self.finish(leg.cmd, Final::Answered, None);
+            self.finish(leg.cmd, FinalOutcome::Answered, None);
         }
         true
     }
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -13,14 +13,14 @@
 mod source;
 mod window;
 
-pub use dice::{deal, exponential, size};
-pub use hand::Hand;
+pub use dice::{exponential, weighted_index, work_multiple};
+pub use hand::HostHandle;
 
-use crate::cold::Peaks;
-use crate::picker::Picker;
-use crate::plan::{Repeats, Scenario, span};
+use crate::cold::ColdPeaks;
+use crate::picker::LoadBalancer;
+use crate::plan::{RetrySafety, Scenario, to_duration};
 use crate::referee::Breach;
-use crate::tally::{Marked, Second, Totals};
+use crate::tally::{EjectionNote, Second, Totals};
 use ground::Ground;
 use happening::{Alive, Happening, Leg};
 use landingspread_decisions::host::{AttemptEnd, LoadReport, Outcome, RequestArrival};
@@ -32,29 +32,29 @@
 use std::time::Duration;
 
 /// Makes a copy's picker: from its hand, its terms, a seed, and the time.
-pub type Make<'a> = dyn Fn(Hand, Settings, u64, Duration) -> Box<dyn Picker> + 'a;
+pub type Make<'a> = dyn Fn(HostHandle, Settings, u64, Duration) -> Box<dyn LoadBalancer> + 'a;
 
 /// What a run came to.
 #[derive(Clone, Debug)]
 pub struct Run {
     pub totals: Totals,
     pub seconds: Vec<Second>,
-    pub marks: Vec<Marked>,
+    pub ejections: Vec<EjectionNote>,
     /// Told one by one up to a bound; `breach_counts` has them all, by rule.
     pub breaches: Vec<Breach>,
     pub breach_counts: [u64; 4],
     /// What cold servers were brought by all copies together.
-    pub cold: Peaks,
+    pub cold_peaks: ColdPeaks,
     /// Things that happened.
-    pub steps: u64,
+    pub events: u64,
     /// The most that was ever in the agenda: the world's size.
-    pub agenda_most: usize,
+    pub max_queued_events: usize,
 }
 
 /// Plays a plan with one seed. After the clients stop, what is open is let end.
-pub fn play(plan: &Rc<Scenario>, seed: u64, make: &Make) -> Run {
+pub fn simulate(plan: &Rc<Scenario>, seed: u64, make: &Make) -> Run {
     let mut world = World::new(plan.clone(), seed, make);
-    let end = span(plan.seconds) + world.longest_limit() + Duration::from_secs(1);
+    let end = to_duration(plan.seconds) + world.longest_limit() + Duration::from_secs(1);
     let mut most = 0;
     loop {
         let next = world.ground.borrow_mut().agenda.next();
@@ -72,7 +72,7 @@
 
 struct World<'a> {
     ground: Rc<RefCell<Ground>>,
-    pickers: Vec<Option<Box<dyn Picker>>>,
+    pickers: Vec<Option<Box<dyn LoadBalancer>>>,
     make: &'a Make<'a>,
     seed: u64,
 }
@@ -95,7 +95,7 @@
 
     fn longest_limit(&self) -> Duration {
         let plan = &self.ground.borrow().plan;
-        span(plan.verbs.iter().map(|verb| verb.limit).fold(0.0, f64::max))
+        to_duration(plan.request_classes.iter().map(|verb| verb.time_limit).fold(0.0, f64::max))
     }
 
     /// A copy's process starts: with nothing learned, and the list as the source has it. The books are free again
@@ -112,7 +112,7 @@
         };
         let own = (copy as u64) << 20 | u64::from(alive.life);
         let seed = self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ own;
-        let hand = Hand { ground: self.ground.clone(), alive };
+        let hand = HostHandle { ground: self.ground.clone(), alive };
         let mut picker = (self.make)(hand, terms, seed, now);
         picker.endpoint_list_cached(now, &list);
         if self.pickers.len() <= copy {
@@ -125,12 +125,12 @@
         }
     }
 
-    fn picker(&mut self, copy: usize) -> Option<&mut Box<dyn Picker>> {
+    fn picker(&mut self, copy: usize) -> Option<&mut Box<dyn LoadBalancer>> {
         self.pickers.get_mut(copy)?.as_mut()
     }
 
     /// The picker of a copy that is still in this life.
-    fn living(&mut self, alive: Alive) -> Option<&mut Box<dyn Picker>> {
+    fn living(&mut self, alive: Alive) -> Option<&mut Box<dyn LoadBalancer>> {
         if self.ground.borrow().alive(alive) { self.picker(alive.copy) } else { None }
     }
 
@@ -187,7 +187,7 @@
             }
             Happening::Datagram(alive, bytes) => {
                 if let Some(picker) = self.living(alive) {
-                    picker.datagram_came(now, &bytes);
+                    picker.datagram_received(now, &bytes);
                 }
             }
             Happening::Sample => self.sample(now),
@@ -222,7 +222,7 @@
             let ground = &mut *self.ground.borrow_mut();
             let Some(cmd) = ground.cmds.get(number).filter(|cmd| cmd.finished.is_none()) else { return };
             let left = (cmd.copy, cmd.id.clone());
-            ground.finish(number, crate::referee::Final::Left, None);
+            ground.finish(number, crate::referee::FinalOutcome::Left, None);
             left
         };
         if let Some(picker) = self.living(left.0) {
@@ -241,7 +241,7 @@
             let ended = AttemptEnd {
                 request: cmd.id.clone(),
                 request_closed: cmd.finished.is_some(),
-                body_consumed: ground.plan.rules.nearest_repeats && relay.failed_below,
+                body_consumed: ground.plan.rules.nearest_tier_retries && relay.failed_below,
                 outcome,
                 attempt: leg.relay,
                 latency: now.saturating_sub(relay.sent),
@@ -277,8 +277,8 @@
     fn sample(&mut self, now: Duration) {
         let ground = &mut *self.ground.borrow_mut();
         let loads = ground.loads();
-        ground.tally.sample(now.saturating_sub(Duration::from_nanos(1)), &loads);
-        if now < span(ground.plan.seconds) {
+        ground.tally.end_second(now.saturating_sub(Duration::from_nanos(1)), &loads);
+        if now < to_duration(ground.plan.seconds) {
             ground.put_in(Duration::from_secs(1), Happening::Sample);
         }
     }
@@ -290,19 +290,19 @@
         };
         let mut ground = ground.into_inner();
         for server in &mut ground.servers {
-            server.brought.end(&mut ground.cold);
+            server.brought.finish_process(&mut ground.cold);
         }
         let (steps, referee) = (ground.steps, ground.referee);
-        let (totals, seconds, marks) = ground.tally.close();
+        let (totals, seconds, marks) = ground.tally.finish();
         Run {
             totals,
             seconds,
-            marks,
+            ejections: marks,
             breaches: referee.breaches,
             breach_counts: referee.counts,
-            cold: ground.cold,
-            steps,
-            agenda_most,
+            cold_peaks: ground.cold,
+            events: steps,
+            max_queued_events: agenda_most,
         }
     }
 }
@@ -318,48 +318,53 @@
         max_live_replicas: balancers as f64,
         ordinal: copy.ordinal,
         tier: copy.tier as u32,
-        idle_connection_timeout: span(tier.connections.idle),
+        idle_connection_timeout: to_duration(tier.connections.idle_timeout),
         zone: copy.zone,
         polls_discovery: false,
         poll_interval: Duration::MAX,
         timer_resolution: Duration::ZERO,
         value_by_work: false,
-        over_quota_value: rules.beyond_quota,
+        over_quota_value: rules.over_quota_value,
         quotas: plan.tenants.iter().map(quota).collect(),
-        classes: plan.verbs.iter().map(verb_terms).collect(),
+        classes: plan.request_classes.iter().map(verb_terms).collect(),
         capabilities: Capabilities {
-            health_checks: tier.checks,
-            cancellation: rules.cancel,
-            hedging: rules.parallel,
-            peer_messages: rules.words,
-            max_attempts: rules.relays,
-            max_retry_after: Some(span(rules.come_back)).filter(|most| !most.is_zero()),
+            health_checks: tier.health_checks,
+            cancellation: rules.cancellation,
+            hedging: rules.hedging,
+            peer_messages: rules.peer_messages,
+            max_attempts: rules.max_attempts,
+            max_retry_after: Some(to_duration(rules.max_retry_after)).filter(|most| !most.is_zero()),
         },
         slow_start: SlowStart {
-            initial_fraction: tier.cold.share,
-            duration: span(tier.cold.warm_after),
-            overload_multiple: tier.cold.multiple,
-            overload_window: span(tier.cold.window),
+            initial_fraction: tier.cold_start.initial_fraction,
+            duration: to_duration(tier.cold_start.warmup),
+            overload_multiple: tier.cold_start.overload_multiple,
+            overload_window: to_duration(tier.cold_start.overload_window),
+        },
+        costs: Costs {
+            cross_zone: rules.cross_zone_cost,
+            health_check: 0.0,
+            peer_message: 0.0,
+            connection: 0.0,
         },
-        costs: Costs { cross_zone: rules.crossing, health_check: 0.0, peer_message: 0.0, connection: 0.0 },
         health_checks_report_load: false,
         objective: ObjectiveWeights { worst_class: 0.0 },
     }
 }
 
-fn verb_terms(verb: &crate::plan::Verb) -> settings::RequestClass {
+fn verb_terms(verb: &crate::plan::RequestClass) -> settings::RequestClass {
     settings::RequestClass {
-        retry_safety: match verb.repeats {
-            Repeats::Pure => settings::RetrySafety::Idempotent,
-            Repeats::ReceiptedAll => settings::RetrySafety::IdempotencyKeyed(DedupScope::All),
-            Repeats::ReceiptedZone => settings::RetrySafety::IdempotencyKeyed(DedupScope::Zone),
-            Repeats::ReceiptedCell => settings::RetrySafety::IdempotencyKeyed(DedupScope::Cell),
-            Repeats::Effectful => settings::RetrySafety::NonIdempotent,
+        retry_safety: match verb.retry_safety {
+            RetrySafety::Idempotent => settings::RetrySafety::Idempotent,
+            RetrySafety::KeyedEverywhere => settings::RetrySafety::IdempotencyKeyed(DedupScope::All),
+            RetrySafety::KeyedInZone => settings::RetrySafety::IdempotencyKeyed(DedupScope::Zone),
+            RetrySafety::KeyedInCell => settings::RetrySafety::IdempotencyKeyed(DedupScope::Cell),
+            RetrySafety::NonIdempotent => settings::RetrySafety::NonIdempotent,
         },
-        dedup_window: span(verb.memory),
-        latency_objective: span(verb.goal),
-        time_limit: span(verb.limit),
+        dedup_window: to_duration(verb.dedup_window),
+        latency_objective: to_duration(verb.latency_objective),
+        time_limit: to_duration(verb.time_limit),
         value: verb.utility,
-        late_value: verb.overdue_utility,
+        late_value: verb.late_utility,
     }
 }
--- a/crates/lab/src/world/serving.rs
+++ b/crates/lab/src/world/serving.rs
@@ -3,11 +3,11 @@
 //!
 //! A job's time is fixed when a core begins it: a server that becomes slow in between ends it as it began.
 
-use super::dice::{exponential, size};
+use super::dice::{exponential, work_multiple};
 use super::ground::{Cmd, Ground, Job, Origin, Server, Standing};
 use super::happening::{Happening, JobKey, Leg};
-use crate::cold::Bound;
-use crate::plan::{Kind, Lie, Repeats, Reports, span};
+use crate::cold::OverloadBound;
+use crate::plan::{FalseLoad, FaultKind, ReportedLoad, RetrySafety, to_duration};
 use landingspread_decisions::host::{LoadReport, Outcome};
 use rand::Rng;
 use std::time::Duration;
@@ -29,7 +29,7 @@
         let heard = server.standing != Standing::Silent && !self.cut(zone, server.zone);
         if !heard {
             if fresh {
-                let dial = span(self.plan.tiers[server.tier].connections.dial);
+                let dial = to_duration(self.plan.tiers[server.tier].connections.connect_timeout);
                 self.put_in(dial, Happening::Ended(leg, Outcome::ConnectFailed, LoadReport::default()));
             }
             return;
@@ -44,7 +44,7 @@
         if server.standing != Standing::Up {
             // It fell under this one.
             self.put_in(delay, Happening::Ended(leg, Outcome::Reset, LoadReport::default()));
-        } else if server.jobs >= tier.queue + tier.cores {
+        } else if server.jobs >= tier.queue_limit + tier.cores {
             let load = self.report(number);
             self.put_in(delay, Happening::Ended(leg, Outcome::Overloaded, load));
         } else {
@@ -59,12 +59,12 @@
             None => return 0.0,
         };
         let size = self.origins.get(origin).map_or(1.0, |origin| origin.size);
-        self.plan.verbs[verb].mean_work(tier) * size
+        self.plan.request_classes[verb].mean_work(tier) * size
     }
 
     /// The mean work of a command in a tier, over the verbs as clients send them.
     pub(super) fn mean_work(&self, tier: usize) -> f64 {
-        let verbs = &self.plan.verbs;
+        let verbs = &self.plan.request_classes;
         let all: f64 = verbs.iter().map(|verb| verb.share).sum();
         verbs.iter().map(|verb| verb.share * verb.mean_work(tier)).sum::<f64>() / all.max(1e-9)
     }
@@ -72,22 +72,22 @@
     /// What comes to a cold server counts toward pushing it over, also what it turns away.
     fn bring(&mut self, number: usize, leg: Leg) {
         if self.warmth(number) >= 1.0 {
-            return self.servers[number].brought.end(&mut self.cold);
+            return self.servers[number].brought.finish_process(&mut self.cold);
         }
         let work = self.work(number, leg);
         let (now, warmth) = (self.now, self.warmth(number));
         let mean = self.mean_work(self.servers[number].tier).max(1e-9);
         let server = &mut self.servers[number];
         let tier = &self.plan.tiers[server.tier];
-        let window = span(tier.cold.window);
-        let able = tier.cores as f64 * server.speed * warmth * tier.cold.window;
+        let window = to_duration(tier.cold_start.overload_window);
+        let able = tier.cores as f64 * server.speed * warmth * tier.cold_start.overload_window;
         let name = server.id.clone();
-        let budget = tier.cold.multiple * able / mean;
-        let bound = Bound { window, budget, least: tier.cold.least as usize };
-        if server.brought.bring(&name, now, work / mean, bound) {
-            let down = span(tier.cold.down);
-            let offered = server.brought.sent() * mean;
-            self.referee.pushed_over(now, &name, offered, able);
+        let budget = tier.cold_start.overload_multiple * able / mean;
+        let bound = OverloadBound { window, budget, min_requests: tier.cold_start.min_requests as usize };
+        if server.brought.record(&name, now, work / mean, bound) {
+            let down = to_duration(tier.cold_start.restart_delay);
+            let offered = server.brought.total() * mean;
+            self.referee.cold_server_overloaded(now, &name, offered, able);
             self.strike_down(number, Standing::Down);
             let life = self.servers[number].life;
             self.put_in(down, Happening::ServerUp(number, life));
@@ -97,10 +97,10 @@
     /// A server's speed by its caches, as a share of its warm one.
     pub fn warmth(&self, number: usize) -> f64 {
         let server = &self.servers[number];
-        let cold = &self.plan.tiers[server.tier].cold;
+        let cold = &self.plan.tiers[server.tier].cold_start;
         let Some(from) = server.cold_from else { return 1.0 };
         let age = self.now.saturating_sub(from).as_secs_f64();
-        (cold.share + (1.0 - cold.share) * age / cold.warm_after.max(1e-3)).min(1.0)
+        (cold.initial_fraction + (1.0 - cold.initial_fraction) * age / cold.warmup.max(1e-3)).min(1.0)
     }
 
     fn take_job(&mut self, number: usize, leg: Leg) {
@@ -116,10 +116,10 @@
             verb: cmd.verb,
             tenant: cmd.tenant,
             origin: cmd.origin,
-            until: if self.plan.rules.passes_deadline { relay.until } else { Duration::MAX },
+            until: if self.plan.rules.propagates_deadline { relay.until } else { Duration::MAX },
             work: work
                 + if relay.fresh { self.plan.tiers[self.servers[number].tier].connections.work } else { 0.0 },
-            calls_left: if last_tier { 0 } else { self.plan.verbs[cmd.verb].calls },
+            calls_left: if last_tier { 0 } else { self.plan.request_classes[cmd.verb].downstream_calls },
             called_off: false,
             started: false,
             errs: false,
@@ -139,9 +139,9 @@
     fn jam(&mut self, number: usize) {
         let server = &mut self.servers[number];
         let tier = &self.plan.tiers[server.tier];
-        let Some(jam) = &tier.jam else { return };
+        let Some(jam) = &tier.congestion else { return };
         let crowd = server.jobs as f64 / tier.cores as f64;
-        server.jammed = if server.jammed { crowd > jam.clear } else { crowd >= jam.at };
+        server.jammed = if server.jammed { crowd > jam.recovery } else { crowd >= jam.onset };
     }
 
     pub fn job(&self, key: JobKey) -> Option<&Job> {
@@ -149,7 +149,7 @@
     }
 
     pub(super) fn paused(&self, server: &Server) -> bool {
-        self.faults().any(|fault| fault.kind == Kind::Pause && self.strikes(fault, server))
+        self.faults().any(|fault| fault.kind == FaultKind::Pause && self.strikes(fault, server))
     }
 
     pub fn start_jobs(&mut self, number: usize) {
@@ -178,29 +178,29 @@
         if repeat || errs {
             job.calls_left = 0;
         }
-        span(work / speed)
+        to_duration(work / speed)
     }
 
     pub(super) fn speed(&self, number: usize) -> f64 {
         let server = &self.servers[number];
         let slow = |fault: &&crate::plan::Fault| match fault.kind {
-            Kind::Slow => self.strikes(fault, server),
-            Kind::SharedSlowness => fault.tier == server.tier,
+            FaultKind::Slow => self.strikes(fault, server),
+            FaultKind::SharedSlowness => fault.tier == server.tier,
             _ => false,
         };
         let slow: f64 = self.faults().filter(slow).filter_map(|fault| fault.factor).product();
-        let jam = self.plan.tiers[server.tier].jam.as_ref().filter(|_| server.jammed);
+        let jam = self.plan.tiers[server.tier].congestion.as_ref().filter(|_| server.jammed);
         server.speed * self.warmth(number) * jam.map_or(1.0, |jam| jam.speed) / slow
     }
 
     fn of_verb(&self, fault: &crate::plan::Fault, verb: usize) -> bool {
-        fault.verb.as_ref().is_none_or(|name| self.plan.verbs[verb].name == *name)
+        fault.request_class.as_ref().is_none_or(|name| self.plan.request_classes[verb].name == *name)
     }
 
     fn heavy(&mut self, key: JobKey) -> f64 {
         let Some(job) = self.job(key) else { return 1.0 };
         let (verb, tier) = (job.verb, self.servers[job.server].tier);
-        let heavy = |fault: &&crate::plan::Fault| fault.kind == Kind::Heavy && fault.tier == tier;
+        let heavy = |fault: &&crate::plan::Fault| fault.kind == FaultKind::Heavy && fault.tier == tier;
         let struck: Vec<(f64, f64)> = self
             .faults()
             .filter(heavy)
@@ -221,7 +221,7 @@
         let Some(verb) = self.job(key).map(|job| job.verb) else { return false };
         let server = &self.servers[number];
         let fails = |fault: &&crate::plan::Fault| {
-            fault.kind == Kind::Errors && self.strikes(fault, server) && self.of_verb(fault, verb)
+            fault.kind == FaultKind::Errors && self.strikes(fault, server) && self.of_verb(fault, verb)
         };
         let share = self.faults().filter(fails).filter_map(|fault| fault.share).fold(0.0, f64::max);
         share > 0.0 && self.dice.faults.random::<f64>() < share
@@ -232,18 +232,19 @@
         let Some(job) = self.job(key) else { return false };
         let (cmd, origin, verb) = (job.leg.cmd, job.origin, job.verb);
         let here = self.servers[number].where_it_is(number);
-        let (repeats, memory) = (self.repeats(verb), span(self.plan.verbs[verb].memory));
-        if repeats == Repeats::Pure {
+        let (repeats, memory) =
+            (self.repeats(verb), to_duration(self.plan.request_classes[verb].dedup_window));
+        if repeats == RetrySafety::Idempotent {
             return false;
         }
         let now = self.now;
         let Some(origin) = self.origins.get_mut(origin) else { return false };
         let remembered = origin.ran.iter().any(|(place, at, _)| {
             let group = match repeats {
-                Repeats::Pure | Repeats::Effectful => false,
-                Repeats::ReceiptedAll => true,
-                Repeats::ReceiptedZone => place.zone == here.zone,
-                Repeats::ReceiptedCell => place.zone == here.zone && place.cell == here.cell,
+                RetrySafety::Idempotent | RetrySafety::NonIdempotent => false,
+                RetrySafety::KeyedEverywhere => true,
+                RetrySafety::KeyedInZone => place.zone == here.zone,
+                RetrySafety::KeyedInCell => place.zone == here.zone && place.cell == here.cell,
             };
             group && now <= *at + memory
         });
@@ -254,7 +255,7 @@
         origin.ran.push((here, now, cmd));
         if second {
             let name = self.servers[number].id.clone();
-            self.judge(cmd, |referee, facts| referee.second_effect(now, facts, &name));
+            self.judge(cmd, |referee, facts| referee.duplicate_effect(now, facts, &name));
         }
         false
     }
@@ -265,7 +266,7 @@
         let number = job.server;
         if self.paused(&self.servers[number]) {
             // What a pause finds on a core ends with the pause.
-            self.put_in(span(0.01), Happening::Worked(key));
+            self.put_in(to_duration(0.01), Happening::Worked(key));
             return;
         }
         self.servers[number].running -= 1;
@@ -302,13 +303,13 @@
         job.calls_left -= 1;
         let (verb, tenant, until, server, caller) =
             (job.verb, job.tenant, job.until, job.server, job.leg.cmd);
-        let due = until.min(self.now + span(self.plan.verbs[verb].limit));
+        let due = until.min(self.now + to_duration(self.plan.request_classes[verb].time_limit));
         let since = self.cmds.get(caller).map_or(self.now, |cmd| cmd.since);
         let Some(copy) = self.servers[server].copy.filter(|copy| self.copies[*copy].up) else {
             self.put_in(Duration::ZERO, Happening::CallEnded(key, false));
             return;
         };
-        let size = size(self.plan.verbs[verb].spread, &mut self.dice.sizes);
+        let size = work_multiple(self.plan.request_classes[verb].work_distribution, &mut self.dice.sizes);
         let zone = self.servers[server].zone;
         let origin = Origin { verb, tenant, zone, size, tries: 0, beyond: false, ran: Vec::new(), live: 1 };
         let origin = self.origins.add(origin);
@@ -389,11 +390,11 @@
         server.running = 0;
         server.jammed = false;
         server.queue.clear();
-        server.brought.end(&mut self.cold);
+        server.brought.finish_process(&mut self.cold);
         if let Some(copy) = server.copy {
             self.copy_dies(copy);
         }
-        let notice = span(self.plan.lists.notice);
+        let notice = to_duration(self.plan.discovery.removal_delay);
         self.put_in(notice, Happening::ListHears(number));
     }
 
@@ -413,24 +414,25 @@
     fn report(&mut self, number: usize) -> LoadReport {
         let (now, server) = (self.now, &self.servers[number]);
         let tier = &self.plan.tiers[server.tier];
-        let lies =
-            |fault: &&crate::plan::Fault| fault.kind == Kind::ReportsLie && self.strikes(fault, server);
-        let lie = self.faults().find(lies).and_then(|fault| fault.says);
+        let lies = |fault: &&crate::plan::Fault| {
+            fault.kind == FaultKind::FalseLoadReports && self.strikes(fault, server)
+        };
+        let lie = self.faults().find(lies).and_then(|fault| fault.false_load);
         let (at, queue, in_flight) = server.reported;
-        let stands = now < at + span(tier.report_every) || lie == Some(Lie::Frozen);
+        let stands = now < at + to_duration(tier.report_interval) || lie == Some(FalseLoad::Frozen);
         let figures = match lie {
-            Some(Lie::Idle) => (0.0, 0.0),
-            Some(Lie::Busy) => (tier.queue as f64, (tier.queue + tier.cores) as f64),
+            Some(FalseLoad::Idle) => (0.0, 0.0),
+            Some(FalseLoad::Busy) => (tier.queue_limit as f64, (tier.queue_limit + tier.cores) as f64),
             _ if stands => (queue, in_flight),
             _ => (server.queue.len() as f64, server.jobs as f64),
         };
-        let kinds = tier.reports;
+        let kinds = tier.load_reports;
         if !stands && lie.is_none() {
             self.servers[number].reported = (now, figures.0, figures.1);
         }
         LoadReport {
-            queued: matches!(kinds, Reports::Queue | Reports::Both).then_some(figures.0),
-            in_flight: matches!(kinds, Reports::InFlight | Reports::Both).then_some(figures.1),
+            queued: matches!(kinds, ReportedLoad::Queue | ReportedLoad::Both).then_some(figures.0),
+            in_flight: matches!(kinds, ReportedLoad::InFlight | ReportedLoad::Both).then_some(figures.1),
             ..LoadReport::default()
         }
     }
@@ -441,14 +443,17 @@
         let server = &self.servers[number];
         let other = server.zone;
         if server.standing == Standing::Silent || self.cut(zone, other) {
-            return (span(self.plan.tiers[server.tier].connections.dial), Outcome::ConnectFailed);
+            return (
+                to_duration(self.plan.tiers[server.tier].connections.connect_timeout),
+                Outcome::ConnectFailed,
+            );
         }
         if self.paused(server) {
             return (PATIENCE, Outcome::Timeout);
         }
         let refused = server.standing == Standing::Down || server.gone;
         let trip = self.delay(zone, other) * 2;
-        let late = span(0.001 * exponential(&mut self.dice.network));
+        let late = to_duration(0.001 * exponential(&mut self.dice.network));
         (trip + late, if refused { Outcome::ConnectFailed } else { Outcome::Ok })
     }
 }
--- a/crates/lab/src/world/source.rs
+++ b/crates/lab/src/world/source.rs
@@ -3,7 +3,7 @@
 
 use super::ground::{Ground, Server, Standing};
 use super::happening::{Alive, Happening};
-use crate::plan::{Kind, span};
+use crate::plan::{FaultKind, to_duration};
 use landingspread_decisions::host::{Lifecycle, ListedServer};
 use rand::Rng;
 use std::rc::Rc;
@@ -51,7 +51,7 @@
 }
 
 impl Ground {
-    fn source_fails(&self, kind: Kind, tier: usize) -> bool {
+    fn source_fails(&self, kind: FaultKind, tier: usize) -> bool {
         self.faults().any(|fault| fault.kind == kind && fault.tier == tier)
     }
 
@@ -64,7 +64,7 @@
     pub fn publish(&mut self, number: usize) {
         let tier = self.servers[number].tier;
         let Some(mut entry) = self.source.known(number).cloned() else { return };
-        if !self.plan.tiers[tier].weights_told {
+        if !self.plan.tiers[tier].lists_weights {
             entry.nominal_capacity = 1.0;
         }
         let change: Rc<[ListedServer]> = Rc::new([entry]);
@@ -74,8 +74,8 @@
     /// Tells all copies of a tier that watch, each after a time of its own.
     fn tell_all(&mut self, tier: usize, whole: bool, entries: &Rc<[ListedServer]>) {
         let (stale, empty) =
-            (self.source_fails(Kind::ListStale, tier), self.source_fails(Kind::ListEmpty, tier));
-        if (stale || empty || self.source_fails(Kind::ListDown, tier)) && !(whole && empty) {
+            (self.source_fails(FaultKind::ListStale, tier), self.source_fails(FaultKind::ListEmpty, tier));
+        if (stale || empty || self.source_fails(FaultKind::ListDown, tier)) && !(whole && empty) {
             return;
         }
         for copy in 0..self.copies.len() {
@@ -88,23 +88,23 @@
 
     fn tell(&mut self, copy: usize, whole: bool, entries: Rc<[ListedServer]>) {
         let tier = self.copies[copy].tier;
-        let late = self.faults().filter(|fault| fault.kind == Kind::ListLate && fault.tier == tier);
+        let late = self.faults().filter(|fault| fault.kind == FaultKind::ListLate && fault.tier == tier);
         let late: f64 = late.filter_map(|fault| fault.seconds).sum();
-        let lists = &self.plan.lists;
-        let wait = lists.lag + late + lists.jitter * self.dice.network.random::<f64>();
-        let at = (self.now + span(wait)).max(self.copies[copy].list_at);
+        let lists = &self.plan.discovery;
+        let wait = lists.delay + late + lists.jitter * self.dice.network.random::<f64>();
+        let at = (self.now + to_duration(wait)).max(self.copies[copy].list_at);
         self.copies[copy].list_at = at;
         self.put(at, Happening::Told(self.as_alive(copy), whole, entries));
     }
 
     /// The whole list as the source tells it now.
     fn whole(&self, tier: usize) -> Rc<[ListedServer]> {
-        if self.source_fails(Kind::ListEmpty, tier) {
+        if self.source_fails(FaultKind::ListEmpty, tier) {
             return Rc::from([]);
         }
         let mut entries: Vec<ListedServer> =
             self.by_tier[tier].iter().filter_map(|server| self.source.entry(*server)).collect();
-        if !self.plan.tiers[tier].weights_told {
+        if !self.plan.tiers[tier].lists_weights {
             entries.iter_mut().for_each(|entry| entry.nominal_capacity = 1.0);
         }
         entries.into()
@@ -121,12 +121,12 @@
             return;
         }
         let tier = self.copies[alive.copy].tier;
-        if self.source_fails(Kind::ListDown, tier) {
+        if self.source_fails(FaultKind::ListDown, tier) {
             self.put_in(CALL, Happening::ListCallFailed(alive));
             return;
         }
         self.copies[alive.copy].watching = true;
-        let list = if self.source_fails(Kind::ListStale, tier) {
+        let list = if self.source_fails(FaultKind::ListStale, tier) {
             self.copies[alive.copy].last_list.clone()
         } else {
             self.whole(tier)
--- a/crates/lab/tests/callers.rs
+++ b/crates/lab/tests/callers.rs
@@ -1,7 +1,7 @@
 //! The lab's callers before scripted peers: which ends of a connection they report as a command without an answer.
 
-use landingspread_lab::plan::Repeats;
-use landingspread_lab::referee::Final;
+use landingspread_lab::plan::RetrySafety;
+use landingspread_lab::referee::FinalOutcome;
 use landingspread_lab::sockets::Peer;
 use landingspread_lab::sockets::callers::{Asking, CallPlan, Done, Pace, run};
 use std::net::{SocketAddr, TcpListener};
@@ -15,10 +15,15 @@
 const LIMIT: Duration = Duration::from_secs(10);
 
 /// Effectful commands over one connection, each sent as soon as `next` has told that the peer is ready for it.
-fn ends_of(commands: usize, to: SocketAddr, next: Receiver<()>) -> Vec<(Final, Option<&'static str>)> {
+fn ends_of(commands: usize, to: SocketAddr, next: Receiver<()>) -> Vec<(FinalOutcome, Option<&'static str>)> {
     let plan = CallPlan {
         targets: vec![to],
-        verbs: vec![Asking { name: "confirm".into(), repeats: Repeats::Effectful, share: 1.0, limit: LIMIT }],
+        verbs: vec![Asking {
+            name: "confirm".into(),
+            repeats: RetrySafety::NonIdempotent,
+            share: 1.0,
+            limit: LIMIT,
+        }],
         tenants: vec![("acme".into(), 1.0)],
         connections: 1,
         length: 2 * LIMIT,
@@ -69,7 +74,7 @@
             let _ = ready.send(());
         }
     });
-    assert_eq!(ends_of(20, to, next), vec![(Final::Answered, None); 20]);
+    assert_eq!(ends_of(20, to, next), vec![(FinalOutcome::Answered, None); 20]);
     peers.join().expect("no panic");
 }
 
@@ -90,7 +95,7 @@
         drop(kept);
         let _ = ready.send(());
     });
-    let lost = (Final::Lost, Some("its connection ended with no answer"));
-    assert_eq!(ends_of(3, to, next), vec![lost, (Final::Answered, None), lost]);
+    let lost = (FinalOutcome::Lost, Some("its connection ended with no answer"));
+    assert_eq!(ends_of(3, to, next), vec![lost, (FinalOutcome::Answered, None), lost]);
     peers.join().expect("no panic");
 }
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -142,8 +142,8 @@
     let results = landingspread_lab::experiment::sweep(&ready, 0, &|_, _| ()).expect("it can be played");
     let mut met = 0;
     for row in &results.rows {
-        assert_eq!(row.broken, [0; 4], "{} seed {}: {:?}", row.name(), row.seed, row.breaches);
-        met += usize::from(row.picker.name() == "landingspread_fleet");
+        assert_eq!(row.breach_counts, [0; 4], "{} seed {}: {:?}", row.name(), row.seed, row.breaches);
+        met += usize::from(row.load_balancer.name() == "landingspread_fleet");
     }
     assert_eq!(met, 4 * ready.settings.len());
 }
--- a/crates/lab/tests/referee.rs
+++ b/crates/lab/tests/referee.rs
@@ -3,9 +3,9 @@
 use landingspread_decisions::host::{
     AttemptEnd, Host, Id, Lifecycle, ListedServer, LoadReport, Outcome, RequestArrival,
 };
-use landingspread_lab::pickers::Picker;
+use landingspread_lab::pickers::LoadBalancer;
 use landingspread_lab::plan::{self, Scenario};
-use landingspread_lab::world::{Hand, Run, play};
+use landingspread_lab::world::{HostHandle, Run, simulate};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -28,7 +28,7 @@
 }
 
 struct Faulty {
-    hand: Hand,
+    hand: HostHandle,
     wrong: Wrong,
     servers: Vec<(Id, bool)>,
     open: Vec<(Id, Duration)>,
@@ -55,7 +55,7 @@
     }
 }
 
-impl Picker for Faulty {
+impl LoadBalancer for Faulty {
     fn endpoint_list_cached(&mut self, _: Duration, entries: &[ListedServer]) {
         self.take(entries);
     }
@@ -134,7 +134,7 @@
 }
 
 fn played(wrong: Wrong, faults: &str) -> Run {
-    play(&world(faults), 1, &|hand, _, _, _| {
+    simulate(&world(faults), 1, &|hand, _, _, _| {
         Box::new(Faulty { hand, wrong, servers: Vec::new(), open: Vec::new(), turn: 0 })
     })
 }
@@ -164,7 +164,7 @@
 fn a_relay_after_the_final_answer_is_caught() {
     let run = played(Wrong::RelaysOn, "");
     assert!(run.breach_counts[0] > 0);
-    assert!(run.breaches.iter().any(|breach| breach.what.contains("relay after the final")));
+    assert!(run.breaches.iter().any(|breach| breach.description.contains("relay after the final")));
 }
 
 #[test]
@@ -172,7 +172,10 @@
     let run = played(Wrong::Repeats, ERRORS);
     let told = caught(&run, 2);
     assert!(told.contains("may have run") && told.contains("server s"), "{told}");
-    assert!(run.breaches.iter().any(|breach| breach.what == "a second effect"), "the server saw it too");
+    assert!(
+        run.breaches.iter().any(|breach| breach.description == "a second effect"),
+        "the server saw it too"
+    );
 }
 
 #[test]
--- a/crates/lab/tests/suite.rs
+++ b/crates/lab/tests/suite.rs
@@ -5,20 +5,21 @@
 
 fn swept(name: &str, seeds: u64, threads: usize) -> Results {
     let mut ready = experiment::find(name).expect("built in");
-    ready.experiment.pickers.truncate(1);
+    ready.experiment.load_balancers.truncate(1);
     ready.reseed(seeds);
     experiment::sweep(&ready, threads, &|_, _| {}).expect("a pool of threads")
 }
 
 fn keeps_rules(results: &Results) {
     let told = |row: &Row| format!("{} seed {}: {:?}", row.name(), row.seed, row.breaches);
-    let broken: Vec<String> = results.rows.iter().filter(|row| row.broken != [0; 4]).map(told).collect();
+    let broken: Vec<String> =
+        results.rows.iter().filter(|row| row.breach_counts != [0; 4]).map(told).collect();
     assert!(broken.is_empty(), "{}", broken.join("\n"));
 }
 
 /// What the module keeps of a case's utility, the least over the seeds.
 fn least(results: &Results, case: &str) -> f64 {
-    let kept = results.rows.iter().filter(|row| row.case == case).map(|row| row.totals.kept);
+    let kept = results.rows.iter().filter(|row| row.case == case).map(|row| row.totals.utility_fraction);
     kept.fold(f64::MAX, f64::min)
 }
 
--- a/crates/lab/tests/worlds.rs
+++ b/crates/lab/tests/worlds.rs
@@ -1,7 +1,7 @@
 //! The world itself: its queues against theory, its bounds, its chance, and plans that can't be played.
 
-use landingspread_lab::experiment::{self, play_one};
-use landingspread_lab::pickers::Named;
+use landingspread_lab::experiment::{self, run_one};
+use landingspread_lab::pickers::LoadBalancerKind;
 use landingspread_lab::plan::{self, Scenario};
 use proptest::prelude::*;
 use proptest::test_runner::{Config as Cases, RngSeed, TestRunner};
@@ -24,7 +24,7 @@
 fn a_single_queue_is_as_slow_as_theory_says() {
     // M/M/1: the time in the system is exponential with mean 1 / (mu - lambda).
     for (rate, mean_ms) in [(50.0, 20.0), (80.0, 50.0)] {
-        let totals = play_one(&single(rate), Named::Random, 1).totals;
+        let totals = run_one(&single(rate), LoadBalancerKind::Random, 1).totals;
         for (seen, share) in [(totals.p50, 0.5f64), (totals.p90, 0.9)] {
             let theory = -mean_ms * (1.0 - share).ln();
             assert!(
@@ -40,20 +40,20 @@
     let ready = experiment::find("suite").expect("built in");
     let surge = ready.settings.iter().find(|setting| setting.case == "surge").expect("a case");
     let came = |picker| {
-        let run = play_one(&surge.scenario, picker, 3);
-        run.seconds.iter().map(|second| second.came).collect::<Vec<_>>()
+        let run = run_one(&surge.scenario, picker, 3);
+        run.seconds.iter().map(|second| second.arrived).collect::<Vec<_>>()
     };
-    assert_eq!(came(Named::Landingspread), came(Named::Random));
+    assert_eq!(came(LoadBalancerKind::Landingspread), came(LoadBalancerKind::Random));
 }
 
 #[test]
 fn a_flood_does_not_make_the_world_grow_without_bound() {
     let mut flood = experiment::find("one-tier").expect("built in").settings.remove(0).scenario;
     (flood.seconds, flood.settle, flood.load.rate) = (4.0, 0.0, 60_000.0);
-    let run = play_one(&flood, Named::Landingspread, 1);
+    let run = run_one(&flood, LoadBalancerKind::Landingspread, 1);
     assert_eq!(run.breach_counts, [0; 4], "{:?}", run.breaches.first());
     // Every command is in it with its end, its relay and its time limit, for as long as that lasts.
-    assert!(run.agenda_most < 60_000 * 2 * 4, "{} things to come", run.agenda_most);
+    assert!(run.max_queued_events < 60_000 * 2 * 4, "{} things to come", run.max_queued_events);
     assert!(run.totals.declined > run.totals.answered);
 }
 
@@ -61,9 +61,9 @@
 fn with_no_server_ever_ready_all_is_declined() {
     let mut plan = single(50.0);
     (plan.seconds, plan.tiers[0].servers) = (5.0, 0);
-    let run = play_one(&plan, Named::Landingspread, 1);
+    let run = run_one(&plan, LoadBalancerKind::Landingspread, 1);
     assert_eq!((run.totals.answered, run.breach_counts), (0, [0; 4]));
-    assert_eq!(run.totals.declined, run.totals.came);
+    assert_eq!(run.totals.declined, run.totals.arrived);
 }
 
 /// A random list of faults for the suite's world.
@@ -112,7 +112,7 @@
     TestRunner::new(cases)
         .run(&(faults(), 1u64..1000), |(faults, seed)| {
             let plan = parsed(&format!("{world}\n{}", faults.concat()));
-            let run = play_one(&plan, Named::Landingspread, seed);
+            let run = run_one(&plan, LoadBalancerKind::Landingspread, seed);
             prop_assert_eq!(run.breach_counts, [0; 4], "{:?}", run.breaches.first());
             Ok(())
         })
--- a/crates/sidecar/tests/scenes.rs
+++ b/crates/sidecar/tests/scenes.rs
@@ -29,10 +29,10 @@
     let dir = run_dir(name).expect("a folder");
     let mut seconds = 0;
     let line = sockets::play(&plan, 1, Path::new(PROGRAM), &dir, &mut |_| seconds += 1).expect("it plays");
-    assert_eq!(line.broken, [0; 4], "{:?}", line.breaches);
+    assert_eq!(line.breach_counts, [0; 4], "{:?}", line.breaches);
     assert!(line.totals.answered > 300 && seconds >= 4, "{:?}", line.totals);
     // What is answered at all does not depend on how busy the machine is that runs this.
-    assert!(line.totals.answered * 10 > line.totals.came * 8, "{:?}", line.totals);
+    assert!(line.totals.answered * 10 > line.totals.arrived * 8, "{:?}", line.totals);
 }
 
 #[test]
