--- a/crates/control/src/follower.rs
+++ b/crates/control/src/follower.rs
@@ -77,7 +77,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             AnswerError::Delta(error) => error.fmt(f),
-            AnswerError::Stale(version) => write!(f, "version: {version} is older than the version in force"),
+            AnswerError::Stale(version) => write!(f, "version: {version} is older than what is in force"),
         }
     }
 }
--- a/crates/control/src/version_store.rs
+++ b/crates/control/src/version_store.rs
@@ -58,7 +58,7 @@
             PublishError::UnknownVersion(version) => write!(f, "back: {version} is not kept here"),
             PublishError::Config(error) => error.fmt(f),
             PublishError::TooManyScopes => {
-                write!(f, "scope: the machine has the maximum of {MAX_SCOPES} scopes already")
+                write!(f, "scope: there are {MAX_SCOPES} of them already")
             }
         }
     }
--- a/crates/control/tests/protocol.rs
+++ b/crates/control/tests/protocol.rs
@@ -144,7 +144,7 @@
     let mut answer_error = |bytes: &[u8]| {
         follower.on_delta(seconds(3), bytes, &mut host).expect_err("the answer is unusable").to_string()
     };
-    assert_eq!(answer_error(&text(&old)), format!("version: {first} is older than the version in force"));
+    assert_eq!(answer_error(&text(&old)), format!("version: {first} is older than what is in force"));
     let other =
         Snapshot::new("orders", 100, 9, contents_of(&[("a", "3")])).expect("the contents are within bounds");
     assert_eq!(answer_error(&text(&other.full_delta())), "scope: \"orders\" is another");
--- a/crates/sidecar/src/control/followers.rs
+++ b/crates/sidecar/src/control/followers.rs
@@ -57,7 +57,7 @@
 impl ConfigHost for PrintingHost {
     fn check(&mut self, contents: &Contents) -> Result<(), ConfigError> {
         match contents.contains_key(REFUSED_KEY) {
-            true => Err(ConfigError::new(REFUSED_KEY, "versions with this key are refused")),
+            true => Err(ConfigError::new(REFUSED_KEY, "as it says")),
             false => Ok(()),
         }
     }
--- a/crates/sidecar/src/control/machine/connections.rs
+++ b/crates/sidecar/src/control/machine/connections.rs
@@ -77,9 +77,7 @@
                 | Some(Err(http::HttpError::TimedOut | http::HttpError::Closed | http::HttpError::Broken)) => {
                     return;
                 }
-                Some(Err(http::HttpError::TooLarge)) => {
-                    (Reply::error(413, "the request is too large"), false)
-                }
+                Some(Err(http::HttpError::TooLarge)) => (Reply::error(413, "the call is too large"), false),
                 Some(Err(http::HttpError::Malformed)) => {
                     (Reply::error(400, "this is no HTTP/1.1 message"), false)
                 }
