--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -1,11 +1,10 @@
-//! A straight line through measured points. It owns the fit and how far the points lie off it; it must never know
-//! what was measured.
+//! Least-squares fit of a straight line through measured points, with its residual and the spread of the runs.
 
-/// One size that was measured: the size and the figure of each run at it.
+/// A measured size and the figure of each run at this size.
 #[derive(Clone, Debug, PartialEq, serde::Deserialize)]
 #[serde(try_from = "Vec<f64>")]
 pub struct Point {
-    /// What was varied, at this point; in units of the slope's `by`.
+    /// The value of the variable that the slope's `by` names.
     pub by: f64,
     /// The figure of each run, in the slope's unit; never empty.
     pub runs: Vec<f64>,
@@ -17,11 +16,11 @@
         self.runs.iter().sum::<f64>() / self.runs.len() as f64
     }
 
-    /// (max - min) / mean over the runs; the difference alone where the mean is 0.
+    /// (max - min) / mean over the runs; max - min if the mean is 0.
     pub fn spread(&self) -> f64 {
-        let most = self.runs.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-        let least = self.runs.iter().copied().fold(f64::INFINITY, f64::min);
-        relative(most - least, self.mean())
+        let largest = self.runs.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+        let smallest = self.runs.iter().copied().fold(f64::INFINITY, f64::min);
+        relative(largest - smallest, self.mean())
     }
 }
 
@@ -29,57 +28,67 @@
     type Error = String;
 
     fn try_from(numbers: Vec<f64>) -> Result<Point, String> {
-        if let Some(wrong) = numbers.iter().find(|number| !number.is_finite()) {
-            return Err(format!("{wrong} in a point; expected finite numbers"));
+        if let Some(number) = numbers.iter().find(|number| !number.is_finite()) {
+            return Err(format!("a point contains {number}; expected finite numbers"));
         }
         match numbers.split_first() {
             Some((by, runs)) if !runs.is_empty() => Ok(Point { by: *by, runs: runs.into() }),
-            _ => Err("a point is [what was varied, one figure for each run, at least one]".into()),
+            _ => {
+                Err("expected a point as [value of the variable, figure of each run], with at least one run"
+                    .into())
+            }
         }
     }
 }
 
-/// The line that least squares put through the means of the points.
+/// A straight line fitted by least squares to the means of the points.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
-    /// Where the line meets 0.
+    /// The intercept: the figure at size 0.
     pub at_rest: f64,
-    /// What each one more adds.
+    /// The gradient: the increase of the figure per unit of size.
     pub each: f64,
-    /// The largest |fit - mean| / mean over the points.
+    /// The largest |fit - mean| / mean over the points; |fit - mean| where the mean is 0.
     pub residual: f64,
-    /// The largest (max - min) / mean over the runs of one point.
+    /// The largest [`Point::spread`].
     pub spread: f64,
 }
 
 impl Fit {
-    /// Ordinary least squares over the means of the points: each size weighs the same, however many runs it had.
+    /// Fits by ordinary least squares over the means of the points, so that each size has the same weight at any number
+    /// of runs.
     ///
     /// # Errors
-    /// Fewer than two different sizes, a point with no run, or a number that is not finite.
-    pub fn of(points: &[Point]) -> Result<Fit, String> {
+    /// There are fewer than two different sizes, a point has no run, or a number is not finite.
+    pub fn least_squares(points: &[Point]) -> Result<Fit, String> {
         for point in points {
             let finite = point.by.is_finite() && point.runs.iter().all(|run| run.is_finite());
             if point.runs.is_empty() || !finite {
-                return Err(format!("the point at {}: expected at least one run, all finite", point.by));
+                return Err(format!(
+                    "the point at {}: expected a finite size and at least one run, all finite",
+                    point.by
+                ));
             }
         }
         let count = points.len() as f64;
-        let middle = points.iter().map(|point| point.by).sum::<f64>() / count;
-        let level = points.iter().map(Point::mean).sum::<f64>() / count;
-        let across: f64 = points.iter().map(|point| (point.by - middle).powi(2)).sum();
-        if across.is_nan() || across <= 0.0 {
-            return Err("expected points at two different sizes at least".into());
+        let mean_size = points.iter().map(|point| point.by).sum::<f64>() / count;
+        let mean_figure = points.iter().map(Point::mean).sum::<f64>() / count;
+        let sum_of_squares: f64 = points.iter().map(|point| (point.by - mean_size).powi(2)).sum();
+        if sum_of_squares.is_nan() || sum_of_squares <= 0.0 {
+            return Err("expected points at two or more different sizes".into());
         }
-        let up: f64 = points.iter().map(|point| (point.by - middle) * (point.mean() - level)).sum();
-        let (each, at_rest) = (up / across, level - up / across * middle);
-        let off = |point: &Point| relative((at_rest + each * point.by - point.mean()).abs(), point.mean());
-        let residual = points.iter().map(off).fold(0.0, f64::max);
+        let sum_of_products: f64 =
+            points.iter().map(|point| (point.by - mean_size) * (point.mean() - mean_figure)).sum();
+        let (each, at_rest) =
+            (sum_of_products / sum_of_squares, mean_figure - sum_of_products / sum_of_squares * mean_size);
+        let error = |point: &Point| relative((at_rest + each * point.by - point.mean()).abs(), point.mean());
+        let residual = points.iter().map(error).fold(0.0, f64::max);
         let spread = points.iter().map(Point::spread).fold(0.0, f64::max);
         Ok(Fit { at_rest, each, residual, spread })
     }
 }
 
-fn relative(difference: f64, of: f64) -> f64 {
-    if of == 0.0 { difference } else { difference / of.abs() }
+/// The difference relative to `reference`; the difference itself if `reference` is 0.
+fn relative(difference: f64, reference: f64) -> f64 {
+    if reference == 0.0 { difference } else { difference / reference.abs() }
 }
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,6 +1,6 @@
-//! What the product needs at a stated size. It owns the arithmetic from measured slopes to state, messages, time and
-//! memory of each role, beside the operators' bounds; it must never open a file or a socket, read a clock, or hold a
-//! figure that was neither measured nor derived from the protocol.
+//! Capacity model: the state, messages, processor time and memory that each role needs at a given size, computed from
+//! measured slopes and shown next to the operators' bounds. Every figure is measured or derived from the protocol. The
+//! crate opens no file or socket and reads no clock.
 
 mod fit;
 mod page;
@@ -10,8 +10,8 @@
 mod sums;
 
 pub use fit::{Fit, Point};
-pub use page::{Section, figure, put, sections, text};
-pub use sheet::{BUDGET_BYTES_PER_S, BY, Cell, Line, figures, sheet, unread};
+pub use page::{Section, format_figure, marked_text, replace_sections, sections};
+pub use sheet::{BUDGET_BYTES_PER_S, Cell, Row, VARIABLES, figure_names, sheet, unused_slopes};
 pub use size::{Assumption, BUILT_IN, Case, Operators, Pairing, Size};
 pub use slope::{AFTER as BUILT_IN_AFTER, BUILT_IN as BUILT_IN_SLOPES, Role, Slope, Slopes, Source};
-pub use sums::{Class, Moment, Sums};
+pub use sums::{CaseStats, Class, Moment};
--- a/crates/capacity/src/sheet.rs
+++ b/crates/capacity/src/sheet.rs
@@ -1,16 +1,17 @@
-//! What each role needs at a size, row by row. It owns which figure stands for what, at which sizes its slopes are read,
-//! and the bound beside it; it must never fill in a figure that was neither measured nor derived from the protocol.
+//! Evaluates what each role needs at a size, one row per figure. It defines which slopes and which multiplier each row
+//! uses and the operators' bound next to it. Every figure is measured or derived from the protocol.
 //!
-//! A row reads the slopes of its role and figure. Of several (by copies, by endpoints, ...) the first of [`BY`] counts
-//! whole, the others by what each one more adds. At another moment than calm a row needs a slope by changes or lines a
-//! second, or a figure of that moment alone (`bytes_out_zone_lost`): without either it is not measured.
+//! A row reads the slopes of its role and figure. Where several match (by copies, by endpoints, ...), the first in the
+//! order of [`VARIABLES`] counts in full and each other one adds only its increment per unit. At any moment but calm a row
+//! needs a slope by changes or lines per second, or a figure of that moment (`bytes_out_zone_lost`); without either it is
+//! not measured.
 
 use crate::size::{Case, Operators, Size};
 use crate::slope::{Role, Slope, Slopes};
-use crate::sums::{Moment, Sums};
+use crate::sums::{CaseStats, Moment};
 
-/// What may be varied, and in which order slopes of one figure are joined.
-pub const BY: [&str; 8] = [
+/// The values that `Slope::by` may have, in the order in which the slopes of one figure are combined.
+pub const VARIABLES: [&str; 8] = [
     "copies",
     "sidecars",
     "followers",
@@ -21,90 +22,101 @@
     "calls_per_s",
 ];
 
-/// Those that differ from moment to moment.
-const RATES: [&str; 2] = ["changes_per_s", "lines_per_s"];
+/// The variables whose values depend on the moment.
+const RATE_VARIABLES: [&str; 2] = ["changes_per_s", "lines_per_s"];
 
-/// What stands in a row for one moment.
+/// The result of a row at one moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Cell {
+    /// The figure, in the row's unit.
     Figure(f64),
+    /// No slope gives the figure at this moment.
     NotMeasured,
-    /// Nothing does it.
+    /// The system has no mechanism for what the row describes.
     NoMechanism,
 }
 
-/// A row worked out.
+/// A row evaluated at all moments.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct Row {
+    /// The role that needs the resource.
     pub role: Role,
-    pub what: &'static str,
+    /// The row's name in the tables.
+    pub label: &'static str,
+    /// The unit of the figures and of the bound.
     pub unit: &'static str,
-    /// In the order of [`Moment::ALL`].
+    /// The results, in the order of [`Moment::ALL`].
     pub cells: [Cell; 6],
-    /// The operators'.
+    /// The operators' bound, in `unit`; for relays per call it is the project's own.
     pub bound: Option<f64>,
-    /// The mechanism.
-    pub carried: &'static str,
-    /// How the figure was derived, or which slopes gave it, from where to where.
-    pub from: String,
-    /// Whether the table over all roles shows it.
-    pub main: bool,
+    /// The part of the system that carries the load.
+    pub mechanism: &'static str,
+    /// The derivation of the figure, or its slopes with the range of their points.
+    pub derivation: String,
+    /// Whether the summary table of all roles shows the row.
+    pub in_summary: bool,
 }
 
-impl Line {
-    /// The largest figure and its moment.
+impl Row {
+    /// The largest figure with its moment; `None` where no moment has a figure.
     pub fn worst(&self) -> Option<(Moment, f64)> {
         let figure = |(moment, cell): (Moment, &Cell)| match cell {
             Cell::Figure(figure) => Some((moment, *figure)),
             _ => None,
         };
         let figures = Moment::ALL.into_iter().zip(&self.cells).filter_map(figure);
-        figures.reduce(|most, next| if next.1 > most.1 { next } else { most })
+        figures.reduce(|largest, next| if next.1 > largest.1 { next } else { largest })
     }
 }
 
-/// Where a row is worked out.
-struct At<'a> {
+/// The moment and the case at which a row is evaluated.
+struct Scenario<'a> {
     moment: Moment,
     operators: &'a Operators,
     case: &'a Case,
-    sums: &'a Sums,
+    stats: &'a CaseStats,
 }
 
-impl At<'_> {
+impl Scenario<'_> {
     fn list_changes(&self) -> f64 {
-        self.sums.list_changes(self.moment, self.operators, self.case)
+        self.stats.list_changes(self.moment, self.operators, self.case)
     }
 
     fn member_changes(&self) -> f64 {
-        self.sums.member_changes(self.moment, self.operators, self.case)
+        self.stats.member_changes(self.moment, self.operators, self.case)
     }
 
     fn configuration_changes(&self) -> f64 {
-        self.sums.configuration_changes(self.moment, self.operators, self.case)
+        self.stats.configuration_changes(self.moment, self.operators, self.case)
     }
 
     fn machines(&self) -> f64 {
         self.operators.control_machines as f64
     }
 
-    /// Sidecars that begin to call discovery, a second.
-    fn returns(&self) -> f64 {
-        self.sums.returns(self.moment, self.operators, self.case)
+    /// Sidecars that start to call discovery, per second.
+    fn returning_sidecars(&self) -> f64 {
+        self.stats.returning_sidecars(self.moment, self.operators, self.case)
     }
 
-    /// Lines that discovery sends: changes to those who call the service, whole lists to those who know none.
-    fn lines(&self) -> f64 {
-        let (sums, moment) = (self.sums, self.moment);
-        let knows = moment == Moment::RegionBack && !self.case.back_whole;
-        let whole = if knows { 0.0 } else { self.returns() * sums.called * sums.listed };
-        // What was missed in a cut concerns those who return alone.
-        let missing = if moment == Moment::RegionBack { sums.region / sums.endpoints } else { 1.0 };
-        self.list_changes() * missing * sums.hearers + whole
+    /// List lines that discovery sends per second: changes to the sidecars that call the service, and whole lists to the
+    /// sidecars that have none.
+    fn list_lines(&self) -> f64 {
+        let (stats, moment) = (self.stats, self.moment);
+        let sends_changes_only = moment == Moment::RegionBack && !self.case.back_whole;
+        let whole_lists = if sends_changes_only {
+            0.0
+        } else {
+            self.returning_sidecars() * stats.called_services * stats.listed_endpoints
+        };
+        // Only the returning sidecars missed the changes made during a partition.
+        let share =
+            if moment == Moment::RegionBack { stats.returning_endpoints / stats.endpoints } else { 1.0 };
+        self.list_changes() * share * stats.notified_sidecars + whole_lists
     }
 
-    /// Lines of a log that a member's change is worth: a loss two (`suspected`, `dead`), a return one (`back`).
-    fn log_lines(&self) -> f64 {
+    /// Log lines per member change: two for a loss (`suspected`, `dead`), one for a return (`back`).
+    fn log_lines_per_change(&self) -> f64 {
         match self.moment {
             Moment::RackLost | Moment::ZoneLost => 2.0,
             Moment::RegionBack => 1.0,
@@ -112,503 +124,626 @@
         }
     }
 
-    /// Changes of configuration times those whom each concerns, if they were sent to those alone.
-    fn sends(&self) -> f64 {
+    /// Configuration changes sent per second if each is sent only to the sidecars that it concerns.
+    fn configuration_sends(&self) -> f64 {
         match self.moment {
-            // Those who return lack an hour's changes, each sidecar those that concern it.
+            // Each returning sidecar receives the changes that concern it and that it missed during the partition.
             Moment::RegionBack => {
                 let missed = self.operators.changes_a_day as f64 / 24.0 * self.operators.cut_hours;
-                let part = self.sums.region / self.sums.endpoints;
-                missed * self.sums.concerned * part / self.case.back_within_s
+                let share = self.stats.returning_endpoints / self.stats.endpoints;
+                missed * self.stats.affected_sidecars * share / self.case.back_within_s
             }
-            _ => self.configuration_changes() * self.sums.concerned,
+            _ => self.configuration_changes() * self.stats.affected_sidecars,
         }
     }
 
-    /// A watch of today calls again after this many seconds: 50 calls a second of all copies, 2 to 20 s.
-    fn watch_s(&self) -> f64 {
-        (self.sums.sharers / 50.0).clamp(2.0, 20.0)
+    /// The interval at which a watch polls, in seconds: between 2 and 20 s, so that all copies together poll 50 times a
+    /// second.
+    fn watch_interval_s(&self) -> f64 {
+        (self.stats.fleet_size / 50.0).clamp(2.0, 20.0)
     }
 }
 
-/// Whose slopes a row reads, and how often each counts.
+/// The processes or machines that a row covers. It selects the sizes at which slopes are read and the multiplier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Shape {
-    /// As the program stands: a process, a list and a fleet for each service called; times the services called.
-    Processes,
-    /// The same, of one of those fleets.
+enum Scope {
+    /// A sidecar as the program works today: a process, a list and a fleet for each called service, times the mean number
+    /// of called services.
+    ProcessPerService,
+    /// One of these fleets.
     OneFleet,
-    /// The same at the sidecar that calls most.
-    MostCalling,
-    /// One process in one ring of all copies.
-    Ring,
-    /// One machine of so many that are left, before all watches; 0 where all are.
-    Machine { left: u64 },
-    /// All of the eight machines, with one follower for each sidecar.
-    AllMachines,
-    /// The same with one for each process, as the program stands.
-    AllProcesses,
+    /// The sidecar that calls the most services.
+    LargestSidecar,
+    /// One process if all copies formed a single ring.
+    SingleRing,
+    /// One control machine when `remaining` machines share all watches; 0 means that no machine has failed.
+    Machine { remaining: u64 },
+    /// All control machines, with one follower per sidecar.
+    FollowerPerSidecar,
+    /// All control machines, with one follower per process, as the program works today.
+    FollowerPerProcess,
 }
 
-impl Shape {
-    fn times(self, at: &At<'_>) -> f64 {
+impl Scope {
+    fn multiplier(self, scenario: &Scenario<'_>) -> f64 {
         match self {
-            Shape::Processes => at.sums.called,
-            Shape::MostCalling => at.sums.called_most,
-            Shape::OneFleet
-            | Shape::Ring
-            | Shape::Machine { .. }
-            | Shape::AllMachines
-            | Shape::AllProcesses => 1.0,
+            Scope::ProcessPerService => scenario.stats.called_services,
+            Scope::LargestSidecar => scenario.stats.called_services_max,
+            Scope::OneFleet
+            | Scope::SingleRing
+            | Scope::Machine { .. }
+            | Scope::FollowerPerSidecar
+            | Scope::FollowerPerProcess => 1.0,
         }
     }
 
-    /// The size at which a slope is read; none for what is varied in no known way.
-    fn size(self, role: Role, by: &str, at: &At<'_>) -> Option<f64> {
-        let sums = at.sums;
-        let of_all = |left: f64| match by {
-            "copies" | "watches" if role == Role::Discovery => Some(sums.pairs / left),
-            "copies" | "watches" | "sidecars" => Some(sums.endpoints / left),
-            // Of the list that one watch tells of.
-            "endpoints" => Some(sums.listed),
-            "changes_per_s" if role == Role::Configuration => Some(at.configuration_changes()),
-            "changes_per_s" => Some(at.list_changes()),
-            "lines_per_s" if role == Role::Configuration => Some(at.sends() / left),
-            "lines_per_s" => Some(at.lines() / left),
+    /// The value of the variable `by` at which a slope is read; `None` if the scope does not define one.
+    fn size(self, role: Role, by: &str, scenario: &Scenario<'_>) -> Option<f64> {
+        let stats = scenario.stats;
+        let value = |machines: f64| match by {
+            "copies" | "watches" if role == Role::Discovery => Some(stats.pairs / machines),
+            "copies" | "watches" | "sidecars" => Some(stats.endpoints / machines),
+            // The length of the list that one watch reports.
+            "endpoints" => Some(stats.listed_endpoints),
+            "changes_per_s" if role == Role::Configuration => Some(scenario.configuration_changes()),
+            "changes_per_s" => Some(scenario.list_changes()),
+            "lines_per_s" if role == Role::Configuration => Some(scenario.configuration_sends() / machines),
+            "lines_per_s" => Some(scenario.list_lines() / machines),
             _ => None,
         };
-        let all = |left: u64| of_all(left.max(1) as f64);
+        let value_over = |machines: u64| value(machines.max(1) as f64);
         match self {
-            // Followers are counted over all eight machines: one that is left alone has eight times its part.
-            Shape::Machine { left: 1 } if by == "followers" => Some(sums.pairs * at.machines()),
-            Shape::AllProcesses | Shape::Machine { .. } if by == "followers" => Some(sums.pairs),
-            Shape::AllMachines if by == "followers" => Some(sums.endpoints),
-            Shape::Machine { left } => all(if left == 0 { at.operators.control_machines } else { left }),
-            Shape::AllMachines | Shape::AllProcesses => all(1),
-            Shape::Ring => match by {
-                "copies" => Some(sums.endpoints),
-                "endpoints" => Some(sums.called * sums.listed),
-                "changes_per_s" => Some(at.member_changes()),
+            // Slopes by followers give the figure of one machine over the followers of all machines. The last remaining
+            // machine serves as many followers as one of n machines does when there are n times as many.
+            Scope::Machine { remaining: 1 } if by == "followers" => Some(stats.pairs * scenario.machines()),
+            Scope::FollowerPerProcess | Scope::Machine { .. } if by == "followers" => Some(stats.pairs),
+            Scope::FollowerPerSidecar if by == "followers" => Some(stats.endpoints),
+            Scope::Machine { remaining } => {
+                value_over(if remaining == 0 { scenario.operators.control_machines } else { remaining })
+            }
+            Scope::FollowerPerSidecar | Scope::FollowerPerProcess => value_over(1),
+            Scope::SingleRing => match by {
+                "copies" => Some(stats.endpoints),
+                "endpoints" => Some(stats.called_services * stats.listed_endpoints),
+                "changes_per_s" => Some(scenario.member_changes()),
                 _ => None,
             },
-            Shape::Processes | Shape::OneFleet | Shape::MostCalling => match by {
-                "copies" => Some(sums.sharers),
-                "endpoints" => Some(sums.listed),
-                // What one follower costs does not grow with the others: read where there is one for each sidecar.
-                "followers" => Some(sums.endpoints),
+            Scope::ProcessPerService | Scope::OneFleet | Scope::LargestSidecar => match by {
+                "copies" => Some(stats.fleet_size),
+                "endpoints" => Some(stats.listed_endpoints),
+                // The cost of one follower does not grow with the number of others, so the slope is read at one per sidecar.
+                "followers" => Some(stats.endpoints),
                 "changes_per_s" if role == Role::Fleet => {
-                    Some(at.member_changes() * (sums.sharers / sums.endpoints).min(1.0))
+                    Some(scenario.member_changes() * (stats.fleet_size / stats.endpoints).min(1.0))
                 }
                 "changes_per_s" | "lines_per_s" => {
-                    Some(at.list_changes() * (sums.listed / sums.endpoints).min(1.0))
+                    Some(scenario.list_changes() * (stats.listed_endpoints / stats.endpoints).min(1.0))
                 }
-                "calls_per_s" => Some(sums.calls_a_sidecar / sums.called),
+                "calls_per_s" => Some(stats.calls_per_sidecar / stats.called_services),
                 _ => None,
             },
         }
     }
 }
 
-/// Where a row's figures come from.
-enum Need {
-    /// By reading the protocol or the program; and how.
-    Derived(fn(&At<'_>) -> f64, &'static str),
-    /// By slopes of these figures, added up.
-    Measured(&'static [&'static str], Shape),
-    /// As measured; where nothing was, nothing does it.
-    NothingUnless(&'static [&'static str], Shape),
+/// The origin of a row's figures.
+enum Origin {
+    /// Computed from the protocol or the program; the text describes the formula.
+    Derived(fn(&Scenario<'_>) -> f64, &'static str),
+    /// The sum of these measured figures.
+    Measured(&'static [&'static str], Scope),
+    /// Like `Measured`, but without any slope the system has no mechanism for it.
+    MeasuredOrNoMechanism(&'static [&'static str], Scope),
 }
 
-struct Row {
+/// The definition of a row.
+struct RowSpec {
     role: Role,
-    what: &'static str,
+    label: &'static str,
     unit: &'static str,
-    need: Need,
+    origin: Origin,
     bound: Option<fn(&Operators) -> f64>,
-    carried: &'static str,
-    main: bool,
+    mechanism: &'static str,
+    in_summary: bool,
 }
 
-/// Further relays of commands that may have run, as a share of the commands taken: what the decisions allow a tier.
-const REPEATS: f64 = 0.1;
-/// Our own goal for relays at the bottom over calls at the top, whatever the depth.
-const DEPTH_GOAL: f64 = 1.1;
-/// What `[fleet]` lets a process send a second where its configuration says nothing else: the budget of the membership.
+/// Retries of commands that may have run, as a fraction of the commands accepted: the retry budget of one tier.
+const RETRY_BUDGET: f64 = 0.1;
+/// The project's own limit for relays at the bottom tier per call at the top tier, at any depth; the operators state none.
+const RELAY_RATIO_GOAL: f64 = 1.1;
+/// The default budget of the membership protocol per process, in bytes per second; `[fleet]` may set another.
 pub const BUDGET_BYTES_PER_S: f64 = 98_304.0;
 
-const A_PROCESS: &str = "a process, a list and a fleet for each service called";
-const PATH: &str = "the sidecar's own path, by its one owner";
-const RING: &str = "membership: one ring of all, if it were so";
-const WATCH: &str = "discovery: a watch for each pair; eight machines share them by no mechanism of ours";
-const NONE: &str = "none: SIGHUP reads `discovery` only";
-const LOGS: &str = "a line for each at each copy; nothing gathers or thins them";
+const PROCESS_PER_SERVICE: &str = "a process, a list and a fleet for each service called";
+const REQUEST_PATH: &str = "the sidecar's own path, by its one owner";
+const SINGLE_RING: &str = "membership: one ring of all, if it were so";
+const WATCH_PER_PAIR: &str =
+    "discovery: a watch for each pair; eight machines share them by no mechanism of ours";
+const NO_MECHANISM: &str = "none: SIGHUP reads `discovery` only";
+const UNAGGREGATED_LOGS: &str = "a line for each at each copy; nothing gathers or thins them";
 
-const fn row(role: Role, what: &'static str, unit: &'static str, need: Need, carried: &'static str) -> Row {
-    Row { role, what, unit, need, bound: None, carried, main: false }
+const fn row(
+    role: Role,
+    label: &'static str,
+    unit: &'static str,
+    origin: Origin,
+    mechanism: &'static str,
+) -> RowSpec {
+    RowSpec { role, label, unit, origin, bound: None, mechanism, in_summary: false }
 }
 
-/// One of the table over all roles, with the operators' bound.
-const fn held(mut row: Row, bound: fn(&Operators) -> f64) -> Row {
+/// Adds the row to the summary table, with a bound.
+const fn bounded(mut row: RowSpec, bound: fn(&Operators) -> f64) -> RowSpec {
     row.bound = Some(bound);
-    row.main = true;
+    row.in_summary = true;
     row
 }
 
-/// One of the table over all roles for which the operators state no bound.
-const fn shown(mut row: Row) -> Row {
-    row.main = true;
+/// Adds the row to the summary table without a bound.
+const fn summarized(mut row: RowSpec) -> RowSpec {
+    row.in_summary = true;
     row
 }
 
-const BYTES: fn(&Operators) -> f64 = |operators| operators.sidecar_bytes_per_s;
-const CORES: fn(&Operators) -> f64 = |operators| operators.sidecar_cores;
-const SOON: fn(&Operators) -> f64 = |operators| operators.in_force_s;
-const MEMORY: fn(&Operators) -> f64 = |operators| operators.sidecar_mb;
-
-fn sidecar() -> Vec<Row> {
-    use Need::{Derived, Measured};
-    let of = |what, unit, need| row(Role::Sidecar, what, unit, need, A_PROCESS);
-    let each = |figures| Measured(figures, Shape::Processes);
-    let most = |figures| Measured(figures, Shape::MostCalling);
-    let called = "services called, on average; a process each";
+const BYTES_BOUND: fn(&Operators) -> f64 = |operators| operators.sidecar_bytes_per_s;
+const CORES_BOUND: fn(&Operators) -> f64 = |operators| operators.sidecar_cores;
+const IN_FORCE_BOUND: fn(&Operators) -> f64 = |operators| operators.in_force_s;
+const MEMORY_BOUND: fn(&Operators) -> f64 = |operators| operators.sidecar_mb;
+
+fn sidecar_rows() -> Vec<RowSpec> {
+    use Origin::{Derived, Measured};
+    let spec = |label, unit, origin| row(Role::Sidecar, label, unit, origin, PROCESS_PER_SERVICE);
+    let per_sidecar = |figures| Measured(figures, Scope::ProcessPerService);
+    let largest_sidecar = |figures| Measured(figures, Scope::LargestSidecar);
+    let called_derivation = "services called, on average; a process each";
     vec![
-        of("state: services called", "services", Derived(|at| at.sums.called, called)),
-        of(
+        spec(
+            "state: services called",
+            "services",
+            Derived(|scenario| scenario.stats.called_services, called_derivation),
+        ),
+        spec(
             "state: endpoints known",
             "endpoints",
-            Derived(|at| at.sums.called * at.sums.listed, "services called times their endpoints"),
+            Derived(
+                |scenario| scenario.stats.called_services * scenario.stats.listed_endpoints,
+                "services called times their endpoints",
+            ),
         ),
-        of("messages out", "messages/s", each(&["messages_out"])),
-        of("messages in", "messages/s", each(&["messages_in"])),
-        held(of("bytes out", "bytes/s", each(&["bytes_out"])), BYTES),
-        held(of("bytes out and in", "bytes/s", each(&["bytes_out", "bytes_in"])), BYTES),
-        held(of("bytes out, calling most", "bytes/s", most(&["bytes_out"])), BYTES),
-        held(of("processor time", "cores", each(&["cpu"])), CORES),
-        held(of("processor time, calling most", "cores", most(&["cpu"])), CORES),
-        held(of("memory", "MB", each(&["memory"])), MEMORY),
-        held(of("memory, calling most", "MB", most(&["memory"])), MEMORY),
-        of("wake-ups", "wake-ups/s", each(&["wake_ups"])),
-        held(
+        spec("messages out", "messages/s", per_sidecar(&["messages_out"])),
+        spec("messages in", "messages/s", per_sidecar(&["messages_in"])),
+        bounded(spec("bytes out", "bytes/s", per_sidecar(&["bytes_out"])), BYTES_BOUND),
+        bounded(spec("bytes out and in", "bytes/s", per_sidecar(&["bytes_out", "bytes_in"])), BYTES_BOUND),
+        bounded(spec("bytes out, calling most", "bytes/s", largest_sidecar(&["bytes_out"])), BYTES_BOUND),
+        bounded(spec("processor time", "cores", per_sidecar(&["cpu"])), CORES_BOUND),
+        bounded(spec("processor time, calling most", "cores", largest_sidecar(&["cpu"])), CORES_BOUND),
+        bounded(spec("memory", "MB", per_sidecar(&["memory"])), MEMORY_BOUND),
+        bounded(spec("memory, calling most", "MB", largest_sidecar(&["memory"])), MEMORY_BOUND),
+        spec("wake-ups", "wake-ups/s", per_sidecar(&["wake_ups"])),
+        bounded(
             row(
                 Role::Sidecar,
                 "relays at the bottom over calls at the top, as each tier may repeat",
                 "relays/call",
                 Derived(
-                    |at| (1.0 + REPEATS).powf(at.operators.deep as f64),
+                    |scenario| (1.0 + RETRY_BUDGET).powf(scenario.operators.deep as f64),
                     "1.1 a tier for relays that may have run, to the power of the depth; those that never ran come on top",
                 ),
                 "a budget of repeats at each tier, none over the depth",
             ),
-            |_| DEPTH_GOAL,
+            |_| RELAY_RATIO_GOAL,
+        ),
+        spec("processor time of its calls", "cores", per_sidecar(&["calls_cpu"])),
+        row(
+            Role::Sidecar,
+            "added to a call, median",
+            "ms",
+            Measured(&["added_p50"], Scope::OneFleet),
+            REQUEST_PATH,
         ),
-        of("processor time of its calls", "cores", each(&["calls_cpu"])),
-        row(Role::Sidecar, "added to a call, median", "ms", Measured(&["added_p50"], Shape::OneFleet), PATH),
-        held(
+        bounded(
             row(
                 Role::Sidecar,
                 "added to a call, 99 in 100",
                 "ms",
-                Measured(&["added_p99"], Shape::OneFleet),
-                PATH,
+                Measured(&["added_p99"], Scope::OneFleet),
+                REQUEST_PATH,
             ),
             |operators| operators.added_ms,
         ),
     ]
 }
 
-fn fleet() -> Vec<Row> {
-    use Need::{Derived, Measured};
-    let of = |what, unit, need| row(Role::Fleet, what, unit, need, A_PROCESS);
-    let ring = |what, unit, figures| row(Role::Fleet, what, unit, Measured(figures, Shape::Ring), RING);
-    let each = |figures| Measured(figures, Shape::Processes);
-    let known = "services called times the copies that call each";
-    let changes = "deaths and returns a second, in all fleets";
+fn fleet_rows() -> Vec<RowSpec> {
+    use Origin::{Derived, Measured};
+    let spec = |label, unit, origin| row(Role::Fleet, label, unit, origin, PROCESS_PER_SERVICE);
+    let single_ring = |label, unit, figures| {
+        row(Role::Fleet, label, unit, Measured(figures, Scope::SingleRing), SINGLE_RING)
+    };
+    let per_sidecar = |figures| Measured(figures, Scope::ProcessPerService);
+    let known_derivation = "services called times the copies that call each";
+    let changes_derivation = "deaths and returns a second, in all fleets";
     vec![
-        of("state: members known", "members", Derived(|at| at.sums.called * at.sums.sharers, known)),
-        of(
+        spec(
+            "state: members known",
+            "members",
+            Derived(|scenario| scenario.stats.called_services * scenario.stats.fleet_size, known_derivation),
+        ),
+        spec(
             "state: members of the largest fleet",
             "members",
-            Derived(|at| at.sums.sharers_most, "copies that call the service that is called most"),
+            Derived(
+                |scenario| scenario.stats.fleet_size_max,
+                "copies that call the service that is called most",
+            ),
+        ),
+        spec(
+            "members' changes",
+            "changes/s",
+            Derived(|scenario| scenario.member_changes(), changes_derivation),
         ),
-        of("members' changes", "changes/s", Derived(|at| at.member_changes(), changes)),
-        of("messages out", "messages/s", each(&["messages_out"])),
-        of("messages in", "messages/s", each(&["messages_in"])),
-        held(of("bytes out", "bytes/s", each(&["bytes_out"])), BYTES),
-        held(of("bytes out and in", "bytes/s", each(&["bytes_out", "bytes_in"])), BYTES),
-        held(of("processor time", "cores", each(&["cpu"])), CORES),
-        held(of("memory", "MB", each(&["memory"])), MEMORY),
-        held(
-            of(
+        spec("messages out", "messages/s", per_sidecar(&["messages_out"])),
+        spec("messages in", "messages/s", per_sidecar(&["messages_in"])),
+        bounded(spec("bytes out", "bytes/s", per_sidecar(&["bytes_out"])), BYTES_BOUND),
+        bounded(spec("bytes out and in", "bytes/s", per_sidecar(&["bytes_out", "bytes_in"])), BYTES_BOUND),
+        bounded(spec("processor time", "cores", per_sidecar(&["cpu"])), CORES_BOUND),
+        bounded(spec("memory", "MB", per_sidecar(&["memory"])), MEMORY_BOUND),
+        bounded(
+            spec(
                 "bytes out, as the budget allows",
                 "bytes/s",
-                Derived(|at| at.sums.called * BUDGET_BYTES_PER_S, "96 KiB a process, times services called"),
+                Derived(
+                    |scenario| scenario.stats.called_services * BUDGET_BYTES_PER_S,
+                    "96 KiB a process, times services called",
+                ),
             ),
-            BYTES,
+            BYTES_BOUND,
         ),
         row(
             Role::Fleet,
             "until all know of a death",
             "s",
-            Measured(&["death_known"], Shape::OneFleet),
-            A_PROCESS,
+            Measured(&["death_known"], Scope::OneFleet),
+            PROCESS_PER_SERVICE,
         ),
-        ring("one ring: messages out", "messages/s", &["messages_out"]),
-        held(ring("one ring: bytes out", "bytes/s", &["bytes_out"]), BYTES),
-        held(ring("one ring: bytes out and in", "bytes/s", &["bytes_out", "bytes_in"]), BYTES),
-        held(ring("one ring: processor time", "cores", &["cpu"]), CORES),
-        held(ring("one ring: memory", "MB", &["memory"]), MEMORY),
-        ring("one ring: until all know of a death", "s", &["death_known"]),
+        single_ring("one ring: messages out", "messages/s", &["messages_out"]),
+        bounded(single_ring("one ring: bytes out", "bytes/s", &["bytes_out"]), BYTES_BOUND),
+        bounded(
+            single_ring("one ring: bytes out and in", "bytes/s", &["bytes_out", "bytes_in"]),
+            BYTES_BOUND,
+        ),
+        bounded(single_ring("one ring: processor time", "cores", &["cpu"]), CORES_BOUND),
+        bounded(single_ring("one ring: memory", "MB", &["memory"]), MEMORY_BOUND),
+        single_ring("one ring: until all know of a death", "s", &["death_known"]),
     ]
 }
 
-fn discovery() -> Vec<Row> {
-    use Need::{Derived, Measured};
-    let of = |what, unit, need| row(Role::Discovery, what, unit, need, WATCH);
-    let a_machine = |figures| Measured(figures, Shape::Machine { left: 0 });
-    let alone = |figures| Measured(figures, Shape::Machine { left: 1 });
-    let calls = "watches over 2 to 20 s (copies / 50) each; returns beside";
-    let lines = "changes times those who call the service; whole lists at returns";
-    let bytes = "lines times bytes of one, without heads; over the machines";
+fn discovery_rows() -> Vec<RowSpec> {
+    use Origin::{Derived, Measured};
+    let spec = |label, unit, origin| row(Role::Discovery, label, unit, origin, WATCH_PER_PAIR);
+    let one_machine = |figures| Measured(figures, Scope::Machine { remaining: 0 });
+    let last_machine = |figures| Measured(figures, Scope::Machine { remaining: 1 });
+    let calls_derivation = "watches over 2 to 20 s (copies / 50) each; returns beside";
+    let lines_derivation = "changes times those who call the service; whole lists at returns";
+    let bytes_derivation = "lines times bytes of one, without heads; over the machines";
     vec![
-        shown(of(
+        summarized(spec(
             "state: watches, all machines",
             "watches",
-            Derived(|at| at.sums.pairs, "sidecars times services called"),
+            Derived(|scenario| scenario.stats.pairs, "sidecars times services called"),
         )),
-        of(
+        spec(
             "state: watches, one of eight",
             "watches",
-            Derived(|at| at.sums.pairs / at.machines(), "the same over the machines"),
+            Derived(|scenario| scenario.stats.pairs / scenario.machines(), "the same over the machines"),
         ),
-        of(
+        spec(
             "endpoints' changes",
             "changes/s",
-            Derived(|at| at.list_changes(), "failed and replaced, away and back"),
+            Derived(|scenario| scenario.list_changes(), "failed and replaced, away and back"),
         ),
-        of(
+        spec(
             "messages in, one of eight",
             "calls/s",
             Derived(
-                |at| {
-                    let anew = at.returns() * at.sums.called;
-                    (at.sums.pairs / at.watch_s() + anew) / at.machines()
+                |scenario| {
+                    let from_returns = scenario.returning_sidecars() * scenario.stats.called_services;
+                    (scenario.stats.pairs / scenario.watch_interval_s() + from_returns) / scenario.machines()
                 },
-                calls,
+                calls_derivation,
             ),
         ),
-        of("list lines out, all machines", "lines/s", Derived(|at| at.lines(), lines)),
-        shown(of(
+        spec(
+            "list lines out, all machines",
+            "lines/s",
+            Derived(|scenario| scenario.list_lines(), lines_derivation),
+        ),
+        summarized(spec(
             "bytes of list lines out, one of eight",
             "bytes/s",
-            Derived(|at| at.lines() * at.case.line_bytes as f64 / at.machines(), bytes),
+            Derived(
+                |scenario| scenario.list_lines() * scenario.case.line_bytes as f64 / scenario.machines(),
+                bytes_derivation,
+            ),
         )),
-        of("messages out, one of eight", "messages/s", a_machine(&["messages_out"])),
-        of("bytes out, one of eight", "bytes/s", a_machine(&["bytes_out"])),
-        shown(of("processor time, one of eight", "cores", a_machine(&["cpu"]))),
-        shown(of("processor time, one left of eight", "cores", alone(&["cpu"]))),
-        shown(of("memory, one of eight", "MB", a_machine(&["memory"]))),
-        of("memory, one left of eight", "MB", alone(&["memory"])),
+        spec("messages out, one of eight", "messages/s", one_machine(&["messages_out"])),
+        spec("bytes out, one of eight", "bytes/s", one_machine(&["bytes_out"])),
+        summarized(spec("processor time, one of eight", "cores", one_machine(&["cpu"]))),
+        summarized(spec("processor time, one left of eight", "cores", last_machine(&["cpu"]))),
+        summarized(spec("memory, one of eight", "MB", one_machine(&["memory"]))),
+        spec("memory, one left of eight", "MB", last_machine(&["memory"])),
     ]
 }
 
-fn configuration() -> Vec<Row> {
-    use Need::{Derived, NothingUnless};
-    let of = |what, unit, need| row(Role::Configuration, what, unit, need, NONE);
-    let a_machine = |figures| NothingUnless(figures, Shape::Machine { left: 0 });
-    let alone = |figures| NothingUnless(figures, Shape::Machine { left: 1 });
-    let all = |figures| NothingUnless(figures, Shape::AllMachines);
-    let each = |figures| NothingUnless(figures, Shape::Processes);
-    let sends = "changes times sidecars that call what each concerns, if sent to those alone";
-    let bytes = "the same times bytes of one change, over the machines";
+fn configuration_rows() -> Vec<RowSpec> {
+    use Origin::{Derived, MeasuredOrNoMechanism};
+    let spec = |label, unit, origin| row(Role::Configuration, label, unit, origin, NO_MECHANISM);
+    let one_machine = |figures| MeasuredOrNoMechanism(figures, Scope::Machine { remaining: 0 });
+    let last_machine = |figures| MeasuredOrNoMechanism(figures, Scope::Machine { remaining: 1 });
+    let all_machines = |figures| MeasuredOrNoMechanism(figures, Scope::FollowerPerSidecar);
+    let per_sidecar = |figures| MeasuredOrNoMechanism(figures, Scope::ProcessPerService);
+    let sends_derivation = "changes times sidecars that call what each concerns, if sent to those alone";
+    let bytes_derivation = "the same times bytes of one change, over the machines";
     vec![
-        of("changes", "changes/s", Derived(|at| at.configuration_changes(), "a day's, at that moment")),
-        of("changes out, all machines", "changes/s", Derived(|at| at.sends(), sends)),
-        of(
+        spec(
+            "changes",
+            "changes/s",
+            Derived(|scenario| scenario.configuration_changes(), "a day's, at that moment"),
+        ),
+        spec(
+            "changes out, all machines",
+            "changes/s",
+            Derived(|scenario| scenario.configuration_sends(), sends_derivation),
+        ),
+        spec(
             "bytes of changes out, one of eight",
             "bytes/s",
-            Derived(|at| at.sends() * at.case.change_bytes as f64 / at.machines(), bytes),
+            Derived(
+                |scenario| {
+                    scenario.configuration_sends() * scenario.case.change_bytes as f64 / scenario.machines()
+                },
+                bytes_derivation,
+            ),
         ),
-        held(of("until in force everywhere", "s", all(&["in_force_last"])), SOON),
-        of("until in force, median", "s", all(&["in_force_median"])),
-        of("until in force, 99 in 100", "s", all(&["in_force_p99"])),
-        held(
-            of(
+        bounded(spec("until in force everywhere", "s", all_machines(&["in_force_last"])), IN_FORCE_BOUND),
+        spec("until in force, median", "s", all_machines(&["in_force_median"])),
+        spec("until in force, 99 in 100", "s", all_machines(&["in_force_p99"])),
+        bounded(
+            spec(
                 "until in force everywhere, a follower for each process",
                 "s",
-                NothingUnless(&["in_force_last"], Shape::AllProcesses),
+                MeasuredOrNoMechanism(&["in_force_last"], Scope::FollowerPerProcess),
             ),
-            SOON,
+            IN_FORCE_BOUND,
         ),
-        held(of("until in force everywhere, one of eight killed", "s", all(&["in_force_one_killed"])), SOON),
-        held(
-            of("until in force everywhere, seven of eight killed", "s", all(&["in_force_seven_killed"])),
-            SOON,
+        bounded(
+            spec(
+                "until in force everywhere, one of eight killed",
+                "s",
+                all_machines(&["in_force_one_killed"]),
+            ),
+            IN_FORCE_BOUND,
+        ),
+        bounded(
+            spec(
+                "until in force everywhere, seven of eight killed",
+                "s",
+                all_machines(&["in_force_seven_killed"]),
+            ),
+            IN_FORCE_BOUND,
         ),
-        held(
-            of("bytes out and in, a sidecar", "bytes/s", each(&["follower_bytes_out", "follower_bytes_in"])),
-            BYTES,
+        bounded(
+            spec(
+                "bytes out and in, a sidecar",
+                "bytes/s",
+                per_sidecar(&["follower_bytes_out", "follower_bytes_in"]),
+            ),
+            BYTES_BOUND,
         ),
-        held(of("processor time, a sidecar", "cores", each(&["follower_cpu"])), CORES),
-        held(of("memory, a sidecar", "MB", each(&["follower_memory"])), MEMORY),
-        of("messages in, one of eight", "messages/s", a_machine(&["messages_in"])),
-        of("messages out, one of eight", "messages/s", a_machine(&["messages_out"])),
-        shown(of("bytes out, one of eight", "bytes/s", a_machine(&["bytes_out"]))),
-        shown(of("processor time, one of eight", "cores", a_machine(&["cpu"]))),
-        of("processor time, one left of eight", "cores", alone(&["cpu"])),
-        shown(of("memory, one of eight", "MB", a_machine(&["memory"]))),
-        of("memory, one left of eight", "MB", alone(&["memory"])),
+        bounded(spec("processor time, a sidecar", "cores", per_sidecar(&["follower_cpu"])), CORES_BOUND),
+        bounded(spec("memory, a sidecar", "MB", per_sidecar(&["follower_memory"])), MEMORY_BOUND),
+        spec("messages in, one of eight", "messages/s", one_machine(&["messages_in"])),
+        spec("messages out, one of eight", "messages/s", one_machine(&["messages_out"])),
+        summarized(spec("bytes out, one of eight", "bytes/s", one_machine(&["bytes_out"]))),
+        summarized(spec("processor time, one of eight", "cores", one_machine(&["cpu"]))),
+        spec("processor time, one left of eight", "cores", last_machine(&["cpu"])),
+        summarized(spec("memory, one of eight", "MB", one_machine(&["memory"]))),
+        spec("memory, one left of eight", "MB", last_machine(&["memory"])),
     ]
 }
 
-fn console() -> Vec<Row> {
-    use Need::{Derived, Measured};
-    let of = |what, unit, need| row(Role::Console, what, unit, need, LOGS);
-    let lines = "a loss is two lines (`suspected`, `dead`) and a return one at each copy of its fleets";
-    let ring = "the same in one ring of all";
+fn console_rows() -> Vec<RowSpec> {
+    use Origin::{Derived, Measured};
+    let spec = |label, unit, origin| row(Role::Console, label, unit, origin, UNAGGREGATED_LOGS);
+    let lines_derivation =
+        "a loss is two lines (`suspected`, `dead`) and a return one at each copy of its fleets";
+    let ring_derivation = "the same in one ring of all";
     vec![
-        shown(of(
+        summarized(spec(
             "log lines, all sidecars",
             "lines/s",
-            Derived(|at| at.member_changes() * at.log_lines() * at.sums.called * at.sums.sharers, lines),
+            Derived(
+                |scenario| {
+                    scenario.member_changes()
+                        * scenario.log_lines_per_change()
+                        * scenario.stats.called_services
+                        * scenario.stats.fleet_size
+                },
+                lines_derivation,
+            ),
         )),
-        of(
+        spec(
             "log lines, all sidecars, one ring",
             "lines/s",
-            Derived(|at| at.member_changes() * at.log_lines() * at.sums.endpoints, ring),
+            Derived(
+                |scenario| {
+                    scenario.member_changes() * scenario.log_lines_per_change() * scenario.stats.endpoints
+                },
+                ring_derivation,
+            ),
         ),
-        of("bytes of logs, one sidecar", "bytes/s", Measured(&["log_bytes"], Shape::Processes)),
-        of("processor time of a look at a sidecar", "cores", Measured(&["cpu"], Shape::Processes)),
-        of("bytes of a look at a sidecar", "bytes/s", Measured(&["bytes_out"], Shape::Processes)),
+        spec("bytes of logs, one sidecar", "bytes/s", Measured(&["log_bytes"], Scope::ProcessPerService)),
+        spec("processor time of a look at a sidecar", "cores", Measured(&["cpu"], Scope::ProcessPerService)),
+        spec("bytes of a look at a sidecar", "bytes/s", Measured(&["bytes_out"], Scope::ProcessPerService)),
     ]
 }
 
-fn rows() -> Vec<Row> {
-    [sidecar(), fleet(), discovery(), configuration(), console()].into_iter().flatten().collect()
+/// The definitions of all rows, grouped by role.
+fn row_specs() -> Vec<RowSpec> {
+    [sidecar_rows(), fleet_rows(), discovery_rows(), configuration_rows(), console_rows()]
+        .into_iter()
+        .flatten()
+        .collect()
 }
 
-/// All rows of a case.
-pub fn sheet(size: &Size, case: &Case, slopes: &Slopes) -> Vec<Line> {
-    let sums = Sums::of(&size.operators, case);
-    let line = |row: Row| {
-        let at = |moment| At { moment, operators: &size.operators, case, sums: &sums };
-        let cells = Moment::ALL.map(|moment| cell(&row, &at(moment), slopes));
-        Line {
+/// Evaluates all rows of a case at all moments.
+pub fn sheet(size: &Size, case: &Case, slopes: &Slopes) -> Vec<Row> {
+    let stats = CaseStats::new(&size.operators, case);
+    let evaluated = |row: RowSpec| {
+        let scenario_at = |moment| Scenario { moment, operators: &size.operators, case, stats: &stats };
+        let cells = Moment::ALL.map(|moment| evaluate(&row, &scenario_at(moment), slopes));
+        Row {
             role: row.role,
-            what: row.what,
+            label: row.label,
             unit: row.unit,
             cells,
             bound: row.bound.map(|bound| bound(&size.operators)),
-            carried: row.carried,
-            from: from(&row, &at(Moment::Calm), slopes),
-            main: row.main,
+            mechanism: row.mechanism,
+            derivation: describe_derivation(&row, &scenario_at(Moment::Calm), slopes),
+            in_summary: row.in_summary,
         }
     };
-    rows().into_iter().map(line).collect()
+    row_specs().into_iter().map(evaluated).collect()
 }
 
-fn cell(row: &Row, at: &At<'_>, slopes: &Slopes) -> Cell {
-    let (figures, shape, none) = match row.need {
-        Need::Derived(figure, _) => return Cell::Figure(figure(at)),
-        Need::Measured(figures, shape) => (figures, shape, Cell::NotMeasured),
-        Need::NothingUnless(figures, shape) => (figures, shape, Cell::NoMechanism),
+/// The result of a row at the scenario's moment.
+fn evaluate(row: &RowSpec, scenario: &Scenario<'_>, slopes: &Slopes) -> Cell {
+    let (figures, scope, missing) = match row.origin {
+        Origin::Derived(figure, _) => return Cell::Figure(figure(scenario)),
+        Origin::Measured(figures, scope) => (figures, scope, Cell::NotMeasured),
+        Origin::MeasuredOrNoMechanism(figures, scope) => (figures, scope, Cell::NoMechanism),
     };
-    // With a slope of another moment the row is measured, though not here.
-    let any = figures.iter().any(|figure| !read(row, figure, shape, &calm(at), slopes).is_empty());
-    let sum: Option<f64> = figures.iter().map(|figure| measured(row, figure, shape, at, slopes)).sum();
+    // A row that has a slope at calm has a mechanism, so a missing figure means that this moment was not measured.
+    let has_calm_slope = figures
+        .iter()
+        .any(|figure| !matching_slopes(row, figure, scope, &at_calm(scenario), slopes).is_empty());
+    let sum: Option<f64> =
+        figures.iter().map(|figure| evaluate_figure(row, figure, scope, scenario, slopes)).sum();
     match sum {
-        // A line that falls below nothing says no more than that it was read too far out.
+        // A negative sum only shows that a slope was extrapolated too far.
         Some(sum) if sum < 0.0 => Cell::NotMeasured,
-        Some(sum) => Cell::Figure(sum * shape.times(at)),
-        None if any => Cell::NotMeasured,
-        None => none,
+        Some(sum) => Cell::Figure(sum * scope.multiplier(scenario)),
+        None if has_calm_slope => Cell::NotMeasured,
+        None => missing,
     }
 }
 
-fn calm<'a>(at: &At<'a>) -> At<'a> {
-    At { moment: Moment::Calm, ..*at }
+fn at_calm<'a>(scenario: &Scenario<'a>) -> Scenario<'a> {
+    Scenario { moment: Moment::Calm, ..*scenario }
 }
 
-fn measured(row: &Row, figure: &str, shape: Shape, at: &At<'_>, slopes: &Slopes) -> Option<f64> {
-    let joined = |read: Vec<(&Slope, f64)>| {
-        let mut read = read.into_iter();
-        let (first, size) = read.next()?;
-        Some(read.fold(first.at(size), |sum, (slope, size)| sum + slope.each * size))
+/// One measured figure of a row, or `None` if no slope gives it at the scenario's moment.
+fn evaluate_figure(
+    row: &RowSpec,
+    figure: &str,
+    scope: Scope,
+    scenario: &Scenario<'_>,
+    slopes: &Slopes,
+) -> Option<f64> {
+    let combined = |matching: Vec<(&Slope, f64)>| {
+        let mut matching = matching.into_iter();
+        let (first, value) = matching.next()?;
+        Some(matching.fold(first.at(value), |sum, (slope, value)| sum + slope.each * value))
     };
-    if at.moment == Moment::Calm {
-        return joined(read(row, figure, shape, at, slopes));
+    if scenario.moment == Moment::Calm {
+        return combined(matching_slopes(row, figure, scope, scenario, slopes));
     }
-    let own = read(row, &format!("{figure}_{}", at.moment.key()), shape, at, slopes);
-    if !own.is_empty() {
-        return joined(own);
+    let moment_slopes =
+        matching_slopes(row, &format!("{figure}_{}", scenario.moment.key()), scope, scenario, slopes);
+    if !moment_slopes.is_empty() {
+        return combined(moment_slopes);
     }
-    let all = read(row, figure, shape, at, slopes);
-    let follows = all.iter().any(|(slope, _)| RATES.contains(&slope.by.as_str()));
-    follows.then(|| joined(all)).flatten()
+    let calm_slopes = matching_slopes(row, figure, scope, scenario, slopes);
+    let has_rate_slope = calm_slopes.iter().any(|(slope, _)| RATE_VARIABLES.contains(&slope.by.as_str()));
+    has_rate_slope.then(|| combined(calm_slopes)).flatten()
 }
 
-/// The slopes of a figure in the order of [`BY`], each with the size at which it is read.
-fn read<'a>(row: &Row, figure: &str, shape: Shape, at: &At<'_>, slopes: &'a Slopes) -> Vec<(&'a Slope, f64)> {
-    let of = |by: &&str| {
-        let slope = slopes.of(row.role, figure, by).filter(|slope| slope.unit == row.unit)?;
-        Some((slope, shape.size(row.role, by, at)?))
+/// The slopes of a figure in the order of [`VARIABLES`], each with the value of its variable.
+fn matching_slopes<'a>(
+    row: &RowSpec,
+    figure: &str,
+    scope: Scope,
+    scenario: &Scenario<'_>,
+    slopes: &'a Slopes,
+) -> Vec<(&'a Slope, f64)> {
+    let matching = |by: &&str| {
+        let slope = slopes.find(row.role, figure, by).filter(|slope| slope.unit == row.unit)?;
+        Some((slope, scope.size(row.role, by, scenario)?))
     };
-    BY.iter().filter_map(of).collect()
+    VARIABLES.iter().filter_map(matching).collect()
 }
 
-/// How a row came about, for its last column.
-fn from(row: &Row, at: &At<'_>, slopes: &Slopes) -> String {
-    let (figures, shape) = match row.need {
-        Need::Derived(_, how) => return format!("derived: {how}"),
-        Need::Measured(figures, shape) | Need::NothingUnless(figures, shape) => (figures, shape),
+/// The text of a row's last column: its derivation, or its slopes with their ranges.
+fn describe_derivation(row: &RowSpec, scenario: &Scenario<'_>, slopes: &Slopes) -> String {
+    let (figures, scope) = match row.origin {
+        Origin::Derived(_, how) => return format!("derived: {how}"),
+        Origin::Measured(figures, scope) | Origin::MeasuredOrNoMechanism(figures, scope) => (figures, scope),
     };
     let mut parts = Vec::new();
     for figure in figures {
-        for (slope, size) in read(row, figure, shape, at, slopes) {
-            let rate = RATES.contains(&slope.by.as_str());
-            let most = Moment::ALL.map(|moment| shape.size(row.role, &slope.by, &At { moment, ..*at }));
-            let most = most.into_iter().flatten().fold(size, f64::max);
-            let size = if rate { most } else { size };
-            let how = if slope.is_extrapolated(size) { "extrapolated" } else { "within" };
+        for (slope, size) in matching_slopes(row, figure, scope, scenario, slopes) {
+            let is_rate = RATE_VARIABLES.contains(&slope.by.as_str());
+            let sizes =
+                Moment::ALL.map(|moment| scope.size(row.role, &slope.by, &Scenario { moment, ..*scenario }));
+            let largest = sizes.into_iter().flatten().fold(size, f64::max);
+            let size = if is_rate { largest } else { size };
+            let range = if slope.is_extrapolated(size) { "extrapolated" } else { "within" };
             parts.push(format!(
-                "`{figure}` by {}, {} to {}, {how}: {}",
+                "`{figure}` by {}, {} to {}, {range}: {}",
                 slope.by,
-                crate::page::figure(slope.from),
-                crate::page::figure(slope.to),
-                crate::page::figure(size)
+                crate::page::format_figure(slope.from),
+                crate::page::format_figure(slope.to),
+                crate::page::format_figure(size)
             ));
         }
     }
-    match shape {
-        Shape::Processes | Shape::MostCalling if !parts.is_empty() => {
-            format!("{}; times {}", parts.join("; "), crate::page::figure(shape.times(at)))
+    match scope {
+        Scope::ProcessPerService | Scope::LargestSidecar if !parts.is_empty() => {
+            format!("{}; times {}", parts.join("; "), crate::page::format_figure(scope.multiplier(scenario)))
         }
         _ => parts.join("; "),
     }
 }
 
-/// The names that rows read: role, figure and unit, each once, in the order of the rows.
-pub fn figures() -> Vec<(Role, &'static str, &'static str)> {
-    let mut all = Vec::new();
-    for row in rows() {
-        let (Need::Measured(figures, _) | Need::NothingUnless(figures, _)) = row.need else { continue };
+/// The figures that rows read as role, name and unit, without duplicates, in the order of the rows.
+pub fn figure_names() -> Vec<(Role, &'static str, &'static str)> {
+    let mut names = Vec::new();
+    for row in row_specs() {
+        let (Origin::Measured(figures, _) | Origin::MeasuredOrNoMechanism(figures, _)) = row.origin else {
+            continue;
+        };
         for figure in figures {
-            if !all.contains(&(row.role, *figure, row.unit)) {
-                all.push((row.role, *figure, row.unit));
+            if !names.contains(&(row.role, *figure, row.unit)) {
+                names.push((row.role, *figure, row.unit));
             }
         }
     }
-    all
+    names
 }
 
-/// The slopes that no row reads, by their place in the file: of a figure or unit that no row has, or over something that
-/// none knows.
-pub fn unread(slopes: &Slopes) -> Vec<usize> {
-    let names = figures();
-    let fits = |slope: &Slope, (role, figure, unit): &(Role, &str, &str)| {
-        let rest = slope.figure.strip_prefix(figure);
-        let moment = |rest: &str| Moment::ALL.iter().any(|moment| rest == format!("_{}", moment.key()));
-        slope.role == *role && slope.unit == *unit && rest.is_some_and(|rest| rest.is_empty() || moment(rest))
+/// The indices of the slopes that no row reads because of their figure, unit or variable.
+pub fn unused_slopes(slopes: &Slopes) -> Vec<usize> {
+    let names = figure_names();
+    let matches = |slope: &Slope, (role, figure, unit): &(Role, &str, &str)| {
+        let suffix = slope.figure.strip_prefix(figure);
+        let is_moment =
+            |suffix: &str| Moment::ALL.iter().any(|moment| suffix == format!("_{}", moment.key()));
+        slope.role == *role
+            && slope.unit == *unit
+            && suffix.is_some_and(|suffix| suffix.is_empty() || is_moment(suffix))
+    };
+    let is_used = |slope: &Slope| {
+        VARIABLES.contains(&slope.by.as_str()) && names.iter().any(|name| matches(slope, name))
     };
-    let known = |slope: &Slope| BY.contains(&slope.by.as_str()) && names.iter().any(|name| fits(slope, name));
-    slopes.slopes.iter().enumerate().filter(|(_, slope)| !known(slope)).map(|(at, _)| at).collect()
+    slopes.slopes.iter().enumerate().filter(|(_, slope)| !is_used(slope)).map(|(index, _)| index).collect()
 }
--- a/crates/capacity/src/slope.rs
+++ b/crates/capacity/src/slope.rs
@@ -1,5 +1,5 @@
-//! The file of measured slopes. It owns its form, how it is read, checked and written; it must never hold a line that
-//! its own points don't give.
+//! The file of measured slopes: its format, how it is read and written, and the check that each line agrees with its own
+//! points.
 
 use crate::fit::{Fit, Point};
 use landingspread_files::{FileError, parse_toml};
@@ -7,29 +7,30 @@
 use std::collections::BTreeSet;
 use std::fmt::{self, Write};
 
-/// The built-in file.
+/// The built-in slopes file, measured without the configuration mechanism.
 pub const BUILT_IN: &str = include_str!("slopes.toml");
 
-/// The built-in file of slopes with the mechanism that was missing first.
+/// The built-in slopes file, measured with the configuration mechanism.
 pub const AFTER: &str = include_str!("after.toml");
 
-/// Who spends it.
+/// The part of the system that uses the measured resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// A sidecar, all in all.
+    /// A whole sidecar.
     Sidecar,
-    /// A sidecar's part of its fleet: membership, zones and peers' words.
+    /// The fleet protocol within a sidecar: membership, zones and peer exchange.
     Fleet,
-    /// Discovery's watchers and the machines that serve them.
+    /// The watches of discovery and the machines that serve them.
     Discovery,
-    /// Configuration and the machines that hand it out.
+    /// Configuration and the machines that distribute it.
     Configuration,
-    /// Console, logs and metrics.
+    /// The console, logs and metrics.
     Console,
 }
 
 impl Role {
+    /// All roles, in the order of the tables.
     pub const ALL: [Role; 5] =
         [Role::Sidecar, Role::Fleet, Role::Discovery, Role::Configuration, Role::Console];
 
@@ -51,37 +52,38 @@
     }
 }
 
-/// One figure of a role as a straight line over what was varied, and where it comes from.
+/// One figure of a role as a straight line over a variable, with its points and their origin.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Slope {
+    /// The role that the figure belongs to.
     pub role: Role,
-    /// In snake case, such as `fleet_bytes_out`.
+    /// The name of the figure in snake case, such as `bytes_out`.
     pub figure: String,
-    /// Such as `bytes/s`.
+    /// The unit of the figure, such as `bytes/s`.
     pub unit: String,
-    /// What was varied, such as `copies`.
+    /// The variable in snake case, such as `copies`.
     pub by: String,
-    /// The intercept, in `unit`.
+    /// The intercept: the figure where the variable is 0, in `unit`.
     pub at_rest: f64,
-    /// In `unit` for one more of `by`.
+    /// The gradient: the increase per unit of the variable, in `unit`.
     pub each: f64,
     /// The largest |fit - mean| / mean over the points.
     pub residual: f64,
     /// The largest (max - min) / mean over the runs of one point.
     pub spread: f64,
-    /// Of the point that had fewest.
+    /// The number of runs of the point with the fewest.
     pub runs: usize,
-    /// The least of `by` that was measured and is in the fit.
+    /// The smallest value of the variable in the fit.
     pub from: f64,
-    /// The most of `by` that was measured and is in the fit.
+    /// The largest value of the variable in the fit.
     pub to: f64,
-    /// The points of the fit: what was varied, then the figure of each run.
+    /// The points of the fit, each written as the value of the variable and the figure of each run.
     pub points: Vec<Point>,
-    /// Points that were measured and kept out of the fit, to tell how far it can be believed beyond `to`.
+    /// Measured points that are excluded from the fit and show how well it predicts beyond `to`.
     #[serde(default)]
     pub left_out: Vec<Point>,
-    /// The command that measured it.
+    /// The command that measured the points.
     pub command: String,
     /// The build: git hash and profile.
     pub build: String,
@@ -90,17 +92,17 @@
 }
 
 impl Slope {
-    /// A slope by the fit of its points; `left_out` may be filled in afterwards.
+    /// Fits a slope to its points; the caller may add to `left_out` afterwards.
     ///
     /// # Errors
-    /// What keeps the points from a fit, as [`Fit::of`] tells it.
+    /// The errors of [`Fit::least_squares`].
     pub fn fitted(
         (role, figure): (Role, &str),
         (unit, by): (&str, &str),
         points: Vec<Point>,
         source: &Source,
     ) -> Result<Slope, String> {
-        let Fit { at_rest, each, residual, spread } = Fit::of(&points)?;
+        let Fit { at_rest, each, residual, spread } = Fit::least_squares(&points)?;
         let sizes = || points.iter().map(|point| point.by);
         Ok(Slope {
             role,
@@ -132,23 +134,24 @@
         size < self.from || size > self.to
     }
 
-    /// Of each point left out of the fit: its size, what the fit predicts, and what was measured on average.
+    /// The size, the predicted figure and the measured mean of each point left out of the fit.
     pub fn predictions(&self) -> impl Iterator<Item = (f64, f64, f64)> {
         self.left_out.iter().map(|point| (point.by, self.at(point.by), point.mean()))
     }
 }
 
-/// Where a slope comes from.
+/// The origin of a slope's points.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Source {
+    /// The command that measured the points.
     pub command: String,
-    /// Git hash and profile, such as `1a2b3c4, release`.
+    /// The git hash and profile of the build, such as `1a2b3c4, release`.
     pub build: String,
-    /// Such as `8 cores, 24 GB`.
+    /// The cores and memory of the machine, such as `8 cores, 24 GB`.
     pub machine: String,
 }
 
-/// All the slopes of a file, in its order.
+/// The slopes of a file, in the file's order.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Slopes {
@@ -157,85 +160,90 @@
 }
 
 impl Slopes {
-    /// Reads and checks a file; a file without a slope is one where nothing was measured.
+    /// Parses and checks a file. A file without slopes is valid and means that nothing was measured.
     ///
     /// # Errors
-    /// The line and the key: not TOML, an unknown key or role, a figure twice, a name that is not in snake case, a
-    /// text that is empty, or a line, range or count that the points don't give.
+    /// The line and the key of the fault: invalid TOML, an unknown key or role, a duplicate figure, a name that is not in
+    /// snake case, an empty text, or a fit, range or count that disagrees with the points.
     pub fn read(file: &str, text: &str) -> Result<Slopes, FileError> {
-        let read: Slopes = parse_toml(file, text)?;
-        let mut known = BTreeSet::new();
-        for (at, slope) in read.slopes.iter().enumerate() {
-            let told = |(key, what): (&str, String)| {
-                FileError::at_key(file, text, &format!("slope.{at}.{key}"), what)
+        let parsed: Slopes = parse_toml(file, text)?;
+        let mut names = BTreeSet::new();
+        for (index, slope) in parsed.slopes.iter().enumerate() {
+            let error = |(key, problem): (&str, String)| {
+                FileError::at_key(file, text, &format!("slope.{index}.{key}"), problem)
             };
-            checked(slope).map_err(told)?;
-            if !known.insert((slope.role, &slope.figure, &slope.by)) {
-                let what = format!("{} of {} by {} stands twice", slope.figure, slope.role, slope.by);
-                return Err(told(("figure", what)));
+            check_consistency(slope).map_err(error)?;
+            if !names.insert((slope.role, &slope.figure, &slope.by)) {
+                let problem = format!("{} of {} by {} is listed twice", slope.figure, slope.role, slope.by);
+                return Err(error(("figure", problem)));
             }
         }
-        Ok(read)
+        Ok(parsed)
     }
 
-    /// The file's text; [`Slopes::read`] gives the same slopes again.
+    /// The text of the file, from which [`Slopes::read`] restores the same slopes.
     pub fn write(&self) -> String {
         let mut text = String::from("# Slopes measured by `landingspread-lab scale`; read by `capacity`.\n");
-        self.slopes.iter().for_each(|slope| written(&mut text, slope));
+        self.slopes.iter().for_each(|slope| write_slope(&mut text, slope));
         text
     }
 
-    /// The slope of a role's figure over what was varied.
-    pub fn of(&self, role: Role, figure: &str, by: &str) -> Option<&Slope> {
+    /// The slope of a role's figure over the variable `by`.
+    pub fn find(&self, role: Role, figure: &str, by: &str) -> Option<&Slope> {
         self.slopes.iter().find(|slope| slope.role == role && slope.figure == figure && slope.by == by)
     }
 }
 
-fn checked(slope: &Slope) -> Result<(), (&'static str, String)> {
-    let words = [
+/// Checks names and texts, and that the stored fit agrees with a new fit of the points.
+///
+/// # Errors
+/// The key of the fault and a message.
+fn check_consistency(slope: &Slope) -> Result<(), (&'static str, String)> {
+    let texts = [
         ("unit", &slope.unit),
         ("command", &slope.command),
         ("build", &slope.build),
         ("machine", &slope.machine),
     ];
-    if let Some((key, _)) = words.into_iter().find(|(_, word)| word.trim().is_empty()) {
-        return Err((key, "expected a text, it is empty".into()));
+    if let Some((key, _)) = texts.into_iter().find(|(_, text)| text.trim().is_empty()) {
+        return Err((key, "expected a text that is not empty".into()));
     }
     for (key, name) in [("figure", &slope.figure), ("by", &slope.by)] {
-        let fits = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '_';
-        if name.is_empty() || !name.chars().all(fits) {
+        let is_snake_case = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '_';
+        if name.is_empty() || !name.chars().all(is_snake_case) {
             return Err((key, format!("{name:?}; expected snake case")));
         }
     }
     let source = Source { command: String::new(), build: String::new(), machine: String::new() };
-    let given = Slope::fitted((slope.role, ""), ("", ""), slope.points.clone(), &source);
-    let given = given.map_err(|wrong| ("points", wrong))?;
-    if slope.runs != given.runs {
-        return Err(("runs", format!("{}; the points have {}", slope.runs, given.runs)));
+    let refitted = Slope::fitted((slope.role, ""), ("", ""), slope.points.clone(), &source);
+    let refitted = refitted.map_err(|error| ("points", error))?;
+    if slope.runs != refitted.runs {
+        return Err(("runs", format!("{}; the points have {}", slope.runs, refitted.runs)));
     }
-    let most = slope.points.iter().map(|point| point.mean().abs()).fold(0.0, f64::max);
-    let told = [
-        ("at_rest", slope.at_rest, given.at_rest, most),
-        ("each", slope.each * slope.to, given.each * given.to, most),
-        ("residual", slope.residual, given.residual, 1.0),
-        ("spread", slope.spread, given.spread, 1.0),
-        ("from", slope.from, given.from, given.to.abs()),
-        ("to", slope.to, given.to, given.to.abs()),
+    let largest = slope.points.iter().map(|point| point.mean().abs()).fold(0.0, f64::max);
+    let comparisons = [
+        ("at_rest", slope.at_rest, refitted.at_rest, largest),
+        ("each", slope.each * slope.to, refitted.each * refitted.to, largest),
+        ("residual", slope.residual, refitted.residual, 1.0),
+        ("spread", slope.spread, refitted.spread, 1.0),
+        ("from", slope.from, refitted.from, refitted.to.abs()),
+        ("to", slope.to, refitted.to, refitted.to.abs()),
     ];
-    for (key, told, given, scale) in told {
-        let off = (told - given).abs();
-        if off.is_nan() || off > CLOSE * scale {
-            return Err((key, format!("{told}; the points give {given}")));
+    for (key, stored, expected, scale) in comparisons {
+        let difference = (stored - expected).abs();
+        if difference.is_nan() || difference > ROUNDING_TOLERANCE * scale {
+            return Err((key, format!("{stored}; the points give {expected}")));
         }
     }
     Ok(())
 }
 
-/// How far a written figure may lie from what its points give: rounding, in parts of the figure's scale.
-const CLOSE: f64 = 1e-3;
+/// The largest difference between a stored figure and the fit of its points, as a fraction of the figure's scale. It
+/// allows for rounding.
+const ROUNDING_TOLERANCE: f64 = 1e-3;
 
-fn written(text: &mut String, slope: &Slope) {
-    let quoted = |word: &str| toml::Value::String(word.into()).to_string();
+fn write_slope(text: &mut String, slope: &Slope) {
+    let quoted = |text: &str| toml::Value::String(text.into()).to_string();
     let points = |points: &[Point]| {
         let point = |point: &Point| {
             let numbers = std::iter::once(&point.by).chain(&point.runs);
@@ -268,7 +276,7 @@
     ]);
     text.push_str("\n[[slope]]\n");
     for (key, value) in keys {
-        // Writing to a string can't fail.
+        // Writing to a String cannot fail.
         let _ = writeln!(text, "{key} = {value}");
     }
 }
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -69,13 +69,13 @@
     let lines: Vec<String> = runs.iter().map(|run| serde_json::to_string(run).expect("a line")).collect();
     let read = kept(&lines.join("\n")).expect("its own lines");
     let slopes = fitted(&read, &[1000.0]);
-    let fleet = slopes.of(Role::Fleet, "bytes_out", "copies").expect("a slope");
+    let fleet = slopes.find(Role::Fleet, "bytes_out", "copies").expect("a slope");
     assert!((fleet.at_rest - 100.0).abs() < 1e-6 && (fleet.each - 1.0).abs() < 1e-9, "{fleet:?}");
     let told: Vec<(f64, f64, f64)> = fleet.predictions().collect();
     assert!(matches!(told[..], [(at, predicted, measured)]
         if at == 1000.0 && (predicted - 1100.0).abs() < 1e-6 && measured == 1000.0));
-    assert!(slopes.of(Role::Discovery, "bytes_out", "watches").is_some(), "copies are watches there");
-    assert!(slopes.of(Role::Sidecar, "calls_cpu", "copies").is_none(), "no matter of copies");
+    assert!(slopes.find(Role::Discovery, "bytes_out", "watches").is_some(), "copies are watches there");
+    assert!(slopes.find(Role::Sidecar, "calls_cpu", "copies").is_none(), "no matter of copies");
     // What is written is what capacity reads.
     assert_eq!(Slopes::read("slopes.toml", &slopes.write()).map_err(|wrong| wrong.to_string()), Ok(slopes));
     assert!(kept("{}").expect_err("no run").starts_with("line 1: "));
