--- a/crates/capacity/src/sheet.rs
+++ b/crates/capacity/src/sheet.rs
@@ -178,7 +178,7 @@
     }
 
     /// The value of the variable `by` at which a slope is read; `None` if the scope does not define one.
-    fn size(self, role: Role, by: &str, scenario: &Scenario<'_>) -> Option<f64> {
+    fn variable_value(self, role: Role, by: &str, scenario: &Scenario<'_>) -> Option<f64> {
         let stats = scenario.stats;
         let value = |machines: f64| match by {
             "copies" | "watches" if role == Role::Discovery => Some(stats.pairs / machines),
@@ -663,9 +663,9 @@
     if !moment_slopes.is_empty() {
         return combined(moment_slopes);
     }
-    let calm_slopes = matching_slopes(row, figure, scope, scenario, slopes);
-    let has_rate_slope = calm_slopes.iter().any(|(slope, _)| RATE_VARIABLES.contains(&slope.by.as_str()));
-    has_rate_slope.then(|| combined(calm_slopes)).flatten()
+    let figure_slopes = matching_slopes(row, figure, scope, scenario, slopes);
+    let has_rate_slope = figure_slopes.iter().any(|(slope, _)| RATE_VARIABLES.contains(&slope.by.as_str()));
+    has_rate_slope.then(|| combined(figure_slopes)).flatten()
 }
 
 /// The slopes of a figure in the order of [`VARIABLES`], each with the value of its variable.
@@ -678,7 +678,7 @@
 ) -> Vec<(&'a Slope, f64)> {
     let matching = |by: &&str| {
         let slope = slopes.find(row.role, figure, by).filter(|slope| slope.unit == row.unit)?;
-        Some((slope, scope.size(row.role, by, scenario)?))
+        Some((slope, scope.variable_value(row.role, by, scenario)?))
     };
     VARIABLES.iter().filter_map(matching).collect()
 }
@@ -693,9 +693,9 @@
     for figure in figures {
         for (slope, size) in matching_slopes(row, figure, scope, scenario, slopes) {
             let is_rate = RATE_VARIABLES.contains(&slope.by.as_str());
-            let sizes =
-                Moment::ALL.map(|moment| scope.size(row.role, &slope.by, &Scenario { moment, ..*scenario }));
-            let largest = sizes.into_iter().flatten().fold(size, f64::max);
+            let values = Moment::ALL
+                .map(|moment| scope.variable_value(row.role, &slope.by, &Scenario { moment, ..*scenario }));
+            let largest = values.into_iter().flatten().fold(size, f64::max);
             let size = if is_rate { largest } else { size };
             let range = if slope.is_extrapolated(size) { "extrapolated" } else { "within" };
             parts.push(format!(
--- a/crates/capacity/src/slope.rs
+++ b/crates/capacity/src/slope.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// A whole sidecar.
+    /// All work of a sidecar, including its fleet protocol.
     Sidecar,
     /// The fleet protocol within a sidecar: membership, zones and peer exchange.
     Fleet,
