--- a/crates/sidecar/src/clock.rs
+++ b/crates/sidecar/src/clock.rs
@@ -7,9 +7,9 @@
 
 /// How long before the process the decisions' time begins. A server's start before that would be lost, and a server that
 /// is warming up taken for a warm one.
-const HEAD_START: Duration = Duration::from_secs(24 * 3600);
+const ORIGIN_BEFORE_START: Duration = Duration::from_secs(24 * 3600);
 /// Later moments have no instant of their own.
-const LONGEST_RUN: Duration = Duration::from_secs(365 * 24 * 3600);
+const MAX_UPTIME: Duration = Duration::from_secs(365 * 24 * 3600);
 
 /// The wall clock, as time since 1970 UTC; zero where it stands before.
 pub fn unix_time() -> Duration {
@@ -41,27 +41,27 @@
 
     /// The time now.
     pub fn now(&self) -> Duration {
-        HEAD_START + self.started.elapsed()
+        ORIGIN_BEFORE_START + self.started.elapsed()
     }
 
     /// The instant of a time, at the earliest that of the start.
     pub fn instant(&self, at: Duration) -> Instant {
-        self.started + at.saturating_sub(HEAD_START).min(LONGEST_RUN)
+        self.started + at.saturating_sub(ORIGIN_BEFORE_START).min(MAX_UPTIME)
     }
 
     /// A time in milliseconds since 1970 UTC.
     pub fn unix_ms(&self, at: Duration) -> u64 {
-        in_ms(self.zero_unix() + at)
+        in_ms(self.origin_unix() + at)
     }
 
     /// The time of a moment given in milliseconds since 1970 UTC. None for a moment before the decisions' time began, and
     /// for 0, which stands for an unknown moment.
     pub fn at_unix_ms(&self, ms: u64) -> Option<Duration> {
-        Duration::from_millis(ms).checked_sub(self.zero_unix()).filter(|at| ms > 0 && !at.is_zero())
+        Duration::from_millis(ms).checked_sub(self.origin_unix()).filter(|at| ms > 0 && !at.is_zero())
     }
 
     /// Where the decisions' time is zero, since 1970 UTC.
-    fn zero_unix(&self) -> Duration {
-        self.started_unix.saturating_sub(HEAD_START)
+    fn origin_unix(&self) -> Duration {
+        self.started_unix.saturating_sub(ORIGIN_BEFORE_START)
     }
 }
--- a/crates/sidecar/src/console/handlers.rs
+++ b/crates/sidecar/src/console/handlers.rs
@@ -2,12 +2,12 @@
 
 use super::reply::Reply;
 use super::request::Request;
-use super::{MaintenanceOrder, OWNER_TIMEOUT, Server};
+use super::{ConsoleServer, MaintenanceOrder, OWNER_TIMEOUT};
 use crate::clock::unix_ms;
 use crate::counters;
 use crate::fleet::ZoneCommandReply;
 use crate::handover::CHECK_INTERVAL;
-use crate::handover::maintenance_record::{MAXIMUM_ENTRIES, MaintenanceEntry};
+use crate::handover::maintenance_record::{MAX_ENTRIES, MaintenanceEntry};
 use crate::net::timeout::timeout;
 use async_io::Timer;
 use landingspread_localities::OperatorCommand;
@@ -19,7 +19,7 @@
 const FLEET_SILENT: &str = "the fleet's thread does not answer";
 const NO_ZONES: &str = "the fleet leaves no zones";
 
-impl Server {
+impl ConsoleServer {
     /// Answers one request.
     pub(super) async fn handle(&self, request: Request) -> Reply {
         match request {
@@ -34,12 +34,14 @@
                 Some(status) => Reply::report(&status.report(json), json),
             },
             Request::SetZone { zone, command } => self.set_zone(zone, command).await,
-            Request::SetMaintenance { server, out } => self.set_maintenance(server, out).await,
+            Request::SetMaintenance { server, in_maintenance } => {
+                self.set_maintenance(server, in_maintenance).await
+            }
         }
     }
 
     fn list_maintenance(&self) -> Reply {
-        let orders = self.orders_in_force.borrow();
+        let orders = self.entries_in_force.borrow();
         let out =
             orders.iter().filter(|(_, order)| order.in_maintenance).map(|(server, _)| format!("{server}\n"));
         Reply::text(200, &out.collect::<String>())
@@ -81,7 +83,7 @@
     }
 
     async fn set_maintenance(&self, server: String, in_maintenance: bool) -> Reply {
-        if in_maintenance && self.orders_in_force.borrow().len() >= MAXIMUM_ENTRIES {
+        if in_maintenance && self.entries_in_force.borrow().len() >= MAX_ENTRIES {
             return Reply::error(507, "too many endpoints are out");
         }
         match self.send_order(&server, in_maintenance, None).await {
@@ -97,9 +99,9 @@
         }
         tracing::info!("console: {server} {} maintenance", if in_maintenance { "entered" } else { "exited" });
         let at_unix_ms = unix_ms();
-        let mut orders = self.orders_in_force.borrow_mut();
+        let mut orders = self.entries_in_force.borrow_mut();
         orders.insert(server, MaintenanceEntry { in_maintenance, at_unix_ms });
-        orders.retain(|_, order| order.counts());
+        orders.retain(|_, order| order.is_relevant());
         Reply::text(200, "yes\n")
     }
 
@@ -128,7 +130,7 @@
                 }
                 record.entries.clone()
             };
-            let previous = std::mem::replace(&mut *self.orders_in_force.borrow_mut(), recorded.clone());
+            let previous = std::mem::replace(&mut *self.entries_in_force.borrow_mut(), recorded.clone());
             for (server, order) in recorded {
                 if previous
                     .get(&server)
--- a/crates/sidecar/src/console/mod.rs
+++ b/crates/sidecar/src/console/mod.rs
@@ -67,14 +67,14 @@
     pub control: Option<ControlStatus>,
 }
 
-struct Server {
+struct ConsoleServer {
     serving: Arc<AtomicBool>,
     orders: Sender<MaintenanceOrder>,
     record: RefCell<Option<MaintenanceRecord>>,
     fleet: Option<fleet::FleetHandle>,
     control: Option<ControlStatus>,
     /// The orders that this process goes by.
-    orders_in_force: RefCell<MaintenanceEntries>,
+    entries_in_force: RefCell<MaintenanceEntries>,
     resources: Rc<ResourcePool>,
     /// Connections that have not sent a whole request, oldest first, each with the channel that closes it.
     waiting: RefCell<BTreeMap<u64, Sender<()>>>,
@@ -87,7 +87,7 @@
     pub fn open(self, address: SocketAddr) -> io::Result<()> {
         let serve = move || {
             let executor = Rc::new(LocalExecutor::new());
-            let server = Rc::new(Server::new(self));
+            let server = Rc::new(ConsoleServer::new(self));
             executor.spawn(server.clone().follow_record()).detach();
             async_io::block_on(executor.run(server.accept(address, executor.clone())));
         };
@@ -95,17 +95,17 @@
     }
 }
 
-impl Server {
-    fn new(console: Console) -> Server {
+impl ConsoleServer {
+    fn new(console: Console) -> ConsoleServer {
         let Console { serving, orders, record, fleet, control } = console;
         let recorded = record.as_ref().map(|record| record.entries.clone()).unwrap_or_default();
-        Server {
+        ConsoleServer {
             serving,
             orders,
             record: RefCell::new(record),
             fleet,
             control,
-            orders_in_force: RefCell::new(recorded),
+            entries_in_force: RefCell::new(recorded),
             resources: ResourcePool::buffers_only(MAX_CONNECTIONS),
             waiting: RefCell::default(),
             connections: Cell::new(0),
--- a/crates/sidecar/src/console/request.rs
+++ b/crates/sidecar/src/console/request.rs
@@ -25,7 +25,7 @@
     /// The whole fleet takes a zone out of use, or puts it back.
     SetZone { zone: String, command: OperatorCommand },
     /// This sidecar takes an endpoint out of use, or puts it back.
-    SetMaintenance { server: String, out: bool },
+    SetMaintenance { server: String, in_maintenance: bool },
 }
 
 impl Request {
@@ -64,7 +64,7 @@
             path => {
                 let server =
                     plain_text(body).ok_or_else(|| Reply::error(400, "the body is no endpoint's id"))?;
-                Ok(Request::SetMaintenance { server, out: path == "/maintenance/enter" })
+                Ok(Request::SetMaintenance { server, in_maintenance: path == "/maintenance/enter" })
             }
         }
     }
--- a/crates/sidecar/src/console/request_tests.rs
+++ b/crates/sidecar/src/console/request_tests.rs
@@ -9,7 +9,8 @@
 
 #[test]
 fn messages_are_parsed_and_others_are_rejected() {
-    let maintenance = |server: &str, out| Ok(Request::SetMaintenance { server: server.into(), out });
+    let maintenance =
+        |server: &str, in_maintenance| Ok(Request::SetMaintenance { server: server.into(), in_maintenance });
     assert_eq!(parsed("GET /status", ""), Ok(Request::Status));
     assert_eq!(parsed("GET /counters", ""), Ok(Request::Counters));
     assert_eq!(parsed("PUT /counters", ""), Err(405));
--- a/crates/sidecar/src/counters.rs
+++ b/crates/sidecar/src/counters.rs
@@ -11,15 +11,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
     /// The client closed or reset it.
-    ClientLeft,
+    ClientDisconnected,
     /// The client asked for it, by `Connection: close` or by HTTP/1.0.
-    ClientAsked,
+    ClientRequested,
     /// It was idle for too long, or was closed to make room for another.
     Idle,
     /// What arrived is not a valid request, or it stopped before its end.
     BadRequest,
     /// No socket or no buffer is left.
-    Crowded,
+    ResourcesExhausted,
     /// The process shuts down, or hands over to another.
     Shutdown,
     /// A response that was being passed on broke off, or could not be written.
@@ -28,11 +28,11 @@
 
 impl CloseReason {
     const ALL: [CloseReason; 7] = [
-        CloseReason::ClientLeft,
-        CloseReason::ClientAsked,
+        CloseReason::ClientDisconnected,
+        CloseReason::ClientRequested,
         CloseReason::Idle,
         CloseReason::BadRequest,
-        CloseReason::Crowded,
+        CloseReason::ResourcesExhausted,
         CloseReason::Shutdown,
         CloseReason::ResponseBroken,
     ];
@@ -40,11 +40,11 @@
     /// Its name as a label.
     pub fn name(self) -> &'static str {
         match self {
-            CloseReason::ClientLeft => "client_left",
-            CloseReason::ClientAsked => "client_asked",
+            CloseReason::ClientDisconnected => "client_left",
+            CloseReason::ClientRequested => "client_asked",
             CloseReason::Idle => "idle",
             CloseReason::BadRequest => "bad_request",
-            CloseReason::Crowded => "crowded",
+            CloseReason::ResourcesExhausted => "crowded",
             CloseReason::Shutdown => "shutdown",
             CloseReason::ResponseBroken => "answer_broken",
         }
@@ -57,7 +57,7 @@
     /// It is not a request that this sidecar serves.
     BadRequest,
     /// Too many requests are open, or no socket is left.
-    Crowded,
+    ResourcesExhausted,
     /// No buffer is free.
     NoBuffer,
     /// The process shuts down.
@@ -69,7 +69,7 @@
     /// An attempt may have run, and the client may retry without harm.
     MayBeRetried,
     /// An attempt may have run, and its result is unknown.
-    Unknown,
+    ResultUnknown,
     /// Another request with the same id is open.
     DuplicateId,
 }
@@ -77,13 +77,13 @@
 impl RefusalReason {
     const ALL: [RefusalReason; 9] = [
         RefusalReason::BadRequest,
-        RefusalReason::Crowded,
+        RefusalReason::ResourcesExhausted,
         RefusalReason::NoBuffer,
         RefusalReason::Shutdown,
         RefusalReason::Shed,
         RefusalReason::NeverRan,
         RefusalReason::MayBeRetried,
-        RefusalReason::Unknown,
+        RefusalReason::ResultUnknown,
         RefusalReason::DuplicateId,
     ];
 
@@ -91,13 +91,13 @@
     pub fn name(self) -> &'static str {
         match self {
             RefusalReason::BadRequest => "bad_request",
-            RefusalReason::Crowded => "crowded",
+            RefusalReason::ResourcesExhausted => "crowded",
             RefusalReason::NoBuffer => "no_buffer",
             RefusalReason::Shutdown => "shutdown",
             RefusalReason::Shed => "shed",
             RefusalReason::NeverRan => "never_ran",
             RefusalReason::MayBeRetried => "repeatable",
-            RefusalReason::Unknown => "unknown",
+            RefusalReason::ResultUnknown => "unknown",
             RefusalReason::DuplicateId => "same_id",
         }
     }
@@ -145,7 +145,7 @@
 }
 
 /// A request was handed to the decisions.
-pub fn request_taken() {
+pub fn request_accepted() {
     increment(&REQUESTS);
 }
 
@@ -156,7 +156,7 @@
 }
 
 /// A request had a rejection or a failure as its final response.
-pub fn refused(request: &str, why: RefusalReason) {
+pub fn request_refused(request: &str, why: RefusalReason) {
     tracing::debug!(request, reason = why.name(), "request rejected or failed");
     increment(&REFUSALS[why as usize]);
 }
@@ -167,7 +167,7 @@
 }
 
 /// A further attempt was made, after one that ended so.
-pub fn retried(request: &str, attempt: u32, after: Outcome) {
+pub fn request_retried(request: &str, attempt: u32, after: Outcome) {
     tracing::debug!(request, attempt, after = outcome_name(after), "retry");
     increment(&RETRIES[index(after)]);
 }
@@ -198,7 +198,7 @@
 }
 
 /// Logs every counter that is not zero, in one line.
-pub fn log_all() {
+pub fn log_nonzero() {
     let all = text();
     let nonzero = all.lines().filter(|line| !line.ends_with(" 0"));
     let nonzero = nonzero.map(|line| line.trim_start_matches("landingspread_")).collect::<Vec<_>>().join(" ");
--- a/crates/sidecar/src/handover/hold.rs
+++ b/crates/sidecar/src/handover/hold.rs
@@ -8,7 +8,7 @@
 use std::process::Command;
 
 /// Binds the address and replaces this process by the command, which inherits the socket. Returns only on failure.
-pub fn hold(listen: SocketAddr, command: &[String]) -> io::Error {
+pub fn bind_and_exec(listen: SocketAddr, command: &[String]) -> io::Error {
     let Some((program, arguments)) = command.split_first() else {
         return io::Error::other("no command to hold the socket for");
     };
--- a/crates/sidecar/src/handover/maintenance_record.rs
+++ b/crates/sidecar/src/handover/maintenance_record.rs
@@ -12,11 +12,11 @@
 use std::time::{Duration, SystemTime};
 
 /// The version of the file's form.
-const VERSION: u32 = 1;
+const FORMAT_VERSION: u32 = 1;
 /// An entry of a server that is used again tells when it came back, as it may be warming up; later it says nothing.
-const RETURN_COUNTS_FOR: Duration = Duration::from_secs(600);
+const RETURN_ENTRY_LIFETIME: Duration = Duration::from_secs(600);
 /// The most servers that may be in maintenance at a time.
-pub const MAXIMUM_ENTRIES: usize = 4096;
+pub const MAX_ENTRIES: usize = 4096;
 
 /// What operators last asked for one server.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -33,8 +33,8 @@
     }
 
     /// Whether it is worth keeping: in maintenance, or back not long ago.
-    pub fn counts(&self) -> bool {
-        self.in_maintenance || self.age() < RETURN_COUNTS_FOR
+    pub fn is_relevant(&self) -> bool {
+        self.in_maintenance || self.age() < RETURN_ENTRY_LIFETIME
     }
 }
 
@@ -67,8 +67,8 @@
         match self {
             RecordError::Io(error) => error.fmt(f),
             RecordError::NotJson(error) => error.fmt(f),
-            RecordError::Version(version) => write!(f, "version: {version} is not {VERSION}"),
-            RecordError::Full => write!(f, "over {MAXIMUM_ENTRIES} servers are in maintenance"),
+            RecordError::Version(version) => write!(f, "version: {version} is not {FORMAT_VERSION}"),
+            RecordError::Full => write!(f, "over {MAX_ENTRIES} servers are in maintenance"),
         }
     }
 }
@@ -138,7 +138,7 @@
             return Ok(MaintenanceEntries::new());
         };
         let file: RecordFile = serde_json::from_slice(&bytes)?;
-        if file.version != VERSION {
+        if file.version != FORMAT_VERSION {
             return Err(RecordError::Version(file.version));
         }
         Ok(file.entries)
@@ -153,12 +153,12 @@
         lock.lock()?;
         let now = unix_ms();
         let mut entries = self.read()?;
-        entries.retain(|_, entry| entry.counts());
+        entries.retain(|_, entry| entry.is_relevant());
         entries.insert(server.to_string(), MaintenanceEntry { in_maintenance, at_unix_ms: now });
-        if entries.len() > MAXIMUM_ENTRIES {
+        if entries.len() > MAX_ENTRIES {
             return Err(RecordError::Full);
         }
-        let file = RecordFile { version: VERSION, entries };
+        let file = RecordFile { version: FORMAT_VERSION, entries };
         storage::replace(&self.path, TemporaryName::Suffix, &serde_json::to_vec(&file)?)?;
         self.entries = file.entries;
         self.last_stamp = self.stamp();
--- a/crates/sidecar/src/handover/maintenance_record_tests.rs
+++ b/crates/sidecar/src/handover/maintenance_record_tests.rs
@@ -30,7 +30,7 @@
     let entry = |in_maintenance, at_unix_ms| MaintenanceEntry { in_maintenance, at_unix_ms };
     let wanted = [("s\"2\" é", entry(true, 1_796_287_876_087)), ("s1", entry(false, 1_796_287_876_304))];
     assert_eq!(record.entries, wanted.map(|(server, entry)| (server.to_string(), entry)).into());
-    let saved = RecordFile { version: VERSION, entries: record.entries.clone() };
+    let saved = RecordFile { version: FORMAT_VERSION, entries: record.entries.clone() };
     assert_eq!(serde_json::to_string(&saved).expect("JSON"), EARLIER);
     // The files aside have these names: where a folder stands in the place of one, nothing is written.
     std::fs::create_dir(folder.join("node_1__.maintenance.new")).expect("a folder");
@@ -57,9 +57,8 @@
         std::fs::write(&record.path, text).expect("written");
         assert_eq!(record.set("s1", true).expect_err("an error").to_string(), wanted);
     }
-    let full: Vec<String> = (0..MAXIMUM_ENTRIES)
-        .map(|number| format!("\"s{number}\":{{\"out\":true,\"at_unix_ms\":0}}"))
-        .collect();
+    let full: Vec<String> =
+        (0..MAX_ENTRIES).map(|number| format!("\"s{number}\":{{\"out\":true,\"at_unix_ms\":0}}")).collect();
     std::fs::write(&record.path, format!("{{\"version\":1,\"words\":{{{}}}}}", full.join(",")))
         .expect("written");
     assert!(record.set("s0", true).is_ok(), "it has an entry already");
--- a/crates/sidecar/src/handover/presence.rs
+++ b/crates/sidecar/src/handover/presence.rs
@@ -40,7 +40,7 @@
     ///
     /// # Errors
     /// The folder or a file in it can't be made or locked.
-    pub fn enter(folder: &Path, name: &str) -> io::Result<Presence> {
+    pub fn register(folder: &Path, name: &str) -> io::Result<Presence> {
         std::fs::create_dir_all(folder)?;
         let (folder, name) = (folder.to_path_buf(), storage::file_name_of(name));
         let mut presence = Presence { folder, name, serving: None, successor: None };
--- a/crates/sidecar/src/hollow.rs
+++ b/crates/sidecar/src/hollow.rs
@@ -10,13 +10,13 @@
 /// Where addresses begin: apart from those that tests draw otherwise.
 const FIRST_ADDRESS: u32 = u32::from_be_bytes([127, 251, 0, 0]);
 /// Past this they would leave loopback.
-pub const MAX_NUMBERS: u32 = 4 * 65_536;
+pub const MAX_SIDECARS: u32 = 4 * 65_536;
 /// Seeds of one fleet.
 const MAX_SEEDS: u32 = 3;
 const FLEET_PORT: u16 = 7946;
 
 /// Which copies this process runs, and how all of them are divided into fleets.
-pub struct CopyRange {
+pub struct SidecarRange {
     /// The number of the first copy.
     pub first: u32,
     /// How many copies run.
@@ -49,7 +49,7 @@
                 f.write_str("expected a zone, and a first number that is not under the base")
             }
             HollowError::Count { first, end } => {
-                write!(f, "copies {first} to {end}: expected 1 or more, up to {MAX_NUMBERS}")
+                write!(f, "copies {first} to {end}: expected 1 or more, up to {MAX_SIDECARS}")
             }
             HollowError::Template { path, error } => write!(f, "{}: {error}", path.display()),
             HollowError::Configuration(fault) => f.write_str(fault),
@@ -63,7 +63,7 @@
     Ipv4Addr::from(FIRST_ADDRESS + number)
 }
 
-impl CopyRange {
+impl SidecarRange {
     /// The template filled in for one copy.
     fn filled_template(&self, template: &str, number: u32) -> String {
         let index = number - self.base;
@@ -87,7 +87,7 @@
             return Err(HollowError::Range);
         }
         let end = first.saturating_add(self.count);
-        if self.count == 0 || end > MAX_NUMBERS {
+        if self.count == 0 || end > MAX_SIDECARS {
             return Err(HollowError::Count { first, end });
         }
         let text = std::fs::read_to_string(template);
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -178,7 +178,7 @@
 }
 
 fn serve(file: Option<&Path>) -> Result<(), CommandError> {
-    let start = start::Start::begin();
+    let start = start::StartupTimes::begin();
     start_log()?;
     let configuration = configuration::read(file)?;
     start.configuration_read();
@@ -213,7 +213,9 @@
             print!("{}", configuration::EXAMPLE);
             Ok(())
         }
-        Subcommand::Hold(Hold { listen, command }) => Err(handover::hold::hold(listen, &command).into()),
+        Subcommand::Hold(Hold { listen, command }) => {
+            Err(handover::hold::bind_and_exec(listen, &command).into())
+        }
         Subcommand::Control(Control { file }) => run_control_machine(&file),
         Subcommand::Followers(followers) => play_followers(followers),
         Subcommand::Version(Version {}) => {
@@ -253,7 +255,7 @@
     let Hollow { template, count, first, base, fleet_size, zones } = command;
     let zones = zones.split(',').map(str::to_string).collect();
     let numbers =
-        hollow::CopyRange { first: *first, count: *count, base: *base, fleet_size: *fleet_size, zones };
+        hollow::SidecarRange { first: *first, count: *count, base: *base, fleet_size: *fleet_size, zones };
     net::serve_without_clients(numbers.configurations(template)?)?;
     Ok(())
 }
--- a/crates/sidecar/src/net/clients/connection.rs
+++ b/crates/sidecar/src/net/clients/connection.rs
@@ -61,8 +61,8 @@
         // incomplete response.
         let answer_owed = !matches!(
             reason,
-            CloseReason::ClientLeft
-                | CloseReason::ClientAsked
+            CloseReason::ClientDisconnected
+                | CloseReason::ClientRequested
                 | CloseReason::BadRequest
                 | CloseReason::ResponseBroken
         );
@@ -86,8 +86,8 @@
     ) -> Result<(), CloseReason> {
         let Some(buffer) = read_ahead.take().or_else(|| self.resources.buffer()) else {
             let _ = self.reject(stream, &rejection(503, "no buffer is free"), false).await;
-            counters::refused("", RefusalReason::NoBuffer);
-            return Err(CloseReason::Crowded);
+            counters::request_refused("", RefusalReason::NoBuffer);
+            return Err(CloseReason::ResourcesExhausted);
         };
         let (mut message, parsed) = self.read_or_reject(stream, buffer, connected_at).await?;
         let surplus = if message.is_complete() { message.surplus().len() } else { 0 };
@@ -110,7 +110,7 @@
             ParsedMessage::Request(request)
                 if on_spare_permit || self.open_requests.get() >= self.max_open_requests =>
             {
-                counters::refused(&request.id, RefusalReason::Crowded);
+                counters::request_refused(&request.id, RefusalReason::ResourcesExhausted);
                 let too_many = rejection(503, "too many commands are open");
                 self.reject(stream, &too_many, keep_alive.is_ok()).await.and(keep_alive)
             }
@@ -119,6 +119,6 @@
                 self.serve_request(stream, request, message, arrived_at, on_spare_permit, read_ahead).await
             }
         };
-        if read_ahead.has_overflowed() { outcome.and(Err(CloseReason::Crowded)) } else { outcome }
+        if read_ahead.has_overflowed() { outcome.and(Err(CloseReason::ResourcesExhausted)) } else { outcome }
     }
 }
--- a/crates/sidecar/src/net/clients/exchange.rs
+++ b/crates/sidecar/src/net/clients/exchange.rs
@@ -46,7 +46,7 @@
         on_spare_permit: bool,
         read_ahead: &ReadAhead,
     ) -> Result<(), CloseReason> {
-        counters::request_taken();
+        counters::request_accepted();
         let (complete, number) = (message.is_complete(), self.next_number());
         // The time limit of a request counts from its last byte.
         let deadline = if complete {
@@ -79,7 +79,7 @@
         let written = self.write_final(stream, response, class, keep_alive, message.http_minor).await;
         let outcome = written.and(keep_alive);
         // After an incomplete response, or with the client gone, there is no response that a reset could discard.
-        if !matches!(outcome, Ok(()) | Err(CloseReason::ResponseBroken | CloseReason::ClientLeft)) {
+        if !matches!(outcome, Ok(()) | Err(CloseReason::ResponseBroken | CloseReason::ClientDisconnected)) {
             self.linger(stream).await;
         }
         outcome
@@ -161,8 +161,8 @@
         error: HttpError,
     ) -> CloseReason {
         self.queue.push(Event::ClientLeft(id.clone(), number));
-        let Some(rejected) = rejection_for(error) else { return CloseReason::ClientLeft };
-        counters::refused(&id, RefusalReason::BadRequest);
+        let Some(rejected) = rejection_for(error) else { return CloseReason::ClientDisconnected };
+        counters::request_refused(&id, RefusalReason::BadRequest);
         let _ = self.reject(stream, &rejected, false).await;
         CloseReason::BadRequest
     }
--- a/crates/sidecar/src/net/clients/read.rs
+++ b/crates/sidecar/src/net/clients/read.rs
@@ -31,7 +31,8 @@
 
 impl From<HttpError> for ReadError {
     fn from(error: HttpError) -> ReadError {
-        rejection_for(error).map_or(ReadError::NoResponse(CloseReason::ClientLeft), ReadError::Rejected)
+        rejection_for(error)
+            .map_or(ReadError::NoResponse(CloseReason::ClientDisconnected), ReadError::Rejected)
     }
 }
 
@@ -83,7 +84,7 @@
             Err(ReadError::Rejected(rejected)) => {
                 let shutdown = self.reading.is_closed();
                 let refusal = if shutdown { RefusalReason::Shutdown } else { RefusalReason::BadRequest };
-                counters::refused("", refusal);
+                counters::request_refused("", refusal);
                 let _ = self.reject(stream, &rejected, false).await;
                 Err(if shutdown { CloseReason::Shutdown } else { CloseReason::BadRequest })
             }
@@ -101,7 +102,7 @@
         let closed = async {
             let _ = partial.closed.recv().await;
             tracing::debug!("client connection with a partial request closed to make room");
-            Err(ReadError::NoResponse(CloseReason::Crowded))
+            Err(ReadError::NoResponse(CloseReason::ResourcesExhausted))
         };
         or(self.read_request(stream, buffer, Some(connected_at), &partial.last_read), closed).await
     }
@@ -183,10 +184,10 @@
     ) -> Result<(), CloseReason> {
         match () {
             () if !message.is_complete() => Err(CloseReason::BadRequest),
-            () if !message.keep_alive => Err(CloseReason::ClientAsked),
+            () if !message.keep_alive => Err(CloseReason::ClientRequested),
             () if read_ahead.has_complete_request() => Ok(()),
             () if self.closing_connections.get() => Err(CloseReason::Shutdown),
-            () if on_spare_permit || read_ahead.has_overflowed() => Err(CloseReason::Crowded),
+            () if on_spare_permit || read_ahead.has_overflowed() => Err(CloseReason::ResourcesExhausted),
             () => Ok(()),
         }
     }
--- a/crates/sidecar/src/net/clients/state.rs
+++ b/crates/sidecar/src/net/clients/state.rs
@@ -9,7 +9,7 @@
 use crate::net::owner::EventQueue;
 use crate::net::request::RequestParser;
 use crate::net::upstream::ConnectionPool;
-use crate::start::Start;
+use crate::start::StartupTimes;
 use async_channel::Sender;
 use async_executor::LocalExecutor;
 use landingspread_decisions::settings;
@@ -52,7 +52,7 @@
     pub(super) unused_number: Cell<u64>,
     pub(super) resources: Rc<ResourcePool>,
     pub(super) queue: EventQueue,
-    pub(super) start: Rc<Start>,
+    pub(super) start: Rc<StartupTimes>,
     pub(super) pool: Rc<ConnectionPool>,
     pub(super) failed_accepts: FailureLog,
     pub(super) executor: Rc<LocalExecutor<'static>>,
@@ -80,7 +80,7 @@
         configuration: &Configuration,
         resources: Rc<ResourcePool>,
         queue: EventQueue,
-        start: Rc<Start>,
+        start: Rc<StartupTimes>,
         pool: Rc<ConnectionPool>,
         executor: Rc<LocalExecutor<'static>>,
     ) -> ClientSide {
--- a/crates/sidecar/src/net/clients/wait.rs
+++ b/crates/sidecar/src/net/clients/wait.rs
@@ -52,7 +52,7 @@
             let readable = timeout(FIRST_BYTE_WAIT, stream.readable()).await;
             self.silent_new_connections.set(self.silent_new_connections.get() - 1);
             if let Some(readable) = readable {
-                return readable.map_err(|_| CloseReason::ClientLeft);
+                return readable.map_err(|_| CloseReason::ClientDisconnected);
             }
         }
         let idle = IdleGuard::register(self, connected_at.is_none());
--- a/crates/sidecar/src/net/clients/write.rs
+++ b/crates/sidecar/src/net/clients/write.rs
@@ -74,7 +74,7 @@
         response.finish();
         match ended {
             false => Err(CloseReason::ResponseBroken),
-            true if ends_connection => Err(CloseReason::ClientAsked),
+            true if ends_connection => Err(CloseReason::ClientRequested),
             true => Ok(()),
         }
     }
@@ -123,7 +123,7 @@
         head.extend_from_slice(format!("Content-Length: {length}\r\n\r\n").as_bytes());
         match timeout(WRITE_TIMEOUT, http::write(stream, &head, body)).await {
             Some(Ok(())) => Ok(()),
-            _ => Err(CloseReason::ClientLeft),
+            _ => Err(CloseReason::ClientDisconnected),
         }
     }
 }
--- a/crates/sidecar/src/net/discovery.rs
+++ b/crates/sidecar/src/net/discovery.rs
@@ -11,7 +11,7 @@
 use crate::catalog::{Catalog, CatalogError};
 use crate::clock::Clock;
 use crate::configuration::Configuration;
-use crate::start::Start;
+use crate::start::StartupTimes;
 use async_channel::Receiver;
 use async_io::Async;
 use std::convert::Infallible;
@@ -94,7 +94,7 @@
     clock: Clock,
     resources: Rc<ResourcePool>,
     queue: EventQueue,
-    start: Rc<Start>,
+    start: Rc<StartupTimes>,
 }
 
 impl Discovery {
@@ -104,7 +104,7 @@
         configuration: &Configuration,
         resources: Rc<ResourcePool>,
         queue: EventQueue,
-        start: Rc<Start>,
+        start: Rc<StartupTimes>,
     ) -> Option<Discovery> {
         let address = configuration.discovery?;
         let (zones, clock) = (configuration.zones.clone(), configuration.clock.clone());
--- a/crates/sidecar/src/net/owner/event_loop.rs
+++ b/crates/sidecar/src/net/owner/event_loop.rs
@@ -305,7 +305,7 @@
         let mut table = self.table.borrow_mut();
         if table.requests.contains_key(&arrival.id) {
             // Servers could not distinguish two open requests with the same id.
-            counters::refused(&arrival.id, RefusalReason::DuplicateId);
+            counters::request_refused(&arrival.id, RefusalReason::DuplicateId);
             let _ = responder.try_send(FinalResponse::Failed);
             return;
         }
--- a/crates/sidecar/src/net/owner/request_table.rs
+++ b/crates/sidecar/src/net/owner/request_table.rs
@@ -12,7 +12,7 @@
 use crate::net::upstream::{
     AttemptResult, AttemptStage, ConnectionPool, OutgoingRequest, Target, UpstreamClient,
 };
-use crate::start::Start;
+use crate::start::StartupTimes;
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
 use landingspread_decisions::host::{Id, Lifecycle, ListedServer, Outcome};
@@ -32,7 +32,7 @@
     pub fleet: Option<fleet::DecisionLink>,
     /// Requests a poll of discovery.
     pub poll_discovery: Sender<()>,
-    pub start: Rc<Start>,
+    pub start: Rc<StartupTimes>,
 }
 
 /// One attempt of an open request.
@@ -76,7 +76,7 @@
             }
             FinalResponse::Rejected(_) if never_ran => Some(RefusalReason::NeverRan),
             FinalResponse::Rejected(_) => Some(RefusalReason::MayBeRetried),
-            FinalResponse::Failed => Some(RefusalReason::Unknown),
+            FinalResponse::Failed => Some(RefusalReason::ResultUnknown),
         }
     }
 }
@@ -141,7 +141,9 @@
         let Some(open) = self.requests.get_mut(request) else { return };
         tracing::debug!("request {request} is {}", response.name());
         must_hold!(OneFinalResponse, !open.finished, "second final response for request {request}");
-        open.refusal_reason(&response).into_iter().for_each(|reason| counters::refused(request, reason));
+        open.refusal_reason(&response)
+            .into_iter()
+            .for_each(|reason| counters::request_refused(request, reason));
         open.outgoing.guard.close();
         if !std::mem::replace(&mut open.finished, true) {
             // Sending fails if the client has just left, and the response is dropped.
@@ -204,7 +206,7 @@
         let deadline = deadline.min(self.shutdown_by);
         let stage = Rc::new(Cell::new(AttemptStage::Unwritten));
         let last_outcome = open.attempts.last().and_then(|attempt| attempt.outcome);
-        last_outcome.into_iter().for_each(|outcome| counters::retried(request, number, outcome));
+        last_outcome.into_iter().for_each(|outcome| counters::request_retried(request, number, outcome));
         let known = self.servers.get(server);
         // The decision engine sends nothing to a server once it drains, not even within its grace period.
         let draining = known.is_some_and(|known| known.draining);
--- a/crates/sidecar/src/net/serve.rs
+++ b/crates/sidecar/src/net/serve.rs
@@ -7,7 +7,7 @@
 use super::timeout::timeout;
 use crate::configuration::{self, Configuration};
 use crate::counters;
-use crate::start::Start;
+use crate::start::StartupTimes;
 use async_channel::Receiver;
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
@@ -41,7 +41,7 @@
 ///
 /// # Errors
 /// The listen address, the peers' address or the console's address is not available.
-pub fn serve(configuration: Configuration, file: Option<&Path>, start: Start) -> io::Result<()> {
+pub fn serve(configuration: Configuration, file: Option<&Path>, start: StartupTimes) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.run(run(configuration, file, Rc::new(start), executor.clone())))
 }
@@ -49,7 +49,7 @@
 async fn run(
     configuration: Configuration,
     file: Option<&Path>,
-    start: Rc<Start>,
+    start: Rc<StartupTimes>,
     executor: Rc<LocalExecutor<'static>>,
 ) -> io::Result<()> {
     let mut signals = Signals::new([Signal::Term, Signal::Hup])?;
@@ -185,7 +185,7 @@
     }
     clients.finish_shutdown().await;
     tracing::info!("graceful shutdown: all requests have their final response");
-    counters::log_all();
+    counters::log_nonzero();
 }
 
 /// Closes the listener once the connections queued at it are accepted, but no later than `LAST_ACCEPT_TIMEOUT`, since
@@ -209,7 +209,7 @@
     let run_all = async {
         let mut signals = Signals::new([Signal::Term])?;
         let start = |configuration| {
-            service::start(configuration, Rc::new(Start::begin()), &executor, Some(&executor))
+            service::start(configuration, Rc::new(StartupTimes::begin()), &executor, Some(&executor))
         };
         let replicas = configurations.into_iter().map(start).collect::<io::Result<Vec<Service>>>()?;
         tracing::info!(copies = replicas.len(), "sidecars without clients are running");
--- a/crates/sidecar/src/net/service.rs
+++ b/crates/sidecar/src/net/service.rs
@@ -13,7 +13,7 @@
 use crate::fleet;
 use crate::handover::maintenance_record::MaintenanceRecord;
 use crate::handover::{CHECK_INTERVAL, Presence};
-use crate::start::Start;
+use crate::start::StartupTimes;
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -65,8 +65,8 @@
 fn open_presence(configuration: &Configuration) -> Option<Presence> {
     let folder = configuration.state_folder.as_deref();
     let folder = folder.filter(|_| configuration.inherited_listener.is_some())?;
-    let entered = Presence::enter(folder, &configuration.name);
-    entered
+    let presence = Presence::register(folder, &configuration.name);
+    presence
         .inspect_err(|error| tracing::warn!("{}: {error}; no handover between processes", folder.display()))
         .ok()
 }
@@ -196,7 +196,7 @@
 /// is given.
 pub(super) fn start(
     mut configuration: Configuration,
-    start: Rc<Start>,
+    start: Rc<StartupTimes>,
     executor: &Rc<LocalExecutor<'static>>,
     fleet_executor: Option<&LocalExecutor<'static>>,
 ) -> io::Result<Service> {
--- a/crates/sidecar/src/start.rs
+++ b/crates/sidecar/src/start.rs
@@ -10,7 +10,7 @@
 type Step = Cell<Option<Duration>>;
 
 /// The times of the steps.
-pub struct Start {
+pub struct StartupTimes {
     began: Instant,
     configuration: Step,
     listener: Step,
@@ -40,10 +40,10 @@
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-impl Start {
+impl StartupTimes {
     /// The process begins now.
-    pub fn begin() -> Start {
-        Start {
+    pub fn begin() -> StartupTimes {
+        StartupTimes {
             began: Instant::now(),
             configuration: Cell::default(),
             listener: Cell::default(),
