--- a/crates/sidecar/src/console/handlers.rs
+++ b/crates/sidecar/src/console/handlers.rs
@@ -1,4 +1,4 @@
-//! What the console does by each request: asks the owner or the fleet, has an operator's order recorded, and answers.
+//! Handlers of the console's requests. They query the owner or the fleet, record operators' orders and reply.
 
 use super::reply::Reply;
 use super::request::Request;
@@ -20,7 +20,7 @@
 const NO_ZONES: &str = "the fleet leaves no zones";
 
 impl ConsoleServer {
-    /// Answers one request.
+    /// Handles a parsed request and returns the reply to it.
     pub(super) async fn handle(&self, request: Request) -> Reply {
         match request {
             Request::Status if self.serving.load(Ordering::Acquire) => Reply::text(200, "serving\n"),
@@ -41,10 +41,10 @@
     }
 
     fn list_maintenance(&self) -> Reply {
-        let orders = self.entries_in_force.borrow();
-        let out =
-            orders.iter().filter(|(_, order)| order.in_maintenance).map(|(server, _)| format!("{server}\n"));
-        Reply::text(200, &out.collect::<String>())
+        let entries = self.entries_in_force.borrow();
+        let servers =
+            entries.iter().filter(|(_, entry)| entry.in_maintenance).map(|(server, _)| format!("{server}\n"));
+        Reply::text(200, &servers.collect::<String>())
     }
 
     async fn members(&self, json: bool) -> Reply {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The order is the fleet's from here on, whether this process lives or not.
+    /// Passes a zone command to the fleet. Once accepted, the command stays in force even if this process ends.
     async fn set_zone(&self, zone: String, command: OperatorCommand) -> Reply {
         let Some(fleet) = &self.fleet else { return Reply::error(404, NO_FLEET) };
         match fleet.zone_command(zone.clone(), command, OWNER_TIMEOUT).await {
@@ -72,11 +72,11 @@
             ZoneCommandReply::FailoverOff => Reply::error(404, NO_ZONES),
             ZoneCommandReply::UnknownZone => Reply::error(404, "there is no such zone"),
             ZoneCommandReply::Accepted => {
-                let done = match command {
+                let action = match command {
                     OperatorCommand::Evacuate => "evacuated",
                     OperatorCommand::Return => "returned",
                 };
-                tracing::info!("console: zone {zone} {done} by an operator");
+                tracing::info!("console: zone {zone} {action} by an operator");
                 Reply::text(200, "yes\n")
             }
         }
@@ -94,18 +94,19 @@
         if let Some(record) = &mut *self.record.borrow_mut()
             && let Err(error) = record.set(&server, in_maintenance)
         {
-            tracing::error!("console: {error}");
+            tracing::error!("console: maintenance of {server} is not recorded: {error}");
             return Reply::error(500, "it holds for this process alone: it could not be recorded");
         }
         tracing::info!("console: {server} {} maintenance", if in_maintenance { "entered" } else { "exited" });
         let at_unix_ms = unix_ms();
-        let mut orders = self.entries_in_force.borrow_mut();
-        orders.insert(server, MaintenanceEntry { in_maintenance, at_unix_ms });
-        orders.retain(|_, order| order.is_relevant());
+        let mut entries = self.entries_in_force.borrow_mut();
+        entries.insert(server, MaintenanceEntry { in_maintenance, at_unix_ms });
+        entries.retain(|_, entry| entry.is_relevant());
         Reply::text(200, "yes\n")
     }
 
-    /// Sends an order to the owner. Returns whether a list ever named the endpoint; none where the owner does not answer.
+    /// Sends an order to the owner. Returns whether any endpoint list has named the server, or None if the owner does not
+    /// reply within [`OWNER_TIMEOUT`].
     async fn send_order(
         &self,
         server: &str,
@@ -118,7 +119,7 @@
         timeout(OWNER_TIMEOUT, reply.recv()).await?.ok()
     }
 
-    /// Takes over the orders that the other process of an upgrade recorded, for ever.
+    /// Applies the orders that the other process of an upgrade records. Returns only if there is no record.
     pub(super) async fn follow_record(self: Rc<Self>) {
         loop {
             Timer::after(CHECK_INTERVAL).await;
@@ -131,12 +132,12 @@
                 record.entries.clone()
             };
             let previous = std::mem::replace(&mut *self.entries_in_force.borrow_mut(), recorded.clone());
-            for (server, order) in recorded {
+            for (server, entry) in recorded {
                 if previous
                     .get(&server)
-                    .is_none_or(|previous| previous.in_maintenance != order.in_maintenance)
+                    .is_none_or(|previous| previous.in_maintenance != entry.in_maintenance)
                 {
-                    let _ = self.send_order(&server, order.in_maintenance, Some(order.age())).await;
+                    let _ = self.send_order(&server, entry.in_maintenance, Some(entry.age())).await;
                 }
             }
         }
--- a/crates/sidecar/src/console/mod.rs
+++ b/crates/sidecar/src/console/mod.rs
@@ -1,6 +1,6 @@
-//! The operators' console over HTTP: a thread with a listener, buffers and a time of its own. It parses a request, asks the
-//! owner, has an order recorded and answers. It must never wait for the data path but for the owner's answer, nor decide
-//! anything itself.
+//! The operators' console over HTTP, on a thread with its own listener, buffers and timers. It parses requests, queries
+//! the owner and the fleet, records operators' orders and replies. It makes no decisions, and of the data path it waits
+//! only for the owner's replies.
 
 mod handlers;
 mod reply;
@@ -28,42 +28,47 @@
 use std::sync::atomic::AtomicBool;
 use std::time::Duration;
 
-/// Connections at a time; past that the one that has waited longest is closed.
+/// The maximum number of open connections. At this limit, the connection that has waited longest for its request is closed
+/// before another one is accepted.
 pub const MAX_CONNECTIONS: usize = 16;
-/// For a request to arrive.
+/// The time from the connection's start within which the whole request must arrive.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// The time limit for writing the reply.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long unread bytes are read and dropped after the reply.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
-/// The owner takes an operator's order before all that waits. Past this the answer is an error, though the order may still
-/// be taken: it is idempotent.
+/// The time limit for a reply of the owner, which handles operators' orders before all other events, or of the fleet's
+/// thread. After it the console reports an error although the order may still be applied; orders are idempotent, so that
+/// the operator can repeat them.
 const OWNER_TIMEOUT: Duration = Duration::from_millis(800);
+/// The pause after a failed attempt to bind the address or to accept a connection.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// How soon a full console looks again for a connection that has ended.
+/// How often a console at [`MAX_CONNECTIONS`] checks whether a connection has ended.
 const FULL_RETRY_DELAY: Duration = Duration::from_millis(1);
 
-/// An operator's order on one endpoint, for the owner.
+/// An operator's order for one server, sent to the owner.
 pub struct MaintenanceOrder {
-    /// The endpoint's id.
+    /// The id of the server.
     pub server: String,
-    /// Whether it enters maintenance; false ends it.
+    /// Whether the server enters maintenance (true) or exits it (false).
     pub in_maintenance: bool,
-    /// How old the order is, where another process took it and recorded it.
+    /// The age of the order if another process received and recorded it; None for an order received by this console.
     pub recorded_age: Option<Duration>,
-    /// Answered with whether a list ever named the endpoint.
+    /// Receives whether any endpoint list has named the server.
     pub responder: Sender<bool>,
 }
 
-/// What the console reports and acts by.
+/// The parts of the process that the console reports on or controls.
 pub struct Console {
-    /// Whether this process can serve.
+    /// Whether this process is ready to serve requests.
     pub serving: Arc<AtomicBool>,
-    /// To the owner.
+    /// The sending side of the owner's queue of orders.
     pub orders: Sender<MaintenanceOrder>,
-    /// None where nothing outlives the process.
+    /// The maintenance record; None if no state folder is configured.
     pub record: Option<MaintenanceRecord>,
-    /// None where this copy is one of no fleet.
+    /// The fleet's thread; None if this replica belongs to no fleet.
     pub fleet: Option<fleet::FleetHandle>,
-    /// None where configuration comes from the file alone.
+    /// The status of remote configuration; None if the configuration comes only from the file.
     pub control: Option<ControlStatus>,
 }
 
@@ -73,17 +78,20 @@
     record: RefCell<Option<MaintenanceRecord>>,
     fleet: Option<fleet::FleetHandle>,
     control: Option<ControlStatus>,
-    /// The orders that this process goes by.
+    /// The maintenance entries that this process applies.
     entries_in_force: RefCell<MaintenanceEntries>,
     resources: Rc<ResourcePool>,
-    /// Connections that have not sent a whole request, oldest first, each with the channel that closes it.
-    waiting: RefCell<BTreeMap<u64, Sender<()>>>,
+    /// Connections whose request is incomplete, oldest first, each with the channel that closes the connection.
+    incomplete: RefCell<BTreeMap<u64, Sender<()>>>,
     connections: Cell<usize>,
     next_connection: Cell<u64>,
 }
 
 impl Console {
-    /// Starts the console's thread, which listens at this address.
+    /// Starts the console's thread, which listens at the address.
+    ///
+    /// # Errors
+    /// The thread cannot be started.
     pub fn open(self, address: SocketAddr) -> io::Result<()> {
         let serve = move || {
             let executor = Rc::new(LocalExecutor::new());
@@ -107,7 +115,7 @@
             control,
             entries_in_force: RefCell::new(recorded),
             resources: ResourcePool::buffers_only(MAX_CONNECTIONS),
-            waiting: RefCell::default(),
+            incomplete: RefCell::default(),
             connections: Cell::new(0),
             next_connection: Cell::new(0),
         }
@@ -132,7 +140,7 @@
                     executor.spawn(serve).detach();
                 }
                 Err(error) => {
-                    tracing::warn!("console: {error}");
+                    tracing::warn!("console: accept failed: {error}");
                     Timer::after(BIND_RETRY_DELAY).await;
                 }
             }
@@ -140,27 +148,27 @@
     }
 
     fn close_longest_waiting(&self) {
-        let longest = self.waiting.borrow_mut().pop_first();
+        let longest = self.incomplete.borrow_mut().pop_first();
         if let Some((_, close)) = longest {
             let _ = close.try_send(());
         }
     }
 
-    /// Serves the one request of a connection.
+    /// Serves the single request of a connection.
     async fn serve(&self, stream: Async<TcpStream>) {
-        // There is one for each connection that is accepted.
+        // The pool holds one buffer for each connection that may be open.
         let Some(buffer) = self.resources.buffer() else { return };
         let number = self.next_connection.replace(self.next_connection.get() + 1);
         let (close, closed): (Sender<()>, Receiver<()>) = async_channel::bounded(1);
-        self.waiting.borrow_mut().insert(number, close);
-        let arrives = async { timeout(REQUEST_TIMEOUT, self.read(&stream, buffer)).await };
+        self.incomplete.borrow_mut().insert(number, close);
+        let receive = async { timeout(REQUEST_TIMEOUT, self.read(&stream, buffer)).await };
         let displaced = async {
             let _ = closed.recv().await;
-            // Its place is wanted at once: there is no time for an answer.
+            // The connection must make room for another one at once, so it gets no reply.
             Some(Err(http::HttpError::Closed))
         };
-        let message = or(arrives, displaced).await;
-        self.waiting.borrow_mut().remove(&number);
+        let message = or(receive, displaced).await;
+        self.incomplete.borrow_mut().remove(&number);
         let reply = match message {
             None | Some(Err(http::HttpError::TimedOut)) => {
                 Reply::error(408, "the call did not come whole in time")
@@ -174,7 +182,7 @@
             },
         };
         tracing::debug!(status = reply.status, "console: {}", reply.text.trim_end());
-        let _ = timeout(ANSWER_TIMEOUT, http::write(&stream, &reply.head(), reply.text.as_bytes())).await;
+        let _ = timeout(REPLY_TIMEOUT, http::write(&stream, &reply.head(), reply.text.as_bytes())).await;
         linger(&stream).await;
     }
 
@@ -192,7 +200,7 @@
     }
 }
 
-/// The process that this one takes over from may still have the address.
+/// Binds the address, and retries until it succeeds: the predecessor in an upgrade may still listen at it.
 async fn bind(address: SocketAddr) -> Async<TcpListener> {
     let mut logged = false;
     loop {
@@ -207,7 +215,8 @@
     }
 }
 
-/// Closing a connection on bytes that were not read resets it, and the answer on its way is lost.
+/// Shuts down writing and reads the remaining bytes for a limited time. Closing a connection with unread bytes would reset
+/// it, and the reply in flight would be lost.
 async fn linger(mut stream: &Async<TcpStream>) {
     let _ = stream.get_ref().shutdown(Shutdown::Write);
     let mut bytes = [0; 1024];
--- a/crates/sidecar/src/console/request.rs
+++ b/crates/sidecar/src/console/request.rs
@@ -1,35 +1,38 @@
-//! The console's calls, parsed into a typed request. No sockets.
+//! Parses HTTP messages into typed requests of the console, without any socket.
 
 use super::reply::Reply;
 use crate::net::http;
 use landingspread_localities::OperatorCommand;
 
-/// Bytes of an endpoint's id and of a zone's name.
+/// The maximum length of a server's id or a zone's name, in bytes.
 const MAX_ID_BYTES: usize = 256;
 
-/// What an operator asks of the console.
+/// An operator's request to the console.
 #[derive(Debug, PartialEq)]
 pub enum Request {
-    /// Whether this process can serve.
+    /// Report whether this process is ready to serve requests.
     Status,
-    /// All counters.
+    /// Report all counters.
     Counters,
-    /// The endpoints that are in maintenance.
+    /// List the servers in maintenance.
     ListMaintenance,
-    /// The members of the fleet, as JSON or as text.
+    /// Report the members of the fleet, as JSON or as text.
     Members { json: bool },
-    /// How zones stand, as JSON or as text.
+    /// Report the state of each zone, as JSON or as text.
     Zones { json: bool },
-    /// Which configuration is in force, as JSON or as text.
+    /// Report which configuration is in force, as JSON or as text.
     Control { json: bool },
-    /// The whole fleet takes a zone out of use, or puts it back.
+    /// Evacuate a zone in the whole fleet, or return it to use.
     SetZone { zone: String, command: OperatorCommand },
-    /// This sidecar takes an endpoint out of use, or puts it back.
+    /// Start or end the maintenance of a server, for this sidecar only.
     SetMaintenance { server: String, in_maintenance: bool },
 }
 
 impl Request {
-    /// Parses a message; the error is the answer to it.
+    /// Parses an HTTP message.
+    ///
+    /// # Errors
+    /// Returns the reply to an invalid request.
     pub fn parse(head: &[u8], body: &[u8]) -> Result<Request, Reply> {
         let mut headers = http::empty_headers();
         let mut parsed = httparse::Request::new(&mut headers);
@@ -71,16 +74,16 @@
 }
 
 fn accepts_json(headers: &[httparse::Header<'_>]) -> bool {
-    let mut accepted = headers.iter().filter(|header| header.name.eq_ignore_ascii_case("accept"));
-    accepted.any(|header| contains(header.value, b"application/json"))
+    let mut accept_headers = headers.iter().filter(|header| header.name.eq_ignore_ascii_case("accept"));
+    accept_headers.any(|header| contains(header.value, b"application/json"))
 }
 
-/// Whether a header's value contains these bytes, in any case.
+/// Whether a header's value contains `part`, which must be lowercase; the case of the value is ignored.
 fn contains(value: &[u8], part: &[u8]) -> bool {
     value.to_ascii_lowercase().windows(part.len()).any(|window| window == part)
 }
 
-/// A body that is a plain, short text.
+/// The trimmed body if it is UTF-8 text of 1 to [`MAX_ID_BYTES`] bytes without control characters; otherwise None.
 fn plain_text(body: &[u8]) -> Option<String> {
     let text = std::str::from_utf8(body).map_or("", str::trim);
     let is_plain = (1..=MAX_ID_BYTES).contains(&text.len()) && !text.chars().any(char::is_control);
