--- a/crates/sidecar/src/handover/hold.rs
+++ b/crates/sidecar/src/handover/hold.rs
@@ -1,5 +1,5 @@
-//! Holds the callers' listening socket for all processes of a sidecar where no platform does: binds it, and becomes the
-//! command that starts them.
+//! Binds the listening socket for clients and replaces this process by a command that starts the sidecar's processes, for
+//! environments in which no platform holds the socket.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -7,10 +7,10 @@
 use std::os::unix::process::CommandExt;
 use std::process::Command;
 
-/// Binds the address and replaces this process by the command, which inherits the socket. Returns only on failure.
+/// Binds the address and replaces this process by the command, which inherits the socket. Returns only if this fails.
 pub fn bind_and_exec(listen: SocketAddr, command: &[String]) -> io::Error {
     let Some((program, arguments)) = command.split_first() else {
-        return io::Error::other("no command to hold the socket for");
+        return io::Error::other("expected a command that inherits the listening socket");
     };
     match bind_inheritable(listen) {
         Ok(descriptor) => Command::new(program).args(arguments).env("NODE_FD", descriptor.to_string()).exec(),
@@ -18,7 +18,7 @@
     }
 }
 
-/// A listening socket that stays open in the command that replaces this process.
+/// Binds a listening socket without the close-on-exec flag, so that it stays open in the command.
 fn bind_inheritable(listen: SocketAddr) -> io::Result<RawFd> {
     let listener = TcpListener::bind(listen)?;
     rustix::io::fcntl_setfd(&listener, rustix::io::FdFlags::empty())?;
--- a/crates/sidecar/src/handover/inherited_listener.rs
+++ b/crates/sidecar/src/handover/inherited_listener.rs
@@ -1,29 +1,29 @@
-//! The callers' listening socket, inherited from the process that holds it for every process of a sidecar.
+//! Takes over the listening socket for clients from the process that holds it for all processes of a sidecar.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::{BorrowedFd, FromRawFd, OwnedFd, RawFd};
 
-/// Takes over the listener with this descriptor. One that can't be used is logged, and None returned.
+/// Takes over the listening socket with this descriptor. Logs a descriptor that cannot be used, and returns None.
 pub fn inherited_listener(descriptor: Option<RawFd>, listen: SocketAddr) -> Option<TcpListener> {
     let listener = take_over(descriptor?);
     let listener = listener.inspect_err(|error| tracing::warn!("NODE_FD: {error}; not used")).ok()?;
     match listener.local_addr() {
         Ok(address) if address == listen => {}
-        address => tracing::warn!("NODE_FD: it listens at {address:?}, and not at {listen}"),
+        address => tracing::warn!("NODE_FD: the socket listens at {address:?}, expected {listen}"),
     }
     Some(listener)
 }
 
 fn take_over(descriptor: RawFd) -> io::Result<TcpListener> {
-    // SAFETY: the number is looked at here alone, before anything else is opened, so that no other part of this process can own
-    // or close it; that there is such a descriptor at all is checked with the first call.
+    // SAFETY: the descriptor is used only here, before anything else is opened, so no other part of this process can own or
+    // close it. The first call checks that the descriptor is open.
     let borrowed = unsafe { BorrowedFd::borrow_raw(descriptor) };
     rustix::io::fcntl_getfd(borrowed)?;
     if !rustix::net::sockopt::socket_acceptconn(borrowed)? {
-        return Err(io::Error::other("it does not listen"));
+        return Err(io::Error::other("the descriptor is not a listening socket"));
     }
-    // SAFETY: as above; the descriptor is open and a listening socket, and this process owns it from here on.
+    // SAFETY: as above; the descriptor is an open listening socket, and from here on the `TcpListener` owns it.
     Ok(TcpListener::from(unsafe { OwnedFd::from_raw_fd(descriptor) }))
 }
 
--- a/crates/sidecar/src/handover/maintenance_record.rs
+++ b/crates/sidecar/src/handover/maintenance_record.rs
@@ -1,6 +1,6 @@
-//! The record of servers that operators took out for maintenance: one file that both processes of an upgrade read and
-//! write, under a lock. Of each server the newest entry counts. It owns the form of the file; what follows from an entry
-//! is left to the decisions.
+//! The record of servers that operators put into maintenance, in a file that both processes of an upgrade read, and write
+//! under a lock. Each server has one entry, the newest. This module owns the file format; the decision engine applies the
+//! entries.
 
 use crate::clock::unix_ms;
 use crate::storage::{self, TemporaryName};
@@ -11,37 +11,40 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, SystemTime};
 
-/// The version of the file's form.
+/// The version of the file format.
 const FORMAT_VERSION: u32 = 1;
-/// An entry of a server that is used again tells when it came back, as it may be warming up; later it says nothing.
+/// How long the entry of a returned server is kept: a server may be in slow start after its return, and the entry holds
+/// the time of the return.
 const RETURN_ENTRY_LIFETIME: Duration = Duration::from_secs(600);
-/// The most servers that may be in maintenance at a time.
+/// The most entries in a record, which include servers that returned within [`RETURN_ENTRY_LIFETIME`].
 pub const MAX_ENTRIES: usize = 4096;
 
-/// What operators last asked for one server.
+/// The last order of an operator for one server.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MaintenanceEntry {
+    /// Whether the server is in maintenance, or has returned from it.
     #[serde(rename = "out")]
     pub in_maintenance: bool,
+    /// The time of the order, in milliseconds since the Unix epoch.
     pub at_unix_ms: u64,
 }
 
 impl MaintenanceEntry {
-    /// How long ago operators asked for it, by the wall clock.
+    /// The time since the order, by the wall clock.
     pub fn age(&self) -> Duration {
         Duration::from_millis(unix_ms().saturating_sub(self.at_unix_ms))
     }
 
-    /// Whether it is worth keeping: in maintenance, or back not long ago.
+    /// Whether the entry must be kept: the server is in maintenance, or returned within [`RETURN_ENTRY_LIFETIME`].
     pub fn is_relevant(&self) -> bool {
         self.in_maintenance || self.age() < RETURN_ENTRY_LIFETIME
     }
 }
 
-/// Entries by the server's id.
+/// Maintenance entries by server id.
 pub type MaintenanceEntries = BTreeMap<String, MaintenanceEntry>;
 
-/// The form of the file.
+/// The contents of the file.
 #[derive(Serialize, Deserialize)]
 struct RecordFile {
     version: u32,
@@ -49,16 +52,16 @@
     entries: MaintenanceEntries,
 }
 
-/// Why the record can't be read or written.
+/// Why the record cannot be read or written.
 #[derive(Debug)]
 pub enum RecordError {
-    /// The system refused to lock, read or write a file.
+    /// The system failed to lock, read or write a file.
     Io(io::Error),
-    /// The file is torn, or was written by something else.
+    /// The file is truncated, or is not a maintenance record.
     NotJson(serde_json::Error),
-    /// The file has a form that this release does not know.
+    /// The file has a format version that this release does not support.
     Version(u32),
-    /// No more servers may be in maintenance.
+    /// The record would exceed [`MAX_ENTRIES`].
     Full,
 }
 
@@ -87,7 +90,7 @@
     }
 }
 
-/// Tells one state of the file from another without reading it.
+/// Identifies a state of the file, to detect changes without reading it.
 #[derive(Clone, Copy, PartialEq)]
 struct FileStamp {
     modified: SystemTime,
@@ -97,13 +100,14 @@
 /// One process's view of the record.
 pub struct MaintenanceRecord {
     path: PathBuf,
-    /// The file's state when it was last read or written; None where there was none.
+    /// The file's state when it was last read or written; None if the file did not exist.
     last_stamp: Option<FileStamp>,
+    /// The entries last read or written.
     pub entries: MaintenanceEntries,
 }
 
 impl MaintenanceRecord {
-    /// Reads the record of a sidecar, if there is one.
+    /// Opens the record of the sidecar with this name, which is empty if the file does not exist.
     pub fn open(folder: &Path, name: &str) -> MaintenanceRecord {
         let path = folder.join(format!("{}.maintenance", storage::file_name_of(name)));
         let mut record = MaintenanceRecord { path, last_stamp: None, entries: MaintenanceEntries::new() };
@@ -116,7 +120,7 @@
         Some(FileStamp { modified: metadata.modified().ok()?, length: metadata.len() })
     }
 
-    /// Reads the file if it has changed. Whether it had.
+    /// Reads the file if it has changed. Returns whether it had changed.
     pub fn refresh(&mut self) -> bool {
         let stamp = self.stamp();
         if stamp == self.last_stamp {
@@ -125,7 +129,7 @@
         self.last_stamp = stamp;
         match self.read() {
             Ok(entries) => self.entries = entries,
-            // The entries read last stay in force: maintenance must not end by a torn file.
+            // The entries read last stay in force: a truncated file must not end the maintenance of servers.
             Err(error) => {
                 tracing::error!("{}: {error}; the entries read last stay in force", self.path.display());
             }
@@ -144,10 +148,10 @@
         Ok(file.entries)
     }
 
-    /// Adds one entry to what the file holds by now.
+    /// Sets the entry of a server, keeping the current entries of the file for other servers.
     ///
     /// # Errors
-    /// The file can't be locked, read or written, or has no room for the entry; it stays as it is then.
+    /// The file cannot be locked, read or written, or would exceed [`MAX_ENTRIES`]; it stays unchanged.
     pub fn set(&mut self, server: &str, in_maintenance: bool) -> Result<(), RecordError> {
         let lock = storage::open_lock(&storage::with_suffix(&self.path, "lock"))?;
         lock.lock()?;
--- a/crates/sidecar/src/handover/mod.rs
+++ b/crates/sidecar/src/handover/mod.rs
@@ -1,8 +1,8 @@
-//! Lets two processes be one sidecar during an upgrade: the predecessor, which serves, and its successor.
+//! Coordinates the two processes of one sidecar during an upgrade: the predecessor, which serves, and its successor.
 //!
-//! It owns the inherited listening socket (`inherited_listener`, `hold`), the locks that show which processes are alive
-//! (`presence`) and the record of servers in maintenance (`maintenance_record`). No other part knows that there are two
-//! processes but by what it reads here, and nothing here touches a request or a server.
+//! This module owns the inherited listening socket (`inherited_listener`, `hold`), the locks that show which processes
+//! are alive (`presence`) and the record of servers in maintenance (`maintenance_record`). Other modules learn of the
+//! second process only through this one, which handles neither requests nor servers.
 
 pub mod hold;
 mod inherited_listener;
--- a/crates/sidecar/src/handover/presence.rs
+++ b/crates/sidecar/src/handover/presence.rs
@@ -1,4 +1,4 @@
-//! Which processes of a sidecar are alive, by file locks that end with their holders.
+//! Shows which processes of a sidecar are alive, by file locks that the system releases when their holder ends.
 
 use crate::storage;
 use std::fs::{File, TryLockError};
@@ -6,10 +6,10 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// How often a process checks whether it is the only one.
+/// How often a process checks whether another process of its sidecar is alive.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The locks of a sidecar's processes; each process holds one of them. The names are those of their files.
+/// The role of a process, with one lock file each. A process keeps at most one of the locks.
 #[derive(Clone, Copy)]
 enum Role {
     /// The only process, or the predecessor in an upgrade.
@@ -19,6 +19,7 @@
 }
 
 impl Role {
+    /// The extension of the lock file.
     fn file_extension(self) -> &'static str {
         match self {
             Role::Serving => "serving",
@@ -27,7 +28,7 @@
     }
 }
 
-/// This process's presence among those of its sidecar.
+/// The lock that this process holds among the processes of its sidecar.
 pub struct Presence {
     folder: PathBuf,
     name: String,
@@ -36,10 +37,10 @@
 }
 
 impl Presence {
-    /// Takes the first lock that is free, in a folder that is made where there is none.
+    /// Takes the first free lock in the folder, which is created if it does not exist. Takes none if both are held.
     ///
     /// # Errors
-    /// The folder or a file in it can't be made or locked.
+    /// The folder or a lock file cannot be created, or the lock call fails.
     pub fn register(folder: &Path, name: &str) -> io::Result<Presence> {
         std::fs::create_dir_all(folder)?;
         let (folder, name) = (folder.to_path_buf(), storage::file_name_of(name));
@@ -51,12 +52,13 @@
         Ok(presence)
     }
 
+    /// Opens the lock file of a role without locking it.
     fn open(&self, role: Role) -> io::Result<File> {
         let path = self.folder.join(format!("{}.{}", self.name, role.file_extension()));
         storage::open_lock(&path)
     }
 
-    /// The lock, or None while another process holds it.
+    /// Takes the lock of a role; returns None if another process holds it.
     fn try_lock(&self, role: Role) -> io::Result<Option<File>> {
         let file = self.open(role)?;
         match file.try_lock() {
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Whether another process of this sidecar is alive. None is assumed where that can't be checked.
+    /// Whether another process of this sidecar is alive. If the check fails, the error is logged and the result is false.
     pub fn another_process(&mut self) -> bool {
         self.check().unwrap_or_else(|error| {
             tracing::warn!("{}: {error}", self.folder.display());
@@ -74,6 +76,8 @@
         })
     }
 
+    /// Takes the serving lock if it has become free, or else a free successor's lock. Returns whether another process is
+    /// alive.
     fn check(&mut self) -> io::Result<bool> {
         if self.serving.is_some() {
             return self.successor_alive();
@@ -87,7 +91,8 @@
         Ok(self.serving.is_none())
     }
 
-    /// The lock is shared for the check, so that it hardly ever stands in the way of a process that starts.
+    /// Whether a process holds the successor's lock. The check takes only a shared lock, for a moment, so that it rarely
+    /// prevents a starting process from taking the lock.
     fn successor_alive(&self) -> io::Result<bool> {
         match self.open(Role::Successor)?.try_lock_shared() {
             Ok(()) => Ok(false),
