--- a/crates/sidecar/src/catalog.rs
+++ b/crates/sidecar/src/catalog.rs
@@ -1,5 +1,5 @@
-//! The endpoint list as discovery and the configuration give it, and as the decisions' entries. It owns the JSON form of an
-//! entry; it does not decide which servers are used.
+//! Parses endpoint lists, from discovery and from the configuration, into entries for the decision engine. This module
+//! owns the JSON form of a list; it does not decide which servers are used.
 
 use crate::clock::Clock;
 use landingspread_decisions::host::{Lifecycle, ListedServer};
@@ -7,35 +7,38 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// A server of the endpoint list.
+/// An entry of the endpoint list: one server and the address of its socket.
 pub struct CatalogEntry {
     pub listed: ListedServer,
     pub address: SocketAddr,
 }
 
-/// An endpoint list: all of it, or what has changed.
+/// A complete endpoint list, or the entries that changed since an earlier one.
 #[derive(Default)]
 pub struct Catalog {
     pub generation: u64,
-    /// Servers that are not in the list are gone.
+    /// Whether the list is complete, so that servers missing from it are removed.
     pub complete: bool,
     pub entries: Vec<CatalogEntry>,
 }
 
-/// Why an endpoint list is not taken.
+/// Why an endpoint list is rejected.
 #[derive(Debug)]
 pub enum CatalogError {
-    /// A field of the list is missing, or has another type.
+    /// The field with this name is missing from the list, or has the wrong type.
     Missing(&'static str),
-    /// The entry with this index is faulty.
+    /// The entry at this index is invalid.
     Entry(usize, EntryError),
 }
 
-/// What is wrong with one entry.
+/// Why one entry of the list is invalid.
 #[derive(Debug)]
 pub enum EntryError {
+    /// The field with this name is missing, or is not a string.
     NotText(&'static str),
+    /// The lifecycle is none of `ready`, `draining` and `gone`.
     UnknownLifecycle(String),
+    /// `hostPort` is not an IP address with a port.
     InvalidAddress,
 }
 
@@ -51,9 +54,9 @@
 impl fmt::Display for EntryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            EntryError::NotText(field) => write!(f, "{field} is no text"),
+            EntryError::NotText(field) => write!(f, "{field} is missing or not a string"),
             EntryError::UnknownLifecycle(text) => write!(f, "lifecycle is unknown: {text:?}"),
-            EntryError::InvalidAddress => f.write_str("hostPort is no address with a port"),
+            EntryError::InvalidAddress => f.write_str("hostPort is not an address with a port"),
         }
     }
 }
@@ -61,10 +64,11 @@
 impl std::error::Error for CatalogError {}
 
 impl Catalog {
-    /// Parses a list, all of it or nothing: a part of a list would drain servers that nobody drained.
+    /// Parses a list. One invalid entry rejects the whole list, because a complete list without that entry would drain a
+    /// server that is still in use.
     ///
     /// # Errors
-    /// The first fault, with the entry and the field.
+    /// Returns the first fault, with the index of the entry and the name of the field.
     pub fn parse(value: &Value, zones: &[String], clock: &Clock) -> Result<Catalog, CatalogError> {
         let field = |name: &'static str| value.get(name).ok_or(CatalogError::Missing(name));
         let generation = field("generation")?.as_u64().ok_or(CatalogError::Missing("generation"))?;
@@ -92,7 +96,7 @@
         let started_at = item.get("startedAtMs").and_then(Value::as_u64);
         let listed = ListedServer {
             server: text("instanceId")?.into(),
-            // A zone that the configuration does not name counts as one behind the others.
+            // Zones that the configuration does not name share the index after the last configured zone.
             zone: zones.iter().position(|name| zone == Some(name)).unwrap_or(zones.len()) as u32,
             cell: item.get("cell").and_then(Value::as_u64).unwrap_or(0) as u32,
             lifecycle,
--- a/crates/sidecar/src/clock.rs
+++ b/crates/sidecar/src/clock.rs
@@ -1,31 +1,32 @@
-//! Time as the decisions count it, and the only reader of the wall clock.
+//! The decision engine's clock, and the only reader of the wall clock.
 //!
-//! The wall clock may be set at any time: it serves to compare with times that come from other machines and processes,
-//! never as a deadline.
+//! The wall clock may be set at any time. It is compared with times from other machines and processes, and never used
+//! for deadlines.
 
 use std::time::{Duration, Instant, SystemTime};
 
-/// How long before the process the decisions' time begins. A server's start before that would be lost, and a server that
-/// is warming up taken for a warm one.
+/// How long before the start of the process the decision engine's time is zero. Start times of servers before zero cannot
+/// be represented, so without this offset a server still warming up would be treated as warm.
 const ORIGIN_BEFORE_START: Duration = Duration::from_secs(24 * 3600);
-/// Later moments have no instant of their own.
+/// Later times are clamped to this duration after the start when they are converted to an `Instant`.
 const MAX_UPTIME: Duration = Duration::from_secs(365 * 24 * 3600);
 
-/// The wall clock, as time since 1970 UTC; zero where it stands before.
+/// The wall clock as the duration since the Unix epoch; zero if the clock is set to an earlier time.
 pub fn unix_time() -> Duration {
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default()
 }
 
-/// The wall clock in milliseconds since 1970 UTC.
+/// The wall clock in milliseconds since the Unix epoch.
 pub fn unix_ms() -> u64 {
-    in_ms(unix_time())
+    whole_ms(unix_time())
 }
 
-fn in_ms(since_1970: Duration) -> u64 {
-    u64::try_from(since_1970.as_millis()).unwrap_or(u64::MAX)
+fn whole_ms(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// The decisions' time: a span since a moment well before the process started, by the monotonic clock.
+/// The decision engine's clock: the time since an origin 24 hours before the start of the process, by the monotonic
+/// clock.
 #[derive(Clone)]
 pub struct Clock {
     started: Instant,
@@ -33,34 +34,34 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock at the current time.
     pub fn start() -> Clock {
         let started_unix = unix_time();
         Clock { started: Instant::now(), started_unix }
     }
 
-    /// The time now.
+    /// The current time since the origin.
     pub fn now(&self) -> Duration {
         ORIGIN_BEFORE_START + self.started.elapsed()
     }
 
-    /// The instant of a time, at the earliest that of the start.
+    /// Converts a time to an `Instant`, clamped to between the start of the clock and [`MAX_UPTIME`] after it.
     pub fn instant(&self, at: Duration) -> Instant {
         self.started + at.saturating_sub(ORIGIN_BEFORE_START).min(MAX_UPTIME)
     }
 
-    /// A time in milliseconds since 1970 UTC.
+    /// Converts a time to milliseconds since the Unix epoch.
     pub fn unix_ms(&self, at: Duration) -> u64 {
-        in_ms(self.origin_unix() + at)
+        whole_ms(self.origin_unix() + at)
     }
 
-    /// The time of a moment given in milliseconds since 1970 UTC. None for a moment before the decisions' time began, and
-    /// for 0, which stands for an unknown moment.
+    /// Converts milliseconds since the Unix epoch to a time since the origin. Returns None for times at or before the
+    /// origin, and for 0, which means that the time is unknown.
     pub fn at_unix_ms(&self, ms: u64) -> Option<Duration> {
         Duration::from_millis(ms).checked_sub(self.origin_unix()).filter(|at| ms > 0 && !at.is_zero())
     }
 
-    /// Where the decisions' time is zero, since 1970 UTC.
+    /// The origin as the duration since the Unix epoch.
     fn origin_unix(&self) -> Duration {
         self.started_unix.saturating_sub(ORIGIN_BEFORE_START)
     }
--- a/crates/sidecar/src/counters.rs
+++ b/crates/sidecar/src/counters.rs
@@ -1,6 +1,6 @@
-//! What this process has done and why, as counters: reasons for every close, retry and refusal, outcomes of attempts, and
-//! violations of invariants. They only grow; any thread may add to them. The console tells them at `GET /counters`, and
-//! the log when the process ends.
+//! Counters of this process: requests, outcomes of attempts, reasons of retries, refusals and closed connections, and
+//! violations of invariants. Counters only increase, and any thread may increment them. The console reports them at
+//! `GET /counters`, and the log when the process ends.
 
 use crate::invariants::{self, Invariant};
 use landingspread_decisions::host::Outcome;
@@ -10,19 +10,19 @@
 /// Why a client's connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The client closed or reset it.
+    /// The client closed or reset the connection.
     ClientDisconnected,
-    /// The client asked for it, by `Connection: close` or by HTTP/1.0.
+    /// The client requested the close, by `Connection: close` or by HTTP/1.0.
     ClientRequested,
-    /// It was idle for too long, or was closed to make room for another.
+    /// The connection was idle for too long, or was closed to free a socket for another one.
     Idle,
-    /// What arrived is not a valid request, or it stopped before its end.
+    /// The bytes received are not a valid request, or the request was not received completely.
     BadRequest,
-    /// No socket or no buffer is left.
+    /// No socket or buffer is free, or the read-ahead of the connection overflowed.
     ResourcesExhausted,
-    /// The process shuts down, or hands over to another.
+    /// The process shuts down, or hands over to its successor.
     Shutdown,
-    /// A response that was being passed on broke off, or could not be written.
+    /// A forwarded response ended early, or could not be written to the client.
     ResponseBroken,
 }
 
@@ -37,7 +37,7 @@
         CloseReason::ResponseBroken,
     ];
 
-    /// Its name as a label.
+    /// The value of the counter's `reason` label.
     pub fn name(self) -> &'static str {
         match self {
             CloseReason::ClientDisconnected => "client_left",
@@ -54,21 +54,21 @@
 /// Why a request was rejected or failed without a server's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// It is not a request that this sidecar serves.
+    /// The request is invalid, or this sidecar does not serve it.
     BadRequest,
-    /// Too many requests are open, or no socket is left.
+    /// Too many requests are open, or no socket is free.
     ResourcesExhausted,
     /// No buffer is free.
     NoBuffer,
     /// The process shuts down.
     Shutdown,
-    /// The decisions shed it before any attempt.
+    /// The decision engine shed the request before any attempt.
     Shed,
-    /// No attempt ran, and none that could is left.
+    /// No server executed an attempt, and no further attempt is possible.
     NeverRan,
-    /// An attempt may have run, and the client may retry without harm.
+    /// A server may have executed an attempt, and the client may safely retry.
     MayBeRetried,
-    /// An attempt may have run, and its result is unknown.
+    /// A server may have executed an attempt, and the result is unknown.
     ResultUnknown,
     /// Another request with the same id is open.
     DuplicateId,
@@ -87,7 +87,7 @@
         RefusalReason::DuplicateId,
     ];
 
-    /// Its name as a label.
+    /// The value of the counter's `reason` label.
     pub fn name(self) -> &'static str {
         match self {
             RefusalReason::BadRequest => "bad_request",
@@ -103,7 +103,7 @@
     }
 }
 
-/// Outcomes in the order in which they are counted.
+/// All outcomes, in the order of their counters.
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Ok,
     Outcome::Error,
@@ -115,7 +115,7 @@
     Outcome::NotSent,
 ];
 
-/// An outcome's name as a label.
+/// The label value of an outcome.
 pub fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "ok",
@@ -136,7 +136,7 @@
 static ATTEMPTS: [AtomicU64; OUTCOMES.len()] = [const { AtomicU64::new(0) }; OUTCOMES.len()];
 static RETRIES: [AtomicU64; OUTCOMES.len()] = [const { AtomicU64::new(0) }; OUTCOMES.len()];
 
-fn index(outcome: Outcome) -> usize {
+fn outcome_index(outcome: Outcome) -> usize {
     OUTCOMES.iter().position(|known| *known == outcome).unwrap_or(0)
 }
 
@@ -144,35 +144,35 @@
     counter.fetch_add(1, Ordering::Relaxed);
 }
 
-/// A request was handed to the decisions.
+/// Counts a request that the client side accepted.
 pub fn request_accepted() {
     increment(&REQUESTS);
 }
 
-/// A client's connection was closed.
-pub fn connection_closed(why: CloseReason) {
-    tracing::debug!(reason = why.name(), "client connection closed");
-    increment(&CLOSES[why as usize]);
+/// Counts and logs the close of a client's connection.
+pub fn connection_closed(reason: CloseReason) {
+    tracing::debug!(reason = reason.name(), "client connection closed");
+    increment(&CLOSES[reason as usize]);
 }
 
-/// A request had a rejection or a failure as its final response.
-pub fn request_refused(request: &str, why: RefusalReason) {
-    tracing::debug!(request, reason = why.name(), "request rejected or failed");
-    increment(&REFUSALS[why as usize]);
+/// Counts and logs a request whose final response is a rejection or a failure.
+pub fn request_refused(request: &str, reason: RefusalReason) {
+    tracing::debug!(request, reason = reason.name(), "request rejected or failed");
+    increment(&REFUSALS[reason as usize]);
 }
 
-/// An attempt ended.
+/// Counts the outcome of an attempt that ended.
 pub fn attempt_ended(outcome: Outcome) {
-    increment(&ATTEMPTS[index(outcome)]);
+    increment(&ATTEMPTS[outcome_index(outcome)]);
 }
 
-/// A further attempt was made, after one that ended so.
+/// Counts and logs a retry, made after an attempt with the outcome `after`.
 pub fn request_retried(request: &str, attempt: u32, after: Outcome) {
     tracing::debug!(request, attempt, after = outcome_name(after), "retry");
-    increment(&RETRIES[index(after)]);
+    increment(&RETRIES[outcome_index(after)]);
 }
 
-/// All counters as lines of text, in the form that metric collectors read: `name{label="value"} count`.
+/// Formats all counters in the Prometheus text format, one line each: `name{label="value"} count`.
 pub fn text() -> String {
     let mut lines = String::new();
     let mut line = |name: &str, label: &str, value: &str, count: u64| {
@@ -197,7 +197,7 @@
     lines
 }
 
-/// Logs every counter that is not zero, in one line.
+/// Logs all counters that are not zero, in one line.
 pub fn log_nonzero() {
     let all = text();
     let nonzero = all.lines().filter(|line| !line.ends_with(" 0"));
--- a/crates/sidecar/src/invariants.rs
+++ b/crates/sidecar/src/invariants.rs
@@ -1,29 +1,28 @@
-//! The invariants of this process, checked at run time at the places where they could be violated. A violation is counted
-//! and logged as an error with the request's id; debug builds panic, so that no test misses one. `counters` reports the
-//! counts with all other counters.
+//! The invariants of this process, checked at run time where they could be violated. A violation is counted and logged as
+//! an error; debug builds also panic, so that no test misses one. `counters` reports the counts with all other counters.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A rule that is checked while the process runs.
+/// A condition that must always hold while the process runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
     /// Each request has exactly one final response.
     OneFinalResponse,
-    /// An attempt begins only for a request that is open, and only at a server that takes new requests.
+    /// An attempt starts only for an open request, and only at a server that accepts new requests.
     Sending,
-    /// A retry starts only where every earlier attempt allows it, and never beside another in flight, unless hedging is on.
+    /// A retry starts only if every earlier attempt allows it, and only if no other attempt is in flight or hedging is on.
     Retrying,
-    /// A client's connection is closed only once every request that was read from it has its response.
+    /// A client's connection is closed only after every request read from it has its response.
     Closing,
-    /// A server in slow start gets an attempt only against a credit.
+    /// An attempt at a server in slow start uses one of the server's slow-start credits.
     SlowStart,
-    /// The parts of the process agree with each other.
+    /// The states of the process's components are consistent with each other.
     Internal,
 }
 
 impl Invariant {
-    /// All of them, in the order in which they are counted.
+    /// All invariants, in the order of their counters.
     pub const ALL: [Invariant; 6] = [
         Invariant::OneFinalResponse,
         Invariant::Sending,
@@ -33,7 +32,7 @@
         Invariant::Internal,
     ];
 
-    /// Its name as a label of a counter and as a field of a log line.
+    /// The name of the invariant, as a counter label and as a log field.
     pub fn name(self) -> &'static str {
         match self {
             Invariant::OneFinalResponse => "one_answer",
@@ -48,19 +47,19 @@
 
 static VIOLATIONS: [AtomicU64; Invariant::ALL.len()] = [const { AtomicU64::new(0) }; Invariant::ALL.len()];
 
-/// How often this rule was broken since the process began.
-pub fn violations(of: Invariant) -> u64 {
-    VIOLATIONS[of as usize].load(Ordering::Relaxed)
+/// The number of violations of an invariant since the process started.
+pub fn violations(invariant: Invariant) -> u64 {
+    VIOLATIONS[invariant as usize].load(Ordering::Relaxed)
 }
 
-/// Counts and logs a violation; `what` names the request, the attempt or the connection.
-pub fn violated(invariant: Invariant, what: fmt::Arguments<'_>) {
+/// Counts and logs a violation, and panics in debug builds. `details` names the request, attempt or connection.
+pub fn violated(invariant: Invariant, details: fmt::Arguments<'_>) {
     let count = VIOLATIONS[invariant as usize].fetch_add(1, Ordering::Relaxed) + 1;
-    tracing::error!(invariant = invariant.name(), count, "invariant violated: {what}");
-    debug_assert!(false, "invariant violated: {}: {what}", invariant.name());
+    tracing::error!(invariant = invariant.name(), count, "invariant violated: {details}");
+    debug_assert!(false, "invariant violated: {}: {details}", invariant.name());
 }
 
-/// Counts a violation of this rule where the condition does not hold.
+/// Reports a violation of the invariant if the condition is false. The remaining arguments format the details.
 macro_rules! must_hold {
     ($invariant:ident, $holds:expr, $($text:tt)+) => {
         if !$holds {
--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -1,7 +1,7 @@
-//! The command line.
+//! The command line of the sidecar.
 //!
-//! It owns the choice between sub-commands, the log's target and the exit code; it must never read the environment or
-//! open a socket itself.
+//! This module owns the sub-commands, the log's target and the exit code. It never reads environment variables or opens
+//! sockets itself.
 
 mod catalog;
 mod clock;
@@ -43,78 +43,78 @@
     Version(Version),
 }
 
-/// balance until SIGTERM, as the environment's NODE_ variables say
+/// run the load balancer until SIGTERM, configured by the NODE_ environment variables
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 struct Serve {
-    /// the configuration file, in place of the one that NODE_CONFIG names; TOML where its name ends so
+    /// the configuration file, overriding NODE_CONFIG; TOML if its name ends in .toml
     #[argh(option)]
     file: Option<PathBuf>,
 }
 
-/// read the configuration as serve would, say what it holds or which key is at fault, and end
+/// read the configuration as serve does, print it or the key at fault, and exit
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct Check {
-    /// the configuration file, in place of the one that NODE_CONFIG names
+    /// the configuration file, overriding NODE_CONFIG
     #[argh(option)]
     file: Option<PathBuf>,
 }
 
-/// open the callers' socket and run a command whose processes inherit it, for upgrades by hand
+/// bind the listening socket and run a command whose processes inherit it, for manual upgrades
 #[derive(FromArgs)]
 #[argh(subcommand, name = "hold")]
 struct Hold {
-    /// the address that callers connect to
+    /// the address that clients connect to
     #[argh(option)]
     listen: SocketAddr,
 
-    /// the command, such as a shell
+    /// the command to run, such as a shell
     #[argh(positional, greedy)]
     command: Vec<String>,
 }
 
-/// print a commented configuration that starts as it is
+/// print a commented example configuration that is valid as printed
 #[derive(FromArgs)]
 #[argh(subcommand, name = "init")]
 struct Init {}
 
-/// run a control machine until SIGTERM, as its file says
+/// run a control machine until SIGTERM, configured by its file
 #[derive(FromArgs)]
 #[argh(subcommand, name = "control")]
 struct Control {
-    /// the machine's file, in TOML
+    /// the control machine's configuration file, in TOML
     #[argh(positional)]
     file: PathBuf,
 }
 
-/// play many sidecars that follow configuration and do nothing else, for measurements: a line for each version in force
+/// emulate many sidecars that only follow the configuration, for measurements; prints a line for each version in force
 #[derive(FromArgs)]
 #[argh(subcommand, name = "followers")]
 struct Followers {
-    /// how many
+    /// the number of followers
     #[argh(option)]
     count: u32,
 
-    /// over how many services they spread: s0, s1 and so on
+    /// the number of services that they are spread over, named s0, s1 and so on
     #[argh(option, default = "1")]
     scopes: u32,
 
-    /// what their names begin with
+    /// the prefix of their names
     #[argh(option, default = "String::from(\"f\")")]
     prefix: String,
 
-    /// the machines as ADDRESS=REGION, with commas between
+    /// the control machines as ADDRESS=REGION, separated by commas
     #[argh(option)]
     machines: String,
 }
 
-/// print the version
+/// print the version of the program
 #[derive(FromArgs)]
 #[argh(subcommand, name = "version")]
 struct Version {}
 
-/// Why a command fails; the text is its last word on standard error.
+/// Why a command failed; `main` prints the text to standard error.
 enum CommandError {
     Configuration(ConfigError),
     Io(std::io::Error),
@@ -165,7 +165,7 @@
     }
 }
 
-fn start_log() -> Result<(), CommandError> {
+fn init_log() -> Result<(), CommandError> {
     let level = configuration::log_level()?;
     let log = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).with_target(false);
     let log = log.with_max_level(level);
@@ -179,7 +179,7 @@
 
 fn serve(file: Option<&Path>) -> Result<(), CommandError> {
     let start = start::StartupTimes::begin();
-    start_log()?;
+    init_log()?;
     let configuration = configuration::read(file)?;
     start.configuration_read();
     tracing::info!(name = configuration.name, listen = %configuration.listen, "starting");
@@ -193,13 +193,13 @@
 }
 
 fn run_control_machine(file: &Path) -> Result<(), CommandError> {
-    start_log()?;
+    init_log()?;
     control::machine::run(file)?;
     Ok(())
 }
 
-fn play_followers(command: Followers) -> Result<(), CommandError> {
-    start_log()?;
+fn run_followers(command: Followers) -> Result<(), CommandError> {
+    init_log()?;
     let Followers { count, scopes, prefix, machines } = command;
     control::followers::run(count, scopes, &prefix, &machines)?;
     Ok(())
@@ -217,7 +217,7 @@
             Err(handover::hold::bind_and_exec(listen, &command).into())
         }
         Subcommand::Control(Control { file }) => run_control_machine(&file),
-        Subcommand::Followers(followers) => play_followers(followers),
+        Subcommand::Followers(followers) => run_followers(followers),
         Subcommand::Version(Version {}) => {
             println!("landingspread {}", env!("CARGO_PKG_VERSION"));
             Ok(())
@@ -225,43 +225,44 @@
     }
 }
 
-/// control sides of many sidecars in one process, without callers: for the lab's tests of size
+/// run the control side of many sidecars in one process, without clients, for scale tests
 #[derive(FromArgs)]
 #[argh(subcommand, name = "hollow")]
 struct Hollow {
-    /// an operators' configuration with places for what differs: {{n}} the number, {{at}} an address of its own, {{zone}}
-    /// and {{seeds}}
+    /// an operators' configuration with placeholders: {{n}} is the number of the sidecar, {{fleet}} the number of its fleet,
+    /// {{at}} its address, {{zone}} its zone and {{seeds}} the seeds of its fleet
     #[argh(positional)]
     template: PathBuf,
-    /// how many sidecars
+    /// the number of sidecars
     #[argh(option)]
     count: u32,
-    /// the number of the first; numbers give addresses from 127.251.0.0 on
+    /// the number of the first sidecar; sidecar 0 has the address 127.251.0.0
     #[argh(option, default = "0")]
     first: u32,
-    /// the number from which fleets are counted
+    /// the number of the first sidecar of the first fleet
     #[argh(option, default = "0")]
     base: u32,
-    /// how many copies are one fleet; all of them where it is 0
+    /// the number of sidecars in one fleet; 0 puts all of them into one fleet
     #[argh(option, default = "0")]
     fleet_size: u32,
-    /// the names of zones, with commas between them, in turn
+    /// the names of the zones, separated by commas, assigned to the sidecars in turn
     #[argh(option, default = "String::from(\"a\")")]
     zones: String,
 }
 
-fn hollow(command: &Hollow) -> Result<(), CommandError> {
-    start_log()?;
+fn run_hollow(command: &Hollow) -> Result<(), CommandError> {
+    init_log()?;
     let Hollow { template, count, first, base, fleet_size, zones } = command;
     let zones = zones.split(',').map(str::to_string).collect();
-    let numbers =
+    let sidecars =
         hollow::SidecarRange { first: *first, count: *count, base: *base, fleet_size: *fleet_size, zones };
-    net::serve_without_clients(numbers.configurations(template)?)?;
+    net::serve_without_clients(sidecars.configurations(template)?)?;
     Ok(())
 }
 
-/// Runs the hollow command where it is asked for. It is a testing aid, and so not among those that help shows.
-fn hollow_command() -> Option<ExitCode> {
+/// Runs the `hollow` command if the arguments name it; otherwise returns None. The command is a testing aid, and so the
+/// help does not list it.
+fn run_if_hollow() -> Option<ExitCode> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let (command, rest) = arguments.split_first()?;
     if command != "hollow" {
@@ -269,7 +270,7 @@
     }
     let rest: Vec<&str> = rest.iter().map(String::as_str).collect();
     match Hollow::from_args(&["landingspread hollow"], &rest) {
-        Ok(command) => Some(exit_code(hollow(&command))),
+        Ok(command) => Some(exit_code(run_hollow(&command))),
         Err(argh::EarlyExit { output, status }) => {
             eprintln!("{output}");
             Some(if status.is_ok() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
@@ -278,7 +279,7 @@
 }
 
 fn main() -> ExitCode {
-    if let Some(code) = hollow_command() {
+    if let Some(code) = run_if_hollow() {
         return code;
     }
     let CommandLine { command } = argh::from_env();
--- a/crates/sidecar/src/start.rs
+++ b/crates/sidecar/src/start.rs
@@ -1,15 +1,15 @@
-//! The steps of this process's start, and how long after its beginning each was done.
+//! Measures when each start-up step of this process is completed.
 //!
-//! It owns the log line that shows what a start waited for. It must never hold a step up; a step counts the first time
-//! alone.
+//! This module owns the log line that shows how long each step took. It must never delay a step, and only the first
+//! completion of a step counts.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// The time from the beginning of the process until a step; None until it is done.
+/// The time from the start of the process to the completion of a step; None until the step is completed.
 type Step = Cell<Option<Duration>>;
 
-/// The times of the steps.
+/// The completion times of the start-up steps.
 pub struct StartupTimes {
     began: Instant,
     configuration: Step,
@@ -20,15 +20,16 @@
     ready: Step,
 }
 
-/// How the main thread was scheduled so far.
+/// CPU scheduling times of the main thread since the start of the process.
 struct Scheduling {
+    /// The time spent running on a CPU.
     ran: Duration,
-    /// The time it stood in the queue for a processor.
+    /// The time spent runnable, waiting for a CPU.
     queued: Duration,
 }
 
 impl Scheduling {
-    /// By proc(5); None where the system does not tell.
+    /// Reads the times from `/proc/self/schedstat`, as described in proc(5). Returns None if the file is not available.
     fn of_main_thread() -> Option<Scheduling> {
         let text = std::fs::read_to_string("/proc/self/schedstat").ok()?;
         let mut fields = text.split_whitespace().map(|field| field.parse().ok().map(Duration::from_nanos));
@@ -36,12 +37,12 @@
     }
 }
 
-fn ms(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+fn ms(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
 impl StartupTimes {
-    /// The process begins now.
+    /// Starts the measurement; called at the start of the process.
     pub fn begin() -> StartupTimes {
         StartupTimes {
             began: Instant::now(),
@@ -54,8 +55,8 @@
         }
     }
 
-    /// Notes that a step is done. Whether this was the first time.
-    fn done(&self, step: &Step) -> bool {
+    /// Records the completion of a step. Returns whether this was the step's first completion.
+    fn complete(&self, step: &Step) -> bool {
         let first = step.get().is_none();
         if first {
             step.set(Some(self.began.elapsed()));
@@ -63,47 +64,47 @@
         first
     }
 
-    /// The configuration is read and checked.
+    /// Records that the configuration is read and checked.
     pub fn configuration_read(&self) {
-        self.done(&self.configuration);
+        self.complete(&self.configuration);
     }
 
-    /// The callers' listener is bound or inherited.
+    /// Records that the listener for clients is bound or inherited.
     pub fn listener_bound(&self) {
-        self.done(&self.listener);
+        self.complete(&self.listener);
     }
 
-    /// What an earlier process stored is read, or there is nothing.
+    /// Records that the files stored by an earlier process are read, or that there are none.
     pub fn stored_files_read(&self) {
-        self.done(&self.stored_files);
+        self.complete(&self.stored_files);
     }
 
-    /// The first poll of discovery is written.
+    /// Records that the first discovery poll is written.
     pub fn discovery_polled(&self) {
-        self.done(&self.discovery_polled);
+        self.complete(&self.discovery_polled);
     }
 
-    /// An endpoint list has come.
+    /// Records that an endpoint list has arrived, and logs it if the process became ready before the first list.
     pub fn list_received(&self) {
-        if self.done(&self.first_list) && self.ready.get().is_some() {
+        if self.complete(&self.first_list) && self.ready.get().is_some() {
             tracing::info!(first_list_ms = self.first_list.get().map(ms), "the first endpoint list has come");
         }
     }
 
-    /// The first answer of 200 to `/_health` is written.
+    /// Records that a response 200 to `/_health` is written, and logs all times at the first one.
     pub fn health_check_answered(&self) {
-        if !self.done(&self.ready) {
+        if !self.complete(&self.ready) {
             return;
         }
-        let at = |step: &Step| step.get().map(ms);
+        let completed_ms = |step: &Step| step.get().map(ms);
         let scheduling = Scheduling::of_main_thread();
         tracing::info!(
-            configuration_ms = at(&self.configuration),
-            listener_ms = at(&self.listener),
-            kept_files_ms = at(&self.stored_files),
-            discovery_called_ms = at(&self.discovery_polled),
-            first_list_ms = at(&self.first_list),
-            ready_ms = at(&self.ready),
+            configuration_ms = completed_ms(&self.configuration),
+            listener_ms = completed_ms(&self.listener),
+            kept_files_ms = completed_ms(&self.stored_files),
+            discovery_called_ms = completed_ms(&self.discovery_polled),
+            first_list_ms = completed_ms(&self.first_list),
+            ready_ms = completed_ms(&self.ready),
             ran_ms = scheduling.as_ref().map(|scheduling| ms(scheduling.ran)),
             queued_ms = scheduling.as_ref().map(|scheduling| ms(scheduling.queued)),
             "ready"
--- a/crates/sidecar/src/storage.rs
+++ b/crates/sidecar/src/storage.rs
@@ -1,8 +1,8 @@
-//! Reads and writes the files that outlive the process.
+//! Reads and writes the state files that outlive the process.
 //!
-//! A file is replaced as a whole: it is written under a temporary name beside its own and then renamed, so that a reader
-//! finds the old contents or the new, never a part. Nothing here is synced to the disk: after a loss of power a file may
-//! be old or empty, and each reader checks what it reads.
+//! Files are replaced atomically: the new contents are written to a temporary file in the same folder, which is then
+//! renamed, so that readers see either the old or the new contents. Nothing is synced to the disk: after a power loss a
+//! file may be outdated or empty, so each reader checks what it reads.
 
 use std::fmt;
 use std::fs::File;
@@ -11,12 +11,12 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Why a stored file can't be used, before its contents are looked at.
+/// Why a stored file cannot be read. The contents are checked by the caller.
 #[derive(Debug)]
 pub enum StorageError {
-    /// The system refused to open or to read it.
+    /// The system failed to open or read the file.
     Io(io::Error),
-    /// It is longer than any file of its kind, and not read.
+    /// The file is longer than `limit` bytes, the maximum for its kind, and its contents are not used.
     TooLong { limit: u64 },
 }
 
@@ -24,7 +24,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             StorageError::Io(error) => error.fmt(f),
-            StorageError::TooLong { limit } => write!(f, "it is longer than {limit} bytes"),
+            StorageError::TooLong { limit } => write!(f, "the file is longer than {limit} bytes"),
         }
     }
 }
@@ -37,19 +37,20 @@
     }
 }
 
-/// The name under which a file is written before it gets its own.
+/// How the name of a temporary file is derived from the name of the file that it replaces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TemporaryName {
-    /// `new` in the place of the extension, for files with one writer.
+    /// The extension is replaced by `new`; for files with a single writer.
     Extension,
-    /// `new` and the process's id in the place of the extension, for files that the processes of an upgrade both write.
+    /// The extension is replaced by `new` and the process id; for files that both processes of an upgrade write.
     ExtensionOfProcess,
-    /// `.new` behind the whole name, for files that are written under a lock.
+    /// `.new` is appended to the name; for files that are written under a lock.
     Suffix,
 }
 
 impl TemporaryName {
-    fn beside(self, path: &Path) -> PathBuf {
+    /// The path of the temporary file that replaces the file at `path`.
+    fn path_for(self, path: &Path) -> PathBuf {
         match self {
             TemporaryName::Extension => path.with_extension("new"),
             TemporaryName::ExtensionOfProcess => path.with_extension(format!("new{}", std::process::id())),
@@ -58,12 +59,12 @@
     }
 }
 
-/// A sidecar's name as part of a file's name.
+/// A sidecar's name as part of a file name: each character other than ASCII letters, digits and `-` becomes `_`.
 pub fn file_name_of(name: &str) -> String {
     name.chars().map(|c| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' }).collect()
 }
 
-/// The path with a dot and a suffix behind its whole name.
+/// Appends a dot and the suffix to the file name of the path.
 pub fn with_suffix(path: &Path, suffix: &str) -> PathBuf {
     let mut path = path.as_os_str().to_os_string();
     path.push(".");
@@ -71,7 +72,10 @@
     path.into()
 }
 
-/// The whole file, unless it is longer than the limit in bytes.
+/// Reads a whole file of at most `limit` bytes.
+///
+/// # Errors
+/// The file cannot be opened or read, or is longer than the limit.
 pub fn read_within(path: &Path, limit: u64) -> Result<Vec<u8>, StorageError> {
     let bytes = read_prefix(path, limit.saturating_add(1))?;
     if bytes.len() as u64 > limit {
@@ -80,47 +84,50 @@
     Ok(bytes)
 }
 
-/// The first bytes of a file, at most so many.
-pub fn read_prefix(path: &Path, max: u64) -> io::Result<Vec<u8>> {
+/// Reads at most the first `max_bytes` bytes of a file.
+pub fn read_prefix(path: &Path, max_bytes: u64) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
-    File::open(path)?.take(max).read_to_end(&mut bytes)?;
+    File::open(path)?.take(max_bytes).read_to_end(&mut bytes)?;
     Ok(bytes)
 }
 
-/// The whole file; None where there is none.
+/// Reads a whole file. Returns None if the file does not exist.
 pub fn read_if_present(path: &Path) -> io::Result<Option<Vec<u8>>> {
     match std::fs::read(path) {
         Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
-        read => read.map(Some),
+        result => result.map(Some),
     }
 }
 
-/// Replaces a file's contents.
+/// Atomically replaces the contents of a file.
+///
+/// # Errors
+/// The temporary file cannot be written or renamed; the old contents stay.
 pub fn replace(path: &Path, temporary: TemporaryName, bytes: &[u8]) -> io::Result<()> {
-    let aside = temporary.beside(path);
-    std::fs::write(&aside, bytes)?;
-    std::fs::rename(&aside, path)
+    let temporary_path = temporary.path_for(path);
+    std::fs::write(&temporary_path, bytes)?;
+    std::fs::rename(&temporary_path, path)
 }
 
-/// Opens a file that is there to be locked; its contents are never looked at.
+/// Opens a lock file, creating it if it does not exist. Its contents are never read.
 pub fn open_lock(path: &Path) -> io::Result<File> {
     File::options().create(true).truncate(false).write(true).open(path)
 }
 
-/// Writes on a thread of its own, one file at a time: a slow disk holds up no request, and where it hangs further writes
-/// are left out.
+/// Permits one file write at a time on a background thread, so that a slow disk delays no request. While a write hangs,
+/// further writes are skipped.
 #[derive(Default)]
 pub struct BackgroundWriter {
     busy: Arc<AtomicBool>,
 }
 
-/// The right to write next; the writer is free again once it is dropped.
+/// Permission for one write; dropping it allows the next write.
 pub struct WritePermit {
     busy: Arc<AtomicBool>,
 }
 
 impl BackgroundWriter {
-    /// The right to write; None while an earlier write is under way.
+    /// Returns a permit for one write, or None while an earlier write is in progress.
     pub fn permit(&self) -> Option<WritePermit> {
         if self.busy.swap(true, Ordering::AcqRel) {
             return None;
@@ -128,7 +135,7 @@
         Some(WritePermit { busy: self.busy.clone() })
     }
 
-    /// Whether a write is under way.
+    /// Whether a write is in progress.
     #[cfg(test)]
     pub fn is_busy(&self) -> bool {
         self.busy.load(Ordering::Acquire)
@@ -136,7 +143,7 @@
 }
 
 impl WritePermit {
-    /// Runs a write on a thread.
+    /// Runs the write on a new thread and then releases the permit.
     pub fn spawn(self, write: impl FnOnce() + Send + 'static) {
         std::thread::spawn(move || {
             write();
--- a/crates/sidecar/src/storage_tests.rs
+++ b/crates/sidecar/src/storage_tests.rs
@@ -1,58 +1,58 @@
 use super::*;
 
-fn folder(name: &str) -> PathBuf {
+fn test_folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("landingspread-storage-{name}-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("the test folder is created");
     folder
 }
 
 #[test]
-fn temporary_names_are_those_of_earlier_releases() {
-    let process = format!("/s/n.new{}", std::process::id());
-    for (name, wanted) in [
+fn temporary_names_match_earlier_releases() {
+    let with_process_id = format!("/s/n.new{}", std::process::id());
+    for (name, expected) in [
         (TemporaryName::Extension, "/s/n.new"),
-        (TemporaryName::ExtensionOfProcess, process.as_str()),
+        (TemporaryName::ExtensionOfProcess, with_process_id.as_str()),
         (TemporaryName::Suffix, "/s/n.control.new"),
     ] {
-        assert_eq!(name.beside(Path::new("/s/n.control")), Path::new(wanted), "{name:?}");
+        assert_eq!(name.path_for(Path::new("/s/n.control")), Path::new(expected), "{name:?}");
     }
 }
 
 #[test]
-fn names_of_sidecars_become_plain_names_of_files() {
+fn sidecar_name_becomes_a_plain_file_name() {
     assert_eq!(file_name_of("node/1 é-a"), "node_1__-a");
 }
 
 #[test]
-fn a_file_is_replaced_as_a_whole_or_stays() {
-    let folder = folder("replace");
+fn failed_replacement_keeps_the_old_contents() {
+    let folder = test_folder("replace");
     let path = folder.join("n.learnt");
-    replace(&path, TemporaryName::Extension, b"one").expect("written");
+    replace(&path, TemporaryName::Extension, b"one").expect("the file is written");
     assert_eq!(read_if_present(&path).expect("read"), Some(b"one".to_vec()));
-    std::fs::create_dir(folder.join("n.new")).expect("a folder in the place of the temporary file");
+    std::fs::create_dir(folder.join("n.new")).expect("a folder blocks the temporary file's name");
     assert!(replace(&path, TemporaryName::Extension, b"two").is_err());
     assert_eq!(read_if_present(&path).expect("read"), Some(b"one".to_vec()));
     let _ = std::fs::remove_dir_all(folder);
 }
 
 #[test]
-fn reads_are_bounded() {
-    let folder = folder("bounds");
+fn reads_respect_their_size_limit() {
+    let folder = test_folder("bounds");
     let path = folder.join("f");
     assert_eq!(read_if_present(&path).expect("no error"), None);
     assert!(matches!(read_within(&path, 3), Err(StorageError::Io(_))));
-    std::fs::write(&path, b"abc").expect("written");
+    std::fs::write(&path, b"abc").expect("the file is written");
     assert_eq!(read_within(&path, 3).expect("read"), b"abc");
-    let long = read_within(&path, 2).expect_err("too long");
-    assert_eq!(long.to_string(), "it is longer than 2 bytes");
+    let error = read_within(&path, 2).expect_err("the file is too long");
+    assert_eq!(error.to_string(), "the file is longer than 2 bytes");
     assert_eq!(read_prefix(&path, 2).expect("read"), b"ab");
     let _ = std::fs::remove_dir_all(folder);
 }
 
 #[test]
-fn one_write_at_a_time_is_permitted() {
+fn only_one_write_is_permitted_at_a_time() {
     let writer = BackgroundWriter::default();
-    let permit = writer.permit().expect("free");
+    let permit = writer.permit().expect("no write is in progress");
     assert!(writer.permit().is_none());
     drop(permit);
     assert!(!writer.is_busy() && writer.permit().is_some());
