--- a/crates/sidecar/src/main.rs
+++ b/crates/sidecar/src/main.rs
@@ -229,8 +229,8 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "hollow")]
 struct Hollow {
-    /// an operators' configuration with placeholders: {{n}} is the number of the sidecar, {{fleet}} the number of its fleet,
-    /// {{at}} its address, {{zone}} its zone and {{seeds}} the seeds of its fleet
+    /// an operators' configuration with placeholders: {n} is the number of the sidecar, {fleet} the number of its fleet,
+    /// {at} its address, {zone} its zone and {seeds} the seeds of its fleet
     #[argh(positional)]
     template: PathBuf,
     /// the number of sidecars
