--- a/crates/sidecar/src/counters.rs
+++ b/crates/sidecar/src/counters.rs
@@ -1,6 +1,6 @@
-//! What this process has done and why, as counters: reasons for every close, retry and refusal, outcomes of attempts, and
-//! violations of invariants. They only grow; any thread may add to them. The console tells them at `GET /counters`, and
-//! the log when the process ends.
+//! Counters of this process: requests, outcomes of attempts, reasons of retries, refusals and closed connections, and
+//! violations of invariants. Counters only increase, and any thread may increment them. The console reports them at
+//! `GET /counters`, and the log when the process ends.
 
 use crate::invariants::{self, Invariant};
 use landingspread_decisions::host::Outcome;
@@ -10,41 +10,41 @@
 /// Why a client's connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The client closed or reset it.
-    ClientLeft,
-    /// The client asked for it, by `Connection: close` or by HTTP/1.0.
-    ClientAsked,
-    /// It was idle for too long, or was closed to make room for another.
+    /// The client closed or reset the connection.
+    ClientDisconnected,
+    /// The client requested the close, by `Connection: close` or by HTTP/1.0.
+    ClientRequested,
+    /// The connection was idle for too long, or was closed to free a socket for another one.
     Idle,
-    /// What arrived is not a valid request, or it stopped before its end.
+    /// The bytes received are not a valid request, or the request was not received completely.
     BadRequest,
-    /// No socket or no buffer is left.
-    Crowded,
-    /// The process shuts down, or hands over to another.
+    /// No socket or buffer is free, or the read-ahead of the connection overflowed.
+    ResourcesExhausted,
+    /// The process shuts down, or hands over to its successor.
     Shutdown,
-    /// A response that was being passed on broke off, or could not be written.
+    /// A forwarded response ended early, or could not be written to the client.
     ResponseBroken,
 }
 
 impl CloseReason {
     const ALL: [CloseReason; 7] = [
-        CloseReason::ClientLeft,
-        CloseReason::ClientAsked,
+        CloseReason::ClientDisconnected,
+        CloseReason::ClientRequested,
         CloseReason::Idle,
         CloseReason::BadRequest,
-        CloseReason::Crowded,
+        CloseReason::ResourcesExhausted,
         CloseReason::Shutdown,
         CloseReason::ResponseBroken,
     ];
 
-    /// Its name as a label.
+    /// The value of the counter's `reason` label.
     pub fn name(self) -> &'static str {
         match self {
-            CloseReason::ClientLeft => "client_left",
-            CloseReason::ClientAsked => "client_asked",
+            CloseReason::ClientDisconnected => "client_left",
+            CloseReason::ClientRequested => "client_asked",
             CloseReason::Idle => "idle",
             CloseReason::BadRequest => "bad_request",
-            CloseReason::Crowded => "crowded",
+            CloseReason::ResourcesExhausted => "crowded",
             CloseReason::Shutdown => "shutdown",
             CloseReason::ResponseBroken => "answer_broken",
         }
@@ -54,22 +54,22 @@
 /// Why a request was rejected or failed without a server's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// It is not a request that this sidecar serves.
+    /// The request is invalid, or this sidecar does not serve it.
     BadRequest,
-    /// Too many requests are open, or no socket is left.
-    Crowded,
+    /// Too many requests are open, or no socket is free.
+    ResourcesExhausted,
     /// No buffer is free.
     NoBuffer,
     /// The process shuts down.
     Shutdown,
-    /// The decisions shed it before any attempt.
+    /// The decision engine shed the request before any attempt.
     Shed,
-    /// No attempt ran, and none that could is left.
+    /// No server executed an attempt, and no further attempt is possible.
     NeverRan,
-    /// An attempt may have run, and the client may retry without harm.
+    /// A server may have executed an attempt, and the client may safely retry.
     MayBeRetried,
-    /// An attempt may have run, and its result is unknown.
-    Unknown,
+    /// A server may have executed an attempt, and the result is unknown.
+    ResultUnknown,
     /// Another request with the same id is open.
     DuplicateId,
 }
@@ -77,33 +77,33 @@
 impl RefusalReason {
     const ALL: [RefusalReason; 9] = [
         RefusalReason::BadRequest,
-        RefusalReason::Crowded,
+        RefusalReason::ResourcesExhausted,
         RefusalReason::NoBuffer,
         RefusalReason::Shutdown,
         RefusalReason::Shed,
         RefusalReason::NeverRan,
         RefusalReason::MayBeRetried,
-        RefusalReason::Unknown,
+        RefusalReason::ResultUnknown,
         RefusalReason::DuplicateId,
     ];
 
-    /// Its name as a label.
+    /// The value of the counter's `reason` label.
     pub fn name(self) -> &'static str {
         match self {
             RefusalReason::BadRequest => "bad_request",
-            RefusalReason::Crowded => "crowded",
+            RefusalReason::ResourcesExhausted => "crowded",
             RefusalReason::NoBuffer => "no_buffer",
             RefusalReason::Shutdown => "shutdown",
             RefusalReason::Shed => "shed",
             RefusalReason::NeverRan => "never_ran",
             RefusalReason::MayBeRetried => "repeatable",
-            RefusalReason::Unknown => "unknown",
+            RefusalReason::ResultUnknown => "unknown",
             RefusalReason::DuplicateId => "same_id",
         }
     }
 }
 
-/// Outcomes in the order in which they are counted.
+/// All outcomes, in the order of their counters.
 const OUTCOMES: [Outcome; 8] = [
     Outcome::Ok,
     Outcome::Error,
@@ -115,7 +115,7 @@
     Outcome::NotSent,
 ];
 
-/// An outcome's name as a label.
+/// The label value of an outcome.
 pub fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "ok",
@@ -136,7 +136,7 @@
 static ATTEMPTS: [AtomicU64; OUTCOMES.len()] = [const { AtomicU64::new(0) }; OUTCOMES.len()];
 static RETRIES: [AtomicU64; OUTCOMES.len()] = [const { AtomicU64::new(0) }; OUTCOMES.len()];
 
-fn index(outcome: Outcome) -> usize {
+fn outcome_index(outcome: Outcome) -> usize {
     OUTCOMES.iter().position(|known| *known == outcome).unwrap_or(0)
 }
 
@@ -144,35 +144,35 @@
     counter.fetch_add(1, Ordering::Relaxed);
 }
 
-/// A request was handed to the decisions.
-pub fn request_taken() {
+/// Counts a request that the client side accepted.
+pub fn request_accepted() {
     increment(&REQUESTS);
 }
 
-/// A client's connection was closed.
-pub fn connection_closed(why: CloseReason) {
-    tracing::debug!(reason = why.name(), "client connection closed");
-    increment(&CLOSES[why as usize]);
+/// Counts and logs the close of a client's connection.
+pub fn connection_closed(reason: CloseReason) {
+    tracing::debug!(reason = reason.name(), "client connection closed");
+    increment(&CLOSES[reason as usize]);
 }
 
-/// A request had a rejection or a failure as its final response.
-pub fn refused(request: &str, why: RefusalReason) {
-    tracing::debug!(request, reason = why.name(), "request rejected or failed");
-    increment(&REFUSALS[why as usize]);
+/// Counts and logs a request whose final response is a rejection or a failure.
+pub fn request_refused(request: &str, reason: RefusalReason) {
+    tracing::debug!(request, reason = reason.name(), "request rejected or failed");
+    increment(&REFUSALS[reason as usize]);
 }
 
-/// An attempt ended.
+/// Counts the outcome of an attempt that ended.
 pub fn attempt_ended(outcome: Outcome) {
-    increment(&ATTEMPTS[index(outcome)]);
+    increment(&ATTEMPTS[outcome_index(outcome)]);
 }
 
-/// A further attempt was made, after one that ended so.
-pub fn retried(request: &str, attempt: u32, after: Outcome) {
+/// Counts and logs a retry, made after an attempt with the outcome `after`.
+pub fn request_retried(request: &str, attempt: u32, after: Outcome) {
     tracing::debug!(request, attempt, after = outcome_name(after), "retry");
-    increment(&RETRIES[index(after)]);
+    increment(&RETRIES[outcome_index(after)]);
 }
 
-/// All counters as lines of text, in the form that metric collectors read: `name{label="value"} count`.
+/// Formats all counters in the Prometheus text format, one line each: `name{label="value"} count`.
 pub fn text() -> String {
     let mut lines = String::new();
     let mut line = |name: &str, label: &str, value: &str, count: u64| {
@@ -197,8 +197,8 @@
     lines
 }
 
-/// Logs every counter that is not zero, in one line.
-pub fn log_all() {
+/// Logs all counters that are not zero, in one line.
+pub fn log_nonzero() {
     let all = text();
     let nonzero = all.lines().filter(|line| !line.ends_with(" 0"));
     let nonzero = nonzero.map(|line| line.trim_start_matches("landingspread_")).collect::<Vec<_>>().join(" ");
