--- a/crates/sidecar/tests/added.rs
+++ b/crates/sidecar/tests/added.rs
@@ -1,18 +1,22 @@
-//! The lab's turns straight to stand-ins and through a sidecar, in a short form: what does not hang on the machine's speed.
+//! A short run of the lab's comparison of direct load and load through a sidecar. It checks only results that do not
+//! depend on the speed of the machine.
 
 use landingspread_lab::sockets::added::{Turns, measure, page, quantile};
 use landingspread_lab::sockets::run_dir;
 use std::time::Duration;
 
 #[test]
-fn a_turn_straight_and_one_through_the_sidecar_answer_the_same_calls() {
+fn direct_and_proxied_turns_answer_all_calls() {
     let length = Duration::from_millis(500);
     let turns = Turns { rate: 100.0, pairs: 2, length, connections: 2, servers: 2 };
-    let dir = run_dir("added-test").expect("a folder");
-    let pairs = measure(&turns, &[env!("CARGO_BIN_EXE_landingspread").into()], &dir).expect("it starts");
+    let dir = run_dir("added-test").expect("failed to create the run directory");
+    let pairs =
+        measure(&turns, &[env!("CARGO_BIN_EXE_landingspread").into()], &dir).expect("measurement failed");
     assert_eq!(pairs.len(), 2);
     for pair in &pairs {
-        let [through] = &pair.through[..] else { panic!("one build, one turn through it") };
+        let [through] = &pair.through[..] else {
+            panic!("expected one turn through the sidecar, for one build")
+        };
         for turn in [&pair.straight, through] {
             assert!(turn.answered > 10 && turn.not_answered == 0, "{turn:?}");
             assert!(turn.p50 > 0.0 && turn.p50 <= turn.p99, "{turn:?}");
@@ -25,7 +29,7 @@
 }
 
 #[test]
-fn quantiles_are_of_the_nearest_rank() {
+fn quantile_uses_the_nearest_rank() {
     let sorted: Vec<f64> = (1..=100).map(f64::from).collect();
     assert_eq!(
         (quantile(&sorted, 0.5), quantile(&sorted, 0.99), quantile(&sorted, 1.0)),
--- a/crates/sidecar/tests/control/answers.rs
+++ b/crates/sidecar/tests/control/answers.rs
@@ -1,4 +1,4 @@
-//! Machines whose answers are of no use: the version in force stays so, and another machine is polled.
+//! Control machines with unusable or stale answers: the version in force stays, and the sidecar polls another machine.
 
 use crate::helpers::*;
 use crate::rig::*;
@@ -9,20 +9,20 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// A machine that answers each call with the next of these bodies, and then waits.
+/// A control machine that answers the calls with these bodies in turn, and leaves later calls unanswered.
 fn scripted_machine(bodies: Vec<Vec<u8>>) -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
-    let listener = free();
-    let own = listener.local_addr().expect("an address");
-    let (left, calls) = (Arc::new(Mutex::new(bodies.into_iter())), Arc::new(Mutex::new(Vec::new())));
-    let noted = calls.clone();
+    let listener = bind_unused_port();
+    let address = listener.local_addr().expect("listener has a local address");
+    let (remaining, calls) = (Arc::new(Mutex::new(bodies.into_iter())), Arc::new(Mutex::new(Vec::new())));
+    let recorded = calls.clone();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let (left, noted) = (left.clone(), noted.clone());
+            let (remaining, recorded) = (remaining.clone(), recorded.clone());
             thread::spawn(move || {
                 let mut peer = Peer::new(stream);
-                while let Ok(Some(heard)) = peer.command() {
-                    noted.lock().expect("a lock").push(heard.path().to_string());
-                    let Some(body) = left.lock().expect("a lock").next() else {
+                while let Ok(Some(call)) = peer.command() {
+                    recorded.lock().expect("lock is not poisoned").push(call.path().to_string());
+                    let Some(body) = remaining.lock().expect("lock is not poisoned").next() else {
                         thread::sleep(ms(30_000));
                         return;
                     };
@@ -35,12 +35,12 @@
             });
         }
     });
-    (own, calls)
+    (address, calls)
 }
 
 fn snapshot(number: u64, pairs: &[(&str, &str)]) -> Snapshot {
     let contents: Contents = pairs.iter().map(|(key, value)| (key.to_string(), value.to_string())).collect();
-    Snapshot::new(SCOPE, 5, number, contents).expect("it is bounded")
+    Snapshot::new(SCOPE, 5, number, contents).expect("snapshot is within its bounds")
 }
 
 #[test]
@@ -70,48 +70,60 @@
         "base: it is not what is here",
     ];
     for (at, body) in unusable.iter().enumerate() {
-        let (own, calls) =
+        let (machine, calls) =
             scripted_machine(vec![text(&good).into_bytes(), body.clone(), text(&next).into_bytes()]);
         let name = format!("n{at}");
-        let one = start_sidecar(&folder, &name, "", &machine_list(&[(own, "")]), &endpoints);
-        within("the third call waits", || calls.lock().expect("a lock").len() >= 4);
-        assert_eq!(one.in_force(), Some(next.version().to_string()), "{at}: what is good is taken after it");
-        assert_views(&[&one], true);
-        let turned = one.status()["turned_away"]["what"].as_str().unwrap_or("").to_string();
-        let calls = calls.lock().expect("a lock").clone();
+        let sidecar = start_sidecar(&folder, &name, "", &machine_list(&[(machine, "")]), &endpoints);
+        wait_until("the fourth call waits", || calls.lock().expect("lock is not poisoned").len() >= 4);
+        assert_eq!(
+            sidecar.in_force(),
+            Some(next.version().to_string()),
+            "{at}: the usable answer after it is in force"
+        );
+        assert_views(&[&sidecar], true);
+        let rejection = sidecar.status()["turned_away"]["what"].as_str().unwrap_or("").to_string();
+        let calls = calls.lock().expect("lock is not poisoned").clone();
         assert!(calls[2].contains(&format!("have={}", good.version())), "{at}: {calls:?}");
-        if let Some(wanted) = status.get(at) {
-            assert!(turned.contains(wanted), "{at}: {turned}");
+        if let Some(expected) = status.get(at) {
+            assert!(rejection.contains(expected), "{at}: {rejection}");
         }
     }
-    // The bad answer is the last one: the good one before it holds.
+    // The unusable answer is the last one: the version before it stays in force.
     for (at, body) in unusable.into_iter().enumerate() {
-        let (own, calls) = scripted_machine(vec![text(&good).into_bytes(), body]);
-        let one = start_sidecar(&folder, &format!("l{at}"), "", &machine_list(&[(own, "")]), &endpoints);
-        within("the third call waits", || calls.lock().expect("a lock").len() >= 3);
-        assert_eq!(one.in_force(), Some(good.version().to_string()), "{at}");
-        assert_views(&[&one], false);
+        let (machine, calls) = scripted_machine(vec![text(&good).into_bytes(), body]);
+        let sidecar =
+            start_sidecar(&folder, &format!("l{at}"), "", &machine_list(&[(machine, "")]), &endpoints);
+        wait_until("the third call waits", || calls.lock().expect("lock is not poisoned").len() >= 3);
+        assert_eq!(sidecar.in_force(), Some(good.version().to_string()), "{at}");
+        assert_views(&[&sidecar], false);
     }
     let _ = std::fs::remove_dir_all(folder);
 }
 
 #[test]
-fn stale_machine_is_left_for_a_current_one() {
+fn sidecar_leaves_a_stale_machine_for_a_current_one() {
     let _turn = take_turn();
     let folder = folder("behind");
     let (_endpoints, endpoints) = slow_endpoints();
     let short_limit = [("verbs.view.goal", "40ms"), ("verbs.view.limit", "40ms")];
     let (old, good, next) = (snapshot(3, &[]), snapshot(4, &short_limit), snapshot(5, &[]));
     let text = |snapshot: &Snapshot| snapshot.full_delta().to_json().into_bytes();
-    // The region's own machine begins well, then forgets what it had; the other one goes on.
+    // The machine of the sidecar's region answers with a good version, then with an older one; the other machine has the
+    // next version.
     let (near, near_calls) = scripted_machine(vec![text(&good), text(&old)]);
     let (far, far_calls) = scripted_machine(vec![text(&next)]);
-    let one =
+    let sidecar =
         start_sidecar(&folder, "n0", "here", &machine_list(&[(far, "there"), (near, "here")]), &endpoints);
-    within("the other one's call waits", || far_calls.lock().expect("a lock").len() >= 2);
-    assert_eq!(near_calls.lock().expect("a lock").len(), 2, "it is asked no more");
-    assert_eq!(one.in_force(), Some(next.version().to_string()));
-    assert_eq!(one.status()["machine"], json!(far.to_string()));
-    assert_views(&[&one], true);
+    wait_until("the second call at the other machine waits", || {
+        far_calls.lock().expect("lock is not poisoned").len() >= 2
+    });
+    assert_eq!(
+        near_calls.lock().expect("lock is not poisoned").len(),
+        2,
+        "the stale machine was polled again"
+    );
+    assert_eq!(sidecar.in_force(), Some(next.version().to_string()));
+    assert_eq!(sidecar.status()["machine"], json!(far.to_string()));
+    assert_views(&[&sidecar], true);
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/sidecar/tests/control/main.rs
+++ b/crates/sidecar/tests/control/main.rs
@@ -1,5 +1,5 @@
-//! Configuration that control machines hand out, over processes of the program with faults between them: what is in force
-//! is shown by what sidecars do with requests and by what their consoles report.
+//! Configuration distributed by control machines, with real processes and faults between them. Which version is in force
+//! shows in how sidecars treat requests and in what their consoles report.
 
 #[path = "../helpers/mod.rs"]
 mod helpers;
--- a/crates/sidecar/tests/control/outages.rs
+++ b/crates/sidecar/tests/control/outages.rs
@@ -1,5 +1,5 @@
-//! Machines that are killed or fall silent, and regions that are cut off from each other: versions are in force in time, and
-//! without any machine the last good one stays so.
+//! Control machines that are killed or hang, and regions that are cut off from each other: new versions are in force in
+//! time, and without any machine the last good version stays in force.
 
 use crate::helpers::*;
 use crate::paths::partitionable_path;
@@ -12,12 +12,12 @@
 use std::thread;
 use std::time::Instant;
 
-/// Short enough that no endpoint answers within it.
+/// Limits so short that no endpoint answers `view` within them.
 fn short_limit() -> Value {
     json!({"verbs.view.goal": "40ms", "verbs.view.limit": "40ms"})
 }
 
-/// Eight machines and six sidecars in two regions.
+/// Eight control machines and six sidecars in two regions.
 struct TwoRegions {
     folder: PathBuf,
     machines: Vec<Machine>,
@@ -30,7 +30,7 @@
         let machines = machines(&folder, 8);
         let regions = ["north", "south"];
         let list: Vec<_> =
-            machines.iter().enumerate().map(|(at, one)| (one.address, regions[at / 4])).collect();
+            machines.iter().enumerate().map(|(at, machine)| (machine.address, regions[at / 4])).collect();
         let list = machine_list(&list);
         let sidecar =
             |at: usize| start_sidecar(&folder, &format!("n{at}"), regions[at % 2], &list, endpoints);
@@ -42,97 +42,102 @@
         self.sidecars.iter().collect()
     }
 
-    /// The number of the machine that this sidecar polls.
+    /// The index of the control machine that this sidecar polls.
     fn machine_of(&self, sidecar: usize) -> usize {
         let status = self.sidecars[sidecar].status();
-        let polled = status["machine"].as_str().expect("a machine");
-        self.machines.iter().position(|one| one.address.to_string() == polled).expect("one of them")
+        let polled = status["machine"].as_str().expect("status names the polled machine");
+        self.machines
+            .iter()
+            .position(|machine| machine.address.to_string() == polled)
+            .expect("polled machine is one of the deployment")
     }
 
-    fn publishes_in_calm(&self) {
+    fn publish_without_faults(&self) {
         let began = Instant::now();
         let version = publish(self.machines[0].address, &short_limit());
-        wait_until_in_force("in calm", &self.all(), &version, began);
+        wait_until_in_force("without faults", &self.all(), &version, began);
         assert_views(&self.all(), false);
         let acknowledged = || scope_status(self.machines[5].address)["acknowledged"].as_u64() == Some(6);
-        within("any machine tells that all have acknowledged it", acknowledged);
+        wait_until("another machine reports that all sidecars acknowledged the version", acknowledged);
     }
 
-    /// One machine stands still, so that its sidecars wait, and is killed while the others hand a version out.
-    fn publishes_while_one_is_killed(&mut self) -> usize {
+    /// Stops one machine, so that its sidecars wait for it, and kills it while the others distribute a version. Returns
+    /// its index.
+    fn publish_while_one_is_killed(&mut self) -> usize {
         let victim = self.machine_of(0);
         let other = (victim + 1) % 8;
         self.machines[victim].process.signal("-STOP");
         let began = Instant::now();
         let version = publish(self.machines[other].address, &json!({"tenants.acme.quota": 500}));
         self.machines[victim].process.kill();
-        wait_until_in_force("one killed meanwhile", &self.all(), &version, began);
+        wait_until_in_force("one machine killed meanwhile", &self.all(), &version, began);
         assert_views(&self.all(), true);
         victim
     }
 
-    /// Another falls silent and stays so: nothing ends its connections. Returns one that is left, and the version.
-    fn publishes_while_one_is_silent(&self, killed: usize) -> (usize, String) {
+    /// Stops another machine for good, so that its connections stay open without answers. Returns the index of one that
+    /// still runs, and the version.
+    fn publish_while_one_is_silent(&self, killed: usize) -> (usize, String) {
         let silent = self.machine_of(1);
-        let left = (0..8).find(|at| *at != killed && *at != silent).expect("another");
+        let running = (0..8).find(|at| *at != killed && *at != silent).expect("six machines still run");
         self.machines[silent].process.signal("-STOP");
         let began = Instant::now();
-        let version = publish(self.machines[left].address, &short_limit());
-        wait_until_in_force("one silent", &self.all(), &version, began);
+        let version = publish(self.machines[running].address, &short_limit());
+        wait_until_in_force("one machine silent", &self.all(), &version, began);
         assert_views(&self.all(), false);
-        (left, version)
+        (running, version)
     }
 
-    /// All but one are killed at the moment of a publication.
-    fn publishes_while_all_others_are_killed(&mut self, left: usize) -> String {
+    /// Kills all machines but one at the moment of a publication.
+    fn publish_while_all_others_are_killed(&mut self, remaining: usize) -> String {
         let began = Instant::now();
-        let others = self.machines.iter_mut().enumerate().filter(|(at, _)| *at != left);
-        others.for_each(|(_, one)| one.process.kill());
-        let version = publish(self.machines[left].address, &json!({}));
-        wait_until_in_force("seven killed", &self.all(), &version, began);
+        let others = self.machines.iter_mut().enumerate().filter(|(at, _)| *at != remaining);
+        others.for_each(|(_, machine)| machine.process.kill());
+        let version = publish(self.machines[remaining].address, &json!({}));
+        wait_until_in_force("seven machines killed", &self.all(), &version, began);
         assert_views(&self.all(), true);
         version
     }
 
-    fn rolls_back(&self, machine: usize, base: &str, target: &str) {
+    fn roll_back(&self, machine: usize, base: &str, target: &str) {
         let address = self.machines[machine].address;
         let kept = scope_status(address)["kept"].clone();
         assert!(kept.as_array().is_some_and(|kept| kept.contains(&json!(target))), "{kept}");
         let began = Instant::now();
         let (status, text) = put(address, base, &format!("&back={target}"), &Value::Null);
         assert_eq!(status, 200, "{text}");
-        let version = current_version(address).expect("a version");
+        let version = current_version(address).expect("scope has a version");
         assert!(version != target);
-        wait_until_in_force("back", &self.all(), &version, began);
+        wait_until_in_force("rolled back", &self.all(), &version, began);
         assert_views(&self.all(), false);
     }
 }
 
 #[test]
-fn versions_are_in_force_within_ten_seconds_while_machines_are_killed_or_silent() {
+fn versions_are_in_force_in_time_with_failing_machines() {
     let _turn = take_turn();
     let (_endpoints, endpoints) = slow_endpoints();
-    let mut world = TwoRegions::start(&endpoints);
-    assert_views(&world.all(), true);
-    let requests = BackgroundRequests::start(&world.all());
-    world.publishes_in_calm();
-    let killed = world.publishes_while_one_is_killed();
-    let (left, third) = world.publishes_while_one_is_silent(killed);
-    let fourth = world.publishes_while_all_others_are_killed(left);
-    world.rolls_back(left, &fourth, &third);
-    requests.end("calls meanwhile");
-    let _ = std::fs::remove_dir_all(&world.folder);
+    let mut deployment = TwoRegions::start(&endpoints);
+    assert_views(&deployment.all(), true);
+    let requests = BackgroundRequests::start(&deployment.all());
+    deployment.publish_without_faults();
+    let killed = deployment.publish_while_one_is_killed();
+    let (running, third) = deployment.publish_while_one_is_silent(killed);
+    let fourth = deployment.publish_while_all_others_are_killed(running);
+    deployment.roll_back(running, &fourth, &third);
+    requests.end("background requests");
+    let _ = std::fs::remove_dir_all(&deployment.folder);
 }
 
 fn region(number: usize) -> &'static str {
     if number < 2 { "north" } else { "south" }
 }
 
-/// Four machines and four sidecars in two regions; all paths between the regions can be cut.
+/// Four control machines and four sidecars in two regions; all paths between the regions can be cut.
 struct Partition {
     folder: PathBuf,
     cut: Arc<AtomicBool>,
-    /// Where the machines listen.
+    /// Listen addresses of the control machines.
     addresses: Vec<SocketAddr>,
     machines: Vec<Machine>,
     sidecars: Vec<FollowingSidecar>,
@@ -142,20 +147,20 @@
     fn start(endpoints: &[SocketAddr]) -> Partition {
         let (folder, cut) = (folder("cut"), Arc::new(AtomicBool::new(false)));
         let addresses: Vec<SocketAddr> = (0..4).map(|_| address()).collect();
-        let mut world = Partition { folder, cut, addresses, machines: Vec::new(), sidecars: Vec::new() };
-        world.start_machines();
-        world.machines.iter().for_each(|one| {
-            within("each machine hears all others", || peers_heard(one.address) == 3);
+        let mut deployment = Partition { folder, cut, addresses, machines: Vec::new(), sidecars: Vec::new() };
+        deployment.start_machines();
+        deployment.machines.iter().for_each(|machine| {
+            wait_until("each machine hears all others", || peers_heard(machine.address) == 3);
         });
-        let lists = [world.list_of(0), world.list_of(1)];
+        let lists = [deployment.list_of(0), deployment.list_of(1)];
         let sidecar = |at: usize| {
-            start_sidecar(&world.folder, &format!("n{at}"), region(at), &lists[at / 2], endpoints)
+            start_sidecar(&deployment.folder, &format!("n{at}"), region(at), &lists[at / 2], endpoints)
         };
-        world.sidecars = (0..4).map(sidecar).collect();
-        world
+        deployment.sidecars = (0..4).map(sidecar).collect();
+        deployment
     }
 
-    /// Where a process of this region reaches the machine.
+    /// The address at which a process of this region reaches the machine.
     fn path(&self, from: &str, to: usize) -> SocketAddr {
         let address = self.addresses[to];
         if region(to) == from { address } else { partitionable_path(address, &self.cut) }
@@ -170,28 +175,31 @@
         self.machines = (0..4).map(machine_at).collect();
     }
 
-    /// The machines as sidecars of the first or the second region reach them.
+    /// The machine list for sidecars of the first or the second region.
     fn list_of(&self, half: usize) -> String {
-        let seen = |other: usize| (self.path(region(2 * half), other), region(other));
-        machine_list(&(0..4).map(seen).collect::<Vec<_>>())
+        let entry = |other: usize| (self.path(region(2 * half), other), region(other));
+        machine_list(&(0..4).map(entry).collect::<Vec<_>>())
     }
 
     fn all(&self) -> Vec<&FollowingSidecar> {
         self.sidecars.iter().collect()
     }
 
-    /// What is published on one side of a cut is in force there, and everywhere once it has healed.
-    fn publishes_on_one_side(&self, before: &str) {
+    /// A version published on one side of a cut is in force there, and everywhere once the cut has healed.
+    fn publish_on_one_side(&self, before: &str) {
         let all = self.all();
         self.cut.store(true, Ordering::Relaxed);
         let began = Instant::now();
         let north = publish(self.addresses[0], &short_limit());
         wait_until_in_force("one side of the cut", &all[..2], &north, began);
         assert_views(&all[..2], false);
-        // For longer than any poll waits: a sidecar that would fall over would have by now.
+        // Longer than any poll waits: a sidecar that changes its version without a machine does so by then.
         let until = Instant::now() + ms(8000);
         while Instant::now() < until {
-            assert!(all[2..].iter().all(|one| one.in_force().as_deref() == Some(before)), "the other side");
+            assert!(
+                all[2..].iter().all(|sidecar| sidecar.in_force().as_deref() == Some(before)),
+                "version changed on the other side of the cut"
+            );
             thread::sleep(ms(200));
         }
         assert_views(&all[2..], true);
@@ -200,41 +208,47 @@
         assert_views(&all, false);
     }
 
-    /// Both sides publish: one of the two versions is in force everywhere, and the machines of the other side log it.
-    fn publishes_on_both_sides(&self) {
+    /// Both sides publish during a cut: afterwards one of the two versions is in force everywhere, and the machines log
+    /// the conflict.
+    fn publish_on_both_sides(&self) {
         let all = self.all();
         self.cut.store(true, Ordering::Relaxed);
-        let one = publish(self.addresses[1], &json!({"tenants.acme.quota": 1}));
-        let other = publish(self.addresses[2], &json!({"tenants.acme.quota": 2}));
+        let first = publish(self.addresses[1], &json!({"tenants.acme.quota": 1}));
+        let second = publish(self.addresses[2], &json!({"tenants.acme.quota": 2}));
         self.cut.store(false, Ordering::Relaxed);
-        let winner = one.max(other);
+        let winner = first.max(second);
         wait_until_in_force("published on both sides", &all, &winner, Instant::now());
         let log = |at: usize| std::fs::read_to_string(self.folder.join(format!("m{at}.log")));
         let logs: String = (0..4).map(|at| log(at).unwrap_or_default()).collect();
-        assert!(logs.contains("two versions were published at once"), "it is told");
+        assert!(logs.contains("two versions were published at once"), "no machine logged the conflict");
         assert_views(&all, true);
     }
 
-    /// Starts the first sidecar again, with what is in its files by now.
+    /// Starts the first sidecar again with its current files.
     fn restart_first_sidecar(&mut self, file: &str) {
         let (address, console) = (self.sidecars[0].address, self.sidecars[0].console);
         self.sidecars[0] = start_with(&self.folder, "n0", (address, console), file);
     }
 
-    /// Without any machine a process that starts goes by its cached snapshot, or by its file where that is unusable.
-    fn restarts_without_machines(&mut self, last: &str) {
-        let file = std::fs::read_to_string(self.folder.join("n0.toml")).expect("its file");
+    /// Without any machine a process starts with its cached snapshot, or with its file alone if the snapshot is unusable.
+    fn restart_without_machines(&mut self, last: &str) {
+        let file = std::fs::read_to_string(self.folder.join("n0.toml"))
+            .expect("failed to read the sidecar's configuration");
         self.sidecars[0].process.kill();
         self.restart_first_sidecar(&file);
-        assert_eq!(self.sidecars[0].in_force().as_deref(), Some(last), "as it was kept");
+        assert_eq!(
+            self.sidecars[0].in_force().as_deref(),
+            Some(last),
+            "version of the cached snapshot is in force"
+        );
         assert_views(&[&self.sidecars[0]], false);
         let cache = self.folder.join("n0.kept");
-        let cached = std::fs::read_to_string(&cache).expect("a cached snapshot");
+        let cached = std::fs::read_to_string(&cache).expect("failed to read the cached snapshot");
         let unusable =
             [&cached[..cached.len() / 2], &cached.replace(SCOPE, "orders"), &cached.replace("40ms", "80ms")];
         for unusable in unusable {
             self.sidecars[0].process.kill();
-            std::fs::write(&cache, unusable).expect("a file");
+            std::fs::write(&cache, unusable).expect("failed to write the file");
             self.restart_first_sidecar(&file);
             assert_eq!(self.sidecars[0].in_force(), None);
             assert_views(&[&self.sidecars[0]], true);
@@ -243,27 +257,27 @@
 }
 
 #[test]
-fn cut_off_regions_go_on_and_agree_afterwards_and_without_machines_the_last_version_stays_in_force() {
+fn regions_agree_after_a_cut_and_keep_versions_without_machines() {
     let _turn = take_turn();
     let (_endpoints, endpoints) = slow_endpoints();
-    let mut world = Partition::start(&endpoints);
-    let requests = BackgroundRequests::start(&world.all());
+    let mut deployment = Partition::start(&endpoints);
+    let requests = BackgroundRequests::start(&deployment.all());
     let began = Instant::now();
-    let first = publish(world.addresses[3], &json!({"verbs.view.goal": "1s"}));
-    wait_until_in_force("before the cut", &world.all(), &first, began);
-    world.publishes_on_one_side(&first);
-    world.publishes_on_both_sides();
-    let last = publish(world.addresses[0], &short_limit());
-    wait_until_in_force("a last change", &world.all(), &last, Instant::now());
+    let first = publish(deployment.addresses[3], &json!({"verbs.view.goal": "1s"}));
+    wait_until_in_force("before the cut", &deployment.all(), &first, began);
+    deployment.publish_on_one_side(&first);
+    deployment.publish_on_both_sides();
+    let last = publish(deployment.addresses[0], &short_limit());
+    wait_until_in_force("a last change", &deployment.all(), &last, Instant::now());
 
-    world.machines.iter_mut().for_each(|one| one.process.kill());
-    assert_views(&world.all(), false);
-    assert!(world.all().iter().all(|one| one.in_force().as_deref() == Some(&last)));
-    requests.end("calls meanwhile");
-    world.restarts_without_machines(&last);
-    // The machines come back with what they stored, and it is in force again.
-    world.start_machines();
-    wait_until_in_force("all machines back", &world.all(), &last, Instant::now());
-    world.machines.clear();
-    let _ = std::fs::remove_dir_all(&world.folder);
+    deployment.machines.iter_mut().for_each(|machine| machine.process.kill());
+    assert_views(&deployment.all(), false);
+    assert!(deployment.all().iter().all(|sidecar| sidecar.in_force().as_deref() == Some(&last)));
+    requests.end("background requests");
+    deployment.restart_without_machines(&last);
+    // The machines restart with their stored versions, and the last one is in force again.
+    deployment.start_machines();
+    wait_until_in_force("all machines back", &deployment.all(), &last, Instant::now());
+    deployment.machines.clear();
+    let _ = std::fs::remove_dir_all(&deployment.folder);
 }
--- a/crates/sidecar/tests/control/paths.rs
+++ b/crates/sidecar/tests/control/paths.rs
@@ -1,19 +1,20 @@
-//! Paths between processes that can be cut.
+//! TCP forwarders between processes whose traffic can be held back, as in a network partition.
 
-use crate::helpers::{free, ms};
+use crate::helpers::{bind_unused_port, ms};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
 
-/// The way from one place to another: what a cut holds up goes on when it is over.
+/// Forwards connections to `to` and returns the address to connect to. While `cut` is set, connections and bytes are held
+/// back; they go on afterwards.
 pub fn partitionable_path(to: SocketAddr, cut: &Arc<AtomicBool>) -> SocketAddr {
-    let listener = free();
-    let own = listener.local_addr().expect("an address");
+    let listener = bind_unused_port();
+    let address = listener.local_addr().expect("listener has a local address");
     let cut = cut.clone();
     thread::spawn(move || forward(&listener, to, &cut));
-    own
+    address
 }
 
 fn forward(listener: &TcpListener, to: SocketAddr, cut: &Arc<AtomicBool>) {
--- a/crates/sidecar/tests/control/versions.rs
+++ b/crates/sidecar/tests/control/versions.rs
@@ -1,4 +1,4 @@
-//! What a version does at a sidecar: refused as a whole where one key is at fault, and discovery moved by one.
+//! How sidecars apply a version: a version with one invalid key is refused as a whole, and a version can move discovery.
 
 use crate::helpers::*;
 use crate::rig::*;
@@ -8,19 +8,19 @@
 use std::time::Instant;
 
 #[test]
-fn version_with_one_invalid_key_is_refused_by_all_and_reported_with_the_key() {
+fn version_with_an_invalid_key_is_refused_and_reported() {
     let _turn = take_turn();
     let folder = folder("refused");
     let (_endpoints, endpoints) = slow_endpoints();
     let machines = machines(&folder, 3);
-    let list: Vec<_> = machines.iter().map(|one| (one.address, "")).collect();
+    let list: Vec<_> = machines.iter().map(|machine| (machine.address, "")).collect();
     let all: Vec<FollowingSidecar> = (0..3)
         .map(|at| start_sidecar(&folder, &format!("n{at}"), "", &machine_list(&list), &endpoints))
         .collect();
-    let every: Vec<&FollowingSidecar> = all.iter().collect();
+    let sidecars: Vec<&FollowingSidecar> = all.iter().collect();
     let short_limit = json!({"verbs.view.goal": "40ms", "verbs.view.limit": "40ms"});
     let good = publish(machines[0].address, &short_limit);
-    wait_until_in_force("the good one", &every, &good, Instant::now());
+    wait_until_in_force("valid version", &sidecars, &good, Instant::now());
     for (key, value, what) in [
         ("verbs.view.repeats", "effectful", "it needs a restart"),
         ("verbs.buy.goal", "1s", "a new verb needs a restart"),
@@ -37,14 +37,17 @@
         let bad = publish(machines[1].address, &json!({key: value, "verbs.view.goal": "1s"}));
         let refused = || {
             let status = scope_status(machines[2].address);
-            let said = status["refused"].as_object().cloned().unwrap_or_default();
-            let right =
+            let refusals = status["refused"].as_object().cloned().unwrap_or_default();
+            let names_key =
                 |why: &Value| why.as_str().is_some_and(|why| why.starts_with(key) && why.contains(what));
-            said.len() == 3 && said.values().all(right) && status["acknowledged"] == json!(0)
+            refusals.len() == 3 && refusals.values().all(names_key) && status["acknowledged"] == json!(0)
         };
-        within(&format!("{key}: all three refuse it: {}", scope_status(machines[2].address)), refused);
-        for one in &every {
-            let status = one.status();
+        wait_until(
+            &format!("{key}: all three sidecars refuse the version: {}", scope_status(machines[2].address)),
+            refused,
+        );
+        for sidecar in &sidecars {
+            let status = sidecar.status();
             assert_eq!(status["in_force"]["version"], json!(good), "{key}");
             assert_eq!(
                 (&status["refused"]["version"], &status["refused"]["key"]),
@@ -52,30 +55,30 @@
             );
         }
     }
-    assert_views(&every, false);
-    // Who publishes over what he has not seen is told what holds.
+    assert_views(&sidecars, false);
+    // A publication whose base is not the current version is rejected with the current one.
     let (status, text) = put(machines[0].address, &good, "", &json!({}));
     assert!(status == 409 && text.contains("holds here"), "{status} {text}");
     let (status, text) = put(machines[0].address, &good, "", &json!({"verbs.view.goal": ["1s"]}));
     assert!(status == 400 && text.contains("verbs.view.goal: it is no text"), "{status} {text}");
     let last = publish(machines[0].address, &json!({"verbs.view.goal": "1s"}));
-    wait_until_in_force("a good one again", &every, &last, Instant::now());
-    assert_views(&every, true);
+    wait_until_in_force("valid version again", &sidecars, &last, Instant::now());
+    assert_views(&sidecars, true);
     let _ = std::fs::remove_dir_all(folder);
 }
 
 #[test]
-fn discovery_address_of_a_version_goes_before_the_reloaded_file() {
+fn discovery_address_of_a_version_overrides_the_reloaded_file() {
     let _turn = take_turn();
     let folder = folder("moves");
     let machines = machines(&folder, 2);
-    let list = machine_list(&machines.iter().map(|one| (one.address, "")).collect::<Vec<_>>());
-    let endpoints: Vec<Scripted> = (0..3).map(|_| endpoint(Does::Answer)).collect();
+    let list = machine_list(&machines.iter().map(|machine| (machine.address, "")).collect::<Vec<_>>());
+    let endpoints: Vec<Scripted> = (0..3).map(|_| start_endpoint(Does::Answer)).collect();
     let sources: Vec<Arc<Discovery>> = endpoints
         .iter()
         .map(|server| {
-            let source = list_source();
-            source.write(1, catalog(1, &[("s1", server.address, "ready")]).to_string());
+            let source = start_discovery();
+            source.write(1, endpoint_list(1, &[("s1", server.address, "ready")]).to_string());
             source
         })
         .collect();
@@ -86,30 +89,36 @@
             start_with(&folder, &name, own, &(config(&folder, &name, own, "", &list, &[]) + &file(0)))
         })
         .collect();
-    let every: Vec<&FollowingSidecar> = all.iter().collect();
-    let goes_to = |one: &FollowingSidecar, server: usize| {
+    let sidecars: Vec<&FollowingSidecar> = all.iter().collect();
+    let routes_to = |sidecar: &FollowingSidecar, server: usize| {
         let before = endpoints[server].seen().cmds.len();
-        one.request("view", 1) == Some(200) && endpoints[server].seen().cmds.len() > before
+        sidecar.request("view", 1) == Some(200) && endpoints[server].seen().cmds.len() > before
     };
-    every.iter().for_each(|one| within("the file's place", || goes_to(one, 0)));
+    sidecars.iter().for_each(|sidecar| {
+        wait_until("the list of the file's discovery is in force", || routes_to(sidecar, 0))
+    });
     let moved = publish(machines[0].address, &json!({"discovery.address": sources[1].address.to_string()}));
-    wait_until_in_force("moved", &every, &moved, Instant::now());
-    every.iter().for_each(|one| within("the place that the change names", || goes_to(one, 1)));
-    // The file names another one by now; the change goes before.
-    for (at, one) in every.iter().enumerate() {
+    wait_until_in_force("discovery moved", &sidecars, &moved, Instant::now());
+    sidecars.iter().for_each(|sidecar| {
+        wait_until("the list of the version's discovery is in force", || routes_to(sidecar, 1))
+    });
+    // The file is changed to name another discovery; the version overrides it.
+    for (at, sidecar) in sidecars.iter().enumerate() {
         let path = folder.join(format!("n{at}.toml"));
-        let text = std::fs::read_to_string(&path).expect("its file");
-        std::fs::write(&path, text.replace(&file(0), &file(2))).expect("a file");
-        one.process.signal("-HUP");
-        let read = || {
+        let text = std::fs::read_to_string(&path).expect("failed to read the sidecar's configuration");
+        std::fs::write(&path, text.replace(&file(0), &file(2))).expect("failed to write the file");
+        sidecar.process.signal("-HUP");
+        let is_reloaded = || {
             let log = std::fs::read_to_string(folder.join(format!("n{at}.log"))).unwrap_or_default();
             log.contains("SIGHUP: the configuration is read again")
         };
-        within("it is read again", read);
-        assert!(goes_to(one, 1), "what the change names holds");
+        wait_until("the log reports the reload", is_reloaded);
+        assert!(routes_to(sidecar, 1), "the version's discovery is no longer in use");
     }
     let back = publish(machines[1].address, &json!({}));
-    wait_until_in_force("no longer named", &every, &back, Instant::now());
-    every.iter().for_each(|one| within("the file's new place", || goes_to(one, 2)));
+    wait_until_in_force("discovery no longer in the version", &sidecars, &back, Instant::now());
+    sidecars.iter().for_each(|sidecar| {
+        wait_until("the list of the file's new discovery is in force", || routes_to(sidecar, 2))
+    });
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/sidecar/tests/discovery_recovery/crowd.rs
+++ b/crates/sidecar/tests/discovery_recovery/crowd.rs
@@ -1,4 +1,4 @@
-//! A run beside a crowd of clients that takes every descriptor or buffer of the program.
+//! A run with so many clients that they occupy every descriptor or buffer of the sidecar.
 
 use crate::helpers::*;
 use crate::measure::measure_beside;
@@ -13,26 +13,27 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What was observed beside a crowd of clients, from discovery's failure until the change is in force.
+/// Observations from discovery's failure until the list change is in force.
 #[derive(Default)]
 pub struct Observations {
     pub over: AtomicBool,
+    /// Highest number of open descriptors.
     pub descriptors: Mutex<usize>,
-    /// The console's slowest answer, and the number of its answers.
+    /// The slowest response of the console, and the number of its responses.
     pub console: Mutex<(Duration, usize)>,
-    /// The statuses that new clients got.
+    /// Number of new clients by the status that they got.
     pub statuses: Mutex<BTreeMap<u16, usize>>,
 }
 
-/// The threads that observe; all of them end before the process does.
+/// The threads that hold idle clients and observe the sidecar. Dropping it ends them, before the sidecar process ends.
 pub struct Crowd(Arc<Observations>, Vec<thread::JoinHandle<()>>);
 
 impl Drop for Crowd {
     fn drop(&mut self) {
         self.0.over.store(true, Ordering::Relaxed);
-        for one in self.1.drain(..) {
-            let done = one.join();
-            assert!(done.is_ok() || thread::panicking(), "an observer failed");
+        for observer in self.1.drain(..) {
+            let result = observer.join();
+            assert!(result.is_ok() || thread::panicking(), "an observer thread panicked");
         }
     }
 }
@@ -53,58 +54,67 @@
 
     pub fn poll_console(&self, at: SocketAddr) {
         let begun = Instant::now();
-        let mut stream = TcpStream::connect(at).expect("the console");
-        stream.set_read_timeout(Some(BOUNDED)).expect("a socket");
-        stream.write_all(b"GET /status HTTP/1.1\r\nHost: x\r\n\r\n").expect("a call");
-        assert_eq!(answer(&mut stream).map(|(status, _, _)| status), Some(200), "the console says so");
+        let mut stream = TcpStream::connect(at).expect("failed to connect to the console");
+        stream.set_read_timeout(Some(WAIT_BOUND)).expect("failed to set the read timeout");
+        stream.write_all(b"GET /status HTTP/1.1\r\nHost: x\r\n\r\n").expect("failed to write to the console");
+        assert_eq!(
+            read_response(&mut stream).map(|(status, _, _)| status),
+            Some(200),
+            "status of the console"
+        );
         update(&self.console, |(slowest, count)| {
             (*slowest, *count) = (begun.elapsed().max(*slowest), *count + 1);
         });
     }
 
-    /// Connects, sends a request and leaves. Status 0 stands for no answer.
-    pub fn connect_anew(&self, at: SocketAddr, id: usize) {
+    /// Sends one request on a new connection and counts its status; 0 stands for no response.
+    pub fn request_as_new_client(&self, at: SocketAddr, id: usize) {
         let status = TcpStream::connect(at).ok().and_then(|mut stream| {
-            stream.set_read_timeout(Some(BOUNDED)).ok()?;
-            stream.write_all(cmd("view", &format!("n{id}"), 1900).as_bytes()).ok()?;
-            answer(&mut stream).map(|(status, _, _)| status)
+            stream.set_read_timeout(Some(WAIT_BOUND)).ok()?;
+            stream.write_all(request_text("view", &format!("n{id}"), 1900).as_bytes()).ok()?;
+            read_response(&mut stream).map(|(status, _, _)| status)
         });
         update(&self.statuses, |statuses| *statuses.entry(status.unwrap_or(0)).or_default() += 1);
     }
 }
 
 impl Observations {
-    /// Prints what was observed, and holds it against its bounds.
+    /// Prints the observations and checks their bounds.
     fn check(&self, summary: &str, sockets: usize, half_sent: bool) {
-        let descriptors = *self.descriptors.lock().expect("a lock");
-        let (console, calls) = *self.console.lock().expect("a lock");
-        let statuses = self.statuses.lock().expect("a lock").clone();
+        let descriptors = *self.descriptors.lock().expect("lock is not poisoned");
+        let (console, calls) = *self.console.lock().expect("lock is not poisoned");
+        let statuses = self.statuses.lock().expect("lock is not poisoned").clone();
         println!(
             "{summary}, {descriptors} descriptors at most, console {console:.2?} at most of {calls}, \
              new clients {statuses:?}"
         );
         assert!(descriptors <= sockets, "{descriptors} of {sockets} descriptors");
-        assert!(console <= ms(1000) && calls > 20, "the console: {console:?}, {calls}");
+        assert!(
+            console <= ms(1000) && calls > 20,
+            "console: slowest response {console:?}, {calls} responses"
+        );
         assert!(
             statuses.keys().all(|status| [200, 503].contains(status)),
-            "a place or a status: {statuses:?}"
+            "new clients get 200 or 503: {statuses:?}"
         );
-        // Idle clients are closed for new ones; those with half a request come as fast as they are closed.
+        // Idle clients are closed to make room for new ones. Half-sent requests come as fast as they are closed, so some new
+        // clients get 503.
         let served = statuses.get(&200).copied().unwrap_or(0);
-        assert!(served > 5 && (half_sent || statuses.len() == 1), "a place: {statuses:?}");
+        assert!(served > 5 && (half_sent || statuses.len() == 1), "new clients are served: {statuses:?}");
     }
 }
 
-/// A connection that stays open: its request was answered, or is half sent.
+/// Opens a client connection whose request was answered or, with `half_sent`, is incomplete.
 pub fn idle_client(at: SocketAddr, id: &str, half_sent: bool) -> Option<TcpStream> {
     let mut stream = TcpStream::connect(at).ok()?;
-    stream.set_read_timeout(Some(BOUNDED)).ok()?;
-    let text = cmd("view", id, 1900);
+    stream.set_read_timeout(Some(WAIT_BOUND)).ok()?;
+    let text = request_text("view", id, 1900);
     stream.write_all(&text.as_bytes()[..if half_sent { text.len() - 9 } else { text.len() }]).ok()?;
-    (half_sent || answer(&mut stream).is_some()).then_some(stream)
+    (half_sent || read_response(&mut stream).is_some()).then_some(stream)
 }
 
-/// `half`: each idle client has sent half a request, and others follow as they are closed.
+/// Measures one run beside a crowd. With `half_sent` each idle client has sent half a request, and others replace those
+/// that are closed.
 pub fn measure_beside_a_crowd(
     mode: FailureMode,
     sockets: u64,
@@ -115,7 +125,7 @@
     let drawn = Plan::drawn(mode, 1, seed);
     let (recovery, change_time) = (Recovery::After(ms(7000 + seed % 3 * 500)), ChangeTime::AfterDown(ms(0)));
     let plan = Plan { recovery, change_time, answer_delay: ms(0), crowded: half_sent, ..drawn };
-    let console = nobody();
+    let console = unused_address();
     let observed = Arc::new(Observations::default());
     let change = |config: &mut Value| {
         config["console"] = json!(console.to_string());
@@ -133,7 +143,7 @@
     timing.in_force
 }
 
-/// Opens idle connections, as many as there are descriptors, and starts the threads that observe.
+/// Opens as many idle connections as the sidecar may have descriptors, and starts the observing threads.
 fn start_crowd(
     sidecar: &Sidecar,
     observed: &Arc<Observations>,
@@ -144,7 +154,7 @@
     let (at, pid) = (sidecar.address, sidecar.child.id());
     let mut idle_clients: VecDeque<_> =
         (0..count).filter_map(|number| idle_client(at, &format!("r{number}"), half_sent)).collect();
-    assert!(idle_clients.len() * 10 >= count * 9, "{} of {count} are idle", idle_clients.len());
+    assert!(idle_clients.len() * 10 >= count * 9, "{} of {count} idle clients connected", idle_clients.len());
     let seen = observed.clone();
     let observer = thread::spawn(move || {
         for number in 0.. {
@@ -152,7 +162,7 @@
                 return;
             }
             if half_sent {
-                // As fast as they are closed, or the buffers would not stay full.
+                // New ones follow as fast as old ones are closed, so that the buffers stay full.
                 idle_clients.extend((0..2).filter_map(|_| idle_client(at, "", true)));
                 idle_clients.drain(..idle_clients.len().saturating_sub(count));
             }
@@ -169,7 +179,7 @@
                 return;
             }
             seen.poll_console(console);
-            seen.connect_anew(at, number);
+            seen.request_as_new_client(at, number);
             thread::sleep(ms(30));
         }
     });
--- a/crates/sidecar/tests/discovery_recovery/main.rs
+++ b/crates/sidecar/tests/discovery_recovery/main.rs
@@ -1,6 +1,6 @@
-//! How long after a failure of discovery a change of its list is in force: once discovery has the change and can be
-//! reached, requests go to the new server and no more to the old one. Each process has a discovery of its own that fails
-//! and comes back at drawn moments.
+//! How soon a change of the endpoint list is in force around an outage of discovery. Counted from when discovery has the
+//! change and is reachable again, requests must go to the new server, and no longer to the old one, in time. Each process
+//! has its own discovery, which fails and recovers at random times.
 
 mod crowd;
 #[path = "../helpers/mod.rs"]
@@ -17,11 +17,11 @@
 use std::thread;
 use std::time::Duration;
 
-/// A change has to be in force 6 s after discovery had it and could be reached; one of them is kept in reserve.
+/// A change has to be in force 6 s after discovery has it and is reachable; one second is kept in reserve.
 const LONGEST_DELAY: Duration = Duration::from_secs(5);
-/// Runs with each way in which discovery fails.
+/// Runs with each failure mode of discovery.
 const RUNS_PER_MODE: usize = 4;
-/// Tests that measure time run one after the other.
+/// Tests that measure time run one at a time.
 static TURN: Mutex<()> = Mutex::new(());
 
 fn assert_in_force_in_time(replicas: u64, seed: u64) {
@@ -30,17 +30,19 @@
         FailureMode::ALL.into_iter().flat_map(|mode| (0..RUNS_PER_MODE).map(move |_| mode)).zip(seed..);
     let measurements: Vec<_> = plans
         .map(|(mode, seed)| {
-            // Not all at once: a start takes processor time.
+            // Starts are spread out, as each takes processor time.
             thread::sleep(ms(30));
             thread::spawn(move || measure(Plan::drawn(mode, replicas, seed)))
         })
         .collect();
-    let mut timings: Vec<Timing> =
-        measurements.into_iter().map(|measurement| measurement.join().expect("a measurement")).collect();
+    let mut timings: Vec<Timing> = measurements
+        .into_iter()
+        .map(|measurement| measurement.join().expect("measuring thread panicked"))
+        .collect();
     timings.sort_by_key(|timing| timing.in_force);
     for mode in FailureMode::ALL {
-        let of: Vec<_> = timings.iter().filter(|timing| timing.plan.mode == mode).collect();
-        let (least, middle, most) = (of[0], of[of.len() / 2], of[of.len() - 1]);
+        let of_mode: Vec<_> = timings.iter().filter(|timing| timing.plan.mode == mode).collect();
+        let (least, middle, most) = (of_mode[0], of_mode[of_mode.len() / 2], of_mode[of_mode.len() - 1]);
         println!(
             "{mode:?}, {replicas} replicas: {:.2?} {:.2?} {:.2?}, list written by {:.2?}",
             least.in_force, middle.in_force, most.in_force, most.list_written
@@ -55,12 +57,12 @@
 }
 
 #[test]
-fn list_changes_are_in_force_in_time_after_every_failure_of_discovery() {
+fn list_changes_are_in_force_in_time_after_each_failure_mode() {
     assert_in_force_in_time(1, 0x7014);
 }
 
 #[test]
-fn list_changes_are_in_force_in_time_with_the_spaced_polls_of_three_hundred_replicas() {
+fn list_changes_are_in_force_in_time_with_300_replicas() {
     assert_in_force_in_time(300, 0x3007);
 }
 
@@ -72,8 +74,10 @@
         thread::spawn(move || measure_beside_a_crowd(mode, sockets, memory_mb, half_sent, seed))
     };
     let measurements: Vec<_> = plans.map(measure).collect();
-    let timings: Vec<_> =
-        measurements.into_iter().map(|measurement| measurement.join().expect("a measurement")).collect();
+    let timings: Vec<_> = measurements
+        .into_iter()
+        .map(|measurement| measurement.join().expect("measuring thread panicked"))
+        .collect();
     assert!(timings.iter().all(|timing| *timing <= LONGEST_DELAY), "{timings:.2?}");
 }
 
--- a/crates/sidecar/tests/discovery_recovery/measure.rs
+++ b/crates/sidecar/tests/discovery_recovery/measure.rs
@@ -1,4 +1,4 @@
-//! One run: the time from discovery's change until the program sends its requests by it.
+//! One run: the time from a change of discovery's list until the sidecar routes requests by it.
 
 use crate::helpers::*;
 use crate::plan::Plan;
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Delays from the moment in which discovery had the change and could be reached.
+/// Delays from the moment at which discovery had the change and was reachable.
 pub struct Timing {
     pub plan: Plan,
     pub list_written: Duration,
@@ -20,33 +20,33 @@
     measure_beside(plan, |_| {}, |_| ())
 }
 
-/// `change` edits the configuration; `once_down` is called when discovery has just failed, and what it returns is dropped
-/// before the process is ended.
+/// Measures one run. `change` edits the configuration. `once_down` is called right after discovery failed; its result is
+/// dropped before the sidecar process ends.
 pub fn measure_beside<T>(
     plan: Plan,
     change: impl FnOnce(&mut Value),
     once_down: impl FnOnce(&Sidecar) -> T,
 ) -> Timing {
-    let servers = [(); 2].map(|()| endpoint(Does::Answer));
-    let source = DiscoveryStandIn::start(plan.clone(), [servers[0].address, servers[1].address]);
-    let known = catalog(0, &[("s1", servers[0].address, "ready")]);
-    let sidecar = Sidecar::start_as(&known, source.address, |config| {
+    let servers = [(); 2].map(|()| start_endpoint(Does::Answer));
+    let discovery = DiscoveryStandIn::start(plan.clone(), [servers[0].address, servers[1].address]);
+    let known = endpoint_list(0, &[("s1", servers[0].address, "ready")]);
+    let sidecar = Sidecar::start_as(&known, discovery.address, |config| {
         config["settings"]["Balancers"] = json!(plan.replicas);
         config["seed"] = json!(format!("{:x}", plan.seed));
         change(config);
     });
-    within("the watch is open", || source.times().calls >= 2);
+    wait_until("the watch is open", || discovery.times().calls >= 2);
     thread::sleep(plan.watch_before);
-    source.times().down = Some(Instant::now());
+    discovery.times().down = Some(Instant::now());
     let _guard = once_down(&sidecar);
-    let mut caller = Peer::new(sidecar.open().expect("a connection"));
+    let mut client = Peer::new(sidecar.connect().expect("failed to connect to the sidecar"));
     let mut number = 0;
     let mut send_request = |servers: &[Scripted; 2]| {
         number += 1;
-        let _ = caller.write(cmd("view", &format!("c{number}"), 1900).as_bytes());
-        let status = caller.answer().ok().and_then(|heard| heard.status());
+        let _ = client.write(request_text("view", &format!("c{number}"), 1900).as_bytes());
+        let status = client.answer().ok().and_then(|response| response.status());
         if plan.crowded && status != Some(200) {
-            caller = Peer::new(sidecar.open().expect("a connection"));
+            client = Peer::new(sidecar.connect().expect("failed to connect to the sidecar"));
         } else {
             assert_eq!(status, Some(200), "{plan:?}");
         }
@@ -54,7 +54,7 @@
     };
     let begun = Instant::now();
     while !send_request(&servers) {
-        assert!(begun.elapsed() < ms(45_000), "the change never came: {plan:?}");
+        assert!(begun.elapsed() < ms(45_000), "no request reached the new server within 45 s: {plan:?}");
         thread::sleep(ms(25));
     }
     let in_force = Instant::now();
@@ -62,13 +62,15 @@
     for _ in 0..5 {
         send_request(&servers);
     }
-    assert_eq!(servers[0].count(), before, "the draining server gets no more requests: {plan:?}");
-    source.over.store(true, Ordering::Relaxed);
-    let changed_at = source.changed_at().expect("it was made");
-    let times = source.times();
-    let (back, list_written) =
-        (times.back.expect("it came back"), times.list_written.expect("it was written"));
-    let from = back.max(changed_at);
+    assert_eq!(servers[0].count(), before, "the draining server got another request: {plan:?}");
+    discovery.over.store(true, Ordering::Relaxed);
+    let changed_at = discovery.changed_at().expect("list change was made");
+    let times = discovery.times();
+    let (back_at, list_written) = (
+        times.back.expect("discovery recovered"),
+        times.list_written.expect("list with the change was written"),
+    );
+    let from = back_at.max(changed_at);
     Timing {
         plan,
         list_written: list_written.saturating_duration_since(from),
--- a/crates/sidecar/tests/discovery_recovery/plan.rs
+++ b/crates/sidecar/tests/discovery_recovery/plan.rs
@@ -1,4 +1,4 @@
-//! How discovery fails in a run, when it comes back, and when the list changes: all drawn from one seed.
+//! How discovery fails in a run, when it recovers, and when its list changes, all drawn from one seed.
 
 use crate::helpers::ms;
 use rand::{Rng, SeedableRng};
@@ -8,11 +8,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FailureMode {
     RefusesConnections,
-    /// Its backlog is full: a connection is neither accepted nor refused.
+    /// The accept queue is full: connections are neither accepted nor refused.
     BacklogFull,
-    /// It accepts polls and is silent, and answers them once it is back.
+    /// Polls during the outage are accepted, and answered once discovery has recovered.
     StallsUntilBack,
-    /// Polls that it accepted before it is back are never answered.
+    /// Polls accepted during the outage are never answered.
     Silent,
     SilentMidAnswer,
     Trickles,
@@ -20,7 +20,7 @@
     Resets,
     CutsShort,
     Closes,
-    /// Another one for each poll.
+    /// A random other mode for each poll.
     Mixed,
 }
 
@@ -39,7 +39,7 @@
         FailureMode::Mixed,
     ];
 
-    /// What a poll that was accepted meets.
+    /// The mode for one accepted poll.
     pub fn for_a_poll(self, rng: &mut ChaCha8Rng) -> FailureMode {
         match self {
             FailureMode::Mixed => FailureMode::ALL[rng.random_range(3..10)],
@@ -52,9 +52,9 @@
 
 #[derive(Clone, Copy, Debug)]
 pub enum Recovery {
-    /// So long after it failed.
+    /// This long after the failure.
     After(Duration),
-    /// So long after that many polls failed.
+    /// This long after the given number of polls failed.
     AfterFailedPolls(usize, Duration),
 }
 
@@ -72,10 +72,11 @@
     pub watch_before: Duration,
     pub recovery: Recovery,
     pub change_time: ChangeTime,
-    /// How late its answers are once it is back.
+    /// Delay of discovery's answers after its recovery.
     pub answer_delay: Duration,
+    /// Whether each answer is a complete list instead of the changes.
     pub complete_lists: bool,
-    /// Clients may be rejected with a status.
+    /// Whether the test's own client may be rejected because the sidecar is full.
     pub crowded: bool,
     pub seed: u64,
 }
@@ -83,13 +84,13 @@
 impl Plan {
     pub fn drawn(mode: FailureMode, replicas: u64, seed: u64) -> Plan {
         let rng = &mut ChaCha8Rng::seed_from_u64(seed);
-        let seen = !matches!(
+        let polls_fail = !matches!(
             mode,
             FailureMode::RefusesConnections | FailureMode::BacklogFull | FailureMode::StallsUntilBack
         );
-        // Right behind a call that has just come is when its end is farthest.
+        // A recovery right after a poll failed leaves the longest time until the next poll.
         let offset = if rng.random() { 1 } else { rng.random_range(0..5000) };
-        let recovery = match seen && rng.random_range(0..4) > 0 {
+        let recovery = match polls_fail && rng.random_range(0..4) > 0 {
             true => Recovery::AfterFailedPolls(rng.random_range(1..=4), ms(offset)),
             false => Recovery::After(ms(rng.random_range(0..14_000))),
         };
--- a/crates/sidecar/tests/discovery_recovery/stand_in.rs
+++ b/crates/sidecar/tests/discovery_recovery/stand_in.rs
@@ -1,6 +1,6 @@
-//! A stand-in for discovery that fails and comes back by a plan.
+//! A test discovery that fails and recovers according to a plan.
 
-use crate::helpers::{catalog, free, ms};
+use crate::helpers::{bind_unused_port, endpoint_list, ms};
 use crate::plan::{ChangeTime, FailureMode, Plan, Recovery};
 use landingspread_lab::sockets::{Heard, Peer};
 use rand::{Rng, SeedableRng};
@@ -12,17 +12,17 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often a state that is waited for is checked.
+/// Interval at which threads check the state for which they wait.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
-/// When each event happened.
+/// Times of the events of a run, and counts of polls.
 #[derive(Default)]
 pub struct Times {
     pub down: Option<Instant>,
     pub back: Option<Instant>,
     pub failed_calls: usize,
     pub calls: usize,
-    /// When the last byte of the first list with the change was written.
+    /// When the first list with the change had been written completely.
     pub list_written: Option<Instant>,
 }
 
@@ -36,13 +36,13 @@
 
 impl DiscoveryStandIn {
     pub fn start(plan: Plan, servers: [SocketAddr; 2]) -> Arc<DiscoveryStandIn> {
-        let listener = free();
-        let address = listener.local_addr().expect("an address");
+        let listener = bind_unused_port();
+        let address = listener.local_addr().expect("listener has a local address");
         let (times, over) = (Mutex::default(), AtomicBool::new(false));
-        let source = Arc::new(DiscoveryStandIn { address, plan, servers, times, over });
-        let accepting = source.clone();
+        let discovery = Arc::new(DiscoveryStandIn { address, plan, servers, times, over });
+        let accepting = discovery.clone();
         thread::spawn(move || accepting.accept_calls(listener));
-        source
+        discovery
     }
 
     pub fn times(&self) -> MutexGuard<'_, Times> {
@@ -70,32 +70,36 @@
         }
     }
 
+    /// The current generation and the list for a poll that has generation `after`.
     pub fn list(&self, after: u64) -> (u64, Value) {
         let ([old, new], changed) =
             (self.servers, self.changed_at().is_some_and(|time| time <= Instant::now()));
         let mut list = match changed {
-            true => catalog(2, &[("s1", old, "draining"), ("s2", new, "ready")]),
-            false => catalog(1, &[("s1", old, "ready")]),
+            true => endpoint_list(2, &[("s1", old, "draining"), ("s2", new, "ready")]),
+            false => endpoint_list(1, &[("s1", old, "ready")]),
         };
         list["reset"] = json!(after == 0 || self.plan.complete_lists);
         (1 + u64::from(changed), list)
     }
 
-    /// While it is down there is no listener, or one with a full backlog, where that is how it fails.
+    /// Accepts connections. During an outage there is no listener, or one with a full accept queue, if the plan's mode asks
+    /// for it.
     pub fn accept_calls(self: Arc<DiscoveryStandIn>, listener: TcpListener) {
-        listener.set_nonblocking(true).expect("a socket");
+        listener.set_nonblocking(true).expect("failed to make the listener non-blocking");
         let (mut listener, mut fill) = (Some(listener), Vec::new());
         while !self.over() {
             match (self.plan.mode, self.is_down()) {
                 (FailureMode::RefusesConnections, true) => listener = None,
                 (FailureMode::RefusesConnections, false) if listener.is_none() => {
-                    let again = TcpListener::bind(self.address).expect("the same address");
-                    again.set_nonblocking(true).expect("a socket");
+                    let again =
+                        TcpListener::bind(self.address).expect("failed to bind to the same address again");
+                    again.set_nonblocking(true).expect("failed to make the listener non-blocking");
                     listener = Some(again);
                 }
                 (FailureMode::BacklogFull, true) => {
                     if fill.is_empty() {
-                        rustix::net::listen(listener.as_ref().expect("a listener"), 0).expect("a queue");
+                        rustix::net::listen(listener.as_ref().expect("listener is open"), 0)
+                            .expect("failed to set the length of the accept queue");
                         let connect = || TcpStream::connect_timeout(&self.address, ms(50)).ok();
                         fill = (0..2).filter_map(|_| connect()).collect();
                     }
@@ -103,16 +107,17 @@
                     continue;
                 }
                 (FailureMode::BacklogFull, false) if !fill.is_empty() => {
-                    rustix::net::listen(listener.as_ref().expect("a listener"), 64).expect("a queue");
+                    rustix::net::listen(listener.as_ref().expect("listener is open"), 64)
+                        .expect("failed to set the length of the accept queue");
                     fill.clear();
                 }
                 _ => {}
             }
             match listener.as_ref().map(TcpListener::accept) {
                 Some(Ok((stream, _))) => {
-                    stream.set_nonblocking(false).expect("a socket");
-                    let source = self.clone();
-                    thread::spawn(move || source.serve_calls(stream));
+                    stream.set_nonblocking(false).expect("failed to make the connection blocking");
+                    let discovery = self.clone();
+                    thread::spawn(move || discovery.serve_calls(stream));
                 }
                 _ => thread::sleep(CHECK_INTERVAL),
             }
@@ -160,6 +165,7 @@
         }
     }
 
+    /// Fails one poll in the way that the plan's mode says.
     pub fn fail(&self, peer: &mut Peer, after: u64) {
         let failed_calls = {
             let times = &mut *self.times();
@@ -193,7 +199,8 @@
                 let _ = peer.write(b"HTTP/1.1 503 -\r\nContent-Length: 0\r\n\r\n");
             }
             FailureMode::Resets => {
-                rustix::net::sockopt::set_socket_linger(&peer.stream, Some(Duration::ZERO)).expect("linger");
+                rustix::net::sockopt::set_socket_linger(&peer.stream, Some(Duration::ZERO))
+                    .expect("failed to set SO_LINGER");
             }
             FailureMode::CutsShort => drop(peer.write(part)),
             _ => {}
@@ -201,11 +208,13 @@
     }
 }
 
+/// The HTTP response with this list.
 pub fn message(list: &Value) -> Vec<u8> {
     let body = list.to_string();
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
+/// The value of a numeric query parameter of a poll.
 pub fn number(call: &Heard, name: &str) -> Option<u64> {
     let query = call.path().split_once('?')?.1;
     query.split('&').find_map(|part| part.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
--- a/crates/sidecar/tests/fleet.rs
+++ b/crates/sidecar/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Several processes of the program with faults between them. The lab's rig runs each plan on real processes and judges
-//! whether every view followed and every rule was kept. The tests take turns, as each needs all cores.
+//! Fleets of real processes with faults between them. The lab's rig runs each plan and checks that the membership views
+//! followed the faults and that every rule was kept. The tests run one at a time, as each needs all cores.
 
 use landingspread_lab::fleet::plan::read;
 use landingspread_lab::fleet::rig::{LOOK_EVERY, Played, Ways, play, run_dir};
@@ -18,12 +18,12 @@
     Path::new(env!("CARGO_BIN_EXE_landingspread"))
 }
 
-fn played(name: &str, processes: usize, seconds: f64, faults: &str) -> Played {
-    // A test that failed holds nothing that another one needs.
+fn run_plan(name: &str, processes: usize, seconds: f64, faults: &str) -> Played {
+    // A failed test poisons the lock, but leaves nothing behind that affects the next one.
     let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
     let text = format!("name = \"{name}\"\nseconds = {seconds}\nservers = 3\nrate_each = 6.0\n{faults}");
-    let plan = read(name, &text, Some(processes)).expect("a plan");
-    let dir = run_dir(name).expect("a folder");
+    let plan = read(name, &text, Some(processes)).expect("plan is valid");
+    let dir = run_dir(name).expect("failed to create the run directory");
     let ways = Ways {
         seed: 30,
         program: program(),
@@ -33,12 +33,15 @@
         with_localities: true,
         look_every: LOOK_EVERY,
     };
-    let played = play(&plan, &ways, &mut |_| ()).expect("a run");
+    let played = play(&plan, &ways, &mut |_| ()).expect("plan run failed");
     let figures = &played.figures;
     assert!(figures.broken.is_empty(), "{name}: {:#?}", figures.broken);
     assert_eq!(played.broken_rules, [0; 4], "{name}: {:#?}", played.breaches);
-    assert!(played.seconds.iter().map(|second| second.answered).sum::<u32>() > 50, "{name} served");
-    // The judge had something to observe.
+    assert!(
+        played.seconds.iter().map(|second| second.answered).sum::<u32>() > 50,
+        "{name}: too few requests were answered"
+    );
+    // The checks above mean nothing unless membership changed.
     assert!(figures.agreed_after.len() > 1, "{name}: {:?}", figures.agreed_after);
     played
 }
@@ -48,60 +51,60 @@
 }
 
 #[test]
-fn a_killed_process_is_gone_from_every_view_and_returns() {
-    let killed = played("kill", 6, 11.0, &fault("kill", 3.5, 3.0, "copies = [4]"));
+fn killed_process_leaves_every_view_and_rejoins() {
+    let killed = run_plan("kill", 6, 11.0, &fault("kill", 3.5, 3.0, "copies = [4]"));
     assert!(killed.figures.death_most > 0.0, "{:?}", killed.figures.agreed_after);
 }
 
 #[test]
-fn a_process_that_stood_still_and_wakes_is_counted_again() {
-    played("still", 6, 13.0, &fault("stop", 3.5, 5.0, "copies = [2]"));
+fn process_that_resumes_after_a_long_pause_rejoins() {
+    run_plan("still", 6, 13.0, &fault("stop", 3.5, 5.0, "copies = [2]"));
 }
 
 #[test]
-fn a_short_pause_and_a_path_cut_one_way_are_no_death() {
+fn short_pause_and_one_way_cut_are_not_taken_for_death() {
     let faults = fault("stop", 3.5, 0.4, "copies = [5]")
         + &fault("cut", 5.0, 4.0, "copies = [1]\nto = [3]\nway = \"out\"")
         + &fault("loss", 5.5, 3.0, "share = 0.2\npaths = \"copies\"");
-    let text = played("one-way", 6, 10.0, &faults);
-    assert_eq!(text.figures.false_deaths, 0);
+    let played = run_plan("one-way", 6, 10.0, &faults);
+    assert_eq!(played.figures.false_deaths, 0);
 }
 
 #[test]
-fn halves_of_a_partition_detect_it_and_merge_again() {
+fn halves_of_a_partition_detect_it_and_merge_after_it() {
     let faults = fault("cut", 3.5, 5.5, "copies = [0, 1, 2]\npaths = \"copies\"");
-    let met = played("halves", 6, 13.0, &faults);
-    assert!(met.figures.agreed_after.iter().filter(|(what, _)| what.contains("parts")).count() >= 2);
+    let played = run_plan("halves", 6, 13.0, &faults);
+    assert!(played.figures.agreed_after.iter().filter(|(event, _)| event.contains("parts")).count() >= 2);
 }
 
 #[test]
-fn most_are_killed_at_once_and_start_together() {
-    played("herd", 10, 13.0, &fault("kill", 4.0, 4.0, "copies = [0, 1, 2, 3, 5, 7, 9]"));
+fn fleet_recovers_after_most_members_are_killed_at_once() {
+    run_plan("herd", 10, 13.0, &fault("kill", 4.0, 4.0, "copies = [0, 1, 2, 3, 5, 7, 9]"));
 }
 
 #[test]
-fn processes_end_in_turn_and_start_in_another_build() {
+fn rolling_restart_with_another_build_keeps_the_fleet() {
     let faults = fault("term", 3.5, 2.5, "copies = [1]\nold_build = true")
         + &fault("term", 7.0, 2.5, "copies = [3]\nold_build = true");
-    played("release", 5, 13.0, &faults);
+    run_plan("release", 5, 13.0, &faults);
 }
 
-/// A member whose messages are those of a newer version.
+/// Sends all messages of a member in the form of a newer protocol version.
 struct NewerVersion {
     socket: UdpSocket,
 }
 
 impl Host for NewerVersion {
     fn send(&mut self, to: Address, bytes: &[u8]) {
-        if let Some(later) = as_newer_version(bytes, "mixed") {
-            let _ = self.socket.send_to(&later, to);
+        if let Some(newer) = as_newer_version(bytes, "mixed") {
+            let _ = self.socket.send_to(&newer, to);
         }
     }
 }
 
 fn run_newer(seeds: Vec<Address>, stop: Arc<AtomicBool>) -> (thread::JoinHandle<usize>, Address) {
-    let (socket, address) = free_datagrams().expect("a socket");
-    socket.set_read_timeout(Some(Duration::from_millis(10))).expect("a time-out");
+    let (socket, address) = free_datagrams().expect("failed to bind a UDP socket");
+    socket.set_read_timeout(Some(Duration::from_millis(10))).expect("failed to set the read timeout");
     let began = Instant::now();
     let since_1970 = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
     let config = MemberConfig {
@@ -115,37 +118,38 @@
         configured_members: 1.0,
     };
     let run = move || {
-        let sending = socket.try_clone().expect("a socket");
-        let mut own = Membership::start(NewerVersion { socket: sending }, config, 7, began.elapsed());
+        let sending = socket.try_clone().expect("failed to clone the UDP socket");
+        let mut membership = Membership::start(NewerVersion { socket: sending }, config, 7, began.elapsed());
         let (mut bytes, mut tick_at) = ([0; 2048], began.elapsed());
         while !stop.load(Ordering::Relaxed) {
             if let Ok((length, _)) = socket.recv_from(&mut bytes) {
-                own.receive(began.elapsed(), &bytes[..length]);
+                membership.receive(began.elapsed(), &bytes[..length]);
             }
             if tick_at <= began.elapsed() {
                 tick_at = began.elapsed() + Membership::<NewerVersion>::TICK_INTERVAL;
-                own.tick(began.elapsed());
+                membership.tick(began.elapsed());
             }
         }
-        own.live_count()
+        membership.live_count()
     };
     (thread::spawn(run), address)
 }
 
-fn members(console: SocketAddr) -> Option<usize> {
+fn live_members(console: SocketAddr) -> Option<usize> {
     let mut peer = Peer::new(TcpStream::connect_timeout(&console, Duration::from_millis(200)).ok()?);
     peer.patience(Some(Duration::from_millis(500)));
     peer.write(b"GET /fleet HTTP/1.1\r\nHost: x\r\nAccept: application/json\r\n\r\n").ok()?;
-    let heard = peer.answer().ok()?;
-    let fleet: serde_json::Value = serde_json::from_slice(&heard.body).ok()?;
+    let response = peer.answer().ok()?;
+    let fleet: serde_json::Value = serde_json::from_slice(&response.body).ok()?;
     fleet["live"].as_u64().map(|live| live as usize)
 }
 
-fn all_count(consoles: &[SocketAddr], wanted: usize, within: Duration) -> Vec<Option<usize>> {
-    let until = Instant::now() + within;
+/// The live members at each console, once all show `expected` or the time is over.
+fn wait_for_live_members(consoles: &[SocketAddr], expected: usize, bound: Duration) -> Vec<Option<usize>> {
+    let until = Instant::now() + bound;
     loop {
-        let counts: Vec<Option<usize>> = consoles.iter().map(|console| members(*console)).collect();
-        if counts.iter().all(|count| *count == Some(wanted)) || Instant::now() >= until {
+        let counts: Vec<Option<usize>> = consoles.iter().map(|console| live_members(*console)).collect();
+        if counts.iter().all(|count| *count == Some(expected)) || Instant::now() >= until {
             return counts;
         }
         thread::sleep(Duration::from_millis(20));
@@ -160,52 +164,54 @@
     unused().into()
 }
 
-/// A process with a server that gets no requests, with `before` among the first keys and `after` at the end.
-fn process(dir: &Path, name: &str, console: SocketAddr, before: &str, after: &str) -> Sidecar {
+/// Starts a sidecar with one server that gets no requests. `before` is added to the top-level keys of its configuration,
+/// `after` to its `[fleet]` section.
+fn start_sidecar(dir: &Path, name: &str, console: SocketAddr, before: &str, after: &str) -> Sidecar {
     let listen = address();
     let text = format!(
         "name = \"{name}\"\nlisten = \"{listen}\"\nconsole = \"{console}\"\n{before}\n[[servers]]\nid = \"s\"\n\
          address = \"127.0.0.1:9\"\n[[verbs]]\nname = \"view\"\nrepeats = \"pure\"\ngoal = \"300ms\"\n\
          limit = \"1s\"\n[fleet]\n{after}\n"
     );
-    Sidecar::launch(program(), dir, &format!("{name}.toml"), &text, listen).expect("it starts")
+    Sidecar::launch(program(), dir, &format!("{name}.toml"), &text, listen)
+        .expect("failed to start the sidecar")
 }
 
 #[test]
-fn replicas_with_a_list_of_peers_are_a_fleet_by_the_peers_socket() {
+fn replicas_with_a_peer_list_form_a_fleet() {
     let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
-    let dir = run_dir("peers").expect("a folder");
+    let dir = run_dir("peers").expect("failed to create the run directory");
     let peers: Vec<String> = addresses(5).iter().map(|address| format!("\"{address}\"")).collect();
     let consoles: Vec<SocketAddr> = (0..5).map(|_| address()).collect();
     let start = |ordinal: usize| {
         let before = format!("copies = 5\nordinal = {ordinal}\npeers = [{}]", peers.join(", "));
-        process(&dir, &format!("p{ordinal}"), consoles[ordinal], &before, "name = \"peers\"")
+        start_sidecar(&dir, &format!("p{ordinal}"), consoles[ordinal], &before, "name = \"peers\"")
     };
     let mut processes: Vec<Sidecar> = (0..5).map(start).collect();
-    assert_eq!(all_count(&consoles, 5, Duration::from_secs(8)), [Some(5); 5]);
+    assert_eq!(wait_for_live_members(&consoles, 5, Duration::from_secs(8)), [Some(5); 5]);
     processes[4].kill();
-    assert_eq!(all_count(&consoles[..4], 4, Duration::from_secs(4)), [Some(4); 4]);
+    assert_eq!(wait_for_live_members(&consoles[..4], 4, Duration::from_secs(4)), [Some(4); 4]);
 }
 
 #[test]
-fn a_member_of_a_newer_version_is_one_of_five_and_its_death_is_detected() {
+fn member_of_a_newer_version_joins_and_its_death_is_detected() {
     let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
-    let dir = run_dir("mixed").expect("a folder");
+    let dir = run_dir("mixed").expect("failed to create the run directory");
     let addresses = addresses(4);
     let consoles: Vec<SocketAddr> = (0..4).map(|_| address()).collect();
     let start = |number: usize| {
         let (own, first, second) = (addresses[number], addresses[0], addresses[1]);
         let after = format!("name = \"mixed\"\nlisten = \"{own}\"\nseeds = [\"{first}\", \"{second}\"]");
-        process(&dir, &format!("m{number}"), consoles[number], "", &after)
+        start_sidecar(&dir, &format!("m{number}"), consoles[number], "", &after)
     };
     let processes: Vec<Sidecar> = (0..4).map(start).collect();
     let stop = Arc::new(AtomicBool::new(false));
-    let (later, _) = run_newer(addresses[..2].to_vec(), stop.clone());
-    let joined = all_count(&consoles, 5, Duration::from_secs(8));
+    let (newer, _) = run_newer(addresses[..2].to_vec(), stop.clone());
+    let joined = wait_for_live_members(&consoles, 5, Duration::from_secs(8));
     assert_eq!(joined, [Some(5); 4]);
     stop.store(true, Ordering::Relaxed);
-    assert_eq!(later.join().expect("it ends"), 5, "it counts them too");
-    let after = all_count(&consoles, 4, Duration::from_secs(4));
-    assert_eq!(after, [Some(4); 4]);
+    assert_eq!(newer.join().expect("member thread panicked"), 5, "live members counted by the newer version");
+    let remaining = wait_for_live_members(&consoles, 4, Duration::from_secs(4));
+    assert_eq!(remaining, [Some(4); 4]);
     drop(processes);
 }
--- a/crates/sidecar/tests/floods.rs
+++ b/crates/sidecar/tests/floods.rs
@@ -1,5 +1,5 @@
-//! Callers who write, and endpoints that answer, without end and as fast as they can: all others are served on. What
-//! is no answer ends its command. `docs/endings.md` has the rows.
+//! Clients that write, and servers that answer, without end and as fast as they can: all other requests are still served.
+//! An invalid response ends its request. `docs/endings.md` lists the cases.
 
 mod helpers;
 
@@ -13,7 +13,7 @@
 use std::thread;
 use std::time::Instant;
 
-/// Reads and drops all that comes, and counts it.
+/// Reads and discards all bytes in a thread, and counts them.
 fn drain(mut stream: TcpStream, count: Arc<AtomicUsize>) {
     let mut bytes = vec![0; 256 * 1024];
     thread::spawn(move || {
@@ -23,64 +23,64 @@
     });
 }
 
-/// Writes one text after the other and reads what comes, until it is told to end.
-fn flood(sidecar: &Sidecar, text: String, ends: &Arc<AtomicBool>) -> Arc<AtomicUsize> {
-    let mut stream = sidecar.open().expect("a connection");
-    let (ends, read) = (ends.clone(), Arc::default());
-    drain(stream.try_clone().expect("a second hand"), Arc::clone(&read));
-    let many = text.repeat(256 * 1024 / text.len());
+/// Writes the text repeatedly until `over` is set. Returns the number of bytes that came back so far.
+fn flood(sidecar: &Sidecar, text: String, over: &Arc<AtomicBool>) -> Arc<AtomicUsize> {
+    let mut stream = sidecar.connect().expect("failed to connect to the sidecar");
+    let (over, read) = (over.clone(), Arc::default());
+    drain(stream.try_clone().expect("failed to clone the connection"), Arc::clone(&read));
+    let chunk = text.repeat(256 * 1024 / text.len());
     thread::spawn(move || {
-        while !ends.load(Ordering::Relaxed) && stream.write_all(many.as_bytes()).is_ok() {}
+        while !over.load(Ordering::Relaxed) && stream.write_all(chunk.as_bytes()).is_ok() {}
         let _ = stream.shutdown(Shutdown::Both);
     });
     read
 }
 
-/// While it goes on, commands are answered: each, and half of them soon. The slowest of them would measure how busy the
-/// machine is, as three processes and their threads take part.
-fn others_are_served(sidecar: &Sidecar, name: &str) {
-    let mut spans = Vec::new();
+/// Checks that all of 40 requests are answered, and half of them within 50 ms. The slowest response has no bound: it would
+/// measure how busy the machine is, as three processes and their threads take part.
+fn assert_requests_are_served(sidecar: &Sidecar, name: &str) {
+    let mut latencies = Vec::new();
     for number in 0..40 {
-        let asked = Instant::now();
-        let text = cmd("view", &format!("{name}{number}"), 3900);
-        assert_eq!(sidecar.status(&text), Some(200), "{name} {number} after {:?}", asked.elapsed());
-        spans.push(asked.elapsed());
+        let sent = Instant::now();
+        let text = request_text("view", &format!("{name}{number}"), 3900);
+        assert_eq!(sidecar.status(&text), Some(200), "{name} {number} after {:?}", sent.elapsed());
+        latencies.push(sent.elapsed());
     }
-    spans.sort();
-    println!("{name}: 40 answers, median {:?}, slowest {:?}", spans[20], spans[39]);
-    assert!(spans[20] < ms(50), "{name}: {:?}", spans[20]);
+    latencies.sort();
+    println!("{name}: 40 answers, median {:?}, slowest {:?}", latencies[20], latencies[39]);
+    assert!(latencies[20] < ms(50), "{name}: {:?}", latencies[20]);
 }
 
 #[test]
-fn a_caller_who_writes_ahead_without_end_holds_up_nobody() {
-    let well = endpoint(Does::Answer);
-    let (sidecar, _discovery) = Sidecar::with(&[("s1", well.address)]);
-    let ends = Arc::new(AtomicBool::new(false));
+fn endless_pipelining_delays_no_other_client() {
+    let server = start_endpoint(Does::Answer);
+    let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", server.address)]);
+    let over = Arc::new(AtomicBool::new(false));
     let text = "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n".to_string();
-    let read: Vec<_> = (0..2).map(|_| flood(&sidecar, text.clone(), &ends)).collect();
-    within("the flood is answered", || read.iter().any(|read| read.load(Ordering::Relaxed) > 100_000));
-    others_are_served(&sidecar, "ahead");
-    ends.store(true, Ordering::Relaxed);
+    let read: Vec<_> = (0..2).map(|_| flood(&sidecar, text.clone(), &over)).collect();
+    wait_until("the flood is answered", || read.iter().any(|read| read.load(Ordering::Relaxed) > 100_000));
+    assert_requests_are_served(&sidecar, "ahead");
+    over.store(true, Ordering::Relaxed);
 }
 
-/// Answers a POST without end, until it is told to end.
-fn endless(ends: &Arc<AtomicBool>) -> SocketAddr {
-    let endless = free();
-    let at = endless.local_addr().expect("an address");
-    let told = ends.clone();
+/// Starts a server that answers a POST with an endless body, until `over` is set.
+fn start_endless_server(over: &Arc<AtomicBool>) -> SocketAddr {
+    let listener = bind_unused_port();
+    let at = listener.local_addr().expect("listener has a local address");
+    let over = over.clone();
     thread::spawn(move || {
-        for stream in endless.incoming().flatten() {
-            let told = told.clone();
+        for stream in listener.incoming().flatten() {
+            let over = over.clone();
             thread::spawn(move || {
                 let mut peer = Peer::new(stream);
-                let Ok(Some(heard)) = peer.command() else { return };
-                if heard.method() != "POST" {
+                let Ok(Some(request)) = peer.command() else { return };
+                if request.method() != "POST" {
                     let _ = peer.write(OK);
                     return;
                 }
                 let _ = peer.write(b"HTTP/1.1 200 OK\r\n\r\n");
-                let many = vec![b'x'; 1024 * 1024];
-                while !told.load(Ordering::Relaxed) && peer.write(&many).is_ok() {}
+                let chunk = vec![b'x'; 1024 * 1024];
+                while !over.load(Ordering::Relaxed) && peer.write(&chunk).is_ok() {}
             });
         }
     });
@@ -88,85 +88,91 @@
 }
 
 #[test]
-fn an_answer_without_end_holds_up_nobody() {
-    let well = endpoint(Does::Answer);
-    let ends = Arc::new(AtomicBool::new(false));
-    let at = endless(&ends);
-    let (sidecar, discovery) = Sidecar::with(&[("s1", at)]);
-    let mut stream = sidecar.open().expect("a connection");
-    stream.write_all(cmd("hold", "endless", 1900).as_bytes()).expect("it is written");
+fn endless_response_delays_no_other_client() {
+    let server = start_endpoint(Does::Answer);
+    let over = Arc::new(AtomicBool::new(false));
+    let at = start_endless_server(&over);
+    let (sidecar, discovery) = Sidecar::start_with_servers(&[("s1", at)]);
+    let mut stream = sidecar.connect().expect("failed to connect to the sidecar");
+    stream
+        .write_all(request_text("hold", "endless", 1900).as_bytes())
+        .expect("failed to write to the connection");
     let read = Arc::<AtomicUsize>::default();
-    drain(stream.try_clone().expect("a second hand"), read.clone());
-    within("it is passed on", || read.load(Ordering::Relaxed) > 4 * 1024 * 1024);
-    discovery.write(2, catalog(2, &[("s2", well.address, "ready")]).to_string());
+    drain(stream.try_clone().expect("failed to clone the connection"), read.clone());
+    wait_until("the endless response is forwarded", || read.load(Ordering::Relaxed) > 4 * 1024 * 1024);
+    discovery.write(2, endpoint_list(2, &[("s2", server.address, "ready")]).to_string());
     thread::sleep(ms(100));
-    others_are_served(&sidecar, "endless");
-    let so_far = read.load(Ordering::Relaxed);
-    within("it is passed on still", || read.load(Ordering::Relaxed) > so_far);
-    ends.store(true, Ordering::Relaxed);
+    assert_requests_are_served(&sidecar, "endless");
+    let before = read.load(Ordering::Relaxed);
+    wait_until("the endless response is still forwarded", || read.load(Ordering::Relaxed) > before);
+    over.store(true, Ordering::Relaxed);
 }
 
 #[test]
-fn thousands_of_commands_written_ahead_are_answered_each_once_and_in_order() {
-    const MANY: usize = 3000;
-    let well = endpoint(Does::Answer);
-    let (sidecar, _discovery) = Sidecar::with(&[("s1", well.address)]);
-    let mut stream = sidecar.open().expect("a connection");
-    let mut reads = Peer::new(stream.try_clone().expect("a second hand"));
-    // Every tenth is turned away by its verb: the words come in the order of the commands.
+fn pipelined_requests_are_answered_once_each_in_order() {
+    const REQUESTS: usize = 3000;
+    let server = start_endpoint(Does::Answer);
+    let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", server.address)]);
+    let mut stream = sidecar.connect().expect("failed to connect to the sidecar");
+    let mut responses = Peer::new(stream.try_clone().expect("failed to clone the connection"));
+    // Every tenth request has an unknown class: responses come in the order of the requests.
     let text = |number: usize| match number % 10 {
         9 => "GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n".to_string(),
-        _ => cmd("view", &format!("m{number}"), 1900),
+        _ => request_text("view", &format!("m{number}"), 1900),
     };
-    let all: String = (0..MANY).map(text).collect();
-    let writes = thread::spawn(move || stream.write_all(all.as_bytes()).map(|()| stream));
-    // What is wrong ends its connection: so only those before the first are answered here.
+    let all: String = (0..REQUESTS).map(text).collect();
+    let writer = thread::spawn(move || stream.write_all(all.as_bytes()).map(|()| stream));
+    // An invalid request ends its connection: only the requests up to the first such one are answered.
     for number in 0..10 {
-        let wanted = if number == 9 { 404 } else { 200 };
-        assert_eq!(reads.answer().ok().and_then(|heard| heard.status()), Some(wanted), "{number}");
+        let expected = if number == 9 { 404 } else { 200 };
+        assert_eq!(
+            responses.answer().ok().and_then(|response| response.status()),
+            Some(expected),
+            "{number}"
+        );
     }
-    assert!(reads.answer().is_err(), "the connection is over");
-    let _ = writes.join();
-    assert_eq!(well.count(), 9, "what lies behind the wrong one is not sent on");
-    let mut stream = sidecar.open().expect("a connection");
-    let mut reads = Peer::new(stream.try_clone().expect("a second hand"));
-    let all: String = (0..MANY).map(|number| cmd("view", &format!("n{number}"), 1900)).collect();
-    let writes = thread::spawn(move || stream.write_all(all.as_bytes()).map(|()| stream));
-    for number in 0..MANY {
+    assert!(responses.answer().is_err(), "the connection stayed open after an invalid request");
+    let _ = writer.join();
+    assert_eq!(server.count(), 9, "requests after the invalid one were forwarded");
+    let mut stream = sidecar.connect().expect("failed to connect to the sidecar");
+    let mut responses = Peer::new(stream.try_clone().expect("failed to clone the connection"));
+    let all: String = (0..REQUESTS).map(|number| request_text("view", &format!("n{number}"), 1900)).collect();
+    let writer = thread::spawn(move || stream.write_all(all.as_bytes()).map(|()| stream));
+    for number in 0..REQUESTS {
         if number % 300 == 0 {
-            assert_eq!(sidecar.cmd("view", &format!("beside{number}"), 1900), 200);
+            assert_eq!(sidecar.send_request("view", &format!("beside{number}"), 1900), 200);
         }
-        assert_eq!(reads.answer().ok().and_then(|heard| heard.status()), Some(200), "{number}");
+        assert_eq!(responses.answer().ok().and_then(|response| response.status()), Some(200), "{number}");
     }
-    writes.join().expect("it writes").expect("it is written");
-    assert_eq!(well.count(), 9 + MANY + MANY / 300, "each is sent on once");
+    writer.join().expect("writer thread panicked").expect("failed to write to the connection");
+    assert_eq!(server.count(), 9 + REQUESTS + REQUESTS / 300, "each request is forwarded once");
 }
 
 #[test]
-fn heads_without_end_are_cut_short_and_hold_up_nobody() {
-    let well = endpoint(Does::Answer);
-    let (sidecar, _discovery) = Sidecar::with(&[("s1", well.address)]);
+fn endless_heads_are_rejected_and_delay_no_other_client() {
+    let server = start_endpoint(Does::Answer);
+    let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", server.address)]);
     let writers = (0..8).map(|_| {
-        let mut stream = sidecar.open().expect("a connection");
+        let mut stream = sidecar.connect().expect("failed to connect to the sidecar");
         thread::spawn(move || {
             let begun = Instant::now();
             let _ = stream.write_all(b"GET /view/1 HTTP/1.1\r\n");
-            let many = b"X-More: and more\r\n".repeat(10_000);
-            while stream.write_all(&many).is_ok() {
-                assert!(begun.elapsed() < BOUNDED, "it may write on for ever");
+            let chunk = b"X-More: and more\r\n".repeat(10_000);
+            while stream.write_all(&chunk).is_ok() {
+                assert!(begun.elapsed() < WAIT_BOUND, "connection still accepts an endless head");
             }
         })
     });
     let writers: Vec<_> = writers.collect();
-    others_are_served(&sidecar, "heads");
-    writers.into_iter().for_each(|writer| writer.join().expect("its connection is ended"));
-    assert_eq!(well.count(), 40, "nothing of them is sent on");
+    assert_requests_are_served(&sidecar, "heads");
+    writers.into_iter().for_each(|writer| writer.join().expect("writer thread panicked"));
+    assert_eq!(server.count(), 40, "an endless head was forwarded");
 }
 
 #[test]
-fn an_answer_that_is_none_ends_its_command_once_with_a_word_and_within_its_time() {
-    let gate = Gate::opened();
-    let (sidecar, _discovery) = Sidecar::with(&[("s1", gate.address)]);
+fn invalid_response_ends_its_request_with_one_error_in_time() {
+    let gate = Gate::start_open();
+    let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", gate.address)]);
     let answers: [&'static [u8]; 8] = [
         b"garbage\r\n\r\n",
         b"\0\0\0\0\r\n\r\n",
@@ -174,95 +180,111 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok",
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\nok",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nmany\r\nok\r\n",
-        // More is said than ever comes, and a head with no end: both connections stay open.
+        // A body shorter than its Content-Length, and a head without an end: both connections stay open.
         b"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\nok",
         b"HTTP/1.1 200 OK\r\nX-More: ",
     ];
     for (number, answer) in answers.into_iter().enumerate() {
-        *gate.word.lock().expect("a lock") = answer;
-        let (id, asked) = (format!("g{number}"), Instant::now());
-        // It may have run, and must not run twice.
-        assert_eq!(sidecar.cmd("confirm", &id, 600), 502, "answer {number}");
-        assert!(asked.elapsed() < ms(1100), "answer {number}: {:?}", asked.elapsed());
-        *gate.word.lock().expect("a lock") = OK;
-        assert_eq!(sidecar.cmd("confirm", &format!("{id}-after"), 1500), 200, "after answer {number}");
-        assert_eq!(gate.came().iter().filter(|(other, _)| *other == id).count(), 1, "answer {number}");
+        *gate.response.lock().expect("lock is not poisoned") = answer;
+        let (id, sent) = (format!("g{number}"), Instant::now());
+        // The request may have run, and must not run twice.
+        assert_eq!(sidecar.send_request("confirm", &id, 600), 502, "answer {number}");
+        assert!(sent.elapsed() < ms(1100), "answer {number}: {:?}", sent.elapsed());
+        *gate.response.lock().expect("lock is not poisoned") = OK;
+        assert_eq!(
+            sidecar.send_request("confirm", &format!("{id}-after"), 1500),
+            200,
+            "after answer {number}"
+        );
+        assert_eq!(gate.received().iter().filter(|(other, _)| *other == id).count(), 1, "answer {number}");
     }
 }
 
 #[test]
-fn who_leaves_beside_a_flood_is_seen_to_have_gone() {
-    let (mut plays, mut longest) = (0, ms(0));
-    for way in [Way::Closes, Way::HalfCloses, Way::Resets, Way::FullAhead] {
-        let gate = Gate::closed();
-        let discovery = list_source();
-        let known = many_at(gate.address, 24);
-        let sidecar = Sidecar::start_as(&known, discovery.address, |config| roomy(config, false));
-        let mut callers = Vec::new();
+fn disconnections_during_a_flood_are_noticed_in_time() {
+    let (mut disconnected, mut longest) = (0, ms(0));
+    for departure in
+        [Departure::Closes, Departure::HalfCloses, Departure::Resets, Departure::PipelinesManyRequests]
+    {
+        let gate = Gate::start_closed();
+        let discovery = start_discovery();
+        let known = servers_at(gate.address, 24);
+        let sidecar = Sidecar::start_as(&known, discovery.address, |config| set_long_limits(config, false));
+        let mut clients = Vec::new();
         for number in 0..24 {
-            let mut stream = sidecar.open().expect("a connection");
-            write_as(way, &mut stream, VERBS[number % VERBS.len()], &format!("c{number}"));
-            callers.push(stream);
+            let mut stream = sidecar.connect().expect("failed to connect to the sidecar");
+            write_request(departure, &mut stream, VERBS[number % VERBS.len()], &format!("c{number}"));
+            clients.push(stream);
         }
-        within("all wait for their connections", || dialling(gate.address) == callers.len());
-        let ends = Arc::new(AtomicBool::new(false));
+        wait_until("all requests wait for a connection", || connecting_count(gate.address) == clients.len());
+        let over = Arc::new(AtomicBool::new(false));
         let text = "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n".to_string();
-        let read: Vec<_> = (0..2).map(|_| flood(&sidecar, text.clone(), &ends)).collect();
-        within("the flood is answered", || read.iter().any(|read| read.load(Ordering::Relaxed) > 100_000));
-        plays += callers.len();
-        callers.into_iter().for_each(|stream| leave(way, stream));
-        let (left, before) = (Instant::now(), waited(&sidecar));
+        let read: Vec<_> = (0..2).map(|_| flood(&sidecar, text.clone(), &over)).collect();
+        wait_until("the flood is answered", || {
+            read.iter().any(|read| read.load(Ordering::Relaxed) > 100_000)
+        });
+        disconnected += clients.len();
+        clients.into_iter().for_each(|stream| disconnect(departure, stream));
+        let (left, before) = (Instant::now(), processor_wait(&sidecar));
         loop {
-            let (after, given) = (left.elapsed(), LATE + waited(&sidecar).saturating_sub(before));
-            let dials = dialling(gate.address);
-            if dials == 0 {
+            let (elapsed, bound) =
+                (left.elapsed(), DEPARTURE_BOUND + processor_wait(&sidecar).saturating_sub(before));
+            let connecting = connecting_count(gate.address);
+            if connecting == 0 {
                 break;
             }
-            longest = longest.max(after);
-            assert!(after <= given, "{way:?}: {dials} dial on {after:?} after their callers had gone");
+            longest = longest.max(elapsed);
+            assert!(
+                elapsed <= bound,
+                "{departure:?}: {connecting} still connecting {elapsed:?} after the disconnection"
+            );
         }
-        ends.store(true, Ordering::Relaxed);
+        over.store(true, Ordering::Relaxed);
     }
-    println!("{plays} left, the last dial was seen {longest:?} later");
+    println!("{disconnected} disconnected, last connection attempt seen {longest:?} later");
 }
 
 #[test]
-fn who_leaves_beside_an_answer_without_end_is_seen_to_have_gone() {
-    let ends = Arc::new(AtomicBool::new(false));
-    let (at, gate) = (endless(&ends), Gate::closed());
-    let discovery = list_source();
-    let known = catalog(1, &[("s1", at, "ready")]);
-    let sidecar = Sidecar::start_as(&known, discovery.address, |config| roomy(config, false));
-    let mut stream = sidecar.open().expect("a connection");
-    stream.write_all(cmd("hold", "endless", 3900).as_bytes()).expect("it is written");
+fn disconnections_during_an_endless_response_are_noticed() {
+    let over = Arc::new(AtomicBool::new(false));
+    let (at, gate) = (start_endless_server(&over), Gate::start_closed());
+    let discovery = start_discovery();
+    let known = endpoint_list(1, &[("s1", at, "ready")]);
+    let sidecar = Sidecar::start_as(&known, discovery.address, |config| set_long_limits(config, false));
+    let mut stream = sidecar.connect().expect("failed to connect to the sidecar");
+    stream
+        .write_all(request_text("hold", "endless", 3900).as_bytes())
+        .expect("failed to write to the connection");
     let read = Arc::<AtomicUsize>::default();
-    drain(stream.try_clone().expect("a second hand"), read.clone());
-    within("it is passed on", || read.load(Ordering::Relaxed) > 4 * 1024 * 1024);
+    drain(stream.try_clone().expect("failed to clone the connection"), read.clone());
+    wait_until("the endless response is forwarded", || read.load(Ordering::Relaxed) > 4 * 1024 * 1024);
     let before = discovery.seen().0;
-    discovery.write(2, many_at(gate.address, 24).to_string().replace("\"generation\":1", "\"generation\":2"));
-    within("the list is taken", || discovery.seen().0 > before);
+    discovery
+        .write(2, servers_at(gate.address, 24).to_string().replace("\"generation\":1", "\"generation\":2"));
+    wait_until("the sidecar has the new list", || discovery.seen().0 > before);
     let (mut longest, mut late) = (ms(0), Vec::new());
     for number in 0..60 {
-        let mut stream = sidecar.open().expect("a connection");
-        let text = cmd(VERBS[number % VERBS.len()], &format!("e{number}"), 3900);
-        stream.write_all(text.as_bytes()).expect("it is written");
-        within("it waits for its connection", || dialling(gate.address) > 0);
+        let mut stream = sidecar.connect().expect("failed to connect to the sidecar");
+        let text = request_text(VERBS[number % VERBS.len()], &format!("e{number}"), 3900);
+        stream.write_all(text.as_bytes()).expect("failed to write to the connection");
+        wait_until("the request waits for a connection", || connecting_count(gate.address) > 0);
         drop(stream);
-        let (left, before) = (Instant::now(), waited(&sidecar));
+        let (left, before) = (Instant::now(), processor_wait(&sidecar));
         loop {
-            let (after, given) = (left.elapsed(), LATE + waited(&sidecar).saturating_sub(before));
-            if dialling(gate.address) == 0 {
+            let (elapsed, bound) =
+                (left.elapsed(), DEPARTURE_BOUND + processor_wait(&sidecar).saturating_sub(before));
+            if connecting_count(gate.address) == 0 {
                 break;
             }
-            longest = longest.max(after);
-            if after > given {
-                late.push(after);
+            longest = longest.max(elapsed);
+            if elapsed > bound {
+                late.push(elapsed);
                 break;
             }
         }
-        within("it is given up", || dialling(gate.address) == 0);
+        wait_until("the connection attempt is given up", || connecting_count(gate.address) == 0);
     }
-    ends.store(true, Ordering::Relaxed);
-    println!("60 left, the last dial was seen {longest:?} later");
-    assert!(late.is_empty(), "dials still out 0.1 s after their callers had gone: {late:?}");
+    over.store(true, Ordering::Relaxed);
+    println!("60 disconnected, last connection attempt seen {longest:?} later");
+    assert!(late.is_empty(), "still connecting 0.1 s after the clients disconnected: {late:?}");
 }
--- a/crates/sidecar/tests/gone.rs
+++ b/crates/sidecar/tests/gone.rs
@@ -1,6 +1,6 @@
-//! A caller that has gone: no attempt of its command, first or further, begins more than 0.1 s after its end could be
-//! read. Each play forces one moment of a command, one way of leaving, with the process running or standing still
-//! across it. `docs/endings.md` has the rows.
+//! Clients that disconnect: no attempt of their request, first or later, begins more than 0.1 s after the sidecar could
+//! read the disconnection. Each case combines what the request waits for, how the client disconnects, and whether the
+//! sidecar is stopped meanwhile. `docs/endings.md` lists the cases.
 
 mod helpers;
 
@@ -12,54 +12,63 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const REFUSED: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 2\r\n\r\nno";
-/// The connection ends with no answer.
-const CUT: &[u8] = b"";
-const CALLERS: usize = 24;
-const AT_ONCE: usize = 4;
+const NEVER_RAN: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 2\r\n\r\nno";
+/// An empty response closes the connection.
+const CLOSE: &[u8] = b"";
+const CLIENTS: usize = 24;
+/// Number of cases that run at the same time.
+const PARALLEL_CASES: usize = 4;
 
-/// What a command waits for when its caller leaves.
+/// What a request waits for when its client disconnects.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Moment {
-    /// The connection of its first attempt.
-    First,
-    /// That of a further one, after an attempt that is known not to have run; where the process stands still, the
-    /// word of that attempt's end itself.
-    Refused,
-    /// The same after one that may have run.
-    Cut,
-    /// That of the second of a pair, while the first hangs.
-    Second,
-    /// Its turn: the module holds it.
-    Held,
+enum WaitsFor {
+    /// The connection of the first attempt.
+    FirstConnection,
+    /// The connection of a retry, after an attempt that is known not to have run. If the sidecar is stopped, the response
+    /// of that attempt.
+    RetryAfterRefusal,
+    /// The connection of a retry, after an attempt that may have run. If the sidecar is stopped, the end of that attempt.
+    RetryAfterClose,
+    /// The connection of the second of two parallel attempts, while the first one is unanswered.
+    ParallelConnection,
+    /// Its place among the open requests: the sidecar queues it.
+    Queue,
 }
 
-const MOMENTS: [Moment; 5] = [Moment::First, Moment::Refused, Moment::Cut, Moment::Second, Moment::Held];
-const WAYS: [Way; 4] = [Way::Closes, Way::HalfCloses, Way::Resets, Way::FullAhead];
+const WAITS: [WaitsFor; 5] = [
+    WaitsFor::FirstConnection,
+    WaitsFor::RetryAfterRefusal,
+    WaitsFor::RetryAfterClose,
+    WaitsFor::ParallelConnection,
+    WaitsFor::Queue,
+];
+const DEPARTURES: [Departure; 4] =
+    [Departure::Closes, Departure::HalfCloses, Departure::Resets, Departure::PipelinesManyRequests];
 
 #[derive(Clone, Copy, Debug)]
 struct Case {
-    moment: Moment,
-    way: Way,
+    waits_for: WaitsFor,
+    departure: Departure,
+    /// Whether the sidecar may cancel attempts.
     cancel: bool,
-    /// The process is stopped while callers leave, and what they wait for comes meanwhile.
+    /// Whether the sidecar is stopped while clients disconnect and what they wait for arrives.
     stopped: bool,
 }
 
 #[derive(Default)]
-struct Played {
-    /// So many had an attempt still before them when they left.
-    forced: usize,
+struct Outcome {
+    /// Number of clients that disconnected before an attempt of theirs.
+    disconnected: usize,
     begun_late: usize,
-    dialling_late: usize,
-    /// From when the ends could be read to when the last dial was given up.
+    connecting_late: usize,
+    /// From when the disconnections could be read until the last connection attempt was given up.
     longest: Duration,
-    /// For how long the process was given no processor meanwhile.
-    waited: Duration,
+    /// How long the sidecar waited for a processor during that time.
+    processor_wait: Duration,
 }
 
-/// Until the count has not changed for 60 ms.
-fn settled(count: impl Fn() -> usize) -> usize {
+/// Waits until the count has not changed for 60 ms, and returns it.
+fn wait_until_stable(count: impl Fn() -> usize) -> usize {
     let (mut last, mut since) = (count(), Instant::now());
     while since.elapsed() < ms(60) {
         thread::sleep(ms(5));
@@ -70,167 +79,182 @@
     last
 }
 
-fn say(gate: &Gate, word: &'static [u8]) {
-    *gate.word.lock().expect("a lock") = word;
-    gate.answers.store(true, Ordering::Relaxed);
+fn answer_with(gate: &Gate, response: &'static [u8]) {
+    *gate.response.lock().expect("lock is not poisoned") = response;
+    gate.answering.store(true, Ordering::Relaxed);
 }
 
-fn play(case: Case) -> Played {
-    let Case { moment, way, cancel, stopped } = case;
-    let crosses = stopped && matches!(moment, Moment::Refused | Moment::Cut);
-    // First attempts are at `near`, or go on from there to `far`.
-    let near = Gate::opened();
-    let mut far = if crosses { Gate::opened() } else { Gate::closed() };
-    let names: Vec<String> = (0..CALLERS).map(|number| format!("s{number}")).collect();
+fn run_case(case: Case) -> Outcome {
+    let Case { waits_for, departure, cancel, stopped } = case;
+    let crosses = stopped && matches!(waits_for, WaitsFor::RetryAfterRefusal | WaitsFor::RetryAfterClose);
+    // First attempts go to `near` or `far`; retries go from `near` on to `far`.
+    let near = Gate::start_open();
+    let mut far = if crosses { Gate::start_open() } else { Gate::start_closed() };
+    let ids: Vec<String> = (0..CLIENTS).map(|number| format!("s{number}")).collect();
     let list = |near_ones: usize, all: usize| {
         let at = |number: usize| if number < near_ones { near.address } else { far.address };
-        let entries = names[..all].iter().enumerate();
-        entries.map(|(number, name)| (name.as_str(), at(number), "ready")).collect::<Vec<_>>()
+        let entries = ids[..all].iter().enumerate();
+        entries.map(|(number, id)| (id.as_str(), at(number), "ready")).collect::<Vec<_>>()
     };
-    let known = match moment {
-        Moment::First => list(0, CALLERS),
-        Moment::Refused | Moment::Cut => list(CALLERS / 2, CALLERS),
-        Moment::Second => list(CALLERS / 2, CALLERS / 2),
-        Moment::Held => list(1, 1),
+    let known = match waits_for {
+        WaitsFor::FirstConnection => list(0, CLIENTS),
+        WaitsFor::RetryAfterRefusal | WaitsFor::RetryAfterClose => list(CLIENTS / 2, CLIENTS),
+        WaitsFor::ParallelConnection => list(CLIENTS / 2, CLIENTS / 2),
+        WaitsFor::Queue => list(1, 1),
     };
-    let discovery = list_source();
-    let sidecar = Sidecar::start_as(&catalog(1, &known), discovery.address, |config| {
-        roomy(config, cancel);
-        config["settings"]["PolicyLimits"]["ParallelTries"] = json!(moment == Moment::Second);
+    let discovery = start_discovery();
+    let sidecar = Sidecar::start_as(&endpoint_list(1, &known), discovery.address, |config| {
+        set_long_limits(config, cancel);
+        config["settings"]["PolicyLimits"]["ParallelTries"] =
+            json!(waits_for == WaitsFor::ParallelConnection);
     });
-    match moment {
-        Moment::Second => {
+    match waits_for {
+        WaitsFor::ParallelConnection => {
             for number in 0..40 {
-                assert_eq!(sidecar.cmd(VERBS[number % 2], &format!("w{number}"), 3900), 200);
+                assert_eq!(sidecar.send_request(VERBS[number % 2], &format!("w{number}"), 3900), 200);
             }
             let before = discovery.seen().0;
-            discovery.write(2, catalog(2, &list(CALLERS / 2, CALLERS)).to_string());
-            within("the list is taken", || discovery.seen().0 > before);
-            near.answers.store(false, Ordering::Relaxed);
+            discovery.write(2, endpoint_list(2, &list(CLIENTS / 2, CLIENTS)).to_string());
+            wait_until("the sidecar has the new list", || discovery.seen().0 > before);
+            near.answering.store(false, Ordering::Relaxed);
         }
-        Moment::Refused if !stopped => say(&near, REFUSED),
-        Moment::Cut if !stopped => say(&near, CUT),
-        _ => near.answers.store(false, Ordering::Relaxed),
+        WaitsFor::RetryAfterRefusal if !stopped => answer_with(&near, NEVER_RAN),
+        WaitsFor::RetryAfterClose if !stopped => answer_with(&near, CLOSE),
+        _ => near.answering.store(false, Ordering::Relaxed),
     }
-    let warm = near.came().len();
-    let mut callers = Vec::new();
-    let mut ask = |number: usize| {
-        let mut stream = sidecar.open().expect("a connection");
-        write_as(way, &mut stream, VERBS[number % VERBS.len()], &format!("c{number}"));
-        callers.push(stream);
+    let warm_up = near.received().len();
+    let mut clients = Vec::new();
+    let mut send_next = |number: usize| {
+        let mut stream = sidecar.connect().expect("failed to connect to the sidecar");
+        write_request(departure, &mut stream, VERBS[number % VERBS.len()], &format!("c{number}"));
+        clients.push(stream);
     };
-    (0..CALLERS).for_each(&mut ask);
-    let forced = match moment {
-        Moment::First => {
-            within("all wait for their connections", || dialling(far.address) == CALLERS);
-            CALLERS
+    (0..CLIENTS).for_each(&mut send_next);
+    let disconnected = match waits_for {
+        WaitsFor::FirstConnection => {
+            wait_until("all requests wait for a connection", || connecting_count(far.address) == CLIENTS);
+            CLIENTS
         }
-        Moment::Held => {
-            within("the first ones are out", || near.came().len() >= 2);
-            CALLERS - settled(|| near.came().len())
+        WaitsFor::Queue => {
+            wait_until("two requests have reached the server", || near.received().len() >= 2);
+            CLIENTS - wait_until_stable(|| near.received().len())
         }
         _ if crosses => {
-            within("first attempts are out", || near.came().len() > warm);
-            settled(|| near.came().len())
+            wait_until("a first attempt has reached the server", || near.received().len() > warm_up);
+            wait_until_stable(|| near.received().len())
         }
         _ => {
-            // How many of them go on to `far` is chance: more are asked for until four wait there.
-            let (begun, mut more) = (Instant::now(), CALLERS..2 * CALLERS);
-            within("some wait for their connections", || {
-                let enough = dialling(far.address) >= 4;
+            // The balancer picks servers at random: more requests follow until four attempts wait for `far`.
+            let (begun, mut more) = (Instant::now(), CLIENTS..2 * CLIENTS);
+            wait_until("four attempts wait for a connection to `far`", || {
+                let enough = connecting_count(far.address) >= 4;
                 if !enough && begun.elapsed() > ms(25) {
-                    more.next().into_iter().for_each(&mut ask);
+                    more.next().into_iter().for_each(&mut send_next);
                 }
                 enough
             });
-            settled(|| dialling(far.address))
+            wait_until_stable(|| connecting_count(far.address))
         }
     };
-    assert!(near.came().len() > warm || moment == Moment::First, "{case:?}: first attempts are out");
-    assert!(forced > 0, "{case:?}");
+    assert!(
+        near.received().len() > warm_up || waits_for == WaitsFor::FirstConnection,
+        "{case:?}: no first attempt reached the server"
+    );
+    assert!(disconnected > 0, "{case:?}");
     if stopped {
-        stop(&sidecar);
+        pause(&sidecar);
     }
-    callers.into_iter().for_each(|stream| leave(way, stream));
-    match moment {
+    clients.into_iter().for_each(|stream| disconnect(departure, stream));
+    match waits_for {
         _ if !stopped => {}
-        Moment::First | Moment::Second => {
+        WaitsFor::FirstConnection | WaitsFor::ParallelConnection => {
             far.open();
-            within("their connections come up", || dialling(far.address) == 0);
+            wait_until("the connections are established", || connecting_count(far.address) == 0);
         }
-        Moment::Refused => say(&near, REFUSED),
-        Moment::Cut => say(&near, CUT),
-        Moment::Held => say(&near, OK),
+        WaitsFor::RetryAfterRefusal => answer_with(&near, NEVER_RAN),
+        WaitsFor::RetryAfterClose => answer_with(&near, CLOSE),
+        WaitsFor::Queue => answer_with(&near, OK),
     }
     if stopped {
-        thread::sleep(LATE + ms(20));
-        go_on(&sidecar);
+        thread::sleep(DEPARTURE_BOUND + ms(20));
+        resume(&sidecar);
     }
-    // From here on the ends can be read, as far as the process is given time.
-    let (readable, before) = (Instant::now(), waited(&sidecar));
-    let given = || LATE + waited(&sidecar).saturating_sub(before);
-    let mut dialling_late = dialling(far.address);
+    // From here on the sidecar can read the disconnections, as far as it gets processor time.
+    let (readable, before) = (Instant::now(), processor_wait(&sidecar));
+    let bound = || DEPARTURE_BOUND + processor_wait(&sidecar).saturating_sub(before);
+    let mut connecting_late = connecting_count(far.address);
     let mut longest = Duration::ZERO;
-    while dialling_late > 0 && readable.elapsed() < given() {
+    while connecting_late > 0 && readable.elapsed() < bound() {
         thread::sleep(ms(2));
-        dialling_late = dialling(far.address);
+        connecting_late = connecting_count(far.address);
         longest = readable.elapsed();
     }
-    let waited = given() - LATE;
-    thread::sleep((LATE + ms(20)).saturating_sub(readable.elapsed()));
-    if !stopped && moment != Moment::Held {
+    let processor_wait = bound() - DEPARTURE_BOUND;
+    thread::sleep((DEPARTURE_BOUND + ms(20)).saturating_sub(readable.elapsed()));
+    if !stopped && waits_for != WaitsFor::Queue {
         far.open();
     }
-    say(&near, OK);
-    thread::sleep(LOOKED_FOR.saturating_sub(readable.elapsed()));
-    let late = |gate: &Gate| gate.came().iter().filter(|(_, at)| *at > readable + LATE + waited).count();
+    answer_with(&near, OK);
+    thread::sleep(DIAL_RETRY_WAIT.saturating_sub(readable.elapsed()));
+    let late = |gate: &Gate| {
+        gate.received().iter().filter(|(_, at)| *at > readable + DEPARTURE_BOUND + processor_wait).count()
+    };
     let begun_late = late(&near) + late(&far);
     far.open();
-    let asked = AtomicUsize::new(0);
-    within("it serves on", || {
-        let number = asked.fetch_add(1, Ordering::Relaxed);
-        sidecar.cmd("view", &format!("on{number}"), 1500) == 200
+    let next_id = AtomicUsize::new(0);
+    wait_until("requests are still answered", || {
+        let number = next_id.fetch_add(1, Ordering::Relaxed);
+        sidecar.send_request("view", &format!("on{number}"), 1500) == 200
     });
-    Played { forced, begun_late, dialling_late, longest, waited }
+    Outcome { disconnected, begun_late, connecting_late, longest, processor_wait }
 }
 
-fn every_case(cancel: bool, stopped: bool) -> usize {
-    let cases = MOMENTS.into_iter().flat_map(|moment| WAYS.map(|way| Case { moment, way, cancel, stopped }));
-    let left: Arc<Mutex<Vec<Case>>> = Arc::new(Mutex::new(cases.collect()));
-    let (all, wrong) = (Arc::new(AtomicUsize::new(0)), Arc::new(Mutex::new(Vec::new())));
-    let mut players = Vec::new();
-    for _ in 0..AT_ONCE {
-        let (left, all, wrong) = (left.clone(), all.clone(), wrong.clone());
-        players.push(thread::spawn(move || {
-            while let Some(case) = { left.lock().expect("a lock").pop() } {
-                let Played { forced, begun_late, dialling_late, longest, waited } = play(case);
+/// Runs all cases of this kind and returns how many clients disconnected before an attempt of theirs.
+fn run_all_cases(cancel: bool, stopped: bool) -> usize {
+    let cases = WAITS
+        .into_iter()
+        .flat_map(|waits_for| DEPARTURES.map(|departure| Case { waits_for, departure, cancel, stopped }));
+    let remaining: Arc<Mutex<Vec<Case>>> = Arc::new(Mutex::new(cases.collect()));
+    let (all, failures) = (Arc::new(AtomicUsize::new(0)), Arc::new(Mutex::new(Vec::new())));
+    let mut runners = Vec::new();
+    for _ in 0..PARALLEL_CASES {
+        let (remaining, all, failures) = (remaining.clone(), all.clone(), failures.clone());
+        runners.push(thread::spawn(move || {
+            while let Some(case) = { remaining.lock().expect("lock is not poisoned").pop() } {
+                let Outcome { disconnected, begun_late, connecting_late, longest, processor_wait } = run_case(case);
                 println!(
-                    "{case:?}: {forced} forced, {begun_late} begun late, {dialling_late} dialling late, \
-                     the last dial given up after {longest:?}, without a processor {waited:?}"
+                    "{case:?}: {disconnected} disconnected, {begun_late} attempts begun late, {connecting_late} connecting late, \
+                     last connection given up after {longest:?}, waited for a processor {processor_wait:?}"
                 );
-                all.fetch_add(forced, Ordering::Relaxed);
-                if begun_late + dialling_late > 0 {
-                    wrong.lock().expect("a lock").push(format!("{case:?}: {begun_late}, {dialling_late}"));
+                all.fetch_add(disconnected, Ordering::Relaxed);
+                if begun_late + connecting_late > 0 {
+                    failures
+                        .lock()
+                        .expect("lock is not poisoned")
+                        .push(format!("{case:?}: {begun_late}, {connecting_late}"));
                 }
             }
         }));
     }
-    players.into_iter().for_each(|player| player.join().expect("the plays end"));
-    let wrong = wrong.lock().expect("a lock");
-    assert!(wrong.is_empty(), "begun, or still dialling, 0.1 s after their callers had gone: {wrong:?}");
+    runners.into_iter().for_each(|runner| runner.join().expect("case runner thread panicked"));
+    let failures = failures.lock().expect("lock is not poisoned");
+    assert!(
+        failures.is_empty(),
+        "attempts begun, or still connecting, 0.1 s after their clients disconnected: {failures:?}"
+    );
     all.load(Ordering::Relaxed)
 }
 
 #[test]
-fn nothing_begins_for_a_caller_that_has_gone() {
-    let mut forced = 0;
+fn no_attempt_begins_for_a_disconnected_client() {
+    let mut disconnected = 0;
     for cancel in [true, false] {
         for stopped in [false, true] {
-            let count = every_case(cancel, stopped);
-            println!("cancelling allowed: {cancel}, stopped across it: {stopped}: {count} forced");
-            forced += count;
+            let count = run_all_cases(cancel, stopped);
+            println!("cancelling allowed: {cancel}, stopped across it: {stopped}: {count} disconnected");
+            disconnected += count;
         }
     }
-    println!("{forced} forced");
-    assert!(forced >= 1000, "{forced} forced");
+    println!("{disconnected} disconnected");
+    assert!(disconnected >= 1000, "{disconnected} disconnected");
 }
--- a/crates/sidecar/tests/helpers/mod.rs
+++ b/crates/sidecar/tests/helpers/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests over sockets share: the program as a child, its configuration, the lab's stand-ins.
-#![allow(dead_code)] // each test program uses a part
+//! Helpers shared by the process tests: the sidecar as a child process, its configuration, and the lab's test servers.
+#![allow(dead_code)] // each test program uses only some of the helpers
 
 pub mod gate;
 
@@ -13,25 +13,29 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-pub const BOUNDED: Duration = Duration::from_secs(5);
+/// Longest wait for a condition, and the read timeout of client connections.
+pub const WAIT_BOUND: Duration = Duration::from_secs(5);
 
 pub fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
-pub fn free() -> TcpListener {
-    sockets::free().expect("a free port")
+/// A listener at an unused port of 127.0.0.1.
+pub fn bind_unused_port() -> TcpListener {
+    sockets::free().expect("failed to bind to an unused port")
 }
 
-pub fn endpoint(does: Does) -> Scripted {
-    Scripted::start(does).expect("a stand-in")
+pub fn start_endpoint(does: Does) -> Scripted {
+    Scripted::start(does).expect("failed to start the test endpoint")
 }
 
-pub fn list_source() -> Arc<Discovery> {
-    Discovery::written().expect("a stand-in")
+/// A test discovery whose endpoint list is set by `write`.
+pub fn start_discovery() -> Arc<Discovery> {
+    Discovery::written().expect("failed to start the test discovery")
 }
 
-pub fn catalog(generation: u64, entries: &[(&str, SocketAddr, &str)]) -> Value {
+/// An answer of discovery: the complete list of this generation with the id, address and lifecycle state of each server.
+pub fn endpoint_list(generation: u64, entries: &[(&str, SocketAddr, &str)]) -> Value {
     let entry = |(id, address, state): &(&str, SocketAddr, &str)| {
         json!({"instanceId": id, "hostPort": address.to_string(), "zone": "here", "machineType": "m",
             "cell": 1, "lifecycle": state, "weight": 1.0, "startedAtMs": 0})
@@ -40,17 +44,18 @@
         "instances": entries.iter().map(entry).collect::<Vec<_>>()})
 }
 
-pub fn verb(name: &str, effect: &str) -> Value {
+fn verb_settings(name: &str, effect: &str) -> Value {
     json!({"Name": name, "Effect": effect, "KeyScope": "all", "MemorySpan": 2_000_000, "TimeLimit": 2_000_000,
         "ResponseGoal": 1_000_000, "Utility": 1.0, "OverdueUtility": 0.0})
 }
 
-pub fn told(known: &Value, listen: SocketAddr, discovery: SocketAddr) -> Value {
+/// The default configuration of a sidecar in these tests.
+pub fn sidecar_config(known: &Value, listen: SocketAddr, discovery: SocketAddr) -> Value {
     json!({"name": "n1", "listen": listen.to_string(), "discovery": discovery.to_string(), "seed": "8c1f",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 80}, "known": known,
         "settings": {"Balancers": 1, "Discovery": "subscribe", "Localities": ["here"], "MyZone": 0, "Tier": 0,
-            "Resolution": 1000, "Verbs": [verb("view", "idempotent"), verb("hold", "deduplicated"),
-                verb("confirm", "at_most_once")],
+            "Resolution": 1000, "Verbs": [verb_settings("view", "idempotent"), verb_settings("hold", "deduplicated"),
+                verb_settings("confirm", "at_most_once")],
             "Tenants": [{"Name": "acme", "QuotaRps": 1000.0, "Share": 1.0}],
             "PolicyLimits": {"MayCancel": true, "Probes": true, "MostRelays": 6, "ConnIdle": 30_000_000,
                 "DialTimeout": 100_000, "RetryAfter": true, "MaxRetryAfter": 2_500_000, "MaxOpen": 1000},
@@ -58,10 +63,11 @@
                 "DrainGrace": 2_500_000, "AskEvery": 10_000_000, "AnswerSlack": 20_000}}})
 }
 
+/// A sidecar process. Dropping it kills the process and removes its configuration and log files.
 pub struct Sidecar {
     pub address: SocketAddr,
     pub child: Child,
-    pub file: PathBuf,
+    pub config_file: PathBuf,
 }
 
 impl Sidecar {
@@ -69,132 +75,155 @@
         Sidecar::start_as(known, discovery, |_| {})
     }
 
-    /// Its configuration may be changed before it starts.
+    /// Starts a sidecar whose configuration was edited by `change`, and waits until it is ready.
     pub fn start_as(known: &Value, discovery: SocketAddr, change: impl FnOnce(&mut Value)) -> Sidecar {
-        let address = nobody();
-        let file = std::env::temp_dir().join(format!("landingspread-{address}.json"));
-        let mut config = told(known, address, discovery);
+        let address = unused_address();
+        let config_file = std::env::temp_dir().join(format!("landingspread-{address}.json"));
+        let mut config = sidecar_config(known, address, discovery);
         change(&mut config);
-        let mut sidecar = Sidecar::spawn(address, file, &config, &[]);
+        let mut sidecar = Sidecar::spawn(address, config_file, &config, &[]);
         sidecar.wait_ready();
         sidecar
     }
 
-    /// One that ends, or does not answer in time, is told with its log and with what the system gave it: a process that
-    /// stood in the queue for a processor is told apart from one that waited for something else.
+    /// Fails with the log and the scheduling statistics of a process that exits or is not ready in time. The statistics
+    /// show whether it was waiting for a processor or for something else.
     pub fn wait_ready(&mut self) {
         let begun = Instant::now();
         while self.status("GET /_health HTTP/1.1\r\n\r\n") != Some(200) {
-            let in_time = self.running() && begun.elapsed() < BOUNDED;
-            assert!(in_time, "it is not ready after {:?}: {}", begun.elapsed(), self.account());
+            let in_time = self.running() && begun.elapsed() < WAIT_BOUND;
+            assert!(in_time, "sidecar is not ready after {:?}: {}", begun.elapsed(), self.diagnostics());
             thread::sleep(ms(5));
         }
     }
 
-    /// How long it ran and how long it was queued for a processor, in nanoseconds, and its log.
-    pub fn account(&self) -> String {
+    /// Time running and time waiting for a processor (both in nanoseconds), number of time slices, and the log.
+    pub fn diagnostics(&self) -> String {
         let read = |path: PathBuf| std::fs::read_to_string(path).unwrap_or_default();
-        let scheduled = read(format!("/proc/{}/schedstat", self.child.id()).into());
-        format!("ran, queued, turns: {}\n{}", scheduled.trim(), read(self.log()))
+        let schedstat = read(format!("/proc/{}/schedstat", self.child.id()).into());
+        format!("running ns, waiting ns, time slices: {}\n{}", schedstat.trim(), read(self.log()))
     }
 
     fn log(&self) -> PathBuf {
-        self.file.with_extension("log")
+        self.config_file.with_extension("log")
     }
 
-    /// Starts it with these variables besides, and does not wait.
-    pub fn spawn(address: SocketAddr, file: PathBuf, config: &Value, told: &[(&str, String)]) -> Sidecar {
-        std::fs::write(&file, config.to_string()).expect("a file");
-        Sidecar::spawn_by(address, file, told)
+    /// Writes the configuration and starts the process with additional environment variables. Does not wait until it is
+    /// ready.
+    pub fn spawn(
+        address: SocketAddr,
+        config_file: PathBuf,
+        config: &Value,
+        environment: &[(&str, String)],
+    ) -> Sidecar {
+        std::fs::write(&config_file, config.to_string()).expect("failed to write the configuration");
+        Sidecar::spawn_with_file(address, config_file, environment)
     }
 
-    /// The same by a file that is there already.
-    pub fn spawn_by(address: SocketAddr, file: PathBuf, told: &[(&str, String)]) -> Sidecar {
-        let child = started(&file, told);
-        Sidecar { address, child, file }
+    /// Starts the process with an existing configuration file. Does not wait until it is ready.
+    pub fn spawn_with_file(
+        address: SocketAddr,
+        config_file: PathBuf,
+        environment: &[(&str, String)],
+    ) -> Sidecar {
+        let child = spawn_program(&config_file, environment);
+        Sidecar { address, child, config_file }
     }
 
-    /// Begins the next life of one that has ended, and does not wait.
+    /// Starts a new process after the previous one has exited. Does not wait until it is ready.
     pub fn start_again(&mut self) {
-        self.child = started(&self.file, &[]);
+        self.child = spawn_program(&self.config_file, &[]);
     }
 
     pub fn status(&self, text: &str) -> Option<u16> {
-        self.ask(text).map(|(status, _, _)| status)
+        self.send_text(text).map(|(status, _, _)| status)
     }
 
-    pub fn with(servers: &[(&str, SocketAddr)]) -> (Sidecar, Arc<Discovery>) {
+    /// Starts a sidecar that knows these servers, all ready, and a discovery for it.
+    pub fn start_with_servers(servers: &[(&str, SocketAddr)]) -> (Sidecar, Arc<Discovery>) {
         let ready: Vec<_> = servers.iter().map(|(id, address)| (*id, *address, "ready")).collect();
-        let discovery = list_source();
-        (Sidecar::start(&catalog(1, &ready), discovery.address), discovery)
+        let discovery = start_discovery();
+        (Sidecar::start(&endpoint_list(1, &ready), discovery.address), discovery)
     }
 
-    pub fn open(&self) -> Option<TcpStream> {
+    pub fn connect(&self) -> Option<TcpStream> {
         let stream = TcpStream::connect(self.address).ok()?;
-        stream.set_read_timeout(Some(BOUNDED)).ok()?;
+        stream.set_read_timeout(Some(WAIT_BOUND)).ok()?;
         Some(stream)
     }
 
-    pub fn ask(&self, text: &str) -> Option<(u16, Heard, Vec<u8>)> {
-        let mut stream = self.open()?;
-        // What is turned away early may close before all is written.
+    /// Sends these bytes on a new connection and reads one response: its status, its head and its body.
+    pub fn send_text(&self, text: &str) -> Option<(u16, Heard, Vec<u8>)> {
+        let mut stream = self.connect()?;
+        // The sidecar may reject a request and close the connection before all of it is written.
         let _ = stream.write_all(text.as_bytes());
-        answer(&mut stream)
+        read_response(&mut stream)
     }
 
-    pub fn cmd(&self, verb: &str, id: &str, left_ms: u64) -> u16 {
-        self.ask(&cmd(verb, id, left_ms)).expect("a final word").0
+    /// Sends a request that expires in `left_ms` on a new connection and returns the status of its response.
+    pub fn send_request(&self, verb: &str, id: &str, left_ms: u64) -> u16 {
+        self.send_text(&request_text(verb, id, left_ms)).expect("no final response from the sidecar").0
     }
 
-    /// Replaces the configuration and says so.
-    pub fn hang_up(&self, config: &str) {
-        std::fs::write(&self.file, config).expect("a file");
+    /// Replaces the configuration file and sends SIGHUP.
+    pub fn reload(&self, config: &str) {
+        std::fs::write(&self.config_file, config).expect("failed to write the configuration");
         self.signal("-HUP");
         thread::sleep(ms(100));
     }
 
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
-        assert!(Command::new("kill").args([name, &pid]).status().expect("kill runs").success());
+        assert!(Command::new("kill").args([name, &pid]).status().expect("failed to run kill").success());
     }
 
     pub fn running(&mut self) -> bool {
-        self.child.try_wait().expect("a child").is_none()
+        self.child.try_wait().expect("failed to query the sidecar process").is_none()
     }
 }
 
-/// The program by this file, its log beside it.
-fn started(file: &Path, told: &[(&str, String)]) -> Child {
+/// Starts `landingspread serve` with this configuration file; its log goes to the same path with extension `log`.
+fn spawn_program(config_file: &Path, environment: &[(&str, String)]) -> Child {
     let mut program = Command::new(env!("CARGO_BIN_EXE_landingspread"));
-    program.arg("serve").env("NODE_CONFIG", file).env_remove("TMPDIR");
-    program.stderr(std::fs::File::create(file.with_extension("log")).expect("a log"));
-    program.envs(told.iter().map(|(name, text)| (*name, text)));
-    program.spawn().expect("the program starts")
+    program.arg("serve").env("NODE_CONFIG", config_file).env_remove("TMPDIR");
+    program.stderr(
+        std::fs::File::create(config_file.with_extension("log")).expect("failed to create the log file"),
+    );
+    program.envs(environment.iter().map(|(name, text)| (*name, text)));
+    program.spawn().expect("failed to start landingspread")
 }
 
 impl Drop for Sidecar {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.file);
+        let _ = std::fs::remove_file(&self.config_file);
         let _ = std::fs::remove_file(self.log());
     }
 }
 
-/// For how long its thread has been ready to run and was given no processor so far.
-pub fn waited(sidecar: &Sidecar) -> Duration {
+/// Total time that the main thread of the sidecar was runnable and waited for a processor.
+pub fn processor_wait(sidecar: &Sidecar) -> Duration {
     let path = format!("/proc/{}/schedstat", sidecar.child.id());
-    let told = std::fs::read_to_string(path).expect("the system tells it");
-    Duration::from_nanos(told.split_whitespace().nth(1).and_then(|text| text.parse().ok()).expect("a figure"))
-}
-
-pub fn answer(stream: &mut TcpStream) -> Option<(u16, Heard, Vec<u8>)> {
+    let schedstat = std::fs::read_to_string(path).expect("failed to read schedstat of the sidecar");
+    Duration::from_nanos(
+        schedstat
+            .split_whitespace()
+            .nth(1)
+            .and_then(|text| text.parse().ok())
+            .expect("second field of schedstat is a number"),
+    )
+}
+
+/// Reads one response: its status, its head and its body. None if the connection ends before it is complete.
+pub fn read_response(stream: &mut TcpStream) -> Option<(u16, Heard, Vec<u8>)> {
     let mut head = Peer::new(stream.try_clone().ok()?).answer().ok()?;
     let body = std::mem::take(&mut head.body);
     Some((head.status()?, head, body))
 }
 
-pub fn cmd(verb: &str, id: &str, left_ms: u64) -> String {
+/// The bytes of a request with a trace id, a customer, and `left_ms` until it expires.
+pub fn request_text(verb: &str, id: &str, left_ms: u64) -> String {
     let common =
         format!("Host: app.svc\r\nX-Trace-Id: {id}\r\nX-Customer: acme\r\nX-Expires-In-Ms: {left_ms}\r\n");
     match verb {
@@ -206,15 +235,16 @@
     }
 }
 
-/// An address where nobody listens, and which a program may be told to listen at.
-pub fn nobody() -> SocketAddr {
+/// An address at which no process listens and which a process may be configured to listen at.
+pub fn unused_address() -> SocketAddr {
     sockets::nobody()
 }
 
-pub fn within(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until the condition holds; panics with its description after `WAIT_BOUND`.
+pub fn wait_until(condition: &str, mut holds: impl FnMut() -> bool) {
     let begun = Instant::now();
     while !holds() {
-        assert!(begun.elapsed() < BOUNDED, "{what}");
+        assert!(begun.elapsed() < WAIT_BOUND, "not within {WAIT_BOUND:?}: {condition}");
         thread::sleep(ms(5));
     }
 }
--- a/crates/sidecar/tests/operator_formats.rs
+++ b/crates/sidecar/tests/operator_formats.rs
@@ -1,5 +1,5 @@
-//! What consoles, control machines and the `followers` command answer and write, against what was answered before: keys of
-//! JSON, texts, heads and files. Figures that differ from run to run stand as `#` or by their type.
+//! The output formats of consoles, control machines and the `followers` command, compared with fixtures: keys of JSON,
+//! texts, response heads and files. Values that differ from run to run appear as `#` or as their type.
 
 mod helpers;
 
@@ -25,18 +25,18 @@
     }
 }
 
-fn program(args: &[&str], file: &Path, config: &str) -> Process {
-    std::fs::write(file, config).expect("a file");
-    let log = std::fs::File::create(file.with_extension("log")).expect("a log");
+fn start_program(args: &[&str], file: &Path, config: &str) -> Process {
+    std::fs::write(file, config).expect("failed to write the file");
+    let log = std::fs::File::create(file.with_extension("log")).expect("failed to create the log file");
     let mut program = Command::new(env!("CARGO_BIN_EXE_landingspread"));
     program.args(args).arg(file).stderr(log).env_remove("TMPDIR");
-    Process(program.spawn().expect("the program starts"))
+    Process(program.spawn().expect("failed to start landingspread"))
 }
 
-/// The whole answer as bytes; the other side closes.
-fn raw(to: SocketAddr, head: &str, body: &str) -> Option<String> {
+/// The whole response as text, head included, up to the end of the connection.
+fn raw_response(to: SocketAddr, head: &str, body: &str) -> Option<String> {
     let mut stream = TcpStream::connect_timeout(&to, ms(1000)).ok()?;
-    stream.set_read_timeout(Some(BOUNDED)).ok()?;
+    stream.set_read_timeout(Some(WAIT_BOUND)).ok()?;
     let length = body.len();
     let text =
         format!("{head} HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}");
@@ -47,13 +47,13 @@
 }
 
 fn json(to: SocketAddr, path: &str) -> Value {
-    let answer = raw(to, &format!("GET {path} HTTP/1.1\r\nAccept: application/json\r\nX: y"), "");
-    let answer = answer.expect("an answer");
-    let (_, body) = answer.split_once("\r\n\r\n").expect("a head");
+    let answer = raw_response(to, &format!("GET {path} HTTP/1.1\r\nAccept: application/json\r\nX: y"), "");
+    let answer = answer.expect("no response");
+    let (_, body) = answer.split_once("\r\n\r\n").expect("response has a head");
     serde_json::from_str(body).unwrap_or_else(|_| panic!("{path}: {answer}"))
 }
 
-/// Keys with the types of their values; short texts as they are.
+/// The keys of a JSON value with the types of their values; strings are kept, with digits masked.
 fn shape(value: &Value) -> String {
     match value {
         Value::Null => "null".into(),
@@ -63,7 +63,7 @@
         Value::String(text) => format!("{:?}", masked(text)),
         Value::Array(items) => format!("[{}]", items.iter().map(shape).collect::<Vec<_>>().join(", ")),
         Value::Object(entries) => {
-            // These are known only after a while.
+            // These values are null until the sidecar has measured them.
             let value = |key: &str, value: &Value| match key {
                 "place" | "since_s" => "null or number".into(),
                 _ => shape(value),
@@ -74,7 +74,7 @@
     }
 }
 
-/// Runs of digits as one sign, and digests too.
+/// Replaces each run of digits, and each digest, by one `#`.
 fn masked(text: &str) -> String {
     let mut out = String::new();
     for run in text.split_inclusive(|c: char| !c.is_ascii_alphanumeric()) {
@@ -91,39 +91,41 @@
     out
 }
 
-/// A text whose columns may be filled up with spaces.
+/// Replaces each run of spaces by one, as columns may be padded.
 fn squeezed(text: &str) -> String {
     let words = |line: &str| line.split_whitespace().collect::<Vec<_>>().join(" ");
     text.lines().map(|line| words(line) + "\n").collect()
 }
 
-/// A control machine, and a sidecar of the scope `basket`, each with the files of an earlier process.
-struct World {
+/// A control machine and a sidecar with the scope `basket`, each with the files of an earlier process.
+struct Deployment {
     folder: PathBuf,
     machine: SocketAddr,
     console: SocketAddr,
     _processes: [Process; 2],
 }
 
-impl World {
-    /// `stored` by the machine, `cached` by the sidecar.
-    fn start(stored: bool, cached: bool) -> World {
+impl Deployment {
+    /// Whether the files of the machine (`stored`) and of the sidecar (`cached`) exist.
+    fn start(stored: bool, cached: bool) -> Deployment {
         static NUMBER: AtomicU32 = AtomicU32::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
         let folder =
             std::env::temp_dir().join(format!("landingspread-formats-{}-{number}", std::process::id()));
         let (state, kept) = (folder.join("machine-state"), folder.join("n-1_.control"));
         let _ = std::fs::remove_dir_all(&folder);
-        std::fs::create_dir_all(&state).expect("a folder");
+        std::fs::create_dir_all(&state).expect("failed to create the directory");
         for (_, path) in [(stored, state.join("basket.json")), (cached, kept)].iter().filter(|(is, _)| *is) {
-            std::fs::write(path, SNAPSHOT).expect("a file");
+            std::fs::write(path, SNAPSHOT).expect("failed to write the file");
         }
-        let [machine, listen, console] = std::array::from_fn(|_| nobody());
-        let (held, fleet) = free_datagrams().expect("a port");
-        drop(held);
+        let [machine, listen, console] = std::array::from_fn(|_| unused_address());
+        let (socket, fleet) = free_datagrams().expect("failed to bind a UDP socket");
+        drop(socket);
         let config = format!("listen = \"{machine}\"\nmachines = [\"{machine}\"]\nstate = {state:?}\n");
-        let control = program(&["control"], &folder.join("machine.toml"), &config);
-        within("the machine answers", || raw(machine, "GET /control/v1/digest", "").is_some());
+        let control = start_program(&["control"], &folder.join("machine.toml"), &config);
+        wait_until("the control machine answers", || {
+            raw_response(machine, "GET /control/v1/digest", "").is_some()
+        });
         let config = format!(
             "name = \"n-1/\"\nlisten = \"{listen}\"\nconsole = \"{console}\"\nseed = 7\nstate = {folder:?}\n\
              zones = [\"a\", \"b\"]\n[fleet]\nlisten = \"{fleet}\"\n[localities]\n\
@@ -131,21 +133,22 @@
              [[verbs]]\nname = \"view\"\nrepeats = \"pure\"\ngoal = \"1s\"\nlimit = \"2s\"\n\
              [[servers]]\nid = \"s1\"\naddress = \"{listen}\"\n"
         );
-        let sidecar = program(&["serve", "--file"], &folder.join("sidecar.toml"), &config);
-        within("the sidecar is ready", || {
-            raw(console, "GET /status", "").is_some_and(|text| text.ends_with("\r\n\r\nserving\n"))
+        let sidecar = start_program(&["serve", "--file"], &folder.join("sidecar.toml"), &config);
+        wait_until("the sidecar is ready", || {
+            raw_response(console, "GET /status", "").is_some_and(|text| text.ends_with("\r\n\r\nserving\n"))
         });
-        World { folder, machine, console, _processes: [control, sidecar] }
+        Deployment { folder, machine, console, _processes: [control, sidecar] }
     }
 }
 
-impl Drop for World {
+impl Drop for Deployment {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// The calls in their order; what is published by one is seen by the next ones.
+/// The calls in order: the process called, whether JSON is accepted, request line and body. A call sees what earlier calls
+/// have published.
 const CALLS: [(&str, bool, &str, &str); 34] = [
     ("machine", false, "GET /control/v1/digest", ""),
     ("machine", false, "GET /control/v1/versions", ""),
@@ -184,15 +187,17 @@
 ];
 
 #[test]
-fn answers_have_the_form_of_the_fixture() {
-    let world = World::start(true, true);
-    within("the sidecar has called", || json(world.console, "/control")["answered_ms_ago"].is_u64());
-    let mut told = String::new();
-    for (whom, as_json, call, body) in CALLS {
-        let to = if whom == "machine" { world.machine } else { world.console };
+fn responses_have_the_format_of_the_fixture() {
+    let deployment = Deployment::start(true, true);
+    wait_until("the sidecar has polled the control machine", || {
+        json(deployment.console, "/control")["answered_ms_ago"].is_u64()
+    });
+    let mut transcript = String::new();
+    for (process, as_json, call, body) in CALLS {
+        let to = if process == "machine" { deployment.machine } else { deployment.console };
         let accept = if as_json { " HTTP/1.1\r\nAccept: application/json\r\nX: y" } else { "" };
-        let answer = raw(to, &format!("{call}{accept}"), body).expect("an answer");
-        let (head, body) = answer.split_once("\r\n\r\n").expect("a head");
+        let answer = raw_response(to, &format!("{call}{accept}"), body).expect("no response");
+        let (head, body) = answer.split_once("\r\n\r\n").expect("response has a head");
         let body = match serde_json::from_str::<Value>(body) {
             Ok(value) if !value.is_number() => shape(&value) + "\n",
             _ if call.ends_with("/fleet") => squeezed(&masked(body)).replace("none yet", "#"),
@@ -200,58 +205,72 @@
         };
         // Writing to a String cannot fail.
         let _ = writeln!(
-            told,
-            "> {whom} {call}{}\n{}\n{body}",
+            transcript,
+            "> {process} {call}{}\n{}\n{body}",
             if as_json { " as JSON" } else { "" },
             masked(head)
         );
     }
-    let told = told.replace("\r\n", "\n");
+    let transcript = transcript.replace("\r\n", "\n");
     if std::env::var_os("WRITE_FIXTURES").is_some() {
-        std::fs::write("tests/fixtures/control/answers.txt", &told).expect("it is written");
+        std::fs::write("tests/fixtures/control/answers.txt", &transcript)
+            .expect("failed to write the fixture");
         return;
     }
-    for (now, before) in told.lines().zip(FIXTURE.lines()) {
-        assert_eq!(now, before, "all of it: {told}");
+    for (line, expected) in transcript.lines().zip(FIXTURE.lines()) {
+        assert_eq!(line, expected, "whole transcript: {transcript}");
     }
-    assert_eq!(told.lines().count(), FIXTURE.lines().count());
+    assert_eq!(transcript.lines().count(), FIXTURE.lines().count());
 }
 
 #[test]
-fn stored_files_of_the_fixture_are_restored_and_new_ones_have_their_form() {
-    let snapshot: Value = serde_json::from_str(SNAPSHOT).expect("JSON");
-    let cached = World::start(false, true);
-    let told = json(cached.console, "/control");
-    let in_force = (&told["in_force"]["version"], &told["in_force"]["contents"]);
+fn stored_files_are_restored_and_rewritten_in_the_same_format() {
+    let snapshot: Value = serde_json::from_str(SNAPSHOT).expect("body is valid JSON");
+    let cached = Deployment::start(false, true);
+    let status = json(cached.console, "/control");
+    let in_force = (&status["in_force"]["version"], &status["in_force"]["contents"]);
     assert_eq!(in_force, (&snapshot["version"], &snapshot["set"]));
     drop(cached);
-    let world = World::start(true, false);
-    let answer = raw(world.machine, "GET /control/v1/snapshot?scope=basket", "").expect("an answer");
+    let deployment = Deployment::start(true, false);
+    let answer =
+        raw_response(deployment.machine, "GET /control/v1/snapshot?scope=basket", "").expect("no response");
     assert!(answer.ends_with(&format!("\r\n\r\n{SNAPSHOT}")), "{answer}");
-    let put = format!("PUT /control/v1/scopes/basket?base={}", snapshot["version"].as_str().expect("one"));
-    let answer = raw(world.machine, &put, "{\"verbs.view.goal\": \"300ms\"}").expect("an answer");
+    let put = format!(
+        "PUT /control/v1/scopes/basket?base={}",
+        snapshot["version"].as_str().expect("version is a string")
+    );
+    let answer =
+        raw_response(deployment.machine, &put, "{\"verbs.view.goal\": \"300ms\"}").expect("no response");
     assert!(answer.contains("\"machines\":1"), "{answer}");
-    let stored = world.folder.join("machine-state/basket.json");
-    within("it is stored", || std::fs::read_to_string(&stored).is_ok_and(|text| text.contains("300ms")));
-    let stored = std::fs::read_to_string(&stored).expect("a file");
-    let answer = raw(world.machine, "GET /control/v1/snapshot?scope=basket", "").expect("an answer");
+    let stored = deployment.folder.join("machine-state/basket.json");
+    wait_until("the control machine stores the new version", || {
+        std::fs::read_to_string(&stored).is_ok_and(|text| text.contains("300ms"))
+    });
+    let stored = std::fs::read_to_string(&stored).expect("failed to read the stored file");
+    let answer =
+        raw_response(deployment.machine, "GET /control/v1/snapshot?scope=basket", "").expect("no response");
     assert!(answer.ends_with(&format!("\r\n\r\n{stored}")), "{answer}");
-    let cached = world.folder.join("n-1_.control");
-    within("the sidecar caches it", || std::fs::read_to_string(&cached).is_ok_and(|text| text == stored));
+    let cached = deployment.folder.join("n-1_.control");
+    wait_until("the sidecar caches the new version", || {
+        std::fs::read_to_string(&cached).is_ok_and(|text| text == stored)
+    });
 }
 
 #[test]
 fn followers_print_the_lines_that_the_lab_reads() {
-    let world = World::start(false, false);
-    let machines = format!("{}=north", world.machine);
+    let deployment = Deployment::start(false, false);
+    let machines = format!("{}=north", deployment.machine);
     let mut command = Command::new(env!("CARGO_BIN_EXE_landingspread"));
     command.args(["followers", "--count", "1", "--scopes", "1", "--machines", &machines]);
-    raw(world.machine, "PUT /control/v1/scopes/s0?base=none", "{\"a\": \"1\"}").expect("an answer");
+    raw_response(deployment.machine, "PUT /control/v1/scopes/s0?base=none", "{\"a\": \"1\"}")
+        .expect("no response");
     let child = command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::null()).spawn();
-    let mut process = Process(child.expect("the program starts"));
-    let lines = BufReader::new(process.0.stdout.take().expect("a pipe")).lines().map_while(Result::ok);
-    let mut forms: Vec<String> = lines.take(3).map(|line| masked(&line)).collect();
-    forms.sort();
-    forms.dedup();
-    assert_eq!(forms, ["counted # # #", "enforced # # #.#.#"]);
+    let mut process = Process(child.expect("failed to start landingspread"));
+    let lines = BufReader::new(process.0.stdout.take().expect("standard output is a pipe"))
+        .lines()
+        .map_while(Result::ok);
+    let mut formats: Vec<String> = lines.take(3).map(|line| masked(&line)).collect();
+    formats.sort();
+    formats.dedup();
+    assert_eq!(formats, ["counted # # #", "enforced # # #.#.#"]);
 }
--- a/crates/sidecar/tests/operators.rs
+++ b/crates/sidecar/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The console, maintenance and the upgrade, over sockets as operators and the platform meet them.
+//! The console, maintenance commands and rolling upgrades of real processes, as operators and the platform use them.
 
 mod helpers;
 
@@ -15,42 +15,38 @@
 use std::thread;
 use std::time::Instant;
 
-fn address() -> SocketAddr {
-    nobody()
-}
-
-/// One call; an answer later than a second counts as none.
+/// The status of one console call. None if no response came within a second.
 fn call(console: SocketAddr, text: &str) -> Option<u16> {
     let mut stream = TcpStream::connect(console).ok()?;
     stream.set_read_timeout(Some(ms(1000))).ok()?;
     stream.write_all(text.as_bytes()).ok()?;
-    answer(&mut stream).map(|(status, _, _)| status)
+    read_response(&mut stream).map(|(status, _, _)| status)
 }
 
 fn status(console: SocketAddr) -> Option<u16> {
     call(console, "GET /status HTTP/1.1\r\nHost: x\r\n\r\n")
 }
 
-fn maintenance(console: SocketAddr, what: &str, id: &str) -> Option<u16> {
+fn maintenance(console: SocketAddr, action: &str, id: &str) -> Option<u16> {
     let length = id.len();
-    call(console, &format!("PUT /maintenance/{what} HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{id}"))
+    call(console, &format!("PUT /maintenance/{action} HTTP/1.1\r\nContent-Length: {length}\r\n\r\n{id}"))
 }
 
-fn ready_catalog(entries: &[(&str, SocketAddr)], generation: u64) -> Value {
+fn ready_endpoint_list(entries: &[(&str, SocketAddr)], generation: u64) -> Value {
     let entries: Vec<_> = entries.iter().map(|(id, address)| (*id, *address, "ready")).collect();
-    catalog(generation, &entries)
+    endpoint_list(generation, &entries)
 }
 
 #[test]
-fn console_answers_within_a_second_under_full_load_and_idle_connections() {
-    let slow = endpoint(Does::Wait(1500));
-    let console = address();
-    let discovery = list_source();
-    let known = ready_catalog(&[("s1", slow.address)], 1);
+fn console_answers_within_1_s_under_load_and_idle_connections() {
+    let slow = start_endpoint(Does::Wait(1500));
+    let console = unused_address();
+    let discovery = start_discovery();
+    let known = ready_endpoint_list(&[("s1", slow.address)], 1);
     let sidecar =
-        Sidecar::start_as(&known, discovery.address, |told| told["console"] = json!(console.to_string()));
-    within("the console answers", || status(console) == Some(200));
-    let idle: Vec<_> = (0..150).filter_map(|_| sidecar.open()).collect();
+        Sidecar::start_as(&known, discovery.address, |config| config["console"] = json!(console.to_string()));
+    wait_until("the console answers", || status(console) == Some(200));
+    let idle: Vec<_> = (0..150).filter_map(|_| sidecar.connect()).collect();
     let incomplete: Vec<_> = (0..40)
         .filter_map(|_| {
             let mut stream = TcpStream::connect(console).ok()?;
@@ -60,8 +56,8 @@
         .collect();
     let waiting: Vec<_> = (0..30)
         .filter_map(|number| {
-            let mut stream = sidecar.open()?;
-            stream.write_all(cmd("view", &format!("b{number}"), 1900).as_bytes()).ok()?;
+            let mut stream = sidecar.connect()?;
+            stream.write_all(request_text("view", &format!("b{number}"), 1900).as_bytes()).ok()?;
             Some(stream)
         })
         .collect();
@@ -75,12 +71,12 @@
 
 #[test]
 fn requests_in_all_forms_are_answered_and_others_are_rejected() {
-    let endpoint = endpoint(Does::Answer);
-    let (console, discovery) = (address(), list_source());
-    let known = ready_catalog(&[("s1", endpoint.address)], 1);
+    let endpoint = start_endpoint(Does::Answer);
+    let (console, discovery) = (unused_address(), start_discovery());
+    let known = ready_endpoint_list(&[("s1", endpoint.address)], 1);
     let _sidecar =
-        Sidecar::start_as(&known, discovery.address, |told| told["console"] = json!(console.to_string()));
-    within("the console answers", || status(console) == Some(200));
+        Sidecar::start_as(&known, discovery.address, |config| config["console"] = json!(console.to_string()));
+    wait_until("the console answers", || status(console) == Some(200));
     let cases = [
         (
             "PUT /maintenance/enter HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\ns\r\n1;x\r\n1\r\n0\r\n\r\n",
@@ -95,40 +91,40 @@
         ("GET /elsewhere HTTP/1.1\r\n\r\n", 404),
         ("nonsense\r\n\r\n", 400),
     ];
-    for (text, wanted) in cases {
-        assert_eq!(call(console, text), Some(wanted), "{text:?}");
+    for (text, expected) in cases {
+        assert_eq!(call(console, text), Some(expected), "{text:?}");
     }
     let long =
         format!("PUT /maintenance/enter HTTP/1.1\r\nContent-Length: 40000\r\n\r\n{}", "x".repeat(40_000));
     assert_eq!(call(console, &long), Some(413));
-    let mut waits = TcpStream::connect(console).expect("a connection");
-    waits
+    let mut expecting = TcpStream::connect(console).expect("failed to connect to the console");
+    expecting
         .write_all(b"PUT /maintenance/exit HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
-        .expect("it is written");
-    assert_eq!(answer(&mut waits).map(|(status, _, _)| status), Some(100));
-    waits.write_all(b"s1").expect("it is written");
-    assert_eq!(answer(&mut waits).map(|(status, _, _)| status), Some(200));
+        .expect("failed to write to the connection");
+    assert_eq!(read_response(&mut expecting).map(|(status, _, _)| status), Some(100));
+    expecting.write_all(b"s1").expect("failed to write to the connection");
+    assert_eq!(read_response(&mut expecting).map(|(status, _, _)| status), Some(200));
 }
 
 #[test]
 fn endpoint_in_maintenance_gets_no_requests_until_it_exits() {
-    let endpoints = [(); 2].map(|()| endpoint(Does::Answer));
+    let endpoints = [(); 2].map(|()| start_endpoint(Does::Answer));
     let entries = [("s1", endpoints[0].address), ("s2", endpoints[1].address)];
-    let (console, discovery) = (address(), list_source());
-    let sidecar = Sidecar::start_as(&ready_catalog(&entries, 1), discovery.address, |told| {
-        told["console"] = json!(console.to_string());
-        told["settings"]["Discovery"] = json!("automatic");
+    let (console, discovery) = (unused_address(), start_discovery());
+    let sidecar = Sidecar::start_as(&ready_endpoint_list(&entries, 1), discovery.address, |config| {
+        config["console"] = json!(console.to_string());
+        config["settings"]["Discovery"] = json!("automatic");
     });
-    within("both are used", || {
-        sidecar.cmd("view", &format!("u{}", endpoints[0].count() + endpoints[1].count()), 1500);
+    wait_until("both endpoints receive requests", || {
+        sidecar.send_request("view", &format!("u{}", endpoints[0].count() + endpoints[1].count()), 1500);
         endpoints.iter().all(|endpoint| endpoint.count() > 0)
     });
     assert_eq!(maintenance(console, "enter", "s1"), Some(200));
     let before = endpoints[0].count();
     for (generation, list) in [(2, &entries[..]), (3, &entries[1..]), (4, &entries[..])] {
-        discovery.write(generation, ready_catalog(list, generation).to_string());
+        discovery.write(generation, ready_endpoint_list(list, generation).to_string());
         for number in 0..20 {
-            assert_eq!(sidecar.cmd("view", &format!("m{generation}-{number}"), 1500), 200);
+            assert_eq!(sidecar.send_request("view", &format!("m{generation}-{number}"), 1500), 200);
         }
     }
     assert_eq!(endpoints[0].count(), before);
@@ -136,188 +132,199 @@
     let begun = Instant::now();
     let mut number = 0;
     while endpoints[0].count() == before {
-        assert!(begun.elapsed() < ms(4000), "it is left unused");
+        assert!(begun.elapsed() < ms(4000), "s1 gets no requests 4 s after it left maintenance");
         number += 1;
-        assert_eq!(sidecar.cmd("view", &format!("n{number}"), 1500), 200);
+        assert_eq!(sidecar.send_request("view", &format!("n{number}"), 1500), 200);
         thread::sleep(ms(5));
     }
 }
 
-/// A sidecar whose clients' listener the test holds, as the platform does.
-struct HeldListener {
+/// Processes of one sidecar that inherit the clients' listener from the test, as they do from the platform.
+struct InheritedListener {
     listener: TcpListener,
     folder: PathBuf,
     discovery: Arc<Discovery>,
     known: Value,
 }
 
-impl HeldListener {
-    /// Before these endpoints, s1 and so on.
-    fn before(name: &str, endpoints: &[sockets::Scripted]) -> HeldListener {
+impl InheritedListener {
+    /// The endpoints are named s1, s2 and so on.
+    fn with_endpoints(name: &str, endpoints: &[sockets::Scripted]) -> InheritedListener {
         let ids: Vec<String> = (1..=endpoints.len()).map(|number| format!("s{number}")).collect();
         let entries = ids.iter().zip(endpoints).map(|(id, endpoint)| (id.as_str(), endpoint.address));
-        let known = ready_catalog(&entries.collect::<Vec<_>>(), 1);
-        let discovery = list_source();
+        let known = ready_endpoint_list(&entries.collect::<Vec<_>>(), 1);
+        let discovery = start_discovery();
         discovery.write(1, known.to_string());
-        let listener = free();
-        rustix::io::fcntl_setfd(&listener, rustix::io::FdFlags::empty()).expect("children inherit it");
+        let listener = bind_unused_port();
+        rustix::io::fcntl_setfd(&listener, rustix::io::FdFlags::empty())
+            .expect("failed to clear FD_CLOEXEC of the listener");
         let folder = std::env::temp_dir().join(format!("landingspread-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
-        HeldListener { listener, folder, discovery, known }
+        std::fs::create_dir_all(&folder).expect("failed to create the directory");
+        InheritedListener { listener, folder, discovery, known }
     }
 
-    /// Another process of the sidecar, and its console.
-    fn process(&self) -> (Sidecar, SocketAddr) {
-        let (at, console) = (self.listener.local_addr().expect("an address"), address());
+    /// Starts another process of the sidecar, and returns it with the address of its console.
+    fn start_process(&self) -> (Sidecar, SocketAddr) {
+        let (at, console) =
+            (self.listener.local_addr().expect("listener has a local address"), unused_address());
         let file = self.folder.join(format!("{}.json", console.port()));
-        let mut config = told(&self.known, at, self.discovery.address);
+        let mut config = sidecar_config(&self.known, at, self.discovery.address);
         config["limits"]["sockets"] = json!(256);
-        let told = [
+        let environment = [
             ("NODE_FD", self.listener.as_raw_fd().to_string()),
             ("NODE_CONSOLE", console.to_string()),
             ("TMPDIR", self.folder.display().to_string()),
         ];
-        (Sidecar::spawn(at, file, &config, &told), console)
+        (Sidecar::spawn(at, file, &config, &environment), console)
     }
 
-    fn serving(&self) -> (Sidecar, SocketAddr) {
-        let (sidecar, console) = self.process();
-        within("it says yes", || status(console) == Some(200));
+    /// Starts another process and waits until its console reports that it serves.
+    fn start_serving(&self) -> (Sidecar, SocketAddr) {
+        let (sidecar, console) = self.start_process();
+        wait_until("the console answers 200", || status(console) == Some(200));
         (sidecar, console)
     }
 }
 
-impl Drop for HeldListener {
+impl Drop for InheritedListener {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// A request's id, and the status of its answer.
-type Answered = (String, Option<u16>);
+/// A request's id, and the status of its response or None.
+type Outcome = (String, Option<u16>);
 
-/// Clients that keep their connections while they may, each with one effectful request after another.
+/// Clients that reuse their connections until told to close them, each with one effectful request after another.
 struct BackgroundLoad {
     stopped: Arc<AtomicBool>,
     next_id: Arc<AtomicU32>,
-    callers: Vec<thread::JoinHandle<Vec<Answered>>>,
+    clients: Vec<thread::JoinHandle<Vec<Outcome>>>,
 }
 
 impl BackgroundLoad {
     fn start(at: SocketAddr) -> BackgroundLoad {
         let (stopped, next_id) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU32::new(0)));
-        let caller = |number: usize| {
+        let client = |number: usize| {
             let (stopped, next_id) = (stopped.clone(), next_id.clone());
             thread::spawn(move || send_requests(at, number, &stopped, &next_id))
         };
-        BackgroundLoad { callers: (0..8).map(caller).collect(), stopped, next_id }
+        BackgroundLoad { clients: (0..8).map(client).collect(), stopped, next_id }
     }
 
     fn sent(&self) -> u32 {
         self.next_id.load(Ordering::Relaxed)
     }
 
-    fn end(self) -> Vec<Answered> {
+    fn end(self) -> Vec<Outcome> {
         self.stopped.store(true, Ordering::Relaxed);
-        self.callers.into_iter().flat_map(|caller| caller.join().expect("a caller ends")).collect()
+        self.clients.into_iter().flat_map(|client| client.join().expect("client thread panicked")).collect()
     }
 }
 
-fn send_requests(at: SocketAddr, caller: usize, stopped: &AtomicBool, next_id: &AtomicU32) -> Vec<Answered> {
-    let (mut heard, mut kept) = (Vec::new(), None::<TcpStream>);
+fn send_requests(at: SocketAddr, client: usize, stopped: &AtomicBool, next_id: &AtomicU32) -> Vec<Outcome> {
+    let (mut outcomes, mut idle) = (Vec::new(), None::<TcpStream>);
     while !stopped.load(Ordering::Relaxed) {
-        let mut stream = kept.take().unwrap_or_else(|| {
-            let stream = TcpStream::connect(at).expect("the listener is there");
-            stream.set_read_timeout(Some(BOUNDED)).expect("a time");
+        let mut stream = idle.take().unwrap_or_else(|| {
+            let stream = TcpStream::connect(at).expect("failed to connect to the sidecar");
+            stream.set_read_timeout(Some(WAIT_BOUND)).expect("failed to set the read timeout");
             stream
         });
-        let id = format!("c{caller}-{}", next_id.fetch_add(1, Ordering::Relaxed));
-        let written = stream.write_all(cmd("confirm", &id, 1900).as_bytes());
-        let word = written.ok().and_then(|()| answer(&mut stream));
-        heard.push((id, word.as_ref().map(|(status, _, _)| *status)));
-        kept = word.filter(|(_, head, _)| head.header("connection") != Some("close")).map(|_| stream);
+        let id = format!("c{client}-{}", next_id.fetch_add(1, Ordering::Relaxed));
+        let written = stream.write_all(request_text("confirm", &id, 1900).as_bytes());
+        let response = written.ok().and_then(|()| read_response(&mut stream));
+        outcomes.push((id, response.as_ref().map(|(status, _, _)| *status)));
+        idle = response.filter(|(_, head, _)| head.header("connection") != Some("close")).map(|_| stream);
         thread::sleep(ms(2));
     }
-    heard
+    outcomes
 }
 
-fn assert_none_lost_or_repeated(heard: &[Answered], endpoints: &[sockets::Scripted]) {
-    let lost: Vec<_> = heard.iter().filter(|(_, status)| *status != Some(200)).collect();
-    assert!(lost.is_empty(), "{} of {} commands: {:?}", lost.len(), heard.len(), &lost[..lost.len().min(5)]);
-    let mut ran: BTreeMap<String, usize> = BTreeMap::new();
+fn assert_none_lost_or_repeated(outcomes: &[Outcome], endpoints: &[sockets::Scripted]) {
+    let lost: Vec<_> = outcomes.iter().filter(|(_, status)| *status != Some(200)).collect();
+    assert!(
+        lost.is_empty(),
+        "{} of {} requests without status 200: {:?}",
+        lost.len(),
+        outcomes.len(),
+        &lost[..lost.len().min(5)]
+    );
+    let mut runs: BTreeMap<String, usize> = BTreeMap::new();
     for endpoint in endpoints {
-        for cmd in &endpoint.seen().cmds {
-            *ran.entry(cmd.header("x-trace-id").unwrap_or("").to_string()).or_default() += 1;
+        for request in &endpoint.seen().cmds {
+            *runs.entry(request.header("x-trace-id").unwrap_or("").to_string()).or_default() += 1;
         }
     }
-    assert!(ran.values().all(|times| *times == 1), "a command ran twice");
-    assert!(heard.iter().all(|(id, _)| ran.contains_key(id)));
+    assert!(runs.values().all(|count| *count == 1), "a request ran twice");
+    assert!(outcomes.iter().all(|(id, _)| runs.contains_key(id)));
 }
 
 #[test]
-fn upgrades_under_load_lose_and_repeat_no_request_and_keep_maintenance() {
-    let endpoints = [(); 3].map(|()| endpoint(Does::Answer));
-    let held = HeldListener::before("upgrade", &endpoints);
-    let (mut old, console) = held.serving();
+fn upgrade_under_load_keeps_requests_and_maintenance() {
+    let endpoints = [(); 3].map(|()| start_endpoint(Does::Answer));
+    let listener = InheritedListener::with_endpoints("upgrade", &endpoints);
+    let (mut old, console) = listener.start_serving();
     let load = BackgroundLoad::start(old.address);
-    within("commands flow", || load.sent() > 200);
+    wait_until("the load sends requests", || load.sent() > 200);
     assert_eq!(maintenance(console, "enter", "s3"), Some(200));
-    let left_out = endpoints[2].count();
+    let before = endpoints[2].count();
     for round in 0..2 {
-        let (new, console) = held.serving();
+        let (new, console) = listener.start_serving();
         old.signal("-TERM");
         let begun = Instant::now();
-        within("the old process ends", || !old.running());
-        assert!(begun.elapsed() < ms(2700), "before it would be killed");
-        assert_eq!(old.child.wait().expect("a child").code(), Some(0));
+        wait_until("the old process ends", || !old.running());
+        assert!(begun.elapsed() < ms(2700), "old process ended only after its kill deadline");
+        assert_eq!(old.child.wait().expect("failed to query the sidecar process").code(), Some(0));
         old = new;
         let sent = load.sent();
-        within("commands flow on", || load.sent() > sent + 200);
+        wait_until("the load goes on", || load.sent() > sent + 200);
         assert_eq!(maintenance(console, "enter", "s3"), Some(200), "round {round}");
     }
-    assert!(endpoints[2].count() <= left_out + 8, "but for what was out as the word came");
+    // Requests that were open when maintenance began are counted too.
+    assert!(endpoints[2].count() <= before + 8, "s3 got requests in maintenance");
     assert_none_lost_or_repeated(&load.end(), &endpoints);
 }
 
 #[test]
-fn dying_new_process_leaves_the_old_one_serving_with_its_maintenance_orders() {
-    let endpoints = [(); 2].map(|()| endpoint(Does::Answer));
-    let held = HeldListener::before("half-way", &endpoints);
-    let (mut old, first) = held.serving();
+fn old_process_serves_on_if_a_new_one_dies() {
+    let endpoints = [(); 2].map(|()| start_endpoint(Does::Answer));
+    let listener = InheritedListener::with_endpoints("half-way", &endpoints);
+    let (mut old, first) = listener.start_serving();
     let load = BackgroundLoad::start(old.address);
-    within("commands flow", || load.sent() > 100);
-    // One that dies before it serves, and one that is told of an endpoint first.
-    drop(held.process());
-    let (new, second) = held.serving();
+    wait_until("the load sends requests", || load.sent() > 100);
+    // The first new process dies before it serves; the second one dies after it received a maintenance command.
+    drop(listener.start_process());
+    let (new, second) = listener.start_serving();
     assert_eq!(maintenance(second, "enter", "s2"), Some(200));
     assert_eq!(status(first), Some(200));
     thread::sleep(ms(300));
-    let left_out = endpoints[1].count();
-    let died = load.sent();
+    let before = endpoints[1].count();
+    let sent = load.sent();
     new.signal("-TERM");
-    within("commands flow on", || load.sent() > died + 200);
+    wait_until("the load goes on", || load.sent() > sent + 200);
     assert!(old.running() && status(first) == Some(200));
-    assert_eq!(endpoints[1].count(), left_out, "a word to one process binds the other");
+    assert_eq!(endpoints[1].count(), before, "the old process ignored maintenance set at the new one");
     assert_eq!(maintenance(first, "exit", "s2"), Some(200));
-    within("it is used again", || endpoints[1].count() > left_out);
+    wait_until("s2 receives requests again", || endpoints[1].count() > before);
     assert_none_lost_or_repeated(&load.end(), &endpoints);
 }
 
 #[test]
-fn new_process_serves_with_maintenance_orders_if_the_old_one_is_killed() {
-    let endpoints = [(); 2].map(|()| endpoint(Does::Answer));
-    let held = HeldListener::before("dies-first", &endpoints);
-    let (old, first) = held.serving();
+fn new_process_keeps_maintenance_if_the_old_one_is_killed() {
+    let endpoints = [(); 2].map(|()| start_endpoint(Does::Answer));
+    let listener = InheritedListener::with_endpoints("dies-first", &endpoints);
+    let (old, first) = listener.start_serving();
     assert_eq!(maintenance(first, "enter", "s1"), Some(200));
-    let (new, second) = held.process();
-    // Killed outright, it leaves its record and its files behind.
+    let (new, second) = listener.start_process();
+    // A killed process leaves its record and its files behind.
     old.signal("-KILL");
-    within("the new one says yes", || status(second) == Some(200));
+    wait_until("the new process's console answers 200", || status(second) == Some(200));
     let number = AtomicU32::new(0);
-    let next = || new.status(&cmd("view", &format!("d{}", number.fetch_add(1, Ordering::Relaxed)), 1900));
-    within("it serves", || next() == Some(200));
+    let next =
+        || new.status(&request_text("view", &format!("d{}", number.fetch_add(1, Ordering::Relaxed)), 1900));
+    wait_until("the new process answers requests", || next() == Some(200));
     (0..30).for_each(|_| assert_eq!(next(), Some(200)));
     assert_eq!((endpoints[0].count(), endpoints[1].count() > 30), (0, true));
     assert_eq!(maintenance(second, "exit", "s1"), Some(200));
-    within("s1 is used again", || next() == Some(200) && endpoints[0].count() > 0);
+    wait_until("s1 receives requests again", || next() == Some(200) && endpoints[0].count() > 0);
 }
--- a/crates/sidecar/tests/request_bytes.rs
+++ b/crates/sidecar/tests/request_bytes.rs
@@ -1,5 +1,5 @@
-//! What clients, endpoints and discovery are sent, byte for byte, and the names of all counters, against a fixture.
-//! `UPDATE_FIXTURES=1` writes the fixture anew.
+//! The bytes that the sidecar sends to clients, endpoints and discovery, and the names of all counters, compared with
+//! fixtures. `UPDATE_FIXTURES=1` rewrites the fixtures.
 
 mod helpers;
 
@@ -13,7 +13,7 @@
 
 const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-fn named(head: &str, name: &str) -> Option<String> {
+fn header(head: &str, name: &str) -> Option<String> {
     let line = |line: &str| {
         let (key, value) = line.split_once(':')?;
         key.eq_ignore_ascii_case(name).then(|| value.trim().to_string())
@@ -21,8 +21,8 @@
     head.lines().find_map(line)
 }
 
-/// One message as it came: its head, and a body by its framing; what the end of the connection marks comes with `(end)`.
-fn message(stream: &mut TcpStream) -> Option<String> {
+/// Reads one message, head and body, as its framing says. `(end)` is appended if the end of the connection ends it.
+fn read_message(stream: &mut TcpStream) -> Option<String> {
     let mut text = String::new();
     let mut byte = [0];
     while !text.ends_with("\r\n\r\n") {
@@ -43,10 +43,10 @@
     };
     let bodiless =
         [" 100 ", " 204 "].iter().any(|status| text.lines().next().is_some_and(|line| line.contains(status)));
-    let body = if let Some(length) = named(&text, "content-length") {
-        let length: usize = length.parse().expect("a length");
+    let body = if let Some(length) = header(&text, "content-length") {
+        let length: usize = length.parse().expect("Content-Length is a number");
         rest(&|body| body.len() < length)
-    } else if named(&text, "transfer-encoding").is_some() {
+    } else if header(&text, "transfer-encoding").is_some() {
         rest(&|body| !body.ends_with("0\r\n\r\n"))
     } else if text.starts_with("HTTP/1.1 ") && !bodiless {
         rest(&|_| true)
@@ -56,8 +56,8 @@
     Some(text + &body)
 }
 
-/// Each line with its end made visible; figures that time decides as `#`, addresses by name, a long body by its length.
-fn shown(text: &str, who: &str, sidecar: SocketAddr, other: SocketAddr) -> String {
+/// The message as fixture lines with visible line ends: times are shown as `#`, addresses by name, long bodies by length.
+fn fixture_lines(text: &str, receiver: &str, sidecar: SocketAddr, other: SocketAddr) -> String {
     let text = text.replace(&sidecar.to_string(), "{sidecar}").replace(&other.to_string(), "{address}");
     let line = |line: &str| {
         let timed = ["X-Expires-In-Ms", "Retry-After"].into_iter().any(|name| line.starts_with(name));
@@ -69,49 +69,50 @@
         });
         let shown = line.replace('\r', "\\r").replace('\n', "\\n");
         if shown.contains("xxxxxxxx") {
-            format!("{who} ({} x)\n", text.matches('x').count())
+            format!("{receiver} ({} x)\n", text.matches('x').count())
         } else {
-            format!("{who} {shown}\n")
+            format!("{receiver} {shown}\n")
         }
     };
     text.split_inclusive('\n').map(line).collect()
 }
 
-/// Answers each request with what it is told to and keeps the requests; a health check is kept once. With an empty answer
-/// the connection ends, with "-" it stays without one.
+/// A server that records all requests, and one health check, and answers each with `answer`. If that is empty, it closes
+/// the connection; if it is "-", it sends nothing.
 struct Endpoint {
     address: SocketAddr,
-    came: Arc<Mutex<Vec<String>>>,
+    received: Arc<Mutex<Vec<String>>>,
     check: Arc<Mutex<Option<String>>>,
     answer: Arc<Mutex<String>>,
 }
 
 impl Endpoint {
     fn start() -> Endpoint {
-        let listener = free();
-        let address = listener.local_addr().expect("an address");
+        let listener = bind_unused_port();
+        let address = listener.local_addr().expect("listener has a local address");
         let endpoint =
-            Endpoint { address, came: Arc::default(), check: Arc::default(), answer: Arc::default() };
-        let (came, check, answer) = (endpoint.came.clone(), endpoint.check.clone(), endpoint.answer.clone());
+            Endpoint { address, received: Arc::default(), check: Arc::default(), answer: Arc::default() };
+        let (received, check, answer) =
+            (endpoint.received.clone(), endpoint.check.clone(), endpoint.answer.clone());
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
-                let (came, check, answer) = (came.clone(), check.clone(), answer.clone());
+                let (received, check, answer) = (received.clone(), check.clone(), answer.clone());
                 thread::spawn(move || {
-                    while let Some(text) = message(&mut stream) {
+                    while let Some(text) = read_message(&mut stream) {
                         let is_check = text.starts_with("GET /ping ") || text.starts_with("GET /_load ");
-                        let word = if is_check {
-                            check.lock().expect("a lock").get_or_insert(text);
+                        let response = if is_check {
+                            check.lock().expect("lock is not poisoned").get_or_insert(text);
                             OK.to_string()
                         } else {
-                            came.lock().expect("a lock").push(text);
-                            answer.lock().expect("a lock").clone()
+                            received.lock().expect("lock is not poisoned").push(text);
+                            answer.lock().expect("lock is not poisoned").clone()
                         };
-                        if word == "-" {
+                        if response == "-" {
                             continue;
                         }
-                        let ends =
-                            word.is_empty() || !word.contains("Content-Length") && !word.contains("chunked");
-                        if stream.write_all(word.as_bytes()).is_err() || ends {
+                        let ends = response.is_empty()
+                            || !response.contains("Content-Length") && !response.contains("chunked");
+                        if stream.write_all(response.as_bytes()).is_err() || ends {
                             return;
                         }
                     }
@@ -122,7 +123,7 @@
     }
 }
 
-/// A request's common headers, with those of one hop that are not passed on.
+/// A request with the common headers and `more`.
 fn request(first: &str, id: &str, more: &str, body: &str) -> String {
     format!(
         "{first}\r\nHost: app.svc\r\nX-Trace-Id: {id}\r\nX-Customer: acme\r\nX-Expires-In-Ms: 400\r\nX-Own:  kept  \r\n{more}\r\n{body}"
@@ -211,91 +212,102 @@
     ]
 }
 
-fn as_in_fixture(name: &str, text: &str) {
+fn assert_matches_fixture(name: &str, text: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
     if std::env::var_os("UPDATE_FIXTURES").is_some() {
-        std::fs::write(&path, text).expect("a fixture");
+        std::fs::write(&path, text).expect("failed to write the fixture");
     }
-    let wanted = std::fs::read_to_string(&path).expect("a fixture");
-    for (number, (line, wanted)) in (1..).zip(text.lines().zip(wanted.lines())) {
-        assert_eq!(line, wanted, "line {number} of {name}");
+    let expected = std::fs::read_to_string(&path).expect("failed to read the fixture");
+    for (number, (line, expected)) in (1..).zip(text.lines().zip(expected.lines())) {
+        assert_eq!(line, expected, "line {number} of {name}");
     }
-    assert_eq!(text.lines().count(), wanted.lines().count(), "lines of {name}");
+    assert_eq!(text.lines().count(), expected.lines().count(), "number of lines of {name}");
 }
 
 #[test]
-fn clients_and_endpoints_are_sent_these_bytes() {
+fn bytes_to_clients_and_endpoints_match_the_fixture() {
     let mut all = String::new();
-    for (what, asked, answered) in cases() {
+    for (case, request, answer) in cases() {
         let endpoint = Endpoint::start();
-        let (sidecar, _discovery) = Sidecar::with(&[("s1", endpoint.address)]);
-        *endpoint.answer.lock().expect("a lock") = answered;
-        let mut client = sidecar.open().expect("a connection");
-        client.write_all(asked.as_bytes()).expect("it is written");
-        let mut said = message(&mut client).unwrap_or_else(|| "(end)".into());
-        if said.starts_with("HTTP/1.1 100 ") {
-            client.write_all(b"body").expect("it is written");
-            said += &message(&mut client).unwrap_or_else(|| "(end)".into());
+        let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", endpoint.address)]);
+        *endpoint.answer.lock().expect("lock is not poisoned") = answer;
+        let mut client = sidecar.connect().expect("failed to connect to the sidecar");
+        client.write_all(request.as_bytes()).expect("failed to write to the connection");
+        let mut response = read_message(&mut client).unwrap_or_else(|| "(end)".into());
+        if response.starts_with("HTTP/1.1 100 ") {
+            client.write_all(b"body").expect("failed to write to the connection");
+            response += &read_message(&mut client).unwrap_or_else(|| "(end)".into());
         }
-        let closes = said.contains("Connection: close");
-        client.set_read_timeout(Some(if closes { BOUNDED } else { ms(100) })).expect("a timeout");
-        let stays = client.read(&mut [0]).is_err();
-        said += if stays { "(open)" } else { "(end)" };
-        let came = std::mem::take(&mut *endpoint.came.lock().expect("a lock"));
-        all += &format!("== {what}\n");
-        came.iter().for_each(|came| all += &shown(came, "endpoint <", sidecar.address, endpoint.address));
-        all += &shown(&said, "client   <", sidecar.address, endpoint.address);
+        let closes = response.contains("Connection: close");
+        client
+            .set_read_timeout(Some(if closes { WAIT_BOUND } else { ms(100) }))
+            .expect("failed to set the read timeout");
+        let stays_open = client.read(&mut [0]).is_err();
+        response += if stays_open { "(open)" } else { "(end)" };
+        let received = std::mem::take(&mut *endpoint.received.lock().expect("lock is not poisoned"));
+        all += &format!("== {case}\n");
+        received.iter().for_each(|request| {
+            all += &fixture_lines(request, "endpoint <", sidecar.address, endpoint.address)
+        });
+        all += &fixture_lines(&response, "client   <", sidecar.address, endpoint.address);
     }
-    as_in_fixture("request_bytes.txt", &all);
+    assert_matches_fixture("request_bytes.txt", &all);
 }
 
 #[test]
-fn checks_and_discovery_are_sent_these_bytes_and_counters_have_these_names() {
-    let (endpoint, discovery) = (Endpoint::start(), free());
-    let address = discovery.local_addr().expect("an address");
-    let console = nobody();
-    let known = catalog(7, &[("s1", endpoint.address, "ready")]);
-    let list = catalog(8, &[("s1", endpoint.address, "ready")]).to_string();
+fn check_and_poll_bytes_and_counter_names_match_the_fixture() {
+    let (endpoint, discovery) = (Endpoint::start(), bind_unused_port());
+    let address = discovery.local_addr().expect("listener has a local address");
+    let console = unused_address();
+    let known = endpoint_list(7, &[("s1", endpoint.address, "ready")]);
+    let list = endpoint_list(8, &[("s1", endpoint.address, "ready")]).to_string();
     let calls = Arc::new(Mutex::new(Vec::new()));
-    let heard = calls.clone();
-    thread::spawn(move || discovered(&discovery, &list, &heard));
-    let sidecar = Sidecar::start_as(&known, address, |told| {
-        told["console"] = json!(console.to_string());
-        told["settings"]["Report"] = json!({"How": "probe", "Fields": ["active", "waiting"]});
+    let recorded = calls.clone();
+    thread::spawn(move || serve_list(&discovery, &list, &recorded));
+    let sidecar = Sidecar::start_as(&known, address, |config| {
+        config["console"] = json!(console.to_string());
+        config["settings"]["Report"] = json!({"How": "probe", "Fields": ["active", "waiting"]});
     });
     let mut all = String::from("== discovery\n");
-    within("discovery is called", || calls.lock().expect("a lock").len() >= 3);
-    // The first is known, the second has the list's generation, the one after an answer that can't be read as well.
-    calls.lock().expect("a lock")[..3]
+    wait_until("discovery is polled three times", || calls.lock().expect("lock is not poisoned").len() >= 3);
+    // The first poll states the known generation, the second and the third that of the list in both answers.
+    calls.lock().expect("lock is not poisoned")[..3]
         .iter()
-        .for_each(|call: &String| all += &shown(call, "discovery <", sidecar.address, address));
-    // Loads are asked for where there are requests.
-    *endpoint.answer.lock().expect("a lock") = OK.into();
-    (0..8).for_each(|number| assert_eq!(sidecar.cmd("view", &format!("v{number}"), 800), 200));
-    let check = || endpoint.check.lock().expect("a lock").clone();
-    within("the endpoint is checked", || check().is_some());
+        .for_each(|call: &String| all += &fixture_lines(call, "discovery <", sidecar.address, address));
+    // Only endpoints that get requests are checked for their load.
+    *endpoint.answer.lock().expect("lock is not poisoned") = OK.into();
+    (0..8).for_each(|number| assert_eq!(sidecar.send_request("view", &format!("v{number}"), 800), 200));
+    let check = || endpoint.check.lock().expect("lock is not poisoned").clone();
+    wait_until("the endpoint is checked", || check().is_some());
     all += "== health check\n";
-    all += &shown(&check().expect("a check"), "endpoint <", sidecar.address, endpoint.address);
-    let mut stream = TcpStream::connect(console).expect("the console");
-    stream.write_all(b"GET /counters HTTP/1.1\r\n\r\n").expect("it is written");
-    let text = message(&mut stream).expect("an answer");
-    let (_, lines) = text.split_once("\r\n\r\n").expect("a body");
+    all += &fixture_lines(
+        &check().expect("health check was recorded"),
+        "endpoint <",
+        sidecar.address,
+        endpoint.address,
+    );
+    let mut stream = TcpStream::connect(console).expect("failed to connect to the console");
+    stream.write_all(b"GET /counters HTTP/1.1\r\n\r\n").expect("failed to write to the connection");
+    let text = read_message(&mut stream).expect("no response");
+    let (_, lines) = text.split_once("\r\n\r\n").expect("response has a body");
     all += "== counters\n";
-    lines.lines().for_each(|line| all += &format!("{}\n", line.rsplit_once(' ').expect("a count").0));
-    as_in_fixture("control_bytes.txt", &all);
+    lines
+        .lines()
+        .for_each(|line| all += &format!("{}\n", line.rsplit_once(' ').expect("counter line has a value").0));
+    assert_matches_fixture("control_bytes.txt", &all);
 }
 
-/// Tells the list twice, then keeps all waiting.
-fn discovered(listener: &TcpListener, list: &str, calls: &Mutex<Vec<String>>) {
+/// Answers the first two polls with the list and keeps later ones waiting.
+fn serve_list(listener: &TcpListener, list: &str, calls: &Mutex<Vec<String>>) {
     for mut stream in listener.incoming().flatten() {
-        while let Some(call) = message(&mut stream) {
+        while let Some(call) = read_message(&mut stream) {
             let count = {
-                let mut calls = calls.lock().expect("a lock");
+                let mut calls = calls.lock().expect("lock is not poisoned");
                 calls.push(call);
                 calls.len()
             };
             if count > 2 {
-                thread::sleep(BOUNDED);
+                thread::sleep(WAIT_BOUND);
             }
             let _ = write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
         }
--- a/crates/sidecar/tests/scale.rs
+++ b/crates/sidecar/tests/scale.rs
@@ -1,12 +1,12 @@
-//! The short run of size: hollow sidecars and real ones on real sockets. Only figures that don't hang on the machine's speed
-//! are checked: who counts whom, messages and bytes a copy, and what is kept open.
+//! A short scale run with hollow and real sidecars on real sockets. It checks only figures that do not depend on the speed
+//! of the machine: fleet sizes, messages and bytes per replica, and open watches.
 
 use landingspread_lab::scale::{Bounds, Ran, Wanted, run};
 use landingspread_lab::sockets::run_dir;
 use std::path::Path;
 use std::time::Duration;
 
-fn wanted(copies: usize) -> Wanted {
+fn scale_plan(copies: usize) -> Wanted {
     Wanted {
         copies,
         fleet_size: 0,
@@ -23,49 +23,60 @@
     }
 }
 
-fn played(wanted: &Wanted, name: &str) -> Ran {
-    let dir = run_dir(name).expect("a folder");
+fn run_plan(plan: &Wanted, name: &str) -> Ran {
+    let dir = run_dir(name).expect("failed to create the run directory");
     let program = Path::new(env!("CARGO_BIN_EXE_landingspread"));
-    let ran = run(wanted, program, &dir).unwrap_or_else(|wrong| panic!("{wrong}"));
+    let ran = run(plan, program, &dir).unwrap_or_else(|error| panic!("scale run {name}: {error}"));
     let _ = std::fs::remove_dir_all(&dir);
     ran
 }
 
 fn figure(ran: &Ran, role: &str, name: &str) -> f64 {
     let found = ran.figures.iter().find(|figure| figure.role == role && figure.figure == name);
-    found.unwrap_or_else(|| panic!("{role} {name} was measured: {:?}", ran.figures)).value
+    found.unwrap_or_else(|| panic!("figure {name} of role {role} is missing: {:?}", ran.figures)).value
 }
 
 #[test]
-fn a_hundred_hollow_ones_and_three_real_are_one_fleet_and_keep_to_their_bytes() {
-    let wanted = wanted(103);
-    let ran = played(&wanted, "scale-one");
+fn fleet_of_103_sidecars_stays_within_its_byte_budget() {
+    let plan = scale_plan(103);
+    let ran = run_plan(&plan, "scale-one");
     println!("{ran:?}");
-    // All count all, or it would not have come so far.
+    // The run fails earlier unless every replica counts all others.
     let open = figure(&ran, "discovery", "open_watches");
-    assert_eq!(open, 103.0, "a watch each");
+    assert_eq!(open, 103.0, "one open watch per replica");
     let (out, into) = (figure(&ran, "fleet", "messages_out"), figure(&ran, "fleet", "messages_in"));
-    assert!((5.0..60.0).contains(&out) && (5.0..60.0).contains(&into), "{out} and {into} datagrams a second");
+    assert!(
+        (5.0..60.0).contains(&out) && (5.0..60.0).contains(&into),
+        "{out} and {into} datagrams per second"
+    );
     let (out, into) = (figure(&ran, "fleet", "bytes_out"), figure(&ran, "fleet", "bytes_in"));
-    assert!((1_000.0..30_000.0).contains(&out), "{out} bytes a second; the budget is 98,304");
-    assert!((1_000.0..30_000.0).contains(&into), "{into} bytes a second");
-    // Each change goes to each watch, and nothing else does.
+    assert!((1_000.0..30_000.0).contains(&out), "{out} bytes sent per second; the budget is 98,304");
+    assert!((1_000.0..30_000.0).contains(&into), "{into} bytes received per second");
+    // Each watch gets one answer per change and no others.
     let answers = figure(&ran, "discovery", "messages_out") / 103.0;
-    assert!((1.0..3.5).contains(&answers), "{answers} answers a watch and second, with two changes a second");
+    assert!(
+        (1.0..3.5).contains(&answers),
+        "{answers} answers per watch and second, at two changes per second"
+    );
     let list = figure(&ran, "discovery", "list_bytes");
     assert!((1_500.0..2_500.0).contains(&list), "{list} bytes for 12 endpoints");
-    assert!(ran.processes <= 12 && ran.memory_mb < 1_000.0, "{} and {}", ran.processes, ran.memory_mb);
-    let (_, _, lost) = ran.calls.expect("calls went through");
-    assert_eq!(lost, 0, "calls without an answer");
+    assert!(
+        ran.processes <= 12 && ran.memory_mb < 1_000.0,
+        "{} processes and {} MB",
+        ran.processes,
+        ran.memory_mb
+    );
+    let (_, _, lost) = ran.calls.expect("the run made calls");
+    assert_eq!(lost, 0, "calls without a response");
 }
 
 #[test]
-fn hollow_ones_in_fleets_of_six_know_of_no_other_fleet() {
-    let wanted = Wanted { fleet_size: 6, changes_per_s: 0.0, rate: 0.0, ..wanted(102) };
-    let ran = played(&wanted, "scale-six");
+fn replicas_in_fleets_of_six_count_only_their_own_fleet() {
+    let plan = Wanted { fleet_size: 6, changes_per_s: 0.0, rate: 0.0, ..scale_plan(102) };
+    let ran = run_plan(&plan, "scale-six");
     println!("{ran:?}");
-    // The real ones count six, or it would not have come so far.
+    // The run fails earlier unless the real sidecars count six members.
     let out = figure(&ran, "fleet", "bytes_out");
-    assert!((500.0..20_000.0).contains(&out), "{out} bytes a second");
+    assert!((500.0..20_000.0).contains(&out), "{out} bytes sent per second");
     assert_eq!(figure(&ran, "discovery", "open_watches"), 102.0);
 }
