--- a/crates/sidecar/tests/scenes.rs
+++ b/crates/sidecar/tests/scenes.rs
@@ -1,5 +1,5 @@
-//! The lab's scenarios on real sockets round the real program, and the lab's own stand-ins where only sockets show
-//! whether they are right.
+//! The lab's scenarios with the real program on real sockets, and those of the lab's own test servers and load generators
+//! that can be checked on sockets only.
 
 use landingspread_lab::plan;
 use landingspread_lab::sockets::{self, LoadPlan, Sidecar, bench, load, run_dir};
@@ -10,7 +10,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_landingspread");
 
-const WORLD: &str = "
+const SCENARIO: &str = "
 name = \"short\"
 seconds = 5
 settle = 0.5
@@ -24,20 +24,21 @@
 tiers = [{ servers = 4 }, { servers = 4 }]
 ";
 
-fn keeps_rules(name: &str, faults: &str) {
-    let plan = plan::parse(name, &format!("{WORLD}{faults}")).expect("a plan that can be played");
-    let dir = run_dir(name).expect("a folder");
+fn assert_keeps_rules(name: &str, faults: &str) {
+    let plan = plan::parse(name, &format!("{SCENARIO}{faults}")).expect("scenario is a valid plan");
+    let dir = run_dir(name).expect("failed to create the run directory");
     let mut seconds = 0;
-    let line = sockets::play(&plan, 1, Path::new(PROGRAM), &dir, &mut |_| seconds += 1).expect("it plays");
-    assert_eq!(line.broken, [0; 4], "{:?}", line.breaches);
-    assert!(line.totals.answered > 300 && seconds >= 4, "{:?}", line.totals);
-    // What is answered at all does not depend on how busy the machine is that runs this.
-    assert!(line.totals.answered * 10 > line.totals.came * 8, "{:?}", line.totals);
+    let result = sockets::play(&plan, 1, Path::new(PROGRAM), &dir, &mut |_| seconds += 1)
+        .expect("scenario run failed");
+    assert_eq!(result.broken, [0; 4], "{:?}", result.breaches);
+    assert!(result.totals.answered > 300 && seconds >= 4, "{:?}", result.totals);
+    // The share of answered requests does not depend on how busy the machine is.
+    assert!(result.totals.answered * 10 > result.totals.came * 8, "{:?}", result.totals);
 }
 
 #[test]
-fn two_tiers_keep_the_rules_through_a_crash_a_drain_and_a_late_list() {
-    keeps_rules(
+fn two_tiers_keep_rules_under_crash_drain_and_late_list() {
+    assert_keeps_rules(
         "crash",
         "[[faults]]\nkind = \"crash\"\nat = 1\nfor = 1.5\nservers = [1]\n\
          [[faults]]\nkind = \"shrink\"\nat = 2\ntier = 1\nservers = [0]\n\
@@ -46,8 +47,8 @@
 }
 
 #[test]
-fn two_tiers_keep_the_rules_through_silence_half_open_connections_and_a_dead_list_source() {
-    keeps_rules(
+fn two_tiers_keep_rules_under_silence_and_discovery_outage() {
+    assert_keeps_rules(
         "silence",
         "[[faults]]\nkind = \"vanish\"\nat = 1\nfor = 1.5\nservers = [2]\n\
          [[faults]]\nkind = \"half_open\"\nat = 2\ntier = 1\nservers = [1]\n\
@@ -57,8 +58,8 @@
 }
 
 #[test]
-fn what_waits_for_a_slow_answer_counts_from_when_it_was_meant_to_be_sent() {
-    let fleet = bench::fleet(1).expect("a stand-in");
+fn load_latency_counts_from_the_scheduled_send_time() {
+    let fleet = bench::fleet(1).expect("failed to start the test server");
     let server = fleet.servers[0].clone();
     let pause = thread::spawn(move || {
         thread::sleep(Duration::from_millis(500));
@@ -76,19 +77,21 @@
         length: Duration::from_millis(1600),
         seed: 1,
     });
-    pause.join().expect("no panic");
-    // Two connections send two commands in the pause; the hundred others that were meant to be sent then wait too:
-    // more than a tenth of all, for as long as half of the pause.
+    pause.join().expect("pause thread panicked");
+    // Two connections send two requests in the pause. The hundred others scheduled for that time wait as well: more than a
+    // tenth of all requests, on average for half of the pause.
     assert!(figures.answered > 200, "{figures:?}");
-    assert!(figures.p90 > 300.0, "the wait is left out: {figures:?}");
+    assert!(figures.p90 > 300.0, "latencies lack the wait before sending: {figures:?}");
 }
 
 #[test]
-fn a_child_that_ends_is_told_with_its_last_lines() {
-    let dir = run_dir("ends").expect("a folder");
+fn failed_sidecar_start_reports_the_last_log_lines() {
+    let dir = run_dir("ends").expect("failed to create the run directory");
     let config = json!({"listen": "127.0.0.1:9"});
-    let told = Sidecar::start(Path::new(PROGRAM), &dir, "ends", &config).err().expect("it can't start");
-    assert!(told.contains("ends has ended with") && told.contains("settings: is missing"), "{told}");
-    let told = Sidecar::start(Path::new("/nowhere/landingspread"), &dir, "none", &config).err();
-    assert!(told.expect("there is no such program").starts_with("none: "));
+    let error = Sidecar::start(Path::new(PROGRAM), &dir, "ends", &config)
+        .err()
+        .expect("configuration without settings is rejected");
+    assert!(error.contains("ends has ended with") && error.contains("settings: is missing"), "{error}");
+    let error = Sidecar::start(Path::new("/nowhere/landingspread"), &dir, "none", &config).err();
+    assert!(error.expect("a missing program cannot start").starts_with("none: "));
 }
--- a/crates/sidecar/tests/soak.rs
+++ b/crates/sidecar/tests/soak.rs
@@ -1,4 +1,4 @@
-//! The short form of the soak: a dozen real processes under overlapping troubles, judged by the rules. The long form is
+//! A short soak run: a dozen real processes under overlapping faults, with all rules checked. The long run is
 //! `landingspread-lab soak --seed N --time 20s`.
 
 use landingspread_lab::soak::{Plan, play};
@@ -11,13 +11,13 @@
 const SEEDS: [u64; 2] = [46, 47];
 
 #[test]
-fn a_dozen_processes_keep_the_rules_under_troubles_that_overlap() {
+fn a_dozen_processes_keep_the_rules_under_overlapping_faults() {
     for seed in SEEDS {
         let plan = Plan::sized(seed, LENGTH, SIDECARS, SERVERS);
         let program = Path::new(env!("CARGO_BIN_EXE_landingspread"));
-        let verdict = play(&plan, program).expect("a run that was judged");
+        let verdict = play(&plan, program).expect("soak run failed to complete");
         println!(
-            "seed {seed}: {} requests, {} attempts, {} troubles",
+            "seed {seed}: {} requests, {} attempts, {} faults",
             verdict.requests, verdict.attempts, verdict.troubles
         );
         assert!(
--- a/crates/sidecar/tests/sockets.rs
+++ b/crates/sidecar/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! Starts the program and speaks to it over sockets, with the lab's stand-ins for endpoints and discovery.
+//! The sidecar process over real sockets, with the lab's test servers as endpoints and discovery.
 
 mod helpers;
 
@@ -13,285 +13,318 @@
 use std::time::Instant;
 
 #[test]
-fn a_command_is_answered_with_what_the_endpoint_said_and_passed_on_with_less_time() {
-    let endpoint = endpoint(Does::Answer);
-    let (sidecar, _discovery) = Sidecar::with(&[("s1", endpoint.address)]);
-    let mut stream = sidecar.open().expect("a connection");
+fn request_is_forwarded_with_its_remaining_time() {
+    let endpoint = start_endpoint(Does::Answer);
+    let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", endpoint.address)]);
+    let mut stream = sidecar.connect().expect("failed to connect to the sidecar");
     for id in ["a1", "a2"] {
-        stream.write_all(cmd("hold", id, 800).as_bytes()).expect("it is written");
-        let (status, head, body) = answer(&mut stream).expect("an answer");
+        stream
+            .write_all(request_text("hold", id, 800).as_bytes())
+            .expect("failed to write to the connection");
+        let (status, head, body) = read_response(&mut stream).expect("no response");
         assert_eq!((status, body.as_slice()), (200, &b"ok:body"[..]));
         assert_eq!(head.header("x-kept"), Some(id));
     }
-    assert_eq!(sidecar.cmd("view", "a3", 800), 200);
+    assert_eq!(sidecar.send_request("view", "a3", 800), 200);
     let seen = endpoint.seen();
     assert!(seen.cmds[0].first == "POST /hold");
     assert!(seen.cmds[2].first == "GET /view/1?x=2");
     assert_eq!(seen.cmds[0].header("x-trace-id"), Some("a1"));
     assert_eq!(seen.cmds[0].header("idempotency-key"), Some("ka1"));
-    let left: u64 = seen.cmds[0].header("x-expires-in-ms").and_then(|text| text.parse().ok()).expect("time");
-    assert!((700..=800).contains(&left), "{left} ms are left");
+    let left: u64 = seen.cmds[0]
+        .header("x-expires-in-ms")
+        .and_then(|text| text.parse().ok())
+        .expect("forwarded request has X-Expires-In-Ms");
+    assert!((700..=800).contains(&left), "forwarded with {left} ms left");
 }
 
 #[test]
-fn a_refused_connection_or_a_word_that_it_never_ran_lets_an_effectful_command_go_on() {
-    let (full, good) = (endpoint(Does::TurnAway), endpoint(Does::Answer));
-    let servers = [("s1", nobody()), ("s2", full.address), ("s3", good.address)];
-    let (sidecar, _discovery) = Sidecar::with(&servers);
+fn refused_or_never_run_effectful_request_is_retried() {
+    let (rejecting, answering) = (start_endpoint(Does::TurnAway), start_endpoint(Does::Answer));
+    let servers = [("s1", unused_address()), ("s2", rejecting.address), ("s3", answering.address)];
+    let (sidecar, _discovery) = Sidecar::start_with_servers(&servers);
     for number in 0..8 {
-        assert_eq!(sidecar.cmd("confirm", &format!("c{number}"), 1500), 200);
+        assert_eq!(sidecar.send_request("confirm", &format!("c{number}"), 1500), 200);
     }
-    assert_eq!(good.count(), 8, "each ran once");
+    assert_eq!(answering.count(), 8, "each request ran once");
 }
 
 #[test]
-fn an_effectful_command_whose_connection_broke_ends_without_another_relay_or_a_decline() {
+fn effectful_request_with_a_broken_connection_is_not_retried() {
     for does in [Does::Break, Does::Fail] {
-        let endpoints = [endpoint(does), endpoint(does)];
+        let endpoints = [start_endpoint(does), start_endpoint(does)];
         let (sidecar, _discovery) =
-            Sidecar::with(&[("s1", endpoints[0].address), ("s2", endpoints[1].address)]);
-        assert_eq!(sidecar.cmd("confirm", "e1", 1500), 502);
+            Sidecar::start_with_servers(&[("s1", endpoints[0].address), ("s2", endpoints[1].address)]);
+        assert_eq!(sidecar.send_request("confirm", "e1", 1500), 502);
         assert_eq!(endpoints[0].count() + endpoints[1].count(), 1);
-        assert!([429, 503].contains(&sidecar.cmd("view", "p1", 1500)), "a pure one is harmless to try again");
-        assert_eq!(endpoints[0].count() + endpoints[1].count(), 3, "and was tried at both");
+        assert!(
+            [429, 503].contains(&sidecar.send_request("view", "p1", 1500)),
+            "a pure request may be retried"
+        );
+        assert_eq!(
+            endpoints[0].count() + endpoints[1].count(),
+            3,
+            "the pure request was tried at both servers"
+        );
     }
 }
 
 #[test]
-fn a_kept_connection_that_the_endpoint_has_closed_is_not_written_to() {
-    let endpoint = endpoint(Does::AnswerAndClose);
-    let (sidecar, _discovery) = Sidecar::with(&[("s1", endpoint.address)]);
+fn connection_closed_by_the_endpoint_is_not_reused() {
+    let endpoint = start_endpoint(Does::AnswerAndClose);
+    let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", endpoint.address)]);
     for number in 0..5 {
-        assert_eq!(sidecar.cmd("confirm", &format!("k{number}"), 1500), 200);
+        assert_eq!(sidecar.send_request("confirm", &format!("k{number}"), 1500), 200);
         thread::sleep(ms(20));
     }
 }
 
 #[test]
-fn once_idle_connections_were_let_go_in_silence_an_effectful_command_takes_a_new_one() {
-    let endpoint = endpoint(Does::LetGoAfter(80));
-    let (sidecar, _discovery) = Sidecar::with(&[("s1", endpoint.address)]);
+fn effectful_request_avoids_idle_connections_dropped_silently() {
+    let endpoint = start_endpoint(Does::LetGoAfter(80));
+    let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", endpoint.address)]);
     let mut broken = 0;
     for number in 0..12 {
-        broken += usize::from(sidecar.cmd("view", &format!("p{number}"), 1500) != 200);
+        broken += usize::from(sidecar.send_request("view", &format!("p{number}"), 1500) != 200);
         thread::sleep(ms(120));
     }
-    assert!(broken >= 3, "pure ones find it out: {broken}");
+    assert!(broken >= 3, "pure requests reveal the dropped connections: {broken}");
     for number in 0..6 {
-        assert_eq!(sidecar.cmd("confirm", &format!("u{number}"), 1500), 200);
+        assert_eq!(sidecar.send_request("confirm", &format!("u{number}"), 1500), 200);
         thread::sleep(ms(120));
     }
 }
 
 #[test]
-fn a_second_copy_of_an_answer_is_never_taken_for_the_next_ones() {
-    let endpoint = endpoint(Does::AnswerTwice);
-    let (sidecar, _discovery) = Sidecar::with(&[("s1", endpoint.address)]);
-    let mut stream = sidecar.open().expect("a connection");
+fn second_copy_of_a_response_is_not_taken_for_the_next_one() {
+    let endpoint = start_endpoint(Does::AnswerTwice);
+    let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", endpoint.address)]);
+    let mut stream = sidecar.connect().expect("failed to connect to the sidecar");
     for number in 0..30 {
         let id = format!("t{number}");
-        stream.write_all(cmd("hold", &id, 800).as_bytes()).expect("it is written");
-        let (status, head, _) = answer(&mut stream).expect("an answer");
+        stream
+            .write_all(request_text("hold", &id, 800).as_bytes())
+            .expect("failed to write to the connection");
+        let (status, head, _) = read_response(&mut stream).expect("no response");
         assert_eq!((status, head.header("x-kept")), (200, Some(id.as_str())));
     }
 }
 
 #[test]
-fn a_new_server_at_an_old_ones_address_gets_connections_of_its_own() {
-    let endpoint = endpoint(Does::Answer);
-    let (sidecar, discovery) = Sidecar::with(&[("s1", endpoint.address)]);
+fn new_server_at_a_known_address_gets_new_connections() {
+    let endpoint = start_endpoint(Does::Answer);
+    let (sidecar, discovery) = Sidecar::start_with_servers(&[("s1", endpoint.address)]);
     for (generation, server) in [(2, "s2"), (3, "s3")] {
-        assert_eq!(sidecar.cmd("view", server, 1500), 200);
+        assert_eq!(sidecar.send_request("view", server, 1500), 200);
         thread::sleep(ms(10));
         let before = discovery.seen().0;
-        discovery.write(generation, catalog(generation, &[(server, endpoint.address, "ready")]).to_string());
-        within("the list is taken", || discovery.seen().0 > before);
+        discovery
+            .write(generation, endpoint_list(generation, &[(server, endpoint.address, "ready")]).to_string());
+        wait_until("the sidecar has the new list", || discovery.seen().0 > before);
     }
-    assert_eq!(sidecar.cmd("view", "last", 1500), 200);
+    assert_eq!(sidecar.send_request("view", "last", 1500), 200);
     assert_eq!(endpoint.seen().connections, 3);
 }
 
 #[test]
-fn strangers_are_closed_in_time_and_before_callers_who_spoke_well() {
-    let endpoint = endpoint(Does::Answer);
-    let (sidecar, _discovery) = Sidecar::with(&[("s1", endpoint.address)]);
-    let mut known = sidecar.open().expect("a connection");
-    let mut ask = |id: &str| {
-        known.write_all(cmd("view", id, 1500).as_bytes()).expect("it is written");
-        answer(&mut known).map(|(status, _, _)| status)
+fn clients_without_a_request_are_closed_in_time_and_first() {
+    let endpoint = start_endpoint(Does::Answer);
+    let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", endpoint.address)]);
+    let mut served = sidecar.connect().expect("failed to connect to the sidecar");
+    let mut send = |id: &str| {
+        served
+            .write_all(request_text("view", id, 1500).as_bytes())
+            .expect("failed to write to the connection");
+        read_response(&mut served).map(|(status, _, _)| status)
     };
-    assert_eq!(ask("k1"), Some(200));
+    assert_eq!(send("k1"), Some(200));
     let begun = Instant::now();
-    let mut trickle = sidecar.open().expect("a connection");
-    let mut silent: Vec<TcpStream> = (0..70).filter_map(|_| sidecar.open()).collect();
+    let mut trickle = sidecar.connect().expect("failed to connect to the sidecar");
+    let mut silent: Vec<TcpStream> = (0..70).filter_map(|_| sidecar.connect()).collect();
     for byte in b"GET /view HTT" {
         let _ = trickle.write_all(&[*byte]);
         thread::sleep(ms(100));
     }
-    assert_eq!(ask("k2"), Some(200), "the crowd took its room from itself");
-    let word = answer(&mut trickle).map(|(status, _, _)| status);
-    assert!(word.is_none_or(|status| status == 408), "{word:?}");
-    assert!(silent.iter_mut().all(|stream| answer(stream).is_none()));
+    assert_eq!(send("k2"), Some(200), "silent clients are closed before one that was served");
+    let status = read_response(&mut trickle).map(|(status, _, _)| status);
+    assert!(status.is_none_or(|status| status == 408), "{status:?}");
+    assert!(silent.iter_mut().all(|stream| read_response(stream).is_none()));
     assert!(begun.elapsed() < ms(2900), "{:?}", begun.elapsed());
-    assert_eq!(ask("k3"), Some(200));
-    let mut wrong = sidecar.open().expect("a connection");
-    wrong.write_all(b"GET /nothing HTTP/1.1\r\n\r\n").expect("it is written");
-    assert_eq!(answer(&mut wrong).map(|(status, _, _)| status), Some(404));
-    assert_eq!(read(&mut wrong, &mut [0]).ok(), Some(0), "an error is its connection's last word");
+    assert_eq!(send("k3"), Some(200));
+    let mut invalid = sidecar.connect().expect("failed to connect to the sidecar");
+    invalid.write_all(b"GET /nothing HTTP/1.1\r\n\r\n").expect("failed to write to the connection");
+    assert_eq!(read_response(&mut invalid).map(|(status, _, _)| status), Some(404));
+    assert_eq!(
+        read(&mut invalid, &mut [0]).ok(),
+        Some(0),
+        "the connection is closed after an error response"
+    );
 }
 
 #[test]
-fn callers_who_ask_once_and_stay_hold_up_nobody() {
-    let endpoint = endpoint(Does::Answer);
-    let (sidecar, _discovery) = Sidecar::with(&[("s1", endpoint.address)]);
-    let mut stay = Vec::new();
-    let mut waited = ms(0);
+fn idle_clients_after_one_request_delay_no_other_client() {
+    let endpoint = start_endpoint(Does::Answer);
+    let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", endpoint.address)]);
+    let mut idle = Vec::new();
+    let mut total_latency = ms(0);
     for number in 0..150 {
-        // One that says nothing yet comes before each.
-        stay.push(sidecar.open().expect("a connection"));
-        let mut stream = sidecar.open().expect("a connection");
+        // A silent client connects before each client that sends a request.
+        idle.push(sidecar.connect().expect("failed to connect to the sidecar"));
+        let mut stream = sidecar.connect().expect("failed to connect to the sidecar");
         let begun = Instant::now();
-        stream.write_all(cmd("view", &format!("y{number}"), 1900).as_bytes()).expect("it is written");
-        assert_eq!(answer(&mut stream).map(|(status, _, _)| status), Some(200));
-        waited += begun.elapsed();
-        stay.push(stream);
+        stream
+            .write_all(request_text("view", &format!("y{number}"), 1900).as_bytes())
+            .expect("failed to write to the connection");
+        assert_eq!(read_response(&mut stream).map(|(status, _, _)| status), Some(200));
+        total_latency += begun.elapsed();
+        idle.push(stream);
         thread::sleep(ms(1));
     }
-    assert!(waited < ms(1200), "150 answers took {waited:?}; most come with all places taken");
+    assert!(
+        total_latency < ms(1200),
+        "150 responses took {total_latency:?}, most of them with all client connections in use"
+    );
 }
 
 #[test]
-fn idle_callers_make_room_for_new_ones_and_past_that_each_still_hears_a_word() {
-    let endpoint = endpoint(Does::Wait(900));
+fn idle_clients_give_way_and_excess_clients_get_a_response() {
+    let endpoint = start_endpoint(Does::Wait(900));
     let servers = ["s1", "s2", "s3", "s4", "s5", "s6"].map(|id| (id, endpoint.address));
-    let (sidecar, _discovery) = Sidecar::with(&servers);
-    let idle: Vec<TcpStream> = (0..100).filter_map(|_| sidecar.open()).collect();
-    assert_eq!(sidecar.cmd("view", "i1", 1900), 200, "all places are taken by idle ones");
-    let mut busy: Vec<TcpStream> = (0..60).filter_map(|_| sidecar.open()).collect();
+    let (sidecar, _discovery) = Sidecar::start_with_servers(&servers);
+    let idle: Vec<TcpStream> = (0..100).filter_map(|_| sidecar.connect()).collect();
+    assert_eq!(sidecar.send_request("view", "i1", 1900), 200, "idle clients hold all connections");
+    let mut busy: Vec<TcpStream> = (0..60).filter_map(|_| sidecar.connect()).collect();
     for (number, stream) in busy.iter_mut().enumerate() {
-        // One that was closed while idle shows when its answer is read.
-        let _ = stream.write_all(cmd("view", &format!("i{number}x"), 1900).as_bytes());
+        // If a connection was closed while idle, reading its response fails below.
+        let _ = stream.write_all(request_text("view", &format!("i{number}x"), 1900).as_bytes());
     }
-    let words: Vec<_> = busy.iter_mut().filter_map(answer).collect();
-    assert!(words.len() >= 30 && words.iter().all(|(status, _, _)| [200, 503].contains(status)));
+    let responses: Vec<_> = busy.iter_mut().filter_map(read_response).collect();
+    assert!(responses.len() >= 30 && responses.iter().all(|(status, _, _)| [200, 503].contains(status)));
     assert!(
-        words.iter().any(|(_, _, body)| body.starts_with(b"too many")),
-        "no place is left, and it says so"
+        responses.iter().any(|(_, _, body)| body.starts_with(b"too many")),
+        "no response says that too many clients are connected"
     );
     drop(idle);
-    assert_eq!(sidecar.cmd("view", "i2", 1900), 200);
+    assert_eq!(sidecar.send_request("view", "i2", 1900), 200);
 }
 
 #[test]
-fn a_new_connection_is_not_closed_for_room_before_its_first_command() {
-    let endpoint = endpoint(Does::Answer);
-    let (sidecar, _discovery) = Sidecar::with(&[("s1", endpoint.address)]);
-    let mut new: Vec<TcpStream> = (0..40).filter_map(|_| sidecar.open()).collect();
+fn new_connection_is_not_closed_before_its_first_request() {
+    let endpoint = start_endpoint(Does::Answer);
+    let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", endpoint.address)]);
+    let mut new: Vec<TcpStream> = (0..40).filter_map(|_| sidecar.connect()).collect();
     for (number, stream) in new.iter_mut().enumerate() {
-        let _ = stream.write_all(cmd("confirm", &format!("f{number}"), 1900).as_bytes());
+        let _ = stream.write_all(request_text("confirm", &format!("f{number}"), 1900).as_bytes());
     }
-    let words = new.iter_mut().filter_map(answer).count();
-    assert_eq!(words, 40, "of 80 sockets 33 are for callers; each hears a word all the same");
+    let count = new.iter_mut().filter_map(read_response).count();
+    assert_eq!(count, 40, "only 33 of 80 sockets are for clients, but each client gets a response");
 }
 
 #[test]
-fn nothing_more_goes_to_a_server_that_drains() {
-    let (old, new) = (endpoint(Does::Answer), endpoint(Does::Answer));
-    let (sidecar, discovery) = Sidecar::with(&[("s1", old.address)]);
-    assert_eq!(sidecar.cmd("view", "d0", 1500), 200);
-    within("it watches", || discovery.seen().0 == 1);
+fn draining_server_gets_no_more_requests() {
+    let (old, new) = (start_endpoint(Does::Answer), start_endpoint(Does::Answer));
+    let (sidecar, discovery) = Sidecar::start_with_servers(&[("s1", old.address)]);
+    assert_eq!(sidecar.send_request("view", "d0", 1500), 200);
+    wait_until("the sidecar polls discovery", || discovery.seen().0 == 1);
     let list = [("s1", old.address, "draining"), ("s2", new.address, "ready")];
-    discovery.write(2, catalog(2, &list).to_string());
-    within("the next call comes at once", || discovery.seen().0 == 2);
+    discovery.write(2, endpoint_list(2, &list).to_string());
+    wait_until("the next poll comes at once", || discovery.seen().0 == 2);
     for number in 1..6 {
-        assert_eq!(sidecar.cmd("view", &format!("d{number}"), 1500), 200);
+        assert_eq!(sidecar.send_request("view", &format!("d{number}"), 1500), 200);
     }
     assert_eq!((old.count(), new.count()), (1, 5));
 }
 
 #[test]
-fn a_watch_whose_connection_stays_silent_is_given_up_and_called_anew() {
-    let (old, new) = (endpoint(Does::Answer), endpoint(Does::Answer));
-    let (sidecar, discovery) = Sidecar::with(&[("s1", old.address)]);
-    // The stand-in says nothing before there is news, whatever the call said that it waits.
-    within("the silent call is let go", || discovery.seen().1 == 1);
-    within("and comes again", || discovery.seen().0 == 2);
-    discovery.write(2, catalog(2, &[("s2", new.address, "ready")]).to_string());
-    within("its answer is taken", || sidecar.cmd("view", "q1", 1500) == 200 && new.count() > 0);
+fn silent_watch_is_given_up_and_opened_again() {
+    let (old, new) = (start_endpoint(Does::Answer), start_endpoint(Does::Answer));
+    let (sidecar, discovery) = Sidecar::start_with_servers(&[("s1", old.address)]);
+    // The test discovery answers only when its list changes, whatever wait the poll states.
+    wait_until("the silent poll is given up", || discovery.seen().1 == 1);
+    wait_until("discovery is polled again", || discovery.seen().0 == 2);
+    discovery.write(2, endpoint_list(2, &[("s2", new.address, "ready")]).to_string());
+    wait_until("the list of the new poll is in force", || {
+        sidecar.send_request("view", "q1", 1500) == 200 && new.count() > 0
+    });
 }
 
 #[test]
-fn a_slow_endpoint_costs_a_command_no_more_than_its_time_and_hears_that_it_is_over() {
-    let endpoint = endpoint(Does::Wait(3000));
-    let (sidecar, _discovery) = Sidecar::with(&[("s1", endpoint.address)]);
+fn request_to_a_slow_endpoint_ends_in_time_and_is_cancelled() {
+    let endpoint = start_endpoint(Does::Wait(3000));
+    let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", endpoint.address)]);
     let begun = Instant::now();
-    let status = sidecar.cmd("confirm", "w1", 300);
+    let status = sidecar.send_request("confirm", "w1", 300);
     let took = begun.elapsed();
-    assert_eq!(status, 502, "it may have run");
-    assert!(took > ms(280) && took < ms(370), "the final word came after {took:?}");
-    within("the endpoint is let go", || endpoint.seen().dropped == 1);
+    assert_eq!(status, 502, "the request may have run");
+    assert!(took > ms(280) && took < ms(370), "the final response came after {took:?}");
+    wait_until("the connection to the endpoint is closed", || endpoint.seen().dropped == 1);
 }
 
 #[test]
-fn a_client_that_leaves_ends_its_relay() {
-    let endpoint = endpoint(Does::Wait(4000));
-    let (sidecar, _discovery) = Sidecar::with(&[("s1", endpoint.address)]);
-    let mut stream = sidecar.open().expect("a connection");
-    stream.write_all(cmd("view", "l1", 1900).as_bytes()).expect("it is written");
-    within("the relay is out", || endpoint.count() == 1);
+fn client_disconnection_cancels_its_attempt() {
+    let endpoint = start_endpoint(Does::Wait(4000));
+    let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", endpoint.address)]);
+    let mut stream = sidecar.connect().expect("failed to connect to the sidecar");
+    stream.write_all(request_text("view", "l1", 1900).as_bytes()).expect("failed to write to the connection");
+    wait_until("the attempt has reached the endpoint", || endpoint.count() == 1);
     let begun = Instant::now();
     drop(stream);
-    within("the endpoint is let go", || endpoint.seen().dropped == 1);
+    wait_until("the connection to the endpoint is closed", || endpoint.seen().dropped == 1);
     assert!(begun.elapsed() < ms(500));
-    assert_eq!(endpoint.count(), 1, "nothing is sent for it after");
+    assert_eq!(endpoint.count(), 1, "another attempt followed the disconnection");
 }
 
 #[test]
-fn a_client_that_leaves_behind_bytes_written_ahead_ends_its_relay_and_only_its_own() {
-    let endpoint = endpoint(Does::Wait(600));
-    let (sidecar, _discovery) = Sidecar::with(&[("s1", endpoint.address), ("s2", endpoint.address)]);
-    let mut first = sidecar.open().expect("a connection");
-    first.write_all(cmd("view", "o1", 1900).as_bytes()).expect("it is written");
-    within("the relay is out", || endpoint.count() == 1);
-    // The same id again, from one who leaves at once: it may leave before it hears that it is terminated.
+fn client_leaving_pipelined_requests_cancels_only_its_attempt() {
+    let endpoint = start_endpoint(Does::Wait(600));
+    let (sidecar, _discovery) =
+        Sidecar::start_with_servers(&[("s1", endpoint.address), ("s2", endpoint.address)]);
+    let mut first = sidecar.connect().expect("failed to connect to the sidecar");
+    first.write_all(request_text("view", "o1", 1900).as_bytes()).expect("failed to write to the connection");
+    wait_until("the attempt has reached the endpoint", || endpoint.count() == 1);
+    // Clients that reuse the id of an open request and disconnect at once, possibly before their request is rejected.
     for _ in 0..20 {
-        let mut second = sidecar.open().expect("a connection");
-        second.write_all(cmd("view", "o1", 1900).as_bytes()).expect("it is written");
+        let mut second = sidecar.connect().expect("failed to connect to the sidecar");
+        second
+            .write_all(request_text("view", "o1", 1900).as_bytes())
+            .expect("failed to write to the connection");
     }
-    assert_eq!(answer(&mut first).map(|(status, _, _)| status), Some(200));
-    let mut ahead = sidecar.open().expect("a connection");
-    ahead.write_all(cmd("view", "o2", 1900).repeat(3).as_bytes()).expect("it is written");
-    within("the relay is out", || endpoint.count() == 2);
+    assert_eq!(read_response(&mut first).map(|(status, _, _)| status), Some(200));
+    let mut ahead = sidecar.connect().expect("failed to connect to the sidecar");
+    ahead
+        .write_all(request_text("view", "o2", 1900).repeat(3).as_bytes())
+        .expect("failed to write to the connection");
+    wait_until("the attempt has reached the endpoint", || endpoint.count() == 2);
     let begun = Instant::now();
     drop(ahead);
-    within("the endpoint is let go", || endpoint.seen().dropped == 1);
+    wait_until("the connection to the endpoint is closed", || endpoint.seen().dropped == 1);
     assert!(begun.elapsed() < ms(400));
     assert_eq!(endpoint.count(), 2);
 }
 
 #[test]
-fn a_list_of_thousands_of_servers_is_taken() {
-    let endpoint = endpoint(Does::Answer);
-    let (sidecar, discovery) = Sidecar::with(&[]);
-    assert_eq!(sidecar.cmd("view", "w1", 900), 503);
-    let mut list = catalog(2, &[("s1", endpoint.address, "ready")]);
+fn list_of_thousands_of_servers_is_accepted() {
+    let endpoint = start_endpoint(Does::Answer);
+    let (sidecar, discovery) = Sidecar::start_with_servers(&[]);
+    assert_eq!(sidecar.send_request("view", "w1", 900), 503);
+    let mut list = endpoint_list(2, &[("s1", endpoint.address, "ready")]);
     let mut drained = list["instances"][0].clone();
     drained["lifecycle"] = json!("draining");
     for number in 0..2000 {
         drained["instanceId"] = json!(format!("old-{number}"));
-        list["instances"].as_array_mut().expect("a list").push(drained.clone());
+        list["instances"].as_array_mut().expect("instances are an array").push(drained.clone());
     }
     discovery.write(2, list.to_string());
-    within("it is taken", || sidecar.cmd("view", "w2", 900) == 200);
+    wait_until("the long list is in force", || sidecar.send_request("view", "w2", 900) == 200);
 }
 
 #[test]
-fn without_discovery_or_with_a_list_that_cannot_be_read_the_old_list_holds() {
-    let endpoint = endpoint(Does::Answer);
-    let known = catalog(1, &[("s1", endpoint.address, "ready")]);
-    let alone = Sidecar::start(&known, nobody());
-    assert_eq!(alone.cmd("view", "n1", 1500), 200);
-    let (mut sidecar, discovery) = Sidecar::with(&[("s1", endpoint.address)]);
+fn known_list_stays_without_discovery_or_with_invalid_lists() {
+    let endpoint = start_endpoint(Does::Answer);
+    let known = endpoint_list(1, &[("s1", endpoint.address, "ready")]);
+    let without_discovery = Sidecar::start(&known, unused_address());
+    assert_eq!(without_discovery.send_request("view", "n1", 1500), 200);
+    let (mut sidecar, discovery) = Sidecar::start_with_servers(&[("s1", endpoint.address)]);
     let lists = [
         "{\"generation\": 2, \"reset\": true".to_string(),
         json!({"generation": 2, "reset": true, "instances": [{"instanceId": "s1"}]}).to_string(),
@@ -299,48 +332,53 @@
     ];
     for (number, list) in lists.into_iter().enumerate() {
         discovery.write(2, list);
-        within("it asks again", || discovery.seen().0 > number as u64 + 1);
-        assert_eq!(sidecar.cmd("view", &format!("b{number}"), 1500), 200);
+        wait_until("discovery is polled again", || discovery.seen().0 > number as u64 + 1);
+        assert_eq!(sidecar.send_request("view", &format!("b{number}"), 1500), 200);
     }
     assert!(sidecar.running());
 }
 
-/// Commands of all verbs from many callers at once against endpoints that do anything: each gets one final
-/// word in its time, and an effectful one runs once at most and is declined only if it never ran.
+/// Requests of all classes from many clients at once, to endpoints that misbehave at random: each gets one final response in
+/// its time. An effectful request runs at most once, and gets 503 only if it never ran.
 #[test]
-fn the_rules_hold_whatever_endpoints_do() {
+fn rules_hold_with_randomly_misbehaving_endpoints() {
     for seed in 0..3 {
-        let endpoints: Vec<Scripted> = (0..4).map(|at| endpoint(Does::Any(seed * 10 + at))).collect();
+        let endpoints: Vec<Scripted> = (0..4).map(|at| start_endpoint(Does::Any(seed * 10 + at))).collect();
         let ids = ["s1", "s2", "s3", "s4"];
-        let mut servers: Vec<_> = ids.into_iter().zip(endpoints.iter().map(|one| one.address)).collect();
-        servers.push(("s5", nobody()));
-        let (mut sidecar, _discovery) = Sidecar::with(&servers);
-        let ran = |id: &str| {
-            let ran_at = |(at, one): (usize, &Scripted)| {
-                let seen = one.seen();
-                let mine = |head: &&Heard| head.header("x-trace-id") == Some(id);
-                let turned =
+        let mut servers: Vec<_> =
+            ids.into_iter().zip(endpoints.iter().map(|endpoint| endpoint.address)).collect();
+        servers.push(("s5", unused_address()));
+        let (mut sidecar, _discovery) = Sidecar::start_with_servers(&servers);
+        let count_runs = |id: &str| {
+            let runs_at = |(at, endpoint): (usize, &Scripted)| {
+                let seen = endpoint.seen();
+                let has_id = |head: &&Heard| head.header("x-trace-id") == Some(id);
+                let rejected =
                     |head: &Heard| matches!(Does::Any(seed * 10 + at as u64).with(head), Does::TurnAway);
-                seen.cmds.iter().filter(mine).filter(|head| !turned(head)).count()
+                seen.cmds.iter().filter(has_id).filter(|head| !rejected(head)).count()
             };
-            endpoints.iter().enumerate().map(ran_at).sum::<usize>()
+            endpoints.iter().enumerate().map(runs_at).sum::<usize>()
         };
         thread::scope(|scope| {
-            for caller in 0..8 {
-                let (sidecar, ran) = (&sidecar, &ran);
+            for client in 0..8 {
+                let (sidecar, count_runs) = (&sidecar, &count_runs);
                 scope.spawn(move || {
-                    let mut stream = sidecar.open().expect("a connection");
+                    let mut stream = sidecar.connect().expect("failed to connect to the sidecar");
                     for number in 0..12 {
-                        let id = format!("r{seed}-{caller}-{number}");
-                        let verb = ["view", "hold", "confirm"][(caller + number) % 3];
+                        let id = format!("r{seed}-{client}-{number}");
+                        let verb = ["view", "hold", "confirm"][(client + number) % 3];
                         let begun = Instant::now();
-                        stream.write_all(cmd(verb, &id, 400).as_bytes()).expect("it is written");
-                        let (status, _, _) = answer(&mut stream).expect("one final word");
+                        stream
+                            .write_all(request_text(verb, &id, 400).as_bytes())
+                            .expect("failed to write to the connection");
+                        let (status, _, _) = read_response(&mut stream).expect("no final response");
                         assert!(begun.elapsed() < ms(470), "{id} took {:?}", begun.elapsed());
                         assert!([200, 502, 503].contains(&status));
                         if verb == "confirm" {
-                            let ran = ran(&id);
-                            assert!(ran <= 1 && !(status == 503 && ran > 0) && (status != 200 || ran == 1));
+                            let runs = count_runs(&id);
+                            assert!(
+                                runs <= 1 && !(status == 503 && runs > 0) && (status != 200 || runs == 1)
+                            );
                         }
                     }
                 });
@@ -351,9 +389,9 @@
 }
 
 #[test]
-fn bad_input_is_turned_away_in_words_and_reaches_no_endpoint() {
-    let endpoint = endpoint(Does::Answer);
-    let (mut sidecar, _discovery) = Sidecar::with(&[("s1", endpoint.address)]);
+fn invalid_requests_get_an_error_and_reach_no_endpoint() {
+    let endpoint = start_endpoint(Does::Answer);
+    let (mut sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", endpoint.address)]);
     let head = "X-Trace-Id: x\r\nX-Customer: acme\r\n";
     let cases = [
         ("\0\0\0\r\n\r\n".to_string(), 400),
@@ -369,83 +407,96 @@
         (format!("GET /view HTTP/1.1\r\n{head}X-Long: {}\r\n\r\n", "x".repeat(20_000)), 413),
         (format!("GET /view HTTP/1.1\r\n{head}{}\r\n", "X-Many: 1\r\n".repeat(100)), 413),
     ];
-    for (text, wanted) in cases {
-        let (status, _, _) = sidecar.ask(&text).unwrap_or_else(|| panic!("no word on {text:.60}"));
-        assert_eq!(status, wanted, "{text:.60}");
+    for (text, expected) in cases {
+        let (status, _, _) = sidecar.send_text(&text).unwrap_or_else(|| panic!("no response to {text:.60}"));
+        assert_eq!(status, expected, "{text:.60}");
     }
-    let mut cut = sidecar.open().expect("a connection");
-    cut.write_all(b"POST /confirm HTTP/1.1\r\nContent-Le").expect("it is written");
+    let mut cut = sidecar.connect().expect("failed to connect to the sidecar");
+    cut.write_all(b"POST /confirm HTTP/1.1\r\nContent-Le").expect("failed to write to the connection");
     drop(cut);
     assert_eq!(endpoint.count(), 0);
-    assert_eq!(sidecar.cmd("confirm", "z1", 1500), 200);
+    assert_eq!(sidecar.send_request("confirm", "z1", 1500), 200);
     assert!(sidecar.running());
 }
 
 #[test]
-fn sighup_moves_the_watch_to_the_discovery_that_the_file_names_and_keeps_it_if_the_file_is_faulty() {
-    let endpoints = [(); 3].map(|()| endpoint(Does::Answer));
-    let (mut sidecar, old) = Sidecar::with(&[("s1", endpoints[0].address)]);
-    within("it watches", || old.seen().0 == 1);
-    let known = catalog(1, &[("s1", endpoints[0].address, "ready")]);
-    let mut faulty = told(&known, sidecar.address, nobody());
-    faulty["settings"]["Verbs"][0]["Effect"] = json!(7);
-    sidecar.hang_up(&faulty.to_string());
-    sidecar.hang_up("{");
-    assert_eq!(sidecar.cmd("view", "h1", 1500), 200);
-    old.write(7, catalog(7, &[("s2", endpoints[1].address, "ready")]).to_string());
-    within("the old watch goes on", || old.seen().0 == 2);
-    within("its list is taken", || sidecar.cmd("view", "h2", 1500) == 200 && endpoints[1].count() > 0);
-    let new = list_source();
-    new.write(3, catalog(3, &[("s3", endpoints[2].address, "ready")]).to_string());
-    sidecar.hang_up(&told(&known, sidecar.address, new.address).to_string());
-    within("the whole list is taken, then watched, also where it is counted lower", || new.seen().0 == 2);
-    within("the watch at the old one is let go", || old.seen().1 == 1);
+fn sighup_moves_the_watch_unless_the_file_is_invalid() {
+    let endpoints = [(); 3].map(|()| start_endpoint(Does::Answer));
+    let (mut sidecar, old) = Sidecar::start_with_servers(&[("s1", endpoints[0].address)]);
+    wait_until("the sidecar polls the old discovery", || old.seen().0 == 1);
+    let known = endpoint_list(1, &[("s1", endpoints[0].address, "ready")]);
+    let mut invalid = sidecar_config(&known, sidecar.address, unused_address());
+    invalid["settings"]["Verbs"][0]["Effect"] = json!(7);
+    sidecar.reload(&invalid.to_string());
+    sidecar.reload("{");
+    assert_eq!(sidecar.send_request("view", "h1", 1500), 200);
+    old.write(7, endpoint_list(7, &[("s2", endpoints[1].address, "ready")]).to_string());
+    wait_until("the old discovery is polled again", || old.seen().0 == 2);
+    wait_until("its new list is in force", || {
+        sidecar.send_request("view", "h2", 1500) == 200 && endpoints[1].count() > 0
+    });
+    let new = start_discovery();
+    new.write(3, endpoint_list(3, &[("s3", endpoints[2].address, "ready")]).to_string());
+    sidecar.reload(&sidecar_config(&known, sidecar.address, new.address).to_string());
+    wait_until("the new discovery is watched after its whole list, whose generation is lower", || {
+        new.seen().0 == 2
+    });
+    wait_until("the watch at the old discovery is closed", || old.seen().1 == 1);
     let before = endpoints[1].count();
     for number in 0..4 {
-        assert_eq!(sidecar.cmd("view", &format!("h3{number}"), 1500), 200);
+        assert_eq!(sidecar.send_request("view", &format!("h3{number}"), 1500), 200);
     }
     assert_eq!((endpoints[1].count(), endpoints[2].count()), (before, 4));
     assert!(sidecar.running());
 }
 
 #[test]
-fn after_sigterm_it_goes_on_taking_for_a_while_finishes_and_exits() {
-    let endpoint = endpoint(Does::Wait(400));
-    let (mut sidecar, _discovery) = Sidecar::with(&[("s1", endpoint.address)]);
-    let mut idle = sidecar.open().expect("a connection");
-    let mut early = sidecar.open().expect("a connection");
-    early.write_all(cmd("view", "t1", 1900).as_bytes()).expect("it is written");
-    within("the relay is out", || endpoint.count() == 1);
+fn after_sigterm_it_accepts_for_a_while_finishes_and_exits() {
+    let endpoint = start_endpoint(Does::Wait(400));
+    let (mut sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", endpoint.address)]);
+    let mut idle = sidecar.connect().expect("failed to connect to the sidecar");
+    let mut early = sidecar.connect().expect("failed to connect to the sidecar");
+    early.write_all(request_text("view", "t1", 1900).as_bytes()).expect("failed to write to the connection");
+    wait_until("the attempt has reached the endpoint", || endpoint.count() == 1);
     sidecar.signal("-TERM");
     let begun = Instant::now();
-    within("it says that it ends", || {
-        sidecar.ask("GET /_health HTTP/1.1\r\n\r\n").is_some_and(|(status, _, _)| status == 503)
+    wait_until("the health check answers 503", || {
+        sidecar.send_text("GET /_health HTTP/1.1\r\n\r\n").is_some_and(|(status, _, _)| status == 503)
     });
-    assert_eq!(sidecar.cmd("view", "t2", 1900), 200, "a new connection is still heard");
-    // Longest limit 2 s: killed after 2.7 s at the soonest, of which the last 1.5 s are for finishing.
-    let word = |early: &mut TcpStream| {
-        let (status, head, _) = answer(early).expect("what was taken is finished");
+    assert_eq!(sidecar.send_request("view", "t2", 1900), 200, "new connections are still accepted");
+    // The longest limit is 2 s, so the platform kills the process after 2.7 s at the earliest. The last 1.5 s of them are
+    // for finishing open requests.
+    let response = |early: &mut TcpStream| {
+        let (status, head, _) = read_response(early).expect("accepted request gets its response");
         (status, head.header("connection").map(str::to_string))
     };
-    assert_eq!(word(&mut early), (200, None), "a caller may keep its connection while there is time");
+    assert_eq!(response(&mut early), (200, None), "the connection stays open while there is time");
     thread::sleep(ms(600).saturating_sub(begun.elapsed()));
-    early.write_all(cmd("view", "t3", 1900).as_bytes()).expect("it is written");
-    assert_eq!(word(&mut early), (200, None), "and is answered on it though new ones come no more");
+    early.write_all(request_text("view", "t3", 1900).as_bytes()).expect("failed to write to the connection");
+    assert_eq!(
+        response(&mut early),
+        (200, None),
+        "and still serves requests when no new connections are accepted"
+    );
     thread::sleep(ms(1000).saturating_sub(begun.elapsed()));
-    early.write_all(cmd("view", "t4", 1900).as_bytes()).expect("it is written");
-    assert_eq!(word(&mut early), (200, Some("close".to_string())), "but not to the end");
-    assert!(answer(&mut idle).is_none(), "what waits is closed");
-    within("it exits", || !sidecar.running());
-    assert_eq!(sidecar.child.wait().expect("a child").code(), Some(0));
+    early.write_all(request_text("view", "t4", 1900).as_bytes()).expect("failed to write to the connection");
+    assert_eq!(
+        response(&mut early),
+        (200, Some("close".to_string())),
+        "the last response closes the connection"
+    );
+    assert!(read_response(&mut idle).is_none(), "idle connections are closed");
+    wait_until("the sidecar exits", || !sidecar.running());
+    assert_eq!(sidecar.child.wait().expect("failed to query the sidecar process").code(), Some(0));
 }
 
 #[test]
-fn a_faulty_configuration_is_told_by_its_key() {
-    let good = told(&catalog(1, &[]), nobody(), nobody());
+fn configuration_errors_name_the_key() {
+    let valid = sidecar_config(&endpoint_list(1, &[]), unused_address(), unused_address());
     let with = |pointer: &str, value: Value| {
-        let mut faulty = good.clone();
-        *faulty.pointer_mut(pointer).expect("a key") = value;
-        faulty
+        let mut invalid = valid.clone();
+        *invalid.pointer_mut(pointer).expect("pointer names a key of the configuration") = value;
+        invalid
     };
     let cases = BTreeMap::from([
         ("listen", with("/listen", json!("nowhere"))),
@@ -458,83 +509,88 @@
         ("Verbs.0.Utility", with("/settings/Verbs/0/Utility", json!(-1.0))),
         ("seed", with("/seed", Value::Null)),
     ]);
-    let check = |told: &Value| {
-        let file = std::env::temp_dir().join(format!("landingspread-check-{}.json", nobody()));
-        std::fs::write(&file, told.to_string()).expect("a file");
+    let check = |config: &Value| {
+        let file = std::env::temp_dir().join(format!("landingspread-check-{}.json", unused_address()));
+        std::fs::write(&file, config.to_string()).expect("failed to write the file");
         let mut program = Command::new(env!("CARGO_BIN_EXE_landingspread"));
-        let output = program.arg("check").arg("--file").arg(&file).output().expect("it runs");
+        let output =
+            program.arg("check").arg("--file").arg(&file).output().expect("failed to run landingspread");
         let _ = std::fs::remove_file(&file);
         (output.status.success(), String::from_utf8_lossy(&output.stderr).to_string())
     };
-    assert_eq!(check(&good), (true, String::new()));
-    for (key, told) in &cases {
-        let (fine, said) = check(told);
-        assert!(!fine && said.contains(key), "{key}: {said}");
+    assert_eq!(check(&valid), (true, String::new()));
+    for (key, config) in &cases {
+        let (valid, error) = check(config);
+        assert!(!valid && error.contains(key), "{key}: {error}");
     }
 }
 
-/// The settings of a deployment where each caller has a sidecar of its own.
-fn moved(config: &mut Value) {
+/// Changes the settings to those of a deployment in which each client has its own sidecar.
+fn set_sidecar_per_client(config: &mut Value) {
     config["settings"]["Report"] = json!({"How": "probe", "Fields": ["active", "waiting"]});
     config["settings"]["Costs"] = json!({"Probe": 0.002, "Peer": 0.01, "Handshake": 0.05});
 }
 
 #[test]
-fn where_checks_tell_loads_commands_go_where_least_is_held_from_the_first_on() {
-    let (busy, idle) = (endpoint(Does::Holds(3)), endpoint(Does::Holds(0)));
-    let known = catalog(1, &[("s1", busy.address, "ready"), ("s2", idle.address, "ready")]);
-    let discovery = list_source();
-    let sidecar = Sidecar::start_as(&known, discovery.address, moved);
+fn with_probed_loads_first_requests_go_to_the_least_loaded() {
+    let (busy, idle) = (start_endpoint(Does::Holds(3)), start_endpoint(Does::Holds(0)));
+    let known = endpoint_list(1, &[("s1", busy.address, "ready"), ("s2", idle.address, "ready")]);
+    let discovery = start_discovery();
+    let sidecar = Sidecar::start_as(&known, discovery.address, set_sidecar_per_client);
     for (number, verb) in ["view", "confirm", "hold"].repeat(7).into_iter().enumerate() {
-        assert_eq!(sidecar.cmd(verb, &format!("c{number}"), 1500), 200);
+        assert_eq!(sidecar.send_request(verb, &format!("c{number}"), 1500), 200);
     }
     assert_eq!((busy.count(), idle.count()), (0, 21));
 }
 
 #[test]
-fn what_was_learnt_before_the_switch_goes_by_in_the_first_second_and_is_kept_again() {
-    let (slow, well) = (endpoint(Does::Answer), endpoint(Does::Answer));
-    let known = catalog(1, &[("s1", slow.address, "ready"), ("s2", well.address, "ready")]);
-    let discovery = list_source();
-    let kept = std::env::temp_dir().join(format!("landingspread-learnt-{}.json", discovery.address));
-    let unix =
-        std::time::SystemTime::now().duration_since(std::time::SystemTime::UNIX_EPOCH).expect("a time");
+fn saved_statistics_are_used_after_a_restart_and_saved_again() {
+    let (slow, fast) = (start_endpoint(Does::Answer), start_endpoint(Does::Answer));
+    let known = endpoint_list(1, &[("s1", slow.address, "ready"), ("s2", fast.address, "ready")]);
+    let discovery = start_discovery();
+    let statistics_file =
+        std::env::temp_dir().join(format!("landingspread-learnt-{}.json", discovery.address));
+    let unix = std::time::SystemTime::now()
+        .duration_since(std::time::SystemTime::UNIX_EPOCH)
+        .expect("system time is after 1970");
     let start = |change: &dyn Fn(&mut Value)| {
         Sidecar::start_as(&known, discovery.address, |config| {
-            moved(config);
+            set_sidecar_per_client(config);
             config["settings"]["Report"] = json!({"How": "none"});
-            config["learnt"] = json!(kept);
+            config["learnt"] = json!(statistics_file);
             change(config);
         })
     };
-    // The file says whose it is in words of its own.
-    let _ = std::fs::remove_file(&kept);
-    let (mut of, first) = (String::new(), start(&|_| ()));
-    within("it keeps what it learns", || {
-        let saved: Option<Value> = serde_json::from_slice(&std::fs::read(&kept).unwrap_or_default()).ok();
-        of = saved.and_then(|saved| Some(saved["deployment"].as_str()?.to_string())).unwrap_or_default();
-        !of.is_empty()
+    // The name of the deployment is taken from a file that the sidecar has saved.
+    let _ = std::fs::remove_file(&statistics_file);
+    let (mut deployment, first) = (String::new(), start(&|_| ()));
+    wait_until("the sidecar saves statistics", || {
+        let saved: Option<Value> =
+            serde_json::from_slice(&std::fs::read(&statistics_file).unwrap_or_default()).ok();
+        deployment =
+            saved.and_then(|saved| Some(saved["deployment"].as_str()?.to_string())).unwrap_or_default();
+        !deployment.is_empty()
     });
     drop(first);
     let saved = |age_ms: u128| {
-        json!({"version": 2, "deployment": of, "saved_unix_ms": (unix.as_millis() - age_ms) as u64, "servers": [
+        json!({"version": 2, "deployment": deployment, "saved_unix_ms": (unix.as_millis() - age_ms) as u64, "servers": [
             {"id": "s1", "started_unix_ms": 0, "slowness": 2.0, "marked": true},
             {"id": "s2", "started_unix_ms": 0, "slowness": 1.0, "marked": false}]})
     };
-    let play_as = |text: &str, change: &dyn Fn(&mut Value)| {
-        std::fs::write(&kept, text).expect("a file");
+    let run_with = |text: &str, change: &dyn Fn(&mut Value)| {
+        std::fs::write(&statistics_file, text).expect("failed to write the file");
         let sidecar = start(change);
-        let before = (slow.count(), well.count());
+        let before = (slow.count(), fast.count());
         for number in 0..20 {
-            assert_eq!(sidecar.cmd("view", &format!("f{number}"), 1500), 200);
+            assert_eq!(sidecar.send_request("view", &format!("f{number}"), 1500), 200);
         }
-        ((slow.count() - before.0, well.count() - before.1), sidecar)
+        ((slow.count() - before.0, fast.count() - before.1), sidecar)
     };
-    let play = |text: &str| play_as(text, &|_| ());
-    let (went, _sidecar) = play(&saved(1000).to_string());
-    assert_eq!(went, (0, 20), "the marked one gets nothing before its checks have passed");
-    within("it keeps what it learns", || {
-        let text = std::fs::read(&kept).unwrap_or_default();
+    let run = |text: &str| run_with(text, &|_| ());
+    let (counts, _sidecar) = run(&saved(1000).to_string());
+    assert_eq!(counts, (0, 20), "a marked server got requests before its checks passed");
+    wait_until("the sidecar saves statistics", || {
+        let text = std::fs::read(&statistics_file).unwrap_or_default();
         let saved: Option<Value> = serde_json::from_slice(&text).ok();
         saved.is_some_and(|saved| {
             saved["servers"][0]["id"] == "s1"
@@ -542,36 +598,37 @@
         })
     });
     drop(_sidecar);
-    // What is old, of another version or deployment, or half written is passed over.
-    let other = saved(1000).to_string().replace("\"version\":2", "\"version\":1");
-    let foreign = saved(1000).to_string().replace("tier 0 of", "tier 1 of");
-    for text in [saved(120_000).to_string(), other, foreign, "{".to_string()] {
-        let ((first, second), _sidecar) = play(&text);
-        assert!(first > 0 && second > 0, "both are new: {first} and {second}");
+    // Files that are old, truncated, or of another version or deployment are ignored.
+    let other_version = saved(1000).to_string().replace("\"version\":2", "\"version\":1");
+    let other_deployment = saved(1000).to_string().replace("tier 0 of", "tier 1 of");
+    for text in [saved(120_000).to_string(), other_version, other_deployment, "{".to_string()] {
+        let ((first, second), _sidecar) = run(&text);
+        assert!(first > 0 && second > 0, "saved statistics were used: {first} and {second} requests");
     }
-    // So is what another customer's process left, whose tier and verbs have the same names.
+    // So are files of another customer's sidecar whose tier and request classes have the same names.
     let others: [&dyn Fn(&mut Value); 3] = [
         &|config| config["settings"]["Verbs"][0]["TimeLimit"] = json!(1_900_000),
         &|config| config["settings"]["Tenants"][0]["Name"] = json!("other"),
         &|config| config["settings"]["PolicyLimits"]["MostRelays"] = json!(5),
     ];
     for change in others {
-        let ((first, second), _sidecar) = play_as(&saved(1000).to_string(), change);
-        assert!(first > 0 && second > 0, "both are new: {first} and {second}");
+        let ((first, second), _sidecar) = run_with(&saved(1000).to_string(), change);
+        assert!(first > 0 && second > 0, "saved statistics were used: {first} and {second} requests");
     }
-    let _ = std::fs::remove_file(&kept);
+    let _ = std::fs::remove_file(&statistics_file);
 }
 
 #[test]
-fn a_commands_stated_cost_is_read_where_the_configuration_names_its_header() {
-    let endpoint = endpoint(Does::Answer);
-    let known = catalog(1, &[("s1", endpoint.address, "ready")]);
-    let discovery = list_source();
+fn request_cost_is_read_from_the_configured_header() {
+    let endpoint = start_endpoint(Does::Answer);
+    let known = endpoint_list(1, &[("s1", endpoint.address, "ready")]);
+    let discovery = start_discovery();
     let sidecar =
         Sidecar::start_as(&known, discovery.address, |config| config["cost_header"] = json!("X-Cost-Ms"));
-    let with =
-        |cost: &str, id: &str| cmd("view", id, 1500).replace("Host:", &format!("X-Cost-Ms: {cost}\r\nHost:"));
-    let status = |text: &str| sidecar.ask(text).expect("a final word").0;
+    let with = |cost: &str, id: &str| {
+        request_text("view", id, 1500).replace("Host:", &format!("X-Cost-Ms: {cost}\r\nHost:"))
+    };
+    let status = |text: &str| sidecar.send_text(text).expect("no final response from the sidecar").0;
     assert_eq!((status(&with("12.5", "c1")), status(&with("a lot", "c2"))), (200, 400));
-    assert_eq!((status(&with("0", "c3")), status(&cmd("view", "c4", 1500))), (400, 200));
+    assert_eq!((status(&with("0", "c3")), status(&request_text("view", "c4", 1500))), (400, 200));
 }
--- a/crates/sidecar/tests/watches.rs
+++ b/crates/sidecar/tests/watches.rs
@@ -1,5 +1,5 @@
-//! A watch that dies in each way that one can: when the next call comes, over twenty processes of the program each. The
-//! stand-in counts from the moment in which the dying call was whole.
+//! How soon a sidecar polls discovery again after its watch failed in each possible way, over twenty processes each. The
+//! time counts from when discovery had read the whole poll that fails.
 
 mod helpers;
 
@@ -12,72 +12,81 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const PLAYS: usize = 20;
-/// What a call may wait at discovery, what an answer may come late by, and the longest pause after a first failure.
-const GIVEN_UP: u64 = 2000 + 1000 + 500;
-/// Twenty processes start and end beside it.
-const SLACK: u64 = 250;
+const RUNS: usize = 20;
+/// Milliseconds until a silent poll is followed by another: the wait that it asks discovery for, the grace for a late
+/// answer, and the longest pause after a first failure.
+const SILENT_POLL_BOUND_MS: u64 = 2000 + 1000 + 500;
+/// Twenty processes start and end at the same time.
+const SLACK_MS: u64 = 250;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Dies {
+enum WatchFailure {
     SilentFromTheFirstByte,
     SilentHalfWay,
     Trickles,
-    /// The connection ends right after the answer, before the next call.
-    EndsBehindAnAnswer,
+    /// The connection ends right after an answer, before the next poll.
+    EndsAfterAnAnswer,
     Reset,
     Says503,
-    /// It comes after the call was given up, on the connection that is no longer read.
+    /// The answer comes after the sidecar gave the poll up, on a connection that it no longer reads.
     AnswersTooLate,
-    /// Half a list and the end.
+    /// The connection ends in the middle of the list.
     CutShort,
 }
 
-/// One discovery for one process: its first call is answered, the second dies, later ones are answered.
-struct Source {
+/// Discovery of one sidecar: it answers the first poll, fails the second, and holds later ones.
+struct FailingDiscovery {
     address: SocketAddr,
-    calls: Arc<Mutex<Vec<Instant>>>,
+    /// When each poll was read.
+    polls: Arc<Mutex<Vec<Instant>>>,
 }
 
-impl Source {
-    fn start(dies: Dies, server: SocketAddr) -> Source {
-        let listener = free();
-        let address = listener.local_addr().expect("an address");
-        let calls: Arc<Mutex<Vec<Instant>>> = Arc::default();
-        let noted = calls.clone();
-        thread::spawn(move || serve(&listener, dies, server, &noted));
-        Source { address, calls }
+impl FailingDiscovery {
+    fn start(failure: WatchFailure, server: SocketAddr) -> FailingDiscovery {
+        let listener = bind_unused_port();
+        let address = listener.local_addr().expect("listener has a local address");
+        let polls: Arc<Mutex<Vec<Instant>>> = Arc::default();
+        let recorded = polls.clone();
+        thread::spawn(move || serve(&listener, failure, server, &recorded));
+        FailingDiscovery { address, polls }
     }
 
-    fn call(&self, number: usize) -> Option<Instant> {
-        self.calls.lock().expect("a lock").get(number).copied()
+    fn poll_time(&self, number: usize) -> Option<Instant> {
+        self.polls.lock().expect("lock is not poisoned").get(number).copied()
     }
 }
 
-fn list(generation: u64, server: SocketAddr) -> Vec<u8> {
-    let body = catalog(generation, &[("s1", server, "ready")]).to_string();
+fn list_response(generation: u64, server: SocketAddr) -> Vec<u8> {
+    let body = endpoint_list(generation, &[("s1", server, "ready")]).to_string();
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-fn serve(listener: &TcpListener, dies: Dies, server: SocketAddr, calls: &Arc<Mutex<Vec<Instant>>>) {
+fn serve(
+    listener: &TcpListener,
+    failure: WatchFailure,
+    server: SocketAddr,
+    polls: &Arc<Mutex<Vec<Instant>>>,
+) {
     for stream in listener.incoming().flatten() {
-        let calls = calls.clone();
+        let polls = polls.clone();
         thread::spawn(move || {
             let mut peer = Peer::new(stream);
             while let Ok(Some(_)) = peer.command() {
                 let number = {
-                    let mut calls = calls.lock().expect("a lock");
-                    calls.push(Instant::now());
-                    calls.len() - 1
+                    let mut polls = polls.lock().expect("lock is not poisoned");
+                    polls.push(Instant::now());
+                    polls.len() - 1
                 };
                 match number {
-                    0 if dies == Dies::EndsBehindAnAnswer => {
-                        let _ = peer.write(&list(1, server));
+                    0 if failure == WatchFailure::EndsAfterAnAnswer => {
+                        let _ = peer.write(&list_response(1, server));
                         return;
                     }
-                    1 if dies != Dies::EndsBehindAnAnswer => return die(dies, &mut peer, server),
-                    0 => drop(peer.write(&list(1, server))),
-                    // Nothing is new any more: the call waits longer than the test lasts.
+                    1 if failure != WatchFailure::EndsAfterAnAnswer => {
+                        return fail_poll(failure, &mut peer, server);
+                    }
+                    0 => drop(peer.write(&list_response(1, server))),
+                    // There are no more changes: the poll waits longer than the test lasts.
                     _ => thread::sleep(ms(20_000)),
                 }
             }
@@ -85,15 +94,15 @@
     }
 }
 
-fn die(dies: Dies, peer: &mut Peer, server: SocketAddr) {
-    let list = list(2, server);
-    match dies {
-        Dies::SilentFromTheFirstByte => thread::sleep(ms(20_000)),
-        Dies::SilentHalfWay => {
+fn fail_poll(failure: WatchFailure, peer: &mut Peer, server: SocketAddr) {
+    let list = list_response(2, server);
+    match failure {
+        WatchFailure::SilentFromTheFirstByte => thread::sleep(ms(20_000)),
+        WatchFailure::SilentHalfWay => {
             let _ = peer.write(&list[..list.len() / 2]);
             thread::sleep(ms(20_000));
         }
-        Dies::Trickles => {
+        WatchFailure::Trickles => {
             for byte in list.chunks(1) {
                 if peer.write(byte).is_err() {
                     return;
@@ -101,114 +110,144 @@
                 thread::sleep(ms(100));
             }
         }
-        Dies::Reset => {
-            rustix::net::sockopt::set_socket_linger(&peer.stream, Some(Duration::ZERO)).expect("linger");
+        WatchFailure::Reset => {
+            rustix::net::sockopt::set_socket_linger(&peer.stream, Some(Duration::ZERO))
+                .expect("failed to set SO_LINGER");
         }
-        Dies::Says503 => {
+        WatchFailure::Says503 => {
             let _ = peer.write(b"HTTP/1.1 503 -\r\nContent-Length: 0\r\n\r\n");
         }
-        Dies::AnswersTooLate => {
+        WatchFailure::AnswersTooLate => {
             thread::sleep(ms(3300));
             let _ = peer.write(&list);
         }
-        Dies::CutShort => drop(peer.write(&list[..list.len() / 2])),
-        Dies::EndsBehindAnAnswer => {}
+        WatchFailure::CutShort => drop(peer.write(&list[..list.len() / 2])),
+        WatchFailure::EndsAfterAnAnswer => {}
     }
 }
 
-/// The time from the dying call to the next one, of one process.
-fn play(dies: Dies, copies: u64, number: usize, bound: Duration) -> Duration {
-    let server = nobody();
-    let source = Source::start(dies, server);
-    let known = catalog(0, &[("s1", server, "ready")]);
-    let sidecar = Sidecar::start_as(&known, source.address, |config| {
-        config["settings"]["Balancers"] = json!(copies);
+/// Starts one sidecar and returns the time from the poll that fails to the next one.
+fn measure_repoll(failure: WatchFailure, replicas: u64, number: usize, bound: Duration) -> Duration {
+    let server = unused_address();
+    let discovery = FailingDiscovery::start(failure, server);
+    let known = endpoint_list(0, &[("s1", server, "ready")]);
+    let sidecar = Sidecar::start_as(&known, discovery.address, |config| {
+        config["settings"]["Balancers"] = json!(replicas);
         config["seed"] = json!(format!("{:x}", 0x51 * (number + 1)));
     });
-    // Where the connection ends behind the first answer it is the first call that the next one is counted from.
-    let dying = usize::from(dies != Dies::EndsBehindAnAnswer);
+    // If the connection ends after the first answer, the time counts from the first poll.
+    let failed_poll = usize::from(failure != WatchFailure::EndsAfterAnAnswer);
     let begun = Instant::now();
-    while source.call(dying + 1).is_none() {
-        assert!(begun.elapsed() < bound + ms(3000), "{dies:?}: no new call");
+    while discovery.poll_time(failed_poll + 1).is_none() {
+        assert!(begun.elapsed() < bound + ms(3000), "{failure:?}: no new poll");
         thread::sleep(ms(2));
     }
     drop(sidecar);
-    source.call(dying + 1).zip(source.call(dying)).map(|(next, dead)| next - dead).expect("two calls")
+    discovery
+        .poll_time(failed_poll + 1)
+        .zip(discovery.poll_time(failed_poll))
+        .map(|(next, failed)| next - failed)
+        .expect("the failed poll and the next one were recorded")
 }
 
-fn opened_anew(dies: Dies, copies: u64, bound_ms: u64) {
-    let bound = ms(bound_ms + SLACK);
-    let plays: Vec<_> =
-        (0..PLAYS).map(|number| thread::spawn(move || play(dies, copies, number, bound))).collect();
-    let mut took: Vec<Duration> = plays.into_iter().map(|play| play.join().expect("a play")).collect();
-    took.sort();
-    println!("{dies:?}, {copies} copies: {:?} {:?} {:?}", took[0], took[PLAYS / 2], took[PLAYS - 1]);
-    assert!(took[PLAYS - 1] <= bound, "{dies:?}: {:?}, {bound:?} allowed", took[PLAYS - 1]);
+fn assert_polls_again_within(failure: WatchFailure, replicas: u64, bound_ms: u64) {
+    let bound = ms(bound_ms + SLACK_MS);
+    let runs: Vec<_> = (0..RUNS)
+        .map(|number| thread::spawn(move || measure_repoll(failure, replicas, number, bound)))
+        .collect();
+    let mut delays: Vec<Duration> =
+        runs.into_iter().map(|run| run.join().expect("run thread panicked")).collect();
+    delays.sort();
+    println!(
+        "{failure:?}, {replicas} replicas: {:?} {:?} {:?}",
+        delays[0],
+        delays[RUNS / 2],
+        delays[RUNS - 1]
+    );
+    assert!(delays[RUNS - 1] <= bound, "{failure:?}: {:?}, {bound:?} allowed", delays[RUNS - 1]);
 }
 
 #[test]
-fn a_watch_that_says_nothing_more_is_opened_anew_once_its_call_is_over() {
-    for dies in [Dies::SilentFromTheFirstByte, Dies::SilentHalfWay, Dies::Trickles, Dies::AnswersTooLate] {
-        opened_anew(dies, 1, GIVEN_UP);
+fn silent_watch_is_polled_again_after_its_wait_and_grace() {
+    for failure in [
+        WatchFailure::SilentFromTheFirstByte,
+        WatchFailure::SilentHalfWay,
+        WatchFailure::Trickles,
+        WatchFailure::AnswersTooLate,
+    ] {
+        assert_polls_again_within(failure, 1, SILENT_POLL_BOUND_MS);
     }
 }
 
 #[test]
-fn a_watch_that_ends_is_opened_anew_at_once() {
-    for dies in [Dies::EndsBehindAnAnswer, Dies::Reset, Dies::Says503, Dies::CutShort] {
-        opened_anew(dies, 1, 500);
+fn closed_or_rejected_watch_is_polled_again_at_once() {
+    for failure in
+        [WatchFailure::EndsAfterAnAnswer, WatchFailure::Reset, WatchFailure::Says503, WatchFailure::CutShort]
+    {
+        assert_polls_again_within(failure, 1, 500);
     }
 }
 
 #[test]
-fn with_three_hundred_copies_a_silent_watch_is_opened_anew_before_what_it_misses_counts_as_told() {
-    // Its calls would wait for 6 s to be few, but a change counts as told 6 s after discovery had it: they wait for 2.5 s.
-    opened_anew(Dies::SilentFromTheFirstByte, 300, 2500 + 1000 + 500);
+fn silent_watch_of_300_replicas_is_polled_again_in_time() {
+    // To keep the polls of 300 replicas rare each would wait 6 s, but the sidecar has to know a change within 6 s after
+    // discovery had it. So polls wait 2.5 s.
+    assert_polls_again_within(WatchFailure::SilentFromTheFirstByte, 300, 2500 + 1000 + 500);
 }
 
 #[test]
-fn a_reset_watch_and_a_new_configuration_at_once_leave_one_watch_at_the_new_place() {
-    let server = nobody();
-    for _ in 0..PLAYS {
-        let (old, new) = (Source::start(Dies::SilentHalfWay, server), Source::start(Dies::CutShort, server));
-        let known = catalog(0, &[("s1", server, "ready")]);
+fn reset_watch_and_reload_leave_one_watch_at_the_new_discovery() {
+    let server = unused_address();
+    for _ in 0..RUNS {
+        let (old, new) = (
+            FailingDiscovery::start(WatchFailure::SilentHalfWay, server),
+            FailingDiscovery::start(WatchFailure::CutShort, server),
+        );
+        let known = endpoint_list(0, &[("s1", server, "ready")]);
         let sidecar = Sidecar::start_as(&known, old.address, |_| {});
-        within("the watch stands", || old.call(1).is_some());
-        // Both are there when the program looks: the end of its watch and the signal.
-        let config = told(&known, sidecar.address, new.address);
-        std::fs::write(&sidecar.file, config.to_string()).expect("a file");
+        wait_until("the old discovery is watched", || old.poll_time(1).is_some());
+        // The end of the watch and the signal both wait when the stopped process continues.
+        let config = sidecar_config(&known, sidecar.address, new.address);
+        std::fs::write(&sidecar.config_file, config.to_string()).expect("failed to write the file");
         sidecar.signal("-STOP");
         sidecar.signal("-HUP");
         sidecar.signal("-CONT");
-        within("the new place is asked", || new.call(0).is_some());
-        let before = old.calls.lock().expect("a lock").len();
-        within("and again once its watch was cut short", || new.call(2).is_some());
-        assert_eq!(old.calls.lock().expect("a lock").len(), before, "the old place is asked no more");
+        wait_until("the new discovery is polled", || new.poll_time(0).is_some());
+        let before = old.polls.lock().expect("lock is not poisoned").len();
+        wait_until("the new discovery is polled again after its answer was cut short", || {
+            new.poll_time(2).is_some()
+        });
+        assert_eq!(
+            old.polls.lock().expect("lock is not poisoned").len(),
+            before,
+            "the old discovery was polled again"
+        );
     }
 }
 
 #[test]
-fn discovery_that_turns_all_calls_away_is_asked_again_within_four_seconds_of_each() {
-    let server = nobody();
-    let listener = free();
-    let address = listener.local_addr().expect("an address");
-    let calls: Arc<Mutex<Vec<Instant>>> = Arc::default();
-    let noted = calls.clone();
+fn discovery_that_answers_503_is_polled_every_four_seconds() {
+    let server = unused_address();
+    let listener = bind_unused_port();
+    let address = listener.local_addr().expect("listener has a local address");
+    let polls: Arc<Mutex<Vec<Instant>>> = Arc::default();
+    let recorded = polls.clone();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let stream: TcpStream = stream;
             let mut peer = Peer::new(stream);
             if matches!(peer.command(), Ok(Some(_))) {
-                noted.lock().expect("a lock").push(Instant::now());
+                recorded.lock().expect("lock is not poisoned").push(Instant::now());
                 let _ = peer.stream.write_all(b"HTTP/1.1 503 -\r\nContent-Length: 0\r\n\r\n");
             }
         }
     });
-    let sidecar = Sidecar::start_as(&catalog(0, &[("s1", server, "ready")]), address, |_| {});
+    let sidecar = Sidecar::start_as(&endpoint_list(0, &[("s1", server, "ready")]), address, |_| {});
     thread::sleep(ms(15_000));
     drop(sidecar);
-    let calls = calls.lock().expect("a lock").clone();
-    let longest = calls.windows(2).map(|pair| pair[1] - pair[0]).max().expect("calls");
-    println!("{} calls in 15 s, {longest:?} apart at most", calls.len());
-    assert!(calls.len() >= 5 && longest <= ms(4000 + SLACK), "{longest:?}");
+    let polls = polls.lock().expect("lock is not poisoned").clone();
+    let longest =
+        polls.windows(2).map(|pair| pair[1] - pair[0]).max().expect("discovery was polled at least twice");
+    println!("{} polls in 15 s, {longest:?} apart at most", polls.len());
+    assert!(polls.len() >= 5 && longest <= ms(4000 + SLACK_MS), "{longest:?}");
 }
--- a/crates/sidecar/tests/zones.rs
+++ b/crates/sidecar/tests/zones.rs
@@ -1,5 +1,5 @@
-//! Several processes of the program and zones that fail. The lab's rig runs each plan on real processes and judges whether all
-//! evacuated a lost zone, none evacuated another one, and all returned. The tests take turns, as each needs all cores.
+//! Fleets of real processes with failing zones. The lab's rig runs each plan and checks that all sidecars evacuated a lost
+//! zone, none evacuated another one, and all returned. The tests run one at a time, as each needs all cores.
 
 use landingspread_lab::fleet::plan::read;
 use landingspread_lab::fleet::rig::{LOOK_EVERY, Played, Ways, play, run_dir};
@@ -8,15 +8,15 @@
 
 static TURN: Mutex<()> = Mutex::new(());
 
-fn played(name: &str, seconds: f64, more: &str) -> Played {
-    // A test that failed holds nothing that another one needs.
+fn run_plan(name: &str, seconds: f64, more: &str) -> Played {
+    // A failed test poisons the lock, but leaves nothing behind that affects the next one.
     let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
     let text = format!(
         "name = \"{name}\"\nseconds = {seconds}\nservers = 6\nrate_each = 14.0\nlocalities = true\nleft_within = 1.5\n\
          {more}"
     );
-    let plan = read(name, &text, Some(9)).expect("a plan");
-    let dir = run_dir(name).expect("a folder");
+    let plan = read(name, &text, Some(9)).expect("plan is valid");
+    let dir = run_dir(name).expect("failed to create the run directory");
     let ways = Ways {
         seed: 31,
         program: Path::new(env!("CARGO_BIN_EXE_landingspread")),
@@ -26,12 +26,12 @@
         with_localities: true,
         look_every: LOOK_EVERY,
     };
-    let played = play(&plan, &ways, &mut |_| ()).expect("a run");
+    let played = play(&plan, &ways, &mut |_| ()).expect("plan run failed");
     let zones = &played.zones;
     assert!(zones.broken.is_empty() && zones.false_verdicts == 0, "{name}: {zones:#?}");
     assert!(played.figures.broken.is_empty(), "{name}: {:#?}", played.figures.broken);
     assert_eq!(played.broken_rules, [0; 4], "{name}: {:#?}", played.breaches);
-    // The judge had something to observe.
+    // The checks above mean nothing unless a zone was evacuated.
     assert!(zones.departures_most >= 1, "{name}: {zones:#?}");
     played
 }
@@ -41,36 +41,37 @@
 }
 
 #[test]
-fn a_zone_that_falls_silent_is_evacuated_by_all_and_tried_in_turn() {
+fn silent_zone_is_evacuated_by_all_and_probed_in_turn() {
     let silent = fault("silent", 4.0, 6.0, "zone = \"b\"");
-    let played = played("silent", 17.0, &("departures_most = 1\nback_within = 6.0\n".to_string() + &silent));
+    let played =
+        run_plan("silent", 17.0, &("departures_most = 1\nback_within = 6.0\n".to_string() + &silent));
     let zones = &played.zones;
     assert!(zones.relays_in_vain > 0 && zones.trials_most > 1.0 && zones.back_most > 0.0, "{zones:#?}");
 }
 
 #[test]
-fn a_path_that_is_cut_one_way_is_left_by_those_who_lost_it() {
+fn path_cut_one_way_is_left_by_the_sidecars_that_lost_it() {
     let cut = fault("cut", 4.0, 5.0, "zone = \"a\"\nway = \"out\"\npaths = \"servers\"");
-    played("one-way", 16.0, &("departures_most = 1\nback_within = 6.0\n".to_string() + &cut));
+    run_plan("one-way", 16.0, &("departures_most = 1\nback_within = 6.0\n".to_string() + &cut));
 }
 
 #[test]
-fn a_zone_that_comes_and_goes_is_evacuated_twice_at_most() {
-    let away = |at: f64| fault("silent", at, 2.0, "zone = \"c\"");
-    let faults: String = [4.0, 9.0, 14.0, 19.0].map(away).concat();
-    played("flap", 26.0, &("departures_most = 2\nback_within = 60.0\n".to_string() + &faults));
+fn flapping_zone_is_evacuated_at_most_twice() {
+    let outage = |at: f64| fault("silent", at, 2.0, "zone = \"c\"");
+    let faults: String = [4.0, 9.0, 14.0, 19.0].map(outage).concat();
+    run_plan("flap", 26.0, &("departures_most = 2\nback_within = 60.0\n".to_string() + &faults));
 }
 
 #[test]
-fn a_zone_returns_to_slow_start_under_half_as_much_traffic_again() {
+fn zone_returns_in_slow_start_under_150_percent_of_traffic() {
     let faults = fault("crash", 4.0, 4.0, "zone = \"b\"") + &fault("surge", 7.0, 8.0, "factor = 1.5");
-    played("surge", 20.0, &("work = 0.03\nback_within = 9.0\n".to_string() + &faults));
+    run_plan("surge", 20.0, &("work = 0.03\nback_within = 9.0\n".to_string() + &faults));
 }
 
 #[test]
-fn operator_commands_in_a_partition_outlive_the_replica_that_received_them() {
+fn operator_commands_outlive_the_replica_that_received_them() {
     let faults = fault("cut", 4.0, 6.0, "copies = [0, 1, 2, 3]\npaths = \"copies\"")
         + &fault("leave", 5.0, 12.0, "copies = [1, 2]\nzone = \"c\"")
         + &fault("kill", 7.0, 4.0, "copies = [1]");
-    played("operators", 24.0, &("back_within = 6.0\n".to_string() + &faults));
+    run_plan("operators", 24.0, &("back_within = 6.0\n".to_string() + &faults));
 }
