--- a/crates/sidecar/tests/control/versions.rs
+++ b/crates/sidecar/tests/control/versions.rs
@@ -94,14 +94,12 @@
         let before = endpoints[server].seen().cmds.len();
         sidecar.request("view", 1) == Some(200) && endpoints[server].seen().cmds.len() > before
     };
-    sidecars.iter().for_each(|sidecar| {
-        wait_until("the list of the file's discovery is in force", || routes_to(sidecar, 0))
-    });
+    sidecars.iter().for_each(|sidecar| wait_until("the file's discovery is used", || routes_to(sidecar, 0)));
     let moved = publish(machines[0].address, &json!({"discovery.address": sources[1].address.to_string()}));
     wait_until_in_force("discovery moved", &sidecars, &moved, Instant::now());
-    sidecars.iter().for_each(|sidecar| {
-        wait_until("the list of the version's discovery is in force", || routes_to(sidecar, 1))
-    });
+    sidecars
+        .iter()
+        .for_each(|sidecar| wait_until("the version's discovery is used", || routes_to(sidecar, 1)));
     // The file is changed to name another discovery; the version overrides it.
     for (at, sidecar) in sidecars.iter().enumerate() {
         let path = folder.join(format!("n{at}.toml"));
@@ -117,8 +115,8 @@
     }
     let back = publish(machines[1].address, &json!({}));
     wait_until_in_force("discovery no longer in the version", &sidecars, &back, Instant::now());
-    sidecars.iter().for_each(|sidecar| {
-        wait_until("the list of the file's new discovery is in force", || routes_to(sidecar, 2))
-    });
+    sidecars
+        .iter()
+        .for_each(|sidecar| wait_until("the file's new discovery is used", || routes_to(sidecar, 2)));
     let _ = std::fs::remove_dir_all(folder);
 }
--- a/crates/sidecar/tests/request_bytes.rs
+++ b/crates/sidecar/tests/request_bytes.rs
@@ -246,9 +246,9 @@
         response += if stays_open { "(open)" } else { "(end)" };
         let received = std::mem::take(&mut *endpoint.received.lock().expect("lock is not poisoned"));
         all += &format!("== {case}\n");
-        received.iter().for_each(|request| {
-            all += &fixture_lines(request, "endpoint <", sidecar.address, endpoint.address)
-        });
+        received
+            .iter()
+            .for_each(|text| all += &fixture_lines(text, "endpoint <", sidecar.address, endpoint.address));
         all += &fixture_lines(&response, "client   <", sidecar.address, endpoint.address);
     }
     assert_matches_fixture("request_bytes.txt", &all);
--- a/crates/sidecar/tests/streams.rs
+++ b/crates/sidecar/tests/streams.rs
@@ -204,9 +204,7 @@
         let mut rest = Vec::new();
         let ended = stream.read_to_end(&mut rest);
         match (content_length(&head), header(&head, "transfer-encoding")) {
-            (0, None) => {
-                assert!(http_1_0 && ended.is_err(), "a clean close would pass for the end of the response")
-            }
+            (0, None) => assert!(http_1_0 && ended.is_err(), "a truncated response closed cleanly"),
             (0, Some(_)) => assert!(!http_1_0 && !rest.ends_with(b"0\r\n\r\n")),
             (length, _) => assert!(rest.len() < length),
         }
