--- a/crates/lab/src/fan_out.rs
+++ b/crates/lab/src/fan_out.rs
@@ -2,7 +2,7 @@
 //! followers to a process (the program's own task, on real sockets), in calm and with faults. It owns the processes and the
 //! ways between regions; what it prints is what followers said and what the kernel counts of them.
 
-use landingspread_lab::sockets::{Peer, free, program};
+use landingspread_lab::sockets::{Peer, bind_loopback, sidecar_program};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -82,17 +82,17 @@
     let told = |wrong: std::io::Error| format!("{to}: {head}: {wrong}");
     let stream = TcpStream::connect_timeout(&to, CALL).map_err(told)?;
     let mut peer = Peer::new(stream);
-    peer.patience(Some(CALL));
+    peer.set_read_timeout(Some(CALL));
     let length = body.len();
     let text = format!("{head} HTTP/1.1\r\nHost: lab\r\nContent-Length: {length}\r\n\r\n{body}");
     peer.write(text.as_bytes()).map_err(told)?;
-    let answer = peer.answer().map_err(told)?;
+    let answer = peer.read_response().map_err(told)?;
     Ok((answer.status().unwrap_or(0), String::from_utf8_lossy(&answer.body).into_owned()))
 }
 
 /// The way across the border: what a cut holds up goes on when it is over.
 fn way(to: SocketAddr, cut: &Arc<AtomicBool>) -> Result<SocketAddr, String> {
-    let listener = free().map_err(|wrong| wrong.to_string())?;
+    let listener = bind_loopback().map_err(|wrong| wrong.to_string())?;
     let own = listener.local_addr().map_err(|wrong| wrong.to_string())?;
     let cut = cut.clone();
     thread::spawn(move || lead(&listener, to, &cut));
@@ -133,7 +133,7 @@
 impl Rig {
     fn start(count: usize, scopes: usize, dir: &Path) -> Result<Rig, String> {
         let addresses: Vec<SocketAddr> = (0..MACHINES)
-            .map(|_| free().and_then(|listener| listener.local_addr()))
+            .map(|_| bind_loopback().and_then(|listener| listener.local_addr()))
             .collect::<Result<_, _>>()
             .map_err(|wrong| wrong.to_string())?;
         let cut = Arc::new(AtomicBool::new(false));
@@ -145,7 +145,7 @@
             .collect::<Result<_, String>>()?;
         let mut rig = Rig {
             dir: dir.to_path_buf(),
-            program: program()?,
+            program: sidecar_program()?,
             addresses,
             ways,
             machines: (0..MACHINES).map(|_| None).collect(),
--- a/crates/lab/src/fleet/rig/conns.rs
+++ b/crates/lab/src/fleet/rig/conns.rs
@@ -4,7 +4,7 @@
 use super::Sky;
 use crate::fleet::weather::Party;
 use crate::fleet::zones::Hit;
-use crate::sockets::{free, read};
+use crate::sockets::{bind_loopback, read};
 use rustix::net::sockopt::set_socket_linger;
 use std::io::{self, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -62,7 +62,7 @@
     over: &Arc<AtomicBool>,
     sent: &Sent,
 ) -> io::Result<SocketAddr> {
-    let listener = free()?;
+    let listener = bind_loopback()?;
     let address = listener.local_addr()?;
     let (from, to) = (Party::Copy(copy), Party::Server(server));
     let way = Way { from, to, sky: sky.clone(), over: over.clone(), sent: sent.clone() };
--- a/crates/lab/src/fleet/rig/copy.rs
+++ b/crates/lab/src/fleet/rig/copy.rs
@@ -5,7 +5,7 @@
 use crate::fleet::plan::{Fault, FleetPlan, Kind};
 use crate::fleet::views::Truth;
 use crate::fleet::zones::Held;
-use crate::sockets::{Discovery, Entry, Peer, Sidecar, unused};
+use crate::sockets::{Discovery, Entry, Peer, Sidecar, unused_address_v4};
 use rustix::process::Signal;
 use serde_json::Value;
 use std::fmt::Write;
@@ -51,8 +51,8 @@
             plan.faults.iter().any(starts)
         };
         let listed = entries.iter().enumerate().filter(|(server, _)| !new(*server));
-        listed.for_each(|(_, entry)| discovery.say(entry.clone()));
-        let (listen, console) = (unused().into(), unused().into());
+        listed.for_each(|(_, entry)| discovery.publish(entry.clone()));
+        let (listen, console) = (unused_address_v4().into(), unused_address_v4().into());
         let text = config(plan, ways, number, (listen, console, discovery.address), words);
         let file = format!("c{number}.toml");
         let sidecar = Sidecar::launch(ways.program, ways.dir, &file, &text, listen)?;
@@ -68,7 +68,7 @@
     }
 
     pub fn must_run(&mut self) -> Result<(), String> {
-        if self.truth == Truth::Down { Ok(()) } else { self.sidecar.must_run() }
+        if self.truth == Truth::Down { Ok(()) } else { self.sidecar.check_running() }
     }
 
     pub fn kill(&mut self) {
@@ -101,7 +101,7 @@
         if self.truth != Truth::Down {
             return Ok(());
         }
-        if !self.sidecar.ended() {
+        if !self.sidecar.has_exited() {
             self.sidecar.kill();
         }
         self.sidecar.relaunch(build)?;
@@ -112,7 +112,7 @@
     /// Its list says that a server has started just now.
     pub fn say_started(&self, server: usize) {
         if let Some(entry) = self.entries.get(server) {
-            self.discovery.say(Entry { started: Some(SystemTime::now()), ..entry.clone() });
+            self.discovery.publish(Entry { started: Some(SystemTime::now()), ..entry.clone() });
         }
     }
 
@@ -150,9 +150,9 @@
         let said = format!("PUT {path} HTTP/1.1\r\nHost: lab\r\nContent-Length: {length}\r\n\r\n{zone}");
         let call = || {
             let mut peer = Peer::new(TcpStream::connect_timeout(&self.console, ASK_WITHIN).ok()?);
-            peer.patience(Some(ASK_WITHIN));
+            peer.set_read_timeout(Some(ASK_WITHIN));
             peer.write(said.as_bytes()).ok()?;
-            peer.answer().ok()?.status()
+            peer.read_response().ok()?.status()
         };
         call() == Some(200)
     }
@@ -160,10 +160,10 @@
     fn ask(&self, path: &str) -> Option<Value> {
         let stream = TcpStream::connect_timeout(&self.console, ASK_WITHIN).ok()?;
         let mut peer = Peer::new(stream);
-        peer.patience(Some(ASK_WITHIN));
+        peer.set_read_timeout(Some(ASK_WITHIN));
         let ask = format!("GET {path} HTTP/1.1\r\nHost: lab\r\nAccept: application/json\r\n\r\n");
         peer.write(ask.as_bytes()).ok()?;
-        let heard = peer.answer().ok().filter(|heard| heard.status() == Some(200))?;
+        let heard = peer.read_response().ok().filter(|heard| heard.status() == Some(200))?;
         serde_json::from_slice(&heard.body).ok()
     }
 }
@@ -171,7 +171,7 @@
 impl Drop for Copy {
     fn drop(&mut self) {
         self.sidecar.kill();
-        self.discovery.end();
+        self.discovery.stop();
     }
 }
 
--- a/crates/lab/src/fleet/rig/mod.rs
+++ b/crates/lab/src/fleet/rig/mod.rs
@@ -14,8 +14,13 @@
 use crate::cold::ColdPeaks;
 use crate::plan::{RetrySafety, WorkDistribution};
 use crate::referee::{Breach, FinalOutcome};
-use crate::sockets::callers::{Asking, CallPlan, Done, Pace, run as run_callers};
-use crate::sockets::{ColdMost, Doing, Fleet as Servers, Ledger, Make, Verbs};
+use crate::sockets::callers::{
+    ClientPlan, ClientRequestClass, CompletedRequest, RequestRate, run as run_callers,
+};
+use crate::sockets::{
+    OverloadLimit, RuleChecker, ServedRequestClass, ServedRequestClasses, ServerConfig,
+    ServerGroup as Servers,
+};
 use copy::Copy;
 use rustix::process::Signal;
 use serde::Serialize;
@@ -114,12 +119,12 @@
     words: Words,
     sent: conns::Sent,
     zones: zones::Judge<'a>,
-    pace: Arc<Pace>,
+    pace: Arc<RequestRate>,
     /// Zones that operators took out of use, and the copy that they told.
     said: Vec<(usize, usize)>,
     copies: Vec<Copy>,
     servers: Servers,
-    ledger: Arc<Ledger>,
+    ledger: Arc<RuleChecker>,
     over: Arc<AtomicBool>,
     paths: Vec<SocketAddr>,
     began: Instant,
@@ -151,13 +156,13 @@
     played
 }
 
-fn verbs(plan: &FleetPlan) -> Verbs {
-    let one = |name: &str, repeats: RetrySafety| Doing {
+fn verbs(plan: &FleetPlan) -> ServedRequestClasses {
+    let one = |name: &str, repeats: RetrySafety| ServedRequestClass {
         name: name.into(),
-        repeats,
-        work: plan.work,
-        spread: WorkDistribution::Exponential,
-        calls: 0,
+        retry_safety: repeats,
+        mean_work: plan.work,
+        work_distribution: WorkDistribution::Exponential,
+        downstream_calls: 0,
     };
     let all = [
         one("view", RetrySafety::Idempotent),
@@ -171,22 +176,26 @@
     fn build(plan: &'a FleetPlan, ways: &'a Ways<'a>) -> Result<Rig<'a>, String> {
         let began = Instant::now();
         let sky = Sky(Arc::new(RwLock::new(Weather::new(plan, ways.seed))));
-        let ledger = Arc::new(Ledger::new(began));
+        let ledger = Arc::new(RuleChecker::new(began));
         let over = Arc::new(AtomicBool::new(false));
         let words = Words::start(plan.processes, &sky, ways.seed).map_err(told)?;
         let mut servers = Servers::empty();
         for place in 0..plan.servers {
-            let make = Make {
+            let make = ServerConfig {
                 name: format!("s{place}"),
                 cores: plan.cores,
-                queue: 64,
+                queue_limit: 64,
                 speed: 1.0,
-                cold_share: 0.3,
-                warm_after: copy::WARM_AFTER,
-                cold_most: Some(ColdMost { multiple: 3.0, window: Duration::from_secs(2), least: 8 }),
-                grace: Duration::from_secs(3),
-                reports: false,
-                behind: None,
+                initial_fraction: 0.3,
+                warmup: copy::WARM_AFTER,
+                overload_limit: Some(OverloadLimit {
+                    multiple: 3.0,
+                    window: Duration::from_secs(2),
+                    min_requests: 8,
+                }),
+                drain_grace: Duration::from_secs(3),
+                reports_load: false,
+                next_tier: None,
                 seed: ways.seed,
             };
             servers.add(make, verbs(plan), ledger.clone()).map_err(told)?;
@@ -218,7 +227,7 @@
             words,
             sent,
             zones: zones::Judge::new(plan),
-            pace: Arc::new(Pace::new(plan.rate_each * plan.processes as f64)),
+            pace: Arc::new(RequestRate::new(plan.rate_each * plan.processes as f64)),
             said: Vec::new(),
             copies,
             servers,
@@ -238,12 +247,12 @@
         })
     }
 
-    fn call_plan(&self) -> CallPlan {
-        let asking = |doing: &Doing| Asking {
+    fn call_plan(&self) -> ClientPlan {
+        let asking = |doing: &ServedRequestClass| ClientRequestClass {
             name: doing.name.clone(),
-            repeats: doing.repeats,
-            share: if doing.repeats == RetrySafety::Idempotent { 0.5 } else { 0.25 },
-            limit: copy::LIMIT,
+            retry_safety: doing.retry_safety,
+            share: if doing.retry_safety == RetrySafety::Idempotent { 0.5 } else { 0.25 },
+            time_limit: copy::LIMIT,
         };
         let rate = self.plan.rate_each * self.plan.processes as f64;
         let least = 2.0 * self.plan.processes as f64;
@@ -253,15 +262,15 @@
             addresses.flat_map(|(number, address)| vec![address; times(number)]).collect();
         // Each connection begins at the next target: as many of them as there are, or a multiple.
         let least = least.max(2.0 * targets.len() as f64);
-        CallPlan {
+        ClientPlan {
             targets,
-            verbs: verbs(self.plan).iter().map(asking).collect(),
+            request_classes: verbs(self.plan).iter().map(asking).collect(),
             tenants: vec![("acme".into(), 1.0)],
             connections: (rate * copy::LIMIT.as_secs_f64()).clamp(least, CONNECTIONS_MOST) as usize,
-            length: Duration::from_secs_f64(self.plan.seconds),
+            duration: Duration::from_secs_f64(self.plan.seconds),
             seed: self.ways.seed,
-            prefix: "c".into(),
-            effects_again: false,
+            id_prefix: "c".into(),
+            retry_non_idempotent: false,
         }
     }
 
@@ -272,13 +281,13 @@
         let seconds = Mutex::new(Vec::<Second>::new());
         let kept = Mutex::new((0u64, 0u64));
         let (ledger, disturbed) = (self.ledger.clone(), self.disturbed.clone());
-        let repeats: Vec<RetrySafety> = verbs(self.plan).iter().map(|doing| doing.repeats).collect();
+        let repeats: Vec<RetrySafety> = verbs(self.plan).iter().map(|doing| doing.retry_safety).collect();
         self.began = Instant::now();
         let began = self.began;
-        let watch = || -> Box<dyn FnMut(&Done) + '_> {
+        let watch = || -> Box<dyn FnMut(&CompletedRequest) + '_> {
             let (seconds, ledger, disturbed, repeats, kept) =
                 (&seconds, &ledger, &disturbed, &repeats, &kept);
-            Box::new(move |done: &Done| note(seconds, ledger, disturbed, repeats, kept, done))
+            Box::new(move |done: &CompletedRequest| note(seconds, ledger, disturbed, repeats, kept, done))
         };
         let starver = self.starve_turns();
         let cpu_before = self.cpu();
@@ -292,7 +301,7 @@
         self.over.store(true, Ordering::Relaxed);
         let _ = starver.join();
         driven?;
-        let (breaches, broken_rules) = self.ledger.close();
+        let (breaches, broken_rules) = self.ledger.results();
         let judge =
             std::mem::replace(&mut self.judge, Judge::new(Allowed { death: TICK, agree: TICK, cut: TICK }));
         let (answered, came) = *locked(&kept);
@@ -465,7 +474,7 @@
                 (Kind::Crash, false) | (Kind::Start, true) => self.start_server(server),
                 (Kind::Slow, _) => {
                     let slow = fault.factor.filter(|_| begins).unwrap_or(1.0);
-                    self.servers.servers[server].change(|serving| serving.slow = slow);
+                    self.servers.servers[server].update_state(|serving| serving.slowdown = slow);
                 }
                 _ => {}
             }
@@ -491,7 +500,7 @@
     /// Whether a zone is lost to each copy, by copy and zone.
     fn lost(&self) -> Vec<Vec<Lost>> {
         let zones = self.plan.zones.len();
-        let down: Vec<bool> = self.servers.servers.iter().map(|server| server.serving().down).collect();
+        let down: Vec<bool> = self.servers.servers.iter().map(|server| server.state().down).collect();
         let cut = |copy: usize, server: usize| {
             let (copy, server) = (Party::Copy(copy), Party::Server(server));
             self.sky.fate(copy, server).cut || self.sky.fate(server, copy).cut
@@ -521,13 +530,13 @@
     }
 
     fn end_server(&self, server: usize) {
-        self.servers.servers[server].change(|serving| serving.down = true);
+        self.servers.servers[server].update_state(|serving| serving.down = true);
     }
 
     /// It starts with nothing in its caches, and every list says so.
     fn start_server(&self, server: usize) {
-        self.servers.servers[server].change(|serving| {
-            (serving.down, serving.cold_from) = (false, Some(Instant::now()));
+        self.servers.servers[server].update_state(|serving| {
+            (serving.down, serving.cold_since) = (false, Some(Instant::now()));
         });
         self.copies.iter().for_each(|copy| copy.say_started(server));
     }
@@ -593,11 +602,11 @@
 
 fn note(
     seconds: &Mutex<Vec<Second>>,
-    ledger: &Ledger,
+    ledger: &RuleChecker,
     disturbed: &Mutex<BTreeMap<SocketAddr, f64>>,
     repeats: &[RetrySafety],
     kept: &Mutex<(u64, u64)>,
-    done: &Done,
+    done: &CompletedRequest,
 ) {
     let took = done.ended.saturating_sub(done.intended);
     {
@@ -608,7 +617,7 @@
         }
         let second = &mut seconds[at];
         second.came += 1;
-        match done.word {
+        match done.outcome {
             FinalOutcome::Answered => second.answered += 1,
             FinalOutcome::Declined => second.declined += 1,
             FinalOutcome::Terminated => second.terminated += 1,
@@ -618,14 +627,14 @@
     {
         let mut kept = locked(kept);
         kept.1 += 1;
-        kept.0 += u64::from(done.word == FinalOutcome::Answered && took <= copy::GOAL);
+        kept.0 += u64::from(done.outcome == FinalOutcome::Answered && took <= copy::GOAL);
     }
-    if done.word == FinalOutcome::Declined {
-        ledger.declined(done.cmd, repeats[done.verb]);
+    if done.outcome == FinalOutcome::Declined {
+        ledger.request_declined(done.request_id, repeats[done.request_class]);
     }
-    let until = locked(disturbed).get(&done.to).copied().unwrap_or(f64::NEG_INFINITY);
-    if let Some(why) = done.lost.filter(|_| done.intended.as_secs_f64() > until) {
-        ledger.unanswered(done.cmd, why);
+    let until = locked(disturbed).get(&done.target).copied().unwrap_or(f64::NEG_INFINITY);
+    if let Some(why) = done.lost_reason.filter(|_| done.intended.as_secs_f64() > until) {
+        ledger.missing_response(done.request_id, why);
     }
 }
 
--- a/crates/lab/src/fleet/rig/words.rs
+++ b/crates/lab/src/fleet/rig/words.rs
@@ -3,7 +3,7 @@
 
 use super::Sky;
 use crate::fleet::weather::{Fate, Party};
-use crate::sockets::{free_datagrams, unused};
+use crate::sockets::{bind_loopback_udp, unused_address_v4};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::cmp::Reverse;
@@ -50,16 +50,16 @@
 
 impl Words {
     pub fn start(copies: usize, sky: &Sky, seed: u64) -> io::Result<Words> {
-        let own: Vec<SocketAddrV4> = (0..copies).map(|_| unused()).collect();
+        let own: Vec<SocketAddrV4> = (0..copies).map(|_| unused_address_v4()).collect();
         let fronts: Vec<(UdpSocket, SocketAddrV4)> =
-            (0..copies).map(|_| free_datagrams()).collect::<io::Result<_>>()?;
+            (0..copies).map(|_| bind_loopback_udp()).collect::<io::Result<_>>()?;
         let senders = own.iter().enumerate().map(|(copy, address)| (SocketAddr::V4(*address), copy));
         let senders = Arc::new(senders.collect::<BTreeMap<_, _>>());
         let shared_own = Arc::new(own.clone());
         let (over, carried, late) =
             (Arc::new(AtomicBool::new(false)), Arc::default(), Arc::<Late>::default());
         let addresses = fronts.iter().map(|(_, address)| *address).collect();
-        let (sender, _) = free_datagrams()?;
+        let (sender, _) = bind_loopback_udp()?;
         let (carry_late, carry_own, carry_over) = (late.clone(), shared_own.clone(), over.clone());
         thread::spawn(move || carry(&carry_late, &sender, &carry_own, &carry_over));
         for (to, (socket, _)) in fronts.into_iter().enumerate() {
--- a/crates/lab/src/fleets.rs
+++ b/crates/lab/src/fleets.rs
@@ -55,7 +55,7 @@
         std::fs::write(&path, text).map_err(|wrong| format!("{}: {wrong}", path.display()))?;
         println!("the plan: {}", path.display());
     }
-    let program = wanted.program.clone().map_or_else(sockets::program, Ok)?;
+    let program = wanted.program.clone().map_or_else(sockets::sidecar_program, Ok)?;
     let ways = rig::Ways {
         seed: wanted.seed,
         program: &program,
--- a/crates/lab/src/live.rs
+++ b/crates/lab/src/live.rs
@@ -4,14 +4,14 @@
 use crate::cases::{case_of, find};
 use landingspread_lab::experiment::Setting;
 use landingspread_lab::report::{self, ReportData, RunReport};
-use landingspread_lab::sockets::added::{self, Turns};
-use landingspread_lab::sockets::{self, LoadPlan, Seen, bench as points};
+use landingspread_lab::sockets::added::{self, AddedLatencyPlan};
+use landingspread_lab::sockets::{self, LoadPlan, SecondSummary, bench as points};
 use std::io::{IsTerminal, Write};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 fn program(given: Option<&PathBuf>) -> Result<PathBuf, String> {
-    given.cloned().map_or_else(sockets::program, Ok)
+    given.cloned().map_or_else(sockets::sidecar_program, Ok)
 }
 
 /// One line a second; a terminal also gets each server, in place.
@@ -25,8 +25,8 @@
         Table { terminal: std::io::stdout().is_terminal(), lines: 0 }
     }
 
-    fn show(&mut self, seen: &Seen) {
-        let second = seen.of;
+    fn show(&mut self, seen: &SecondSummary) {
+        let second = seen.statistics;
         let mut text = format!(
             "{:3} s  came {:4}  answered {:4}  declined {:3}  terminated {:2}  p50 {:6.1} ms  p99 {:6.1} ms  {}\n",
             seen.second + 1,
@@ -55,7 +55,7 @@
 fn play(setting: &Setting, seed: u64, program: &Path, name: &str) -> Result<(RunReport, PathBuf), String> {
     let dir = sockets::run_dir(name)?;
     let mut table = Table::new();
-    let line = sockets::play(&setting.scenario, seed, program, &dir, &mut |seen| table.show(seen))?;
+    let line = sockets::run_scenario(&setting.scenario, seed, program, &dir, &mut |seen| table.show(seen))?;
     Ok((line, dir))
 }
 
@@ -124,12 +124,12 @@
     }
     let figures = sockets::load(&LoadPlan {
         targets: vec![wanted.to],
-        verb: wanted.verb.clone(),
+        request_class: wanted.verb.clone(),
         connections: wanted.connections,
         rate: wanted.rate,
-        limit: Duration::from_secs(2),
-        settle: Duration::from_millis(500),
-        length: Duration::from_secs_f64(wanted.seconds.min(3600.0)),
+        time_limit: Duration::from_secs(2),
+        warmup: Duration::from_millis(500),
+        duration: Duration::from_secs_f64(wanted.seconds.min(3600.0)),
         seed: 1,
     });
     let text = serde_json::to_string_pretty(&figures).map_err(|wrong| wrong.to_string())?;
@@ -155,22 +155,22 @@
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     let tell = |point: &points::Point| {
-        let points::Point { servers, figures, busy } = point;
+        let points::Point { servers, results, cores_used } = point;
         let servers = if *servers == 0 { "none between".to_string() } else { servers.to_string() };
         println!(
-            "| {servers} | {} | {:.0} | {:.3} | {:.3} | {} | {} | {busy:.2} |",
-            figures.connections,
-            figures.answered_per_s,
-            figures.p50,
-            figures.p99,
-            figures.declined,
-            figures.lost
+            "| {servers} | {} | {:.0} | {:.3} | {:.3} | {} | {} | {cores_used:.2} |",
+            results.connections,
+            results.answered_per_s,
+            results.p50,
+            results.p99,
+            results.declined,
+            results.lost
         );
     };
     tell(&points::direct(32, spans)?);
     for servers in &or_else(&wanted.servers, &[8, 200]) {
         for connections in &or_else(&wanted.connections, &[1, 8, 32, 128]) {
-            tell(&points::through(&program, &dir, *servers, *connections, spans)?);
+            tell(&points::via_sidecar(&program, &dir, *servers, *connections, spans)?);
         }
     }
     Ok(())
@@ -182,14 +182,14 @@
     let rates = if wanted.rate.is_empty() { vec![65.0, 650.0] } else { wanted.rate.clone() };
     let dir = sockets::run_dir("added")?;
     for rate in rates {
-        let turns = Turns {
+        let turns = AddedLatencyPlan {
             rate: rate.clamp(0.1, 100_000.0),
             pairs: wanted.pairs.clamp(1, 1000),
-            length: Duration::from_secs_f64(wanted.seconds.clamp(0.5, 600.0)),
+            run_duration: Duration::from_secs_f64(wanted.seconds.clamp(0.5, 600.0)),
             connections: wanted.connections.clamp(1, 4096),
             servers: wanted.servers.clamp(1, 1000),
         };
-        print!("{}", added::page(&turns, &added::measure(&turns, &programs, &dir)?));
+        print!("{}", added::render_table(&turns, &added::measure(&turns, &programs, &dir)?));
     }
     Ok(())
 }
--- a/crates/lab/src/scale/rig.rs
+++ b/crates/lab/src/scale/rig.rs
@@ -3,7 +3,9 @@
 
 use super::process::{Spent, memory_mb, spent};
 use super::results::Figure;
-use crate::sockets::{Entry, Helper, LoadPlan, Peer, Sidecar, Watches, bench, free, load};
+use crate::sockets::{
+    Entry, HelperProcess, LoadPlan, Peer, Sidecar, WatchServer, bench, bind_loopback, load,
+};
 use serde_json::Value;
 use std::net::{Ipv4Addr, SocketAddr, TcpStream};
 use std::path::Path;
@@ -131,7 +133,7 @@
     count: usize,
     log: std::path::PathBuf,
     zone: usize,
-    helper: Option<Helper>,
+    helper: Option<HelperProcess>,
 }
 
 struct Real {
@@ -153,9 +155,9 @@
 
 fn ask(console: SocketAddr) -> Option<Value> {
     let mut peer = Peer::new(TcpStream::connect_timeout(&console, ASK_WITHIN).ok()?);
-    peer.patience(Some(ASK_WITHIN));
+    peer.set_read_timeout(Some(ASK_WITHIN));
     peer.write(b"GET /fleet HTTP/1.1\r\nHost: lab\r\nAccept: application/json\r\n\r\n").ok()?;
-    let heard = peer.answer().ok().filter(|heard| heard.status() == Some(200))?;
+    let heard = peer.read_response().ok().filter(|heard| heard.status() == Some(200))?;
     serde_json::from_slice(&heard.body).ok()
 }
 
@@ -210,7 +212,7 @@
     program: &'a Path,
     dir: &'a Path,
     base: usize,
-    watches: Watches,
+    watches: WatchServer,
     groups: Vec<Group>,
     reals: Vec<Real>,
     most: Need,
@@ -226,8 +228,8 @@
 /// Past the bounds, a process that does not start or ends by itself, or copies that never see each other.
 pub fn run(wanted: &Wanted, program: &Path, dir: &Path) -> Result<Ran, String> {
     need(wanted)?;
-    let servers = bench::fleet(SERVERS)?;
-    let watches = Watches::start().map_err(told)?;
+    let servers = bench::start_servers(SERVERS)?;
+    let watches = WatchServer::start().map_err(told)?;
     let entries: Vec<Entry> = (0..wanted.endpoints.max(1))
         .map(|place| Entry {
             id: format!("s{place:05}"),
@@ -239,7 +241,7 @@
             started: None,
         })
         .collect();
-    watches.say_all(&entries);
+    watches.publish_all(&entries);
     // Two runs of one process may go at once, as tests do.
     let lab = std::process::id().wrapping_add(RUNS.fetch_add(1, Ordering::Relaxed)) % LABS;
     let base = (lab * NUMBERS_EACH) as usize;
@@ -290,7 +292,7 @@
             .map(str::to_string)
             .collect();
             let log = self.dir.join(format!("hollow{number}.log"));
-            let helper = Helper::start(self.program, &words, &log).map_err(told)?;
+            let helper = HelperProcess::start(self.program, &words, &log).map_err(told)?;
             self.groups.push(Group { words, count, log, zone, helper: Some(helper) });
         }
         Ok(())
@@ -305,7 +307,7 @@
             let seeds: Vec<String> = (first..first + wanted.fleet().min(SEEDS))
                 .map(|seed| format!("\"{}:7946\"", address(seed)))
                 .collect();
-            let at = || free().and_then(|listener| listener.local_addr()).map_err(told);
+            let at = || bind_loopback().and_then(|listener| listener.local_addr()).map_err(told);
             let (listen, console) = (at()?, at()?);
             let text = self.text(&[
                 ("{listen}", listen.to_string()),
@@ -332,7 +334,7 @@
     /// All that runs, and what it holds; past the bounds it is an error.
     fn weigh(&mut self) -> Result<(), String> {
         let own = std::process::id();
-        let helpers = self.groups.iter().filter_map(|group| group.helper.as_ref()).map(Helper::pid);
+        let helpers = self.groups.iter().filter_map(|group| group.helper.as_ref()).map(HelperProcess::pid);
         let pids: Vec<u32> =
             helpers.chain(self.reals.iter().map(|real| real.sidecar.pid())).chain([own]).collect();
         let memory_mb = pids.iter().map(|pid| memory_mb(*pid)).sum::<f64>();
@@ -350,12 +352,12 @@
 
     fn all_run(&mut self) -> Result<(), String> {
         for group in &mut self.groups {
-            if group.helper.as_mut().is_some_and(Helper::ended) {
+            if group.helper.as_mut().is_some_and(HelperProcess::has_exited) {
                 let log = std::fs::read_to_string(&group.log).unwrap_or_default();
                 return Err(format!("a process of hollow ones has ended\n{log}"));
             }
         }
-        self.reals.iter_mut().try_for_each(|real| real.sidecar.must_run())
+        self.reals.iter_mut().try_for_each(|real| real.sidecar.check_running())
     }
 
     /// Until every real one counts so many; seconds since then.
@@ -382,12 +384,12 @@
         let connections = 4 * targets.len();
         let plan = LoadPlan {
             targets,
-            verb: "view".into(),
+            request_class: "view".into(),
             connections,
             rate,
-            limit: Duration::from_secs(1),
-            settle: Duration::from_millis(500),
-            length: wanted.length,
+            time_limit: Duration::from_secs(1),
+            warmup: Duration::from_millis(500),
+            duration: wanted.length,
             seed: 1,
         };
         self.weigh()?;
@@ -401,7 +403,7 @@
             }
             thread::sleep(Duration::from_millis(500));
             let hollow = |groups: &[Group]| -> Vec<Spent> {
-                let pids = groups.iter().filter_map(|group| group.helper.as_ref()).map(Helper::pid);
+                let pids = groups.iter().filter_map(|group| group.helper.as_ref()).map(HelperProcess::pid);
                 pids.map(|pid| spent(pid, "")).collect()
             };
             let look = || reals.iter().map(Real::look).collect::<Result<Vec<Look>, String>>();
@@ -470,8 +472,8 @@
         ];
         let copies = wanted.copies as f64;
         let per_s = |then: u64, now: u64| now.saturating_sub(then) as f64 / seconds;
-        let calls = per_s(source.calls, source_then.calls);
-        let answers = per_s(source.answers, source_then.answers);
+        let calls = per_s(source.requests, source_then.requests);
+        let answers = per_s(source.responses, source_then.responses);
         let (bytes_in, bytes_out) =
             (per_s(source.bytes_in, source_then.bytes_in), per_s(source.bytes_out, source_then.bytes_out));
         // What a sidecar says on its watch is what the source hears of it, and the other way round.
@@ -486,7 +488,7 @@
         add("discovery", "messages_out", "messages/s", answers);
         add("discovery", "bytes_out", "bytes/s", bytes_out);
         add("discovery", "cpu", "cores", per_s(source.cpu_ns, source_then.cpu_ns) / 1e9);
-        add("discovery", "open_watches", "watches", source_then.open as f64);
+        add("discovery", "open_watches", "watches", source_then.open_connections as f64);
         add("discovery", "list_bytes", "bytes", self.watches.list_bytes() as f64);
         Ok(())
     }
@@ -506,7 +508,7 @@
         ran.death_known = Some(self.until_all_count(before - gone, Instant::now())?);
         let (source, began) = (self.watches.counts(), Instant::now());
         for group in self.groups.iter_mut().filter(|group| group.zone == lost) {
-            group.helper = Some(Helper::start(self.program, &group.words, &group.log).map_err(told)?);
+            group.helper = Some(HelperProcess::start(self.program, &group.words, &group.log).map_err(told)?);
         }
         ran.back_known = Some(self.until_all_count(before, began)?);
         let then = self.watches.counts();
@@ -530,13 +532,13 @@
 type Of<'a> = &'a dyn Fn(&Look, &Look) -> f64;
 
 /// Weights go up and down, one entry after another.
-fn change(watches: &Watches, entries: &[Entry], per_s: f64, over: &AtomicBool) {
+fn change(watches: &WatchServer, entries: &[Entry], per_s: f64, over: &AtomicBool) {
     let (began, mut done) = (Instant::now(), 0_usize);
     while !over.load(Ordering::Relaxed) {
         let due = (began.elapsed().as_secs_f64() * per_s) as usize;
         for number in done..due {
             let weight = if (number / entries.len()).is_multiple_of(2) { 2.0 } else { 1.0 };
-            watches.say(&Entry { weight, ..entries[number % entries.len()].clone() });
+            watches.publish(&Entry { weight, ..entries[number % entries.len()].clone() });
         }
         done = due;
         thread::sleep(Duration::from_millis(5));
--- a/crates/lab/src/scales.rs
+++ b/crates/lab/src/scales.rs
@@ -89,7 +89,7 @@
         }
         _ => Vec::new(),
     };
-    let program = wanted.program.clone().map_or_else(sockets::program, Ok)?;
+    let program = wanted.program.clone().map_or_else(sockets::sidecar_program, Ok)?;
     let profile = if cfg!(debug_assertions) { "debug" } else { "release" };
     let seconds = if wanted.short { 4.0 } else { wanted.seconds };
     let command = format!(
--- a/crates/lab/src/soak/judge.rs
+++ b/crates/lab/src/soak/judge.rs
@@ -78,7 +78,7 @@
     pub left: usize,
     /// Requests whose connection ended under them, by the end of a process or a crowd.
     pub crossed: usize,
-    pub troubles: usize,
+    pub faults: usize,
 }
 
 /// Judges a run; `crashes` is what the processes themselves said.
@@ -109,7 +109,7 @@
         failed: count(&|asked| status(asked).is_some_and(|status| !matches!(status, 200 | 429 | 503))),
         left: count(&|asked| asked.end == End::Left),
         crossed: count(&|asked| matches!(asked.end, End::ConnectionEnded { .. })),
-        troubles: seen.troubles.len(),
+        faults: seen.troubles.len(),
         violations: judge.violations,
     }
 }
@@ -276,7 +276,7 @@
 
     /// Until when discovery could not be reached, if that was so between these moments.
     fn reachable_again(&self, from: Duration, to: Duration) -> Duration {
-        use super::plan::TroubleKind::{DiscoveryDown, DiscoverySilent, DiscoveryStale, Reload};
+        use super::plan::FaultKind::{DiscoveryDown, DiscoverySilent, DiscoveryStale, Reload};
         let outages = self.seen.troubles.iter().filter(|(at, trouble)| {
             let away = matches!(trouble.kind, DiscoveryDown | DiscoveryStale | DiscoverySilent | Reload);
             away && *at <= to && *at + trouble.lasts + TOLD >= from
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -13,7 +13,7 @@
 mod server;
 
 pub use judge::{Rule, Verdict, Violation};
-pub use plan::{Plan, Trouble, TroubleKind};
+pub use plan::{Fault, FaultKind, Plan};
 
 use crate::sockets::{Discovery, run_dir};
 use client::Clients;
@@ -32,7 +32,7 @@
 const STEP: Duration = Duration::from_millis(10);
 
 /// Plays one seed for this long on this program and judges it. An error is the rig's own: nothing was judged.
-pub fn play(plan: &Plan, program: &Path) -> Result<Verdict, String> {
+pub fn run(plan: &Plan, program: &Path) -> Result<Verdict, String> {
     let told = |wrong: io::Error| format!("the rig: {wrong}");
     let dir = run_dir(&format!("soak-{}", plan.seed))?;
     let records = Arc::new(Records::new());
@@ -46,7 +46,7 @@
     let crashes = run.processes.finish();
     played?;
     let verdict = judge::judge(plan, &records.close(), crashes);
-    discoveries.iter().for_each(|discovery| discovery.end());
+    discoveries.iter().for_each(|discovery| discovery.stop());
     if verdict.violations.is_empty() {
         // A run that held leaves nothing behind.
         let _ = std::fs::remove_dir_all(&dir);
@@ -65,9 +65,9 @@
 
 impl Run<'_> {
     fn play(&mut self) -> Result<(), String> {
-        let mut due: Vec<&Trouble> = self.plan.troubles.iter().collect();
+        let mut due: Vec<&Fault> = self.plan.faults.iter().collect();
         due.sort_by_key(|trouble| std::cmp::Reverse(trouble.at));
-        let mut over: Vec<(Duration, &Trouble)> = Vec::new();
+        let mut over: Vec<(Duration, &Fault)> = Vec::new();
         while self.records.now() < self.plan.length {
             let now = self.records.now();
             while due.last().is_some_and(|trouble| trouble.at <= now) {
@@ -85,39 +85,39 @@
         Ok(())
     }
 
-    fn begin(&mut self, trouble: &Trouble) {
+    fn begin(&mut self, trouble: &Fault) {
         self.records.trouble_began(trouble);
         match &trouble.kind {
-            TroubleKind::Terminate(which) => self.processes.terminate(which),
-            TroubleKind::Kill(which) => self.processes.kill(which),
-            TroubleKind::Pause(which) => self.processes.pause(which),
-            TroubleKind::Reload => self.processes.reload(),
-            TroubleKind::Drain(which) => self.servers.drain(which),
-            TroubleKind::Vanish(which) => self.servers.vanish(which),
-            TroubleKind::Hang(which) => self.servers.hang(which, true),
-            TroubleKind::DiscoveryDown => self.discovery(crate::sockets::Trouble::Down),
-            TroubleKind::DiscoveryStale => self.discovery(crate::sockets::Trouble::Stale),
-            TroubleKind::Crowd(which) => self.processes.crowd(*which),
-            TroubleKind::NoDescriptors(which) => self.processes.limit_descriptors(which, true),
-            TroubleKind::DiscoverySilent => self.discovery(crate::sockets::Trouble::Silent),
+            FaultKind::Terminate(which) => self.processes.terminate(which),
+            FaultKind::Kill(which) => self.processes.kill(which),
+            FaultKind::Pause(which) => self.processes.pause(which),
+            FaultKind::Reload => self.processes.reload(),
+            FaultKind::Drain(which) => self.servers.drain(which),
+            FaultKind::Vanish(which) => self.servers.vanish(which),
+            FaultKind::Hang(which) => self.servers.hang(which, true),
+            FaultKind::DiscoveryDown => self.discovery(crate::sockets::DiscoveryFault::Down),
+            FaultKind::DiscoveryStale => self.discovery(crate::sockets::DiscoveryFault::Stale),
+            FaultKind::Crowd(which) => self.processes.crowd(*which),
+            FaultKind::NoDescriptors(which) => self.processes.limit_descriptors(which, true),
+            FaultKind::DiscoverySilent => self.discovery(crate::sockets::DiscoveryFault::Silent),
         }
     }
 
-    fn end(&mut self, trouble: &Trouble) {
+    fn end(&mut self, trouble: &Fault) {
         match &trouble.kind {
-            TroubleKind::Pause(which) => self.processes.go_on(which),
-            TroubleKind::Vanish(which) => self.servers.come_back(which),
-            TroubleKind::Hang(which) => self.servers.hang(which, false),
-            TroubleKind::NoDescriptors(which) => self.processes.limit_descriptors(which, false),
-            TroubleKind::DiscoveryDown | TroubleKind::DiscoveryStale | TroubleKind::DiscoverySilent => {
-                self.discovery(crate::sockets::Trouble::None);
+            FaultKind::Pause(which) => self.processes.go_on(which),
+            FaultKind::Vanish(which) => self.servers.come_back(which),
+            FaultKind::Hang(which) => self.servers.hang(which, false),
+            FaultKind::NoDescriptors(which) => self.processes.limit_descriptors(which, false),
+            FaultKind::DiscoveryDown | FaultKind::DiscoveryStale | FaultKind::DiscoverySilent => {
+                self.discovery(crate::sockets::DiscoveryFault::None);
             }
-            TroubleKind::Crowd(_) => self.processes.crowd_leaves(),
+            FaultKind::Crowd(_) => self.processes.crowd_leaves(),
             _ => {}
         }
     }
 
-    fn discovery(&self, trouble: crate::sockets::Trouble) {
-        self.discoveries.iter().for_each(|discovery| discovery.set_trouble(trouble));
+    fn discovery(&self, trouble: crate::sockets::DiscoveryFault) {
+        self.discoveries.iter().for_each(|discovery| discovery.set_fault(trouble));
     }
 }
--- a/crates/lab/src/soak/plan.rs
+++ b/crates/lab/src/soak/plan.rs
@@ -25,7 +25,7 @@
 
 /// A trouble's kind and whom it befalls, by number.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum TroubleKind {
+pub enum FaultKind {
     /// SIGTERM, and a new process once the old one has ended.
     Terminate(Vec<usize>),
     /// SIGKILL, and a new process at once.
@@ -54,13 +54,13 @@
 
 /// One trouble of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Trouble {
+pub struct Fault {
     pub at: Duration,
     pub lasts: Duration,
-    pub kind: TroubleKind,
+    pub kind: FaultKind,
 }
 
-impl fmt::Display for Trouble {
+impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:6.2} s  {:?} for {:.2} s", self.at.as_secs_f64(), self.kind, self.lasts.as_secs_f64())
     }
@@ -73,7 +73,7 @@
     pub length: Duration,
     pub sidecars: usize,
     pub servers: usize,
-    pub troubles: Vec<Trouble>,
+    pub faults: Vec<Fault>,
 }
 
 impl Plan {
@@ -92,12 +92,12 @@
             at += APART;
         }
         troubles.sort_by_key(|trouble| trouble.at);
-        Plan { seed, length, sidecars, servers, troubles }
+        Plan { seed, length, sidecars, servers, faults: troubles }
     }
 }
 
 /// Two or three troubles of different kinds that overlap.
-fn group(rng: &mut ChaCha8Rng, at: Duration, sidecars: usize, servers: usize) -> Vec<Trouble> {
+fn group(rng: &mut ChaCha8Rng, at: Duration, sidecars: usize, servers: usize) -> Vec<Fault> {
     let count = rng.random_range(2..=3);
     let mut kinds: Vec<usize> = (0..KINDS).collect();
     let mut drawn = Vec::new();
@@ -117,23 +117,23 @@
     chosen
 }
 
-fn trouble(rng: &mut ChaCha8Rng, kind: usize, at: Duration, sidecars: usize, servers: usize) -> Trouble {
+fn trouble(rng: &mut ChaCha8Rng, kind: usize, at: Duration, sidecars: usize, servers: usize) -> Fault {
     let short = Duration::from_millis(rng.random_range(700..2500));
     let (kind, lasts) = match kind {
-        0 => (TroubleKind::Terminate(some(rng, sidecars, sidecars / 4)), Duration::ZERO),
-        1 => (TroubleKind::Kill(some(rng, sidecars, sidecars / 6)), Duration::ZERO),
-        2 => (TroubleKind::Pause(some(rng, sidecars, sidecars / 2)), PAUSE),
-        3 => (TroubleKind::Reload, Duration::ZERO),
-        4 => (TroubleKind::Drain(some(rng, servers, servers / 4)), Duration::ZERO),
-        5 => (TroubleKind::Vanish(some(rng, servers, servers / 4)), short),
-        6 => (TroubleKind::Hang(some(rng, servers, servers / 3)), short),
-        7 => (TroubleKind::DiscoveryDown, short),
-        8 => (TroubleKind::DiscoveryStale, short),
-        9 => (TroubleKind::Crowd(rng.random_range(0..sidecars)), short),
-        10 => (TroubleKind::NoDescriptors(some(rng, sidecars, sidecars / 6)), NO_DESCRIPTORS),
-        _ => (TroubleKind::DiscoverySilent, short),
+        0 => (FaultKind::Terminate(some(rng, sidecars, sidecars / 4)), Duration::ZERO),
+        1 => (FaultKind::Kill(some(rng, sidecars, sidecars / 6)), Duration::ZERO),
+        2 => (FaultKind::Pause(some(rng, sidecars, sidecars / 2)), PAUSE),
+        3 => (FaultKind::Reload, Duration::ZERO),
+        4 => (FaultKind::Drain(some(rng, servers, servers / 4)), Duration::ZERO),
+        5 => (FaultKind::Vanish(some(rng, servers, servers / 4)), short),
+        6 => (FaultKind::Hang(some(rng, servers, servers / 3)), short),
+        7 => (FaultKind::DiscoveryDown, short),
+        8 => (FaultKind::DiscoveryStale, short),
+        9 => (FaultKind::Crowd(rng.random_range(0..sidecars)), short),
+        10 => (FaultKind::NoDescriptors(some(rng, sidecars, sidecars / 6)), NO_DESCRIPTORS),
+        _ => (FaultKind::DiscoverySilent, short),
     };
-    Trouble { at, lasts, kind }
+    Fault { at, lasts, kind }
 }
 
 #[cfg(test)]
@@ -144,9 +144,9 @@
     fn a_seed_draws_the_same_plan_and_troubles_overlap() {
         let length = Duration::from_secs(20);
         let plan = Plan::drawn(7, length);
-        assert_eq!(plan.troubles, Plan::drawn(7, length).troubles);
-        assert_ne!(plan.troubles, Plan::drawn(8, length).troubles);
-        let close = plan.troubles.windows(2).filter(|pair| pair[1].at - pair[0].at < APART / 2).count();
-        assert!(close >= 4 && plan.troubles.iter().all(|trouble| trouble.at < length), "{plan:#?}");
+        assert_eq!(plan.faults, Plan::drawn(7, length).faults);
+        assert_ne!(plan.faults, Plan::drawn(8, length).faults);
+        let close = plan.faults.windows(2).filter(|pair| pair[1].at - pair[0].at < APART / 2).count();
+        assert!(close >= 4 && plan.faults.iter().all(|trouble| trouble.at < length), "{plan:#?}");
     }
 }
--- a/crates/lab/src/soak/processes.rs
+++ b/crates/lab/src/soak/processes.rs
@@ -2,7 +2,7 @@
 
 use super::plan::Plan;
 use super::record::{Records, Signal as Seen};
-use crate::sockets::{Discovery, Sidecar, nobody};
+use crate::sockets::{Discovery, Sidecar, unused_address};
 use rustix::process::{Pid, Resource, Rlimit, Signal, getrlimit, prlimit};
 use serde_json::{Value, json};
 use std::net::{SocketAddr, TcpStream};
@@ -122,8 +122,8 @@
         let addresses = [discoveries[0].address, discoveries[1].address];
         let mut all = Vec::new();
         for number in 0..plan.sidecars {
-            let address = nobody();
-            let config = config(plan, number, address, addresses[0], discoveries[0].whole());
+            let address = unused_address();
+            let config = config(plan, number, address, addresses[0], discoveries[0].snapshot());
             let process =
                 Sidecar::launch(program, dir, &format!("n{number}.json"), &config.to_string(), address)?;
             let front = Arc::new(Front { address, state: AtomicU64::new(0), records: records.clone() });
@@ -174,7 +174,7 @@
 
     fn begin_again(&mut self, number: usize) {
         // A new process begins with the list as its platform has it by then.
-        self.all[number].config["known"] = self.discoveries[self.named].whole();
+        self.all[number].config["known"] = self.discoveries[self.named].snapshot();
         self.write_config(number);
         let one = &mut self.all[number];
         one.front.state.store(u64::MAX, Ordering::Relaxed);
@@ -257,16 +257,16 @@
             let one = &mut self.all[number];
             match one.life {
                 Life::Ready => {
-                    if let Err(wrong) = one.process.must_run() {
+                    if let Err(wrong) = one.process.check_running() {
                         self.crashes.push(wrong);
                         self.begin_again(number);
                     }
                 }
                 Life::Starting { since } => {
-                    if let Err(wrong) = one.process.must_run() {
+                    if let Err(wrong) = one.process.check_running() {
                         self.crashes.push(wrong);
                         self.begin_again(number);
-                    } else if one.process.ready() {
+                    } else if one.process.is_ready() {
                         one.life = Life::Ready;
                         one.front.state.store(0, Ordering::Relaxed);
                         self.records.signalled(number, Seen::Ready);
@@ -276,7 +276,7 @@
                     }
                 }
                 Life::Ending { since } => {
-                    if one.process.ended() {
+                    if one.process.has_exited() {
                         self.records.signalled(number, Seen::Ended);
                         self.begin_again(number);
                     } else if now > since + ENDS_WITHIN {
@@ -296,14 +296,14 @@
         self.crowd.clear();
         for one in &mut self.all {
             one.process.signal(Signal::CONT);
-            if let Err(wrong) = one.process.must_run()
+            if let Err(wrong) = one.process.check_running()
                 && matches!(one.life, Life::Ready)
             {
                 self.crashes.push(wrong);
             }
             one.process.kill();
             let wrong = |line: &String| line.contains("invariant violated") || line.contains("panicked");
-            let lines = one.process.new_lines();
+            let lines = one.process.new_log_lines();
             let told =
                 lines.iter().filter(|line| wrong(line)).map(|line| format!("{}: {line}", one.process.name));
             self.crashes.extend(told);
--- a/crates/lab/src/soak/record.rs
+++ b/crates/lab/src/soak/record.rs
@@ -1,7 +1,7 @@
 //! What clients, servers and processes of a run saw, with the time of each, in one place. Times are spans since the run
 //! began, of one clock.
 
-use super::plan::Trouble;
+use super::plan::Fault;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
@@ -99,7 +99,7 @@
     pub stalled: Vec<Stalled>,
     pub signals: Vec<(Duration, usize, Signal)>,
     pub list: Vec<(Duration, String, ListChange)>,
-    pub troubles: Vec<(Duration, Trouble)>,
+    pub troubles: Vec<(Duration, Fault)>,
 }
 
 /// The records of a run under way; any thread adds to them.
@@ -155,7 +155,7 @@
         self.seen().list.push((now, server.to_string(), change));
     }
 
-    pub fn trouble_began(&self, trouble: &Trouble) {
+    pub fn trouble_began(&self, trouble: &Fault) {
         let now = self.now();
         self.seen().troubles.push((now, trouble.clone()));
     }
--- a/crates/lab/src/soak/server.rs
+++ b/crates/lab/src/soak/server.rs
@@ -3,7 +3,7 @@
 
 use super::plan::Plan;
 use super::record::{Attempt, ListChange, Records};
-use crate::sockets::{Discovery, Entry, Heard, Peer, free};
+use crate::sockets::{Discovery, Entry, HttpMessage, Peer, bind_loopback};
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io::{self, ErrorKind, Write};
@@ -24,7 +24,7 @@
 
 /// What a server does with one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Does {
+enum ServerBehavior {
     Answer,
     Fail,
     TurnAway,
@@ -39,18 +39,18 @@
 }
 
 /// Each of a thousand requests, by chance that goes by the request's id, the server and the seed.
-fn does(chance: u64) -> Does {
+fn does(chance: u64) -> ServerBehavior {
     match chance % 1000 {
-        0..15 => Does::Fail,
-        15..45 => Does::TurnAway,
-        45..65 => Does::Reset,
-        65..75 => Does::Hang,
-        75..95 => Does::AnswerTwice,
-        95..110 => Does::AnswerAndClose,
-        110..115 => Does::HalfAnAnswer,
-        115..125 => Does::Unframed,
-        125..130 => Does::Interim,
-        _ => Does::Answer,
+        0..15 => ServerBehavior::Fail,
+        15..45 => ServerBehavior::TurnAway,
+        45..65 => ServerBehavior::Reset,
+        65..75 => ServerBehavior::Hang,
+        75..95 => ServerBehavior::AnswerTwice,
+        95..110 => ServerBehavior::AnswerAndClose,
+        110..115 => ServerBehavior::HalfAnAnswer,
+        115..125 => ServerBehavior::Unframed,
+        125..130 => ServerBehavior::Interim,
+        _ => ServerBehavior::Answer,
     }
 }
 
@@ -94,7 +94,7 @@
             lives: 0,
         };
         for number in 0..plan.servers {
-            let listener = free()?;
+            let listener = bind_loopback()?;
             servers.addresses.push(listener.local_addr()?);
             let server = servers.begin(number, listener, format!("s{number}"));
             servers.alive.push(server.clone());
@@ -123,7 +123,7 @@
 
     fn say(&self, server: &Server, state: &'static str, started: Option<SystemTime>) {
         for discovery in &self.discoveries {
-            discovery.say(Entry {
+            discovery.publish(Entry {
                 id: server.id.clone(),
                 address: self.addresses[server.number],
                 zone: ZONES[server.zone].to_string(),
@@ -141,7 +141,7 @@
             let old = self.alive[*number].clone();
             self.say(&old, "draining", None);
             self.records.list_changed(&old.id, ListChange::Draining);
-            let Ok(listener) = free() else { continue };
+            let Ok(listener) = bind_loopback() else { continue };
             let Ok(address) = listener.local_addr() else { continue };
             self.addresses[*number] = address;
             let new = self.begin(*number, listener, format!("s{number}n{}", self.lives));
@@ -229,7 +229,7 @@
                 return;
             }
             let began = self.records.now();
-            let Ok(Some(heard)) = peer.command() else { return };
+            let Ok(Some(heard)) = peer.read_request() else { return };
             if heard.path() == "/ping" {
                 if self.hangs.load(Ordering::Relaxed) {
                     return self.hang(&mut peer);
@@ -246,10 +246,10 @@
     }
 
     /// Whether the connection goes on.
-    fn attempt(&self, peer: &mut Peer, heard: &Heard, began: Duration) -> bool {
+    fn attempt(&self, peer: &mut Peer, heard: &HttpMessage, began: Duration) -> bool {
         let request = heard.header("x-trace-id").unwrap_or("").to_string();
         let chance = self.chance(&request);
-        let does = if self.hangs.load(Ordering::Relaxed) { Does::Hang } else { does(chance) };
+        let does = if self.hangs.load(Ordering::Relaxed) { ServerBehavior::Hang } else { does(chance) };
         let number = self.records.attempt_began(Attempt {
             request: request.clone(),
             server: self.id.clone(),
@@ -258,10 +258,10 @@
             began,
             told_ms: heard.header("x-expires-in-ms").and_then(|text| text.trim().parse().ok()),
             ended: None,
-            ran: does != Does::TurnAway,
+            ran: does != ServerBehavior::TurnAway,
         });
-        if matches!(does, Does::Hang | Does::Reset) {
-            if does == Does::Hang {
+        if matches!(does, ServerBehavior::Hang | ServerBehavior::Reset) {
+            if does == ServerBehavior::Hang {
                 self.hang(peer);
             } else {
                 let _ = rustix::net::sockopt::set_socket_linger(&peer.stream, Some(Duration::ZERO));
@@ -269,32 +269,32 @@
             self.records.attempt_ended(number, true);
             return false;
         }
-        if does != Does::TurnAway {
+        if does != ServerBehavior::TurnAway {
             thread::sleep(Duration::from_millis(2 + chance / 1000 % 20));
         }
         // Noted before it is out: what the sidecar does next comes later.
-        self.records.attempt_ended(number, does != Does::TurnAway);
+        self.records.attempt_ended(number, does != ServerBehavior::TurnAway);
         self.answer(peer, &request, does, chance)
     }
 
-    fn answer(&self, peer: &mut Peer, request: &str, does: Does, chance: u64) -> bool {
+    fn answer(&self, peer: &mut Peer, request: &str, does: ServerBehavior, chance: u64) -> bool {
         let framed = |head: &str, body: &str| {
             format!("HTTP/1.1 {head}\r\nContent-Length: {}\r\n\r\n{body}", body.len())
         };
         let ok = framed("200 OK", request);
         let text = match does {
-            Does::Fail => framed("500 Failed", ""),
-            Does::TurnAway => framed("503 Busy\r\nX-Never-Ran: 1", ""),
-            Does::HalfAnAnswer => ok[..ok.len() - 2].to_string(),
-            Does::Unframed => format!("HTTP/1.1 200 OK\r\n\r\n{request}"),
-            Does::Interim => format!("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n{ok}"),
+            ServerBehavior::Fail => framed("500 Failed", ""),
+            ServerBehavior::TurnAway => framed("503 Busy\r\nX-Never-Ran: 1", ""),
+            ServerBehavior::HalfAnAnswer => ok[..ok.len() - 2].to_string(),
+            ServerBehavior::Unframed => format!("HTTP/1.1 200 OK\r\n\r\n{request}"),
+            ServerBehavior::Interim => format!("HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n{ok}"),
             _ => ok.clone(),
         };
         if peer.write(text.as_bytes()).is_err() {
             return false;
         }
         match does {
-            Does::AnswerTwice => {
+            ServerBehavior::AnswerTwice => {
                 if let Ok(mut later) = peer.stream.try_clone() {
                     thread::spawn(move || {
                         thread::sleep(Duration::from_millis(chance / 7 % 20));
@@ -303,7 +303,7 @@
                 }
                 true
             }
-            Does::AnswerAndClose | Does::HalfAnAnswer | Does::Unframed => false,
+            ServerBehavior::AnswerAndClose | ServerBehavior::HalfAnAnswer | ServerBehavior::Unframed => false,
             _ => true,
         }
     }
@@ -311,7 +311,7 @@
     /// Says nothing until the other side has gone.
     fn hang(&self, peer: &mut Peer) {
         let until = self.records.now() + HANGS_MOST;
-        peer.patience(Some(LOOK_EVERY));
+        peer.set_read_timeout(Some(LOOK_EVERY));
         while self.records.now() < until && !self.gone.load(Ordering::Relaxed) {
             match peer.stream.peek(&mut [0]) {
                 Err(wrong) if matches!(wrong.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {}
--- a/crates/lab/src/soaks.rs
+++ b/crates/lab/src/soaks.rs
@@ -2,7 +2,7 @@
 //! last line `held` or `broken`; the exit code says the same (0 or 1).
 
 use crate::args::Soak;
-use landingspread_lab::soak::{Plan, Verdict, play};
+use landingspread_lab::soak::{Plan, Verdict, run};
 use landingspread_lab::sockets;
 use std::process::ExitCode;
 
@@ -28,25 +28,25 @@
 }
 
 fn one(wanted: &Soak, seed: u64) -> Result<(Plan, Verdict), String> {
-    let program = wanted.program.clone().map_or_else(sockets::program, Ok)?;
+    let program = wanted.program.clone().map_or_else(sockets::sidecar_program, Ok)?;
     let mut plan = Plan::drawn(seed, wanted.time);
     if let Some(sidecars) = wanted.sidecars {
         plan = Plan::sized(seed, wanted.time, sidecars.max(2), plan.servers);
     }
-    let verdict = play(&plan, &program)?;
+    let verdict = run(&plan, &program)?;
     Ok((plan, verdict))
 }
 
 fn say(seed: u64, plan: &Plan, verdict: &Verdict) {
-    let Verdict { violations, requests, attempts, answered, refused, failed, left, crossed, troubles } =
+    let Verdict { violations, requests, attempts, answered, refused, failed, left, crossed, faults } =
         verdict;
     println!(
-        "seed {seed}: {troubles} troubles, {requests} requests, {attempts} attempts, {answered} answered, {refused} refused, \
+        "seed {seed}: {faults} troubles, {requests} requests, {attempts} attempts, {answered} answered, {refused} refused, \
          {failed} failed, {left} left, {crossed} crossed an end, {} violations",
         violations.len()
     );
     if !violations.is_empty() {
-        plan.troubles.iter().for_each(|trouble| println!("  {trouble}"));
+        plan.faults.iter().for_each(|trouble| println!("  {trouble}"));
     }
     violations.iter().take(TOLD_MOST).for_each(|violation| println!("  {violation}"));
 }
--- a/crates/lab/src/sockets/added.rs
+++ b/crates/lab/src/sockets/added.rs
@@ -1,8 +1,8 @@
 //! How much time one sidecar adds to a call: the same callers speak straight to stand-ins that answer at once, and through
 //! a sidecar before these, in turn. It owns the turns and how pairs become figures; it judges nothing.
 
-use super::bench::{Rig, rig};
-use super::callers::{Asking, CallPlan, Done, Pace, run};
+use super::bench::{SidecarBench, start_bench};
+use super::callers::{ClientPlan, ClientRequestClass, CompletedRequest, RequestRate, run};
 use crate::plan::RetrySafety;
 use crate::referee::FinalOutcome;
 use std::fmt::Write;
@@ -17,35 +17,35 @@
 const SETTLE: Duration = Duration::from_millis(500);
 const LIMIT: Duration = Duration::from_secs(2);
 
-pub struct Turns {
+pub struct AddedLatencyPlan {
     /// Calls a second.
     pub rate: f64,
     pub pairs: usize,
     /// What is counted of a turn.
-    pub length: Duration,
+    pub run_duration: Duration,
     pub connections: usize,
     pub servers: usize,
 }
 
 /// One turn's calls. Milliseconds, by sorted calls.
 #[derive(Clone, Debug, Default)]
-pub struct Turn {
+pub struct RunStatistics {
     pub answered: usize,
-    pub not_answered: usize,
+    pub unanswered: usize,
     /// From the send to the last byte.
     pub p50: f64,
     pub p99: f64,
     /// From the intended send: with the caller's own lateness.
     pub p99_intended: f64,
     /// Processor time of the sidecar for each call, in microseconds, and how often it went to sleep for each.
-    pub processor_us: f64,
-    pub sleeps: f64,
+    pub cpu_us_per_request: f64,
+    pub sleeps_per_request: f64,
 }
 
 /// A pair, or three where two builds are held against each other: straight, and through each of them.
 pub struct Pair {
-    pub straight: Turn,
-    pub through: Vec<Turn>,
+    pub direct: RunStatistics,
+    pub via_sidecar: Vec<RunStatistics>,
 }
 
 /// The value below which so large a share of the sorted figures lies; 0 where there is none.
@@ -55,37 +55,37 @@
 }
 
 #[derive(Default)]
-struct Seen {
+struct LatencySamples {
     sent: Vec<f64>,
     intended: Vec<f64>,
     not_answered: usize,
 }
 
-fn turn(turns: &Turns, targets: Vec<SocketAddr>, seed: u64) -> Turn {
-    let plan = CallPlan {
+fn turn(turns: &AddedLatencyPlan, targets: Vec<SocketAddr>, seed: u64) -> RunStatistics {
+    let plan = ClientPlan {
         targets,
-        verbs: vec![Asking {
+        request_classes: vec![ClientRequestClass {
             name: "view".into(),
-            repeats: RetrySafety::Idempotent,
+            retry_safety: RetrySafety::Idempotent,
             share: 1.0,
-            limit: LIMIT,
+            time_limit: LIMIT,
         }],
         tenants: vec![("lab".into(), 1.0)],
         connections: turns.connections,
-        length: SETTLE + turns.length,
+        duration: SETTLE + turns.run_duration,
         seed,
-        prefix: format!("a{seed}-"),
-        effects_again: true,
+        id_prefix: format!("a{seed}-"),
+        retry_non_idempotent: true,
     };
-    let seen = Mutex::new(Seen::default());
-    let watch = || -> Box<dyn FnMut(&Done) + '_> {
-        Box::new(|done: &Done| {
+    let seen = Mutex::new(LatencySamples::default());
+    let watch = || -> Box<dyn FnMut(&CompletedRequest) + '_> {
+        Box::new(|done: &CompletedRequest| {
             if done.intended < SETTLE {
                 return;
             }
             let ms = |from: Duration| done.ended.saturating_sub(from).as_secs_f64() * 1e3;
             let mut seen = seen.lock().unwrap_or_else(PoisonError::into_inner);
-            if done.word == FinalOutcome::Answered {
+            if done.outcome == FinalOutcome::Answered {
                 seen.sent.push(ms(done.sent));
                 seen.intended.push(ms(done.intended));
             } else {
@@ -93,17 +93,17 @@
             }
         })
     };
-    run(&plan, &Pace::new(turns.rate), &AtomicBool::new(false), Instant::now(), &watch);
+    run(&plan, &RequestRate::new(turns.rate), &AtomicBool::new(false), Instant::now(), &watch);
     let mut seen = seen.into_inner().unwrap_or_else(PoisonError::into_inner);
     seen.sent.sort_by(f64::total_cmp);
     seen.intended.sort_by(f64::total_cmp);
-    Turn {
+    RunStatistics {
         answered: seen.sent.len(),
-        not_answered: seen.not_answered,
+        unanswered: seen.not_answered,
         p50: quantile(&seen.sent, 0.5),
         p99: quantile(&seen.sent, 0.99),
         p99_intended: quantile(&seen.intended, 0.99),
-        ..Turn::default()
+        ..RunStatistics::default()
     }
 }
 
@@ -120,35 +120,38 @@
     })
 }
 
-fn through(turns: &Turns, rig: &mut Rig, seed: u64) -> Result<Turn, String> {
+fn through(turns: &AddedLatencyPlan, rig: &mut SidecarBench, seed: u64) -> Result<RunStatistics, String> {
     let (pid, address) = (rig.sidecar.pid(), rig.sidecar.address);
     let before = used(pid);
     let turn = turn(turns, vec![address], seed);
     let after = used(pid);
-    rig.sidecar.must_run()?;
+    rig.sidecar.check_running()?;
     // The settling time's calls are in it too, at the same rate.
-    let calls = turns.rate * (SETTLE + turns.length).as_secs_f64();
+    let calls = turns.rate * (SETTLE + turns.run_duration).as_secs_f64();
     let (processor_us, sleeps) = ((after.0 - before.0) * 1e6 / calls, (after.1 - before.1) / calls);
-    Ok(Turn { processor_us, sleeps, ..turn })
+    Ok(RunStatistics { cpu_us_per_request: processor_us, sleeps_per_request: sleeps, ..turn })
 }
 
 /// Plays all pairs; who goes first changes from pair to pair.
-pub fn measure(turns: &Turns, programs: &[PathBuf], dir: &Path) -> Result<Vec<Pair>, String> {
+pub fn measure(turns: &AddedLatencyPlan, programs: &[PathBuf], dir: &Path) -> Result<Vec<Pair>, String> {
     let mut rigs = Vec::new();
     for program in programs {
-        rigs.push(rig(program, dir, turns.servers)?);
+        rigs.push(start_bench(program, dir, turns.servers)?);
     }
     let Some(first) = rigs.first() else { return Err("there is no program to measure".into()) };
-    let straight_to: Vec<SocketAddr> = first.fleet.servers.iter().map(|server| server.address).collect();
+    let straight_to: Vec<SocketAddr> = first.servers.servers.iter().map(|server| server.address).collect();
     let ways = 1 + rigs.len();
     let mut pairs = Vec::new();
     for number in 0..turns.pairs {
-        let mut pair = Pair { straight: Turn::default(), through: vec![Turn::default(); rigs.len()] };
+        let mut pair = Pair {
+            direct: RunStatistics::default(),
+            via_sidecar: vec![RunStatistics::default(); rigs.len()],
+        };
         for step in 0..ways {
             let seed = (number * ways + step + 1) as u64;
             match (number + step) % ways {
-                0 => pair.straight = turn(turns, straight_to.clone(), seed),
-                way => pair.through[way - 1] = through(turns, &mut rigs[way - 1], seed)?,
+                0 => pair.direct = turn(turns, straight_to.clone(), seed),
+                way => pair.via_sidecar[way - 1] = through(turns, &mut rigs[way - 1], seed)?,
             }
         }
         pairs.push(pair);
@@ -165,31 +168,31 @@
 }
 
 /// A table: each figure's median over the pairs, with the least and the most.
-pub fn page(turns: &Turns, pairs: &[Pair]) -> String {
+pub fn render_table(turns: &AddedLatencyPlan, pairs: &[Pair]) -> String {
     let mut text = format!(
         "{} calls a second, {} connections, {} stand-ins, {} pairs of {} s; milliseconds from the send; load of the machine {}\n\n",
         turns.rate,
         turns.connections,
         turns.servers,
         pairs.len(),
-        turns.length.as_secs_f64(),
+        turns.run_duration.as_secs_f64(),
         fs::read_to_string("/proc/loadavg").unwrap_or_default().trim(),
     );
     text += "| calls | p50 | p99 | p99 from the intended send | added at p50 | added at p99 | not answered | processor time a call, us | sleeps a call |\n";
     text += "| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
-    let of = |way: usize, figure: &dyn Fn(&Turn) -> f64| -> Vec<f64> {
+    let of = |way: usize, figure: &dyn Fn(&RunStatistics) -> f64| -> Vec<f64> {
         let turn =
-            |pair: &Pair| if way == 0 { figure(&pair.straight) } else { figure(&pair.through[way - 1]) };
+            |pair: &Pair| if way == 0 { figure(&pair.direct) } else { figure(&pair.via_sidecar[way - 1]) };
         pairs.iter().map(turn).collect()
     };
-    let ways = 1 + pairs.first().map_or(0, |pair| pair.through.len());
+    let ways = 1 + pairs.first().map_or(0, |pair| pair.via_sidecar.len());
     for way in 0..ways {
         let name = ["straight", "through", "through the other build"].get(way).copied().unwrap_or("through");
-        let told = |figure: &dyn Fn(&Turn) -> f64| spread(of(way, figure).into_iter());
-        let more = |figure: &dyn Fn(&Turn) -> f64| {
+        let told = |figure: &dyn Fn(&RunStatistics) -> f64| spread(of(way, figure).into_iter());
+        let more = |figure: &dyn Fn(&RunStatistics) -> f64| {
             spread(of(way, figure).into_iter().zip(of(0, figure)).map(|(with, without)| with - without))
         };
-        let failed: f64 = of(way, &|turn| turn.not_answered as f64).iter().sum();
+        let failed: f64 = of(way, &|turn| turn.unanswered as f64).iter().sum();
         let _ = write!(
             text,
             "| {name} | {} | {} | {} |",
@@ -201,7 +204,8 @@
             let _ = writeln!(text, " | | {failed} | | |");
         } else {
             let (p50, p99) = (more(&|turn| turn.p50), more(&|turn| turn.p99));
-            let (processor, sleeps) = (told(&|turn| turn.processor_us), told(&|turn| turn.sleeps));
+            let (processor, sleeps) =
+                (told(&|turn| turn.cpu_us_per_request), told(&|turn| turn.sleeps_per_request));
             let _ = writeln!(text, " {p50} | {p99} | {failed} | {processor} | {sleeps} |");
         }
     }
--- a/crates/lab/src/sockets/bench.rs
+++ b/crates/lab/src/sockets/bench.rs
@@ -3,11 +3,11 @@
 
 use super::child::Sidecar;
 use super::discovery::{Discovery, Entry};
-use super::fleet::{Doing, Fleet, Make};
-use super::ledger::Ledger;
-use super::load::{Figures, LoadPlan, load};
-use super::ports::unused;
-use super::settings::{Told, config_of};
+use super::fleet::{ServedRequestClass, ServerConfig, ServerGroup};
+use super::ledger::RuleChecker;
+use super::load::{LoadPlan, LoadResults, load};
+use super::ports::unused_address_v4;
+use super::settings::{SidecarParameters, sidecar_config};
 use crate::plan::{RetrySafety, Scenario, WorkDistribution};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -21,32 +21,38 @@
 pub struct Point {
     /// 0: callers speak to one stand-in with no sidecar between.
     pub servers: usize,
-    pub figures: Figures,
+    pub results: LoadResults,
     /// Seconds of processor time that the sidecar used for each second.
-    pub busy: f64,
+    pub cores_used: f64,
 }
 
-fn at_once() -> Arc<Vec<Doing>> {
+fn at_once() -> Arc<Vec<ServedRequestClass>> {
     let (name, spread) = ("view".into(), WorkDistribution::Fixed);
-    Arc::new(vec![Doing { name, repeats: RetrySafety::Idempotent, work: 0.0, spread, calls: 0 }])
+    Arc::new(vec![ServedRequestClass {
+        name,
+        retry_safety: RetrySafety::Idempotent,
+        mean_work: 0.0,
+        work_distribution: spread,
+        downstream_calls: 0,
+    }])
 }
 
 /// Stand-ins that answer at once.
-pub fn fleet(count: usize) -> Result<Fleet, String> {
-    let ledger = Arc::new(Ledger::new(Instant::now()));
-    let mut fleet = Fleet::empty();
+pub fn start_servers(count: usize) -> Result<ServerGroup, String> {
+    let ledger = Arc::new(RuleChecker::new(Instant::now()));
+    let mut fleet = ServerGroup::empty();
     for place in 0..count {
-        let make = Make {
+        let make = ServerConfig {
             name: format!("t0s{place}"),
             cores: 256,
-            queue: 10_000,
+            queue_limit: 10_000,
             speed: 1.0,
-            cold_share: 1.0,
-            warm_after: Duration::ZERO,
-            cold_most: None,
-            grace: Duration::MAX,
-            reports: false,
-            behind: None,
+            initial_fraction: 1.0,
+            warmup: Duration::ZERO,
+            overload_limit: None,
+            drain_grace: Duration::MAX,
+            reports_load: false,
+            next_tier: None,
             seed: 1,
         };
         fleet.add(make, at_once(), ledger.clone()).map_err(|wrong| wrong.to_string())?;
@@ -60,41 +66,41 @@
 fn plan_of(targets: Vec<SocketAddr>, connections: usize, (settle, length): Spans) -> LoadPlan {
     LoadPlan {
         targets,
-        verb: "view".into(),
+        request_class: "view".into(),
         connections,
         rate: 0.0,
-        limit: Duration::from_secs(2),
-        settle,
-        length,
+        time_limit: Duration::from_secs(2),
+        warmup: settle,
+        duration: length,
         seed: 1,
     }
 }
 
 pub fn direct(connections: usize, spans: Spans) -> Result<Point, String> {
-    let fleet = fleet(1)?;
+    let fleet = start_servers(1)?;
     let targets = vec![fleet.servers[0].address];
-    Ok(Point { servers: 0, figures: load(&plan_of(targets, connections, spans)), busy: 0.0 })
+    Ok(Point { servers: 0, results: load(&plan_of(targets, connections, spans)), cores_used: 0.0 })
 }
 
 /// One sidecar before stand-ins that answer at once.
-pub struct Rig {
-    pub fleet: Fleet,
+pub struct SidecarBench {
+    pub servers: ServerGroup,
     pub sidecar: Sidecar,
     discovery: Arc<Discovery>,
 }
 
-impl Drop for Rig {
+impl Drop for SidecarBench {
     fn drop(&mut self) {
-        self.discovery.end();
+        self.discovery.stop();
     }
 }
 
-pub fn rig(program: &Path, dir: &Path, servers: usize) -> Result<Rig, String> {
-    let fleet = fleet(servers)?;
+pub fn start_bench(program: &Path, dir: &Path, servers: usize) -> Result<SidecarBench, String> {
+    let fleet = start_servers(servers)?;
     let discovery = Discovery::start().map_err(|wrong| wrong.to_string())?;
     for server in &fleet.servers {
-        discovery.say(Entry {
-            id: server.make.name.clone(),
+        discovery.publish(Entry {
+            id: server.config.name.clone(),
             address: server.address,
             zone: "a".into(),
             cell: 0,
@@ -104,38 +110,38 @@
         });
     }
     let plan: Scenario = crate::plan::parse("bench", PLAN).map_err(|wrong| wrong.to_string())?;
-    let listen = unused().into();
-    let told = Told {
+    let listen = unused_address_v4().into();
+    let told = SidecarParameters {
         name: "bench",
         listen,
         discovery: discovery.address,
-        known: discovery.whole(),
+        initial_endpoints: discovery.snapshot(),
         tier: 0,
-        copies: 1,
+        replicas: 1,
         ordinal: 0,
         zone: 0,
         seed: 1,
         sockets: 4096,
         memory_mb: 512,
     };
-    let sidecar = Sidecar::start(program, dir, "bench", &config_of(&plan, &told))?;
-    Ok(Rig { fleet, sidecar, discovery })
+    let sidecar = Sidecar::start(program, dir, "bench", &sidecar_config(&plan, &told))?;
+    Ok(SidecarBench { servers: fleet, sidecar, discovery })
 }
 
-pub fn through(
+pub fn via_sidecar(
     program: &Path,
     dir: &Path,
     servers: usize,
     connections: usize,
     spans: Spans,
 ) -> Result<Point, String> {
-    let mut rig = rig(program, dir, servers)?;
+    let mut rig = start_bench(program, dir, servers)?;
     let before = processor_time(rig.sidecar.pid());
     let began = Instant::now();
     let figures = load(&plan_of(vec![rig.sidecar.address], connections, spans));
     let busy = (processor_time(rig.sidecar.pid()) - before) / began.elapsed().as_secs_f64();
-    rig.sidecar.must_run()?;
-    Ok(Point { servers, figures, busy })
+    rig.sidecar.check_running()?;
+    Ok(Point { servers, results: figures, cores_used: busy })
 }
 
 /// Seconds of processor time that a process has used, by proc(5); 0 where the system tells none.
--- a/crates/lab/src/sockets/callers.rs
+++ b/crates/lab/src/sockets/callers.rs
@@ -2,7 +2,7 @@
 //! moment it was meant to be sent, whether or not a connection was free then: what a slow answer keeps waiting is
 //! slow too (Tene's "coordinated omission").
 
-use super::message::{Heard, Peer};
+use super::message::{HttpMessage, Peer};
 use crate::plan::RetrySafety;
 use crate::referee::FinalOutcome;
 use crate::world::exponential;
@@ -22,33 +22,33 @@
 
 /// A verb as callers ask it.
 #[derive(Clone, Debug)]
-pub struct Asking {
+pub struct ClientRequestClass {
     pub name: String,
-    pub repeats: RetrySafety,
+    pub retry_safety: RetrySafety,
     pub share: f64,
-    pub limit: Duration,
+    pub time_limit: Duration,
 }
 
 #[derive(Clone, Debug)]
-pub struct CallPlan {
+pub struct ClientPlan {
     pub targets: Vec<SocketAddr>,
-    pub verbs: Vec<Asking>,
+    pub request_classes: Vec<ClientRequestClass>,
     pub tenants: Vec<(String, f64)>,
     pub connections: usize,
-    pub length: Duration,
+    pub duration: Duration,
     pub seed: u64,
     /// Names this plan's commands apart from others'.
-    pub prefix: String,
+    pub id_prefix: String,
     /// Whether an effectful command is asked again where a kept connection ends under it: its copy may have sent it on.
-    pub effects_again: bool,
+    pub retry_non_idempotent: bool,
 }
 
 /// How fast they send; it can be changed while they do. 0: each sends again as soon as it is answered.
-pub struct Pace(AtomicU64);
+pub struct RequestRate(AtomicU64);
 
-impl Pace {
-    pub fn new(per_s: f64) -> Pace {
-        Pace(AtomicU64::new(per_s.to_bits()))
+impl RequestRate {
+    pub fn new(per_s: f64) -> RequestRate {
+        RequestRate(AtomicU64::new(per_s.to_bits()))
     }
 
     pub fn set(&self, per_s: f64) {
@@ -61,24 +61,24 @@
 }
 
 /// A command's end as its caller saw it.
-pub struct Done<'a> {
-    pub cmd: &'a str,
-    pub verb: usize,
+pub struct CompletedRequest<'a> {
+    pub request_id: &'a str,
+    pub request_class: usize,
     pub tenant: usize,
     /// Since the start of the schedule.
     pub intended: Duration,
     /// When its caller had a connection free for it.
     pub sent: Duration,
     pub ended: Duration,
-    pub word: FinalOutcome,
+    pub outcome: FinalOutcome,
     /// Why it is lost, where it is.
-    pub lost: Option<&'static str>,
+    pub lost_reason: Option<&'static str>,
     /// Whom it was asked of last.
-    pub to: SocketAddr,
+    pub target: SocketAddr,
 }
 
 /// What a thread tells of each command; made in that thread.
-pub type Watch<'a> = &'a (dyn Fn() -> Box<dyn FnMut(&Done) + 'a> + Sync);
+pub type Observer<'a> = &'a (dyn Fn() -> Box<dyn FnMut(&CompletedRequest) + 'a> + Sync);
 
 struct Schedule {
     next: Duration,
@@ -86,15 +86,15 @@
 }
 
 struct Shared<'a> {
-    plan: &'a CallPlan,
-    pace: &'a Pace,
+    plan: &'a ClientPlan,
+    pace: &'a RequestRate,
     stop: &'a AtomicBool,
     schedule: Mutex<Schedule>,
     began: Instant,
 }
 
 /// Sends until the plan's length is over or `stop` is set, and comes back when all have their ends.
-pub fn run(plan: &CallPlan, pace: &Pace, stop: &AtomicBool, began: Instant, watch: Watch) {
+pub fn run(plan: &ClientPlan, pace: &RequestRate, stop: &AtomicBool, began: Instant, watch: Observer) {
     let rng = ChaCha8Rng::seed_from_u64(plan.seed);
     let schedule = Mutex::new(Schedule { next: began.elapsed(), rng });
     let shared = Shared { plan, pace, stop, schedule, began };
@@ -121,16 +121,17 @@
             schedule.next = now;
         }
         let (verb, tenant) = (schedule.rng.random(), schedule.rng.random());
-        let verb = crate::world::weighted_index(self.plan.verbs.iter().map(|verb| verb.share), verb);
+        let verb =
+            crate::world::weighted_index(self.plan.request_classes.iter().map(|verb| verb.share), verb);
         let tenant = crate::world::weighted_index(self.plan.tenants.iter().map(|(_, share)| *share), tenant);
         (schedule.next, verb, tenant)
     }
 
     fn over(&self) -> bool {
-        self.stop.load(Ordering::Relaxed) || self.began.elapsed() >= self.plan.length
+        self.stop.load(Ordering::Relaxed) || self.began.elapsed() >= self.plan.duration
     }
 
-    fn talk(&self, number: usize, mut watch: Box<dyn FnMut(&Done) + '_>) {
+    fn talk(&self, number: usize, mut watch: Box<dyn FnMut(&CompletedRequest) + '_>) {
         let mut conn: Option<Peer> = None;
         let mut target = number;
         let mut count = 0u64;
@@ -139,27 +140,37 @@
             while self.began.elapsed() < intended && !self.over() {
                 thread::sleep((intended.saturating_sub(self.began.elapsed())).min(Duration::from_millis(50)));
             }
-            if self.over() || intended >= self.plan.length {
+            if self.over() || intended >= self.plan.duration {
                 return;
             }
             count += 1;
-            let cmd = format!("{}{number}x{count}", self.plan.prefix);
-            let until = intended + self.plan.verbs[verb].limit;
+            let cmd = format!("{}{number}x{count}", self.plan.id_prefix);
+            let until = intended + self.plan.request_classes[verb].time_limit;
             let sent = self.began.elapsed();
             let (word, lost) = self.ask(&cmd, verb, tenant, until, &mut conn, &mut target);
             let ended = self.began.elapsed();
             let to = self.plan.targets[target % self.plan.targets.len()];
-            watch(&Done { cmd: &cmd, verb, tenant, intended, sent, ended, word, lost, to });
+            watch(&CompletedRequest {
+                request_id: &cmd,
+                request_class: verb,
+                tenant,
+                intended,
+                sent,
+                ended,
+                outcome: word,
+                lost_reason: lost,
+                target: to,
+            });
         }
     }
 
     fn bytes(&self, cmd: &str, verb: usize, tenant: usize, left: Duration) -> String {
-        let Asking { name, repeats, .. } = &self.plan.verbs[verb];
+        let ClientRequestClass { name, retry_safety, .. } = &self.plan.request_classes[verb];
         let tenant = self.plan.tenants.get(tenant).map_or("", |(name, _)| name.as_str());
         let left = left.as_millis().max(1);
         let common =
             format!("Host: lab\r\nX-Trace-Id: {cmd}\r\nX-Customer: {tenant}\r\nX-Expires-In-Ms: {left}\r\n");
-        match repeats {
+        match retry_safety {
             RetrySafety::Idempotent => format!("GET /{name} HTTP/1.1\r\n{common}\r\n"),
             RetrySafety::NonIdempotent => {
                 format!("POST /{name} HTTP/1.1\r\n{common}Content-Length: 4\r\n\r\nbody")
@@ -195,9 +206,10 @@
                 *target += 1;
                 continue;
             };
-            peer.patience(Some(left + SLACK));
-            let heard =
-                peer.write(self.bytes(cmd, verb, tenant, left).as_bytes()).and_then(|()| peer.answer());
+            peer.set_read_timeout(Some(left + SLACK));
+            let heard = peer
+                .write(self.bytes(cmd, verb, tenant, left).as_bytes())
+                .and_then(|()| peer.read_response());
             match heard {
                 Ok(heard) => {
                     let word = Self::word(&heard);
@@ -217,10 +229,11 @@
     }
 
     fn may_ask_again(&self, verb: usize) -> bool {
-        self.plan.effects_again || self.plan.verbs[verb].repeats != RetrySafety::NonIdempotent
+        self.plan.retry_non_idempotent
+            || self.plan.request_classes[verb].retry_safety != RetrySafety::NonIdempotent
     }
 
-    fn word(heard: &Heard) -> FinalOutcome {
+    fn word(heard: &HttpMessage) -> FinalOutcome {
         match heard.status() {
             Some(200) => FinalOutcome::Answered,
             Some(429 | 503) => FinalOutcome::Declined,
--- a/crates/lab/src/sockets/child.rs
+++ b/crates/lab/src/sockets/child.rs
@@ -29,7 +29,7 @@
 }
 
 /// The program beside this one, as a build leaves it.
-pub fn program() -> Result<PathBuf, String> {
+pub fn sidecar_program() -> Result<PathBuf, String> {
     let own = std::env::current_exe().map_err(|wrong| wrong.to_string())?;
     // Tests and benches run a folder below.
     let found =
@@ -67,14 +67,14 @@
 }
 
 /// Another sub-command of the program, as a child process that ends with the lab.
-pub struct Helper(Child);
+pub struct HelperProcess(Child);
 
-impl Helper {
+impl HelperProcess {
     /// Starts it; what it says goes to `log`.
-    pub fn start(program: &Path, words: &[String], log: &Path) -> io::Result<Helper> {
+    pub fn start(program: &Path, words: &[String], log: &Path) -> io::Result<HelperProcess> {
         let mut command = Command::new(program);
         command.args(words).env("NODE_LOG", "warn");
-        spawn_as(command, log).map(Helper)
+        spawn_as(command, log).map(HelperProcess)
     }
 
     pub fn pid(&self) -> u32 {
@@ -82,12 +82,12 @@
     }
 
     /// Whether it has ended.
-    pub fn ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         !matches!(self.0.try_wait(), Ok(None))
     }
 }
 
-impl Drop for Helper {
+impl Drop for HelperProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -125,28 +125,28 @@
     pub fn wait_ready(&mut self) -> Result<(), String> {
         let began = Instant::now();
         loop {
-            self.must_run()?;
-            if self.ready() {
+            self.check_running()?;
+            if self.is_ready() {
                 return Ok(());
             }
             if began.elapsed() > READY_WITHIN {
                 return Err(format!(
                     "{} is not ready within {READY_WITHIN:?}\n{}",
                     self.name,
-                    self.last_lines()
+                    self.last_log_lines()
                 ));
             }
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         let asked = || -> io::Result<bool> {
             let stream = TcpStream::connect_timeout(&self.address, Duration::from_millis(200))?;
             let mut peer = Peer::new(stream);
-            peer.patience(Some(Duration::from_millis(500)));
+            peer.set_read_timeout(Some(Duration::from_millis(500)));
             peer.write(b"GET /_health HTTP/1.1\r\nHost: lab\r\n\r\n")?;
-            Ok(peer.answer()?.status() == Some(200))
+            Ok(peer.read_response()?.status() == Some(200))
         };
         asked().unwrap_or(false)
     }
@@ -156,22 +156,24 @@
     }
 
     /// An error with its log's last lines where it has ended by itself.
-    pub fn must_run(&mut self) -> Result<(), String> {
+    pub fn check_running(&mut self) -> Result<(), String> {
         match self.child.try_wait() {
             Ok(None) => Ok(()),
-            Ok(Some(status)) => Err(format!("{} has ended with {status}\n{}", self.name, self.last_lines())),
+            Ok(Some(status)) => {
+                Err(format!("{} has ended with {status}\n{}", self.name, self.last_log_lines()))
+            }
             Err(wrong) => Err(format!("{}: {wrong}", self.name)),
         }
     }
 
-    pub fn last_lines(&self) -> String {
+    pub fn last_log_lines(&self) -> String {
         let text = fs::read_to_string(&self.log).unwrap_or_default();
         let lines: Vec<&str> = text.lines().collect();
         lines[lines.len().saturating_sub(LAST_LINES)..].join("\n")
     }
 
     /// What its log has gained since this was last asked, in whole lines.
-    pub fn new_lines(&mut self) -> Vec<String> {
+    pub fn new_log_lines(&mut self) -> Vec<String> {
         let mut text = String::new();
         let grown = File::open(&self.log).and_then(|mut log| {
             log.seek(SeekFrom::Start(self.read))?;
@@ -191,7 +193,7 @@
     }
 
     /// Starts it anew under its name, address and configuration.
-    pub fn again(&mut self) -> Result<(), String> {
+    pub fn restart(&mut self) -> Result<(), String> {
         self.relaunch(None)?;
         self.wait_ready()
     }
@@ -212,7 +214,7 @@
     }
 
     /// Whether it has ended; its exit code is taken with that.
-    pub fn ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
 }
--- a/crates/lab/src/sockets/discovery.rs
+++ b/crates/lab/src/sockets/discovery.rs
@@ -1,7 +1,7 @@
 //! The stand-in list source: whole lists and watches by the platform's protocol, for one tier, with its troubles.
 
-use super::message::{Heard, Peer, answer};
-use super::ports::free;
+use super::message::{HttpMessage, Peer, response_bytes};
+use super::ports::bind_loopback;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::io;
@@ -38,7 +38,7 @@
 
 /// What ails the source.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Trouble {
+pub enum DiscoveryFault {
     #[default]
     None,
     /// Calls end with 503, watches break.
@@ -58,7 +58,7 @@
     stale: Option<(u64, Vec<Entry>)>,
     /// Watches that began before this generation are told a whole list.
     whole_before: u64,
-    trouble: Trouble,
+    fault: DiscoveryFault,
     /// A list as somebody wrote it, and its generation, in place of all else.
     written: Option<(u64, String)>,
     calls: u64,
@@ -74,7 +74,7 @@
 
 impl Discovery {
     pub fn start() -> io::Result<Arc<Discovery>> {
-        let listener = free()?;
+        let listener = bind_loopback()?;
         let discovery = Arc::new(Discovery {
             address: listener.local_addr()?,
             list: Mutex::default(),
@@ -95,14 +95,14 @@
     }
 
     /// One that tells what `write` gives it, word for word; until then every call waits.
-    pub fn written() -> io::Result<Arc<Discovery>> {
+    pub fn with_raw_lists() -> io::Result<Arc<Discovery>> {
         let discovery = Discovery::start()?;
-        discovery.write(0, String::new());
+        discovery.set_raw_list(0, String::new());
         Ok(discovery)
     }
 
     /// The next list, whether or not it can be read; it is told to whoever knows an older generation.
-    pub fn write(&self, generation: u64, list: String) {
+    pub fn set_raw_list(&self, generation: u64, list: String) {
         self.list().written = Some((generation, list));
         self.news.notify_all();
     }
@@ -112,7 +112,7 @@
     }
 
     /// Takes a server's entry in; watches hear of it.
-    pub fn say(&self, entry: Entry) {
+    pub fn publish(&self, entry: Entry) {
         let mut list = self.list();
         list.generation += 1;
         let generation = list.generation;
@@ -124,36 +124,36 @@
         self.list().entries.get(id).map(|(_, entry)| entry.clone())
     }
 
-    pub fn set_trouble_if_new(&self, trouble: Trouble) {
-        let now = self.list().trouble;
-        if now != trouble {
-            self.set_trouble(trouble);
+    pub fn set_fault_if_changed(&self, fault: DiscoveryFault) {
+        let now = self.list().fault;
+        if now != fault {
+            self.set_fault(fault);
         }
     }
 
-    pub fn set_trouble(&self, trouble: Trouble) {
+    pub fn set_fault(&self, fault: DiscoveryFault) {
         let mut list = self.list();
         list.generation += 1;
         let whole: Vec<Entry> = list.entries.values().map(|(_, entry)| entry.clone()).collect();
-        list.stale = (trouble == Trouble::Stale).then_some((list.generation, whole));
-        list.trouble = trouble;
+        list.stale = (fault == DiscoveryFault::Stale).then_some((list.generation, whole));
+        list.fault = fault;
         // What was not told meanwhile is told whole.
         list.whole_before = list.generation;
         self.news.notify_all();
     }
 
     /// The list as a sidecar may know it at its start.
-    pub fn whole(&self) -> Value {
+    pub fn snapshot(&self) -> Value {
         self.list().whole()
     }
 
     /// Calls that have come, and watches that were left while they waited.
-    pub fn seen(&self) -> (u64, u64) {
+    pub fn call_counts(&self) -> (u64, u64) {
         let list = self.list();
         (list.calls, list.left)
     }
 
-    pub fn end(&self) {
+    pub fn stop(&self) {
         self.over.store(true, Ordering::Relaxed);
         self.news.notify_all();
         let _ = TcpStream::connect_timeout(&self.address, Duration::from_millis(100));
@@ -161,19 +161,19 @@
 
     fn talk(&self, stream: TcpStream) {
         let mut peer = Peer::new(stream);
-        while let Ok(Some(heard)) = peer.command() {
+        while let Ok(Some(heard)) = peer.read_request() {
             let Some(list) = self.answer_to(&heard, &peer) else {
-                let _ = peer.write(&answer(503, "Connection: close\r\n", b""));
+                let _ = peer.write(&response_bytes(503, "Connection: close\r\n", b""));
                 return;
             };
-            if peer.write(&answer(200, "", list.as_bytes())).is_err() {
+            if peer.write(&response_bytes(200, "", list.as_bytes())).is_err() {
                 return;
             }
         }
     }
 
     /// None where the source is down, or the watch was left.
-    fn answer_to(&self, heard: &Heard, peer: &Peer) -> Option<String> {
+    fn answer_to(&self, heard: &HttpMessage, peer: &Peer) -> Option<String> {
         let query = heard.path().split_once('?').map_or("", |(_, query)| query);
         let figure = |name: &str| {
             let pair = query.split('&').filter_map(|pair| pair.split_once('=')).find(|(key, _)| *key == name);
@@ -183,16 +183,16 @@
         let mut list = self.list();
         list.calls += 1;
         let after = figure("after");
-        if after.is_none() && list.written.is_none() && list.trouble != Trouble::Silent {
-            return (list.trouble != Trouble::Down).then(|| list.whole().to_string());
+        if after.is_none() && list.written.is_none() && list.fault != DiscoveryFault::Silent {
+            return (list.fault != DiscoveryFault::Down).then(|| list.whole().to_string());
         }
         let after = after.unwrap_or(0);
         let _ = peer.stream.set_nonblocking(true);
         let told = loop {
-            if list.trouble == Trouble::Down || self.over.load(Ordering::Relaxed) {
+            if list.fault == DiscoveryFault::Down || self.over.load(Ordering::Relaxed) {
                 break None;
             }
-            let silent = list.trouble == Trouble::Silent;
+            let silent = list.fault == DiscoveryFault::Silent;
             match &list.written {
                 _ if silent => {}
                 Some((generation, text)) if *generation > after => break Some(text.clone()),
@@ -220,13 +220,13 @@
 
 impl List {
     fn news_after(&self, after: u64) -> bool {
-        self.generation != after && self.trouble != Trouble::Stale
+        self.generation != after && self.fault != DiscoveryFault::Stale
     }
 
     fn whole(&self) -> Value {
-        let (generation, entries) = match (&self.trouble, &self.stale) {
-            (Trouble::Empty, _) => (self.generation, Vec::new()),
-            (Trouble::Stale, Some((generation, entries))) => (*generation, entries.clone()),
+        let (generation, entries) = match (&self.fault, &self.stale) {
+            (DiscoveryFault::Empty, _) => (self.generation, Vec::new()),
+            (DiscoveryFault::Stale, Some((generation, entries))) => (*generation, entries.clone()),
             _ => (self.generation, self.entries.values().map(|(_, entry)| entry.clone()).collect()),
         };
         let there = entries.iter().filter(|entry| entry.state != "gone").map(Entry::value);
@@ -235,7 +235,7 @@
 
     /// What is newer than a generation, or all of it where that can't be told.
     fn changes(&self, after: u64) -> Value {
-        if self.trouble == Trouble::Stale {
+        if self.fault == DiscoveryFault::Stale {
             return json!({"generation": after, "reset": false, "instances": []});
         }
         if after < self.whole_before || after > self.generation {
--- a/crates/lab/src/sockets/fleet.rs
+++ b/crates/lab/src/sockets/fleet.rs
@@ -1,9 +1,9 @@
 //! Stand-in servers: they read the platform's commands, take the time that the plan gives, and fail as told.
 //! A thread to each connection, a count of cores and a bounded queue to each server.
 
-use super::ledger::Ledger;
-use super::message::{Heard, Peer, answer};
-use super::ports::free;
+use super::ledger::RuleChecker;
+use super::message::{HttpMessage, Peer, response_bytes};
+use super::ports::bind_loopback;
 use crate::cold::{ColdPeaks, OfferedWork, OverloadBound};
 use crate::plan::{RetrySafety, WorkDistribution};
 use crate::world::work_multiple;
@@ -23,30 +23,30 @@
 
 /// A verb as a server does it.
 #[derive(Clone, Debug)]
-pub struct Doing {
+pub struct ServedRequestClass {
     pub name: String,
-    pub repeats: RetrySafety,
+    pub retry_safety: RetrySafety,
     /// Mean seconds of a core.
-    pub work: f64,
-    pub spread: WorkDistribution,
+    pub mean_work: f64,
+    pub work_distribution: WorkDistribution,
     /// Calls to the next tier.
-    pub calls: u32,
+    pub downstream_calls: u32,
 }
 
-pub type Verbs = Arc<Vec<Doing>>;
+pub type ServedRequestClasses = Arc<Vec<ServedRequestClass>>;
 
 /// By which address servers call the next tier.
-pub type Behind = Option<SocketAddr>;
+pub type NextTier = Option<SocketAddr>;
 
 /// How a server does by now; changed while it runs.
 #[derive(Clone, Debug)]
-pub struct Serving {
-    pub slow: f64,
+pub struct ServerState {
+    pub slowdown: f64,
     /// The share of commands that fails at once, and of which verb alone.
-    pub errors: f64,
-    pub errors_of: Option<String>,
-    pub heavy: f64,
-    pub heavy_share: f64,
+    pub error_fraction: f64,
+    pub error_class: Option<String>,
+    pub heavy_factor: f64,
+    pub heavy_fraction: f64,
     pub paused: bool,
     /// Reads and says nothing.
     pub silent: bool,
@@ -54,78 +54,78 @@
     pub down: bool,
     /// Connections older than this moment get no answer any more.
     pub half_open_before: Option<Instant>,
-    pub cold_from: Option<Instant>,
+    pub cold_since: Option<Instant>,
     pub draining_since: Option<Instant>,
-    pub says: Option<crate::plan::FalseLoad>,
+    pub false_load: Option<crate::plan::FalseLoad>,
 }
 
-impl Default for Serving {
-    fn default() -> Serving {
-        Serving {
-            slow: 1.0,
-            errors: 0.0,
-            errors_of: None,
-            heavy: 1.0,
-            heavy_share: 0.0,
+impl Default for ServerState {
+    fn default() -> ServerState {
+        ServerState {
+            slowdown: 1.0,
+            error_fraction: 0.0,
+            error_class: None,
+            heavy_factor: 1.0,
+            heavy_fraction: 0.0,
             paused: false,
             silent: false,
             down: false,
             half_open_before: None,
-            cold_from: None,
+            cold_since: None,
             draining_since: None,
-            says: None,
+            false_load: None,
         }
     }
 }
 
 /// What a server is from its start on.
 #[derive(Clone, Debug)]
-pub struct Make {
+pub struct ServerConfig {
     pub name: String,
     pub cores: usize,
-    pub queue: usize,
+    pub queue_limit: usize,
     pub speed: f64,
-    pub cold_share: f64,
-    pub warm_after: Duration,
+    pub initial_fraction: f64,
+    pub warmup: Duration,
     /// A cold one is pushed over by more than so many times the work that it can do within the window; by any where the
     /// rule does not hold here.
-    pub cold_most: Option<ColdMost>,
-    pub grace: Duration,
-    pub reports: bool,
-    pub behind: Behind,
+    pub overload_limit: Option<OverloadLimit>,
+    pub drain_grace: Duration,
+    pub reports_load: bool,
+    pub next_tier: NextTier,
     pub seed: u64,
 }
 
 /// Rule 4 as a server knows it.
 #[derive(Clone, Copy, Debug)]
-pub struct ColdMost {
+pub struct OverloadLimit {
     pub multiple: f64,
     pub window: Duration,
     /// Fewer commands than this within a window never push it over.
-    pub least: usize,
+    pub min_requests: usize,
 }
 
 pub struct Server {
-    pub make: Make,
+    pub config: ServerConfig,
     pub address: SocketAddr,
-    serving: Mutex<Serving>,
+    state: Mutex<ServerState>,
     /// Free cores.
-    cores: Mutex<usize>,
-    freed: Condvar,
+    free_cores: Mutex<usize>,
+    core_freed: Condvar,
     /// What was brought to it while it was cold, and over all its lives before.
-    brought: Mutex<(Option<Instant>, OfferedWork, ColdPeaks)>,
-    waiting: AtomicU32,
-    inside: AtomicU32,
-    pub taken: AtomicU64,
+    cold_load: Mutex<(Option<Instant>, OfferedWork, ColdPeaks)>,
+    queued: AtomicU32,
+    in_flight: AtomicU32,
+    pub received_requests: AtomicU64,
     /// What it reported last while it told the truth: in flight above, queue below.
-    told: AtomicU64,
-    verbs: Verbs,
-    ledger: Arc<Ledger>,
-    over: AtomicBool,
+    last_report: AtomicU64,
+    request_classes: ServedRequestClasses,
+    rule_checker: Arc<RuleChecker>,
+    stopped: AtomicBool,
 }
 
 /// All servers of a scene.
-pub struct Fleet {
+pub struct ServerGroup {
     pub servers: Vec<Arc<Server>>,
 }
 
@@ -134,27 +134,32 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Fleet {
-    pub fn empty() -> Fleet {
-        Fleet { servers: Vec::new() }
+impl ServerGroup {
+    pub fn empty() -> ServerGroup {
+        ServerGroup { servers: Vec::new() }
     }
 
-    pub fn add(&mut self, make: Make, verbs: Verbs, ledger: Arc<Ledger>) -> io::Result<Arc<Server>> {
-        let listener = free()?;
+    pub fn add(
+        &mut self,
+        make: ServerConfig,
+        verbs: ServedRequestClasses,
+        ledger: Arc<RuleChecker>,
+    ) -> io::Result<Arc<Server>> {
+        let listener = bind_loopback()?;
         let server = Arc::new(Server {
             address: listener.local_addr()?,
-            cores: Mutex::new(make.cores),
-            make,
-            serving: Mutex::default(),
-            freed: Condvar::new(),
-            brought: Mutex::default(),
-            waiting: AtomicU32::new(0),
-            inside: AtomicU32::new(0),
-            taken: AtomicU64::new(0),
-            told: AtomicU64::new(0),
-            verbs,
-            ledger,
-            over: AtomicBool::new(false),
+            free_cores: Mutex::new(make.cores),
+            config: make,
+            state: Mutex::default(),
+            core_freed: Condvar::new(),
+            cold_load: Mutex::default(),
+            queued: AtomicU32::new(0),
+            in_flight: AtomicU32::new(0),
+            received_requests: AtomicU64::new(0),
+            last_report: AtomicU64::new(0),
+            request_classes: verbs,
+            rule_checker: ledger,
+            stopped: AtomicBool::new(false),
         });
         let own = server.clone();
         thread::Builder::new().stack_size(STACK).spawn(move || own.listen(listener))?;
@@ -163,32 +168,32 @@
     }
 }
 
-impl Drop for Fleet {
+impl Drop for ServerGroup {
     fn drop(&mut self) {
         self.servers.iter().for_each(|server| server.end());
     }
 }
 
 impl Server {
-    pub fn change(&self, what: impl FnOnce(&mut Serving)) {
-        what(&mut locked(&self.serving));
-        self.freed.notify_all();
-        if locked(&self.serving).down {
+    pub fn update_state(&self, what: impl FnOnce(&mut ServerState)) {
+        what(&mut locked(&self.state));
+        self.core_freed.notify_all();
+        if locked(&self.state).down {
             self.wake_listener();
         }
     }
 
-    pub fn serving(&self) -> Serving {
-        locked(&self.serving).clone()
+    pub fn state(&self) -> ServerState {
+        locked(&self.state).clone()
     }
 
     /// Commands in it for each core.
     pub fn load(&self) -> f64 {
-        f64::from(self.inside.load(Ordering::Relaxed)) / self.make.cores as f64
+        f64::from(self.in_flight.load(Ordering::Relaxed)) / self.config.cores as f64
     }
 
     fn end(&self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopped.store(true, Ordering::Relaxed);
         self.wake_listener();
     }
 
@@ -199,8 +204,8 @@
 
     fn listen(self: Arc<Self>, listener: TcpListener) {
         let mut listening = Some(listener);
-        while !self.over.load(Ordering::Relaxed) {
-            if self.serving().down {
+        while !self.stopped.load(Ordering::Relaxed) {
+            if self.state().down {
                 // Closed, so that connections are refused.
                 listening = None;
                 thread::sleep(LOOK);
@@ -211,8 +216,8 @@
                 continue;
             };
             if let Ok((stream, _)) = listener.accept()
-                && !self.serving().down
-                && !self.over.load(Ordering::Relaxed)
+                && !self.state().down
+                && !self.stopped.load(Ordering::Relaxed)
             {
                 let own = self.clone();
                 let _ = thread::Builder::new().stack_size(STACK).spawn(move || own.talk(stream));
@@ -224,18 +229,18 @@
     fn talk(&self, stream: TcpStream) {
         let opened = Instant::now();
         let mut peer = Peer::new(stream);
-        let mut rng = ChaCha8Rng::seed_from_u64(self.make.seed ^ u64::from(self.address.port()));
+        let mut rng = ChaCha8Rng::seed_from_u64(self.config.seed ^ u64::from(self.address.port()));
         let mut next: Option<Peer> = None;
         // A connection must not outlive the scene for ever.
-        peer.patience(Some(Duration::from_secs(300)));
-        while let Ok(Some(heard)) = peer.command() {
-            let forgotten = self.serving().half_open_before.is_some_and(|before| opened < before);
-            if forgotten || self.serving().silent {
+        peer.set_read_timeout(Some(Duration::from_secs(300)));
+        while let Ok(Some(heard)) = peer.read_request() {
+            let forgotten = self.state().half_open_before.is_some_and(|before| opened < before);
+            if forgotten || self.state().silent {
                 self.stay_silent(&peer, forgotten);
                 return;
             }
             let Some(bytes) = self.answer_to(&heard, &mut rng, &mut next) else { return };
-            if self.serving().down || peer.write(&bytes).is_err() {
+            if self.state().down || peer.write(&bytes).is_err() {
                 return;
             }
         }
@@ -243,8 +248,8 @@
 
     /// Open and silent until the other side closes or the silence is over.
     fn stay_silent(&self, peer: &Peer, for_good: bool) {
-        peer.patience(Some(Duration::from_millis(100)));
-        while !self.over.load(Ordering::Relaxed) && (for_good || self.serving().silent) {
+        peer.set_read_timeout(Some(Duration::from_millis(100)));
+        while !self.stopped.load(Ordering::Relaxed) && (for_good || self.state().silent) {
             match peer.stream.peek(&mut [0]) {
                 Ok(0) => return,
                 Ok(_) => thread::sleep(LOOK),
@@ -255,39 +260,45 @@
     }
 
     /// None where its process dies meanwhile: the connection breaks.
-    fn answer_to(&self, heard: &Heard, rng: &mut ChaCha8Rng, next: &mut Option<Peer>) -> Option<Vec<u8>> {
+    fn answer_to(
+        &self,
+        heard: &HttpMessage,
+        rng: &mut ChaCha8Rng,
+        next: &mut Option<Peer>,
+    ) -> Option<Vec<u8>> {
         match heard.path() {
-            "/ping" => return Some(answer(200, "", b"")),
-            "/_load" => return Some(answer(200, "", self.report().as_bytes())),
+            "/ping" => return Some(response_bytes(200, "", b"")),
+            "/_load" => return Some(response_bytes(200, "", self.report().as_bytes())),
             _ => {}
         }
-        let Some(doing) = self.verbs.iter().find(|doing| doing.name == heard.verb()) else {
-            return Some(answer(404, "", b"no such verb"));
+        let Some(doing) = self.request_classes.iter().find(|doing| doing.name == heard.request_class())
+        else {
+            return Some(response_bytes(404, "", b"no such verb"));
         };
-        self.taken.fetch_add(1, Ordering::Relaxed);
+        self.received_requests.fetch_add(1, Ordering::Relaxed);
         let cmd = heard.header("x-trace-id").unwrap_or("");
-        let serving = self.serving();
+        let serving = self.state();
         if let Some(late) =
-            serving.draining_since.map(|since| since.elapsed()).filter(|late| *late > self.make.grace)
+            serving.draining_since.map(|since| since.elapsed()).filter(|late| *late > self.config.drain_grace)
         {
-            self.ledger.after_grace(cmd, &self.make.name, late);
+            self.rule_checker.attempt_after_grace(cmd, &self.config.name, late);
         }
-        if let Some(from) = serving.cold_from {
-            self.bring(from, doing.work, &serving);
+        if let Some(from) = serving.cold_since {
+            self.bring(from, doing.mean_work, &serving);
         }
-        if self.inside.load(Ordering::Relaxed) as usize >= self.make.queue + self.make.cores {
+        if self.in_flight.load(Ordering::Relaxed) as usize >= self.config.queue_limit + self.config.cores {
             return Some(self.said(503, "X-Never-Ran: 1\r\n", b"full"));
         }
-        self.inside.fetch_add(1, Ordering::Relaxed);
+        self.in_flight.fetch_add(1, Ordering::Relaxed);
         let done = self.work_on(heard, doing, cmd, rng, next);
-        self.inside.fetch_sub(1, Ordering::Relaxed);
+        self.in_flight.fetch_sub(1, Ordering::Relaxed);
         done
     }
 
     fn work_on(
         &self,
-        heard: &Heard,
-        doing: &Doing,
+        heard: &HttpMessage,
+        doing: &ServedRequestClass,
         cmd: &str,
         rng: &mut ChaCha8Rng,
         next: &mut Option<Peer>,
@@ -295,93 +306,102 @@
         if !self.take_core() {
             return None;
         }
-        self.ledger.began(cmd, &self.make.name, doing.repeats);
-        let serving = self.serving();
-        let hit = serving.errors_of.as_ref().is_none_or(|verb| *verb == doing.name);
-        let fails = hit && serving.errors > 0.0 && rng.random::<f64>() < serving.errors;
-        if !fails && doing.work > 0.0 {
-            let heavy = serving.heavy_share > 0.0 && rng.random::<f64>() < serving.heavy_share;
-            let work =
-                doing.work * work_multiple(doing.spread, rng) * if heavy { serving.heavy } else { 1.0 };
-            thread::sleep(Duration::from_secs_f64(work * serving.slow / self.speed(&serving)));
+        self.rule_checker.attempt_started(cmd, &self.config.name, doing.retry_safety);
+        let serving = self.state();
+        let hit = serving.error_class.as_ref().is_none_or(|verb| *verb == doing.name);
+        let fails = hit && serving.error_fraction > 0.0 && rng.random::<f64>() < serving.error_fraction;
+        if !fails && doing.mean_work > 0.0 {
+            let heavy = serving.heavy_fraction > 0.0 && rng.random::<f64>() < serving.heavy_fraction;
+            let work = doing.mean_work
+                * work_multiple(doing.work_distribution, rng)
+                * if heavy { serving.heavy_factor } else { 1.0 };
+            thread::sleep(Duration::from_secs_f64(work * serving.slowdown / self.speed(&serving)));
         }
         self.give_core();
-        if self.serving().down {
+        if self.state().down {
             return None;
         }
-        let well = !fails && (0..doing.calls).all(|call| self.call(heard, doing, cmd, call, next));
+        let well = !fails && (0..doing.downstream_calls).all(|call| self.call(heard, doing, cmd, call, next));
         Some(if well { self.said(200, "", b"done") } else { self.said(500, "", b"failed") })
     }
 
     /// Work is brought to it while it may be cold, also what it turns away: too much pushes it over, whoever sent it. It
     /// goes on here all the same.
-    fn bring(&self, from: Instant, work: f64, serving: &Serving) {
-        let Some(rule) = self.make.cold_most.filter(|_| from.elapsed() < self.make.warm_after) else {
+    fn bring(&self, from: Instant, work: f64, serving: &ServerState) {
+        let Some(rule) = self.config.overload_limit.filter(|_| from.elapsed() < self.config.warmup) else {
             return;
         };
-        let mean = self.verbs.iter().map(|doing| doing.work).sum::<f64>() / self.verbs.len().max(1) as f64;
-        let (mut brought, mean) = (locked(&self.brought), mean.max(1e-9));
+        let mean = self.request_classes.iter().map(|doing| doing.mean_work).sum::<f64>()
+            / self.request_classes.len().max(1) as f64;
+        let (mut brought, mean) = (locked(&self.cold_load), mean.max(1e-9));
         let (life, brought, peaks) = &mut *brought;
         if life.replace(from) != Some(from) {
             brought.finish_process(peaks);
         }
-        let able = self.make.cores as f64 * self.speed(serving) * rule.window.as_secs_f64();
+        let able = self.config.cores as f64 * self.speed(serving) * rule.window.as_secs_f64();
         let bound = OverloadBound {
             window: rule.window,
             budget: rule.multiple * able / mean,
-            min_requests: rule.least,
+            min_requests: rule.min_requests,
         };
-        if brought.record(&self.make.name, self.ledger.now(), work / mean, bound) {
-            self.ledger.pushed_over(&self.make.name, brought.total() * mean, able);
+        if brought.record(&self.config.name, self.rule_checker.now(), work / mean, bound) {
+            self.rule_checker.cold_server_overloaded(&self.config.name, brought.total() * mean, able);
             brought.clear();
         }
     }
 
     /// What it was brought in its cold lives until now, which ends here.
     pub fn cold_peaks(&self) -> ColdPeaks {
-        let mut brought = locked(&self.brought);
+        let mut brought = locked(&self.cold_load);
         let (_, brought, peaks) = &mut *brought;
         brought.finish_process(peaks);
         peaks.clone()
     }
 
-    fn speed(&self, serving: &Serving) -> f64 {
-        let Make { speed, cold_share, warm_after, .. } = &self.make;
-        let Some(from) = serving.cold_from else { return *speed };
-        let done = from.elapsed().as_secs_f64() / warm_after.as_secs_f64().max(1e-3);
-        speed * (cold_share + (1.0 - cold_share) * done).min(1.0)
+    fn speed(&self, serving: &ServerState) -> f64 {
+        let ServerConfig { speed, initial_fraction, warmup, .. } = &self.config;
+        let Some(from) = serving.cold_since else { return *speed };
+        let done = from.elapsed().as_secs_f64() / warmup.as_secs_f64().max(1e-3);
+        speed * (initial_fraction + (1.0 - initial_fraction) * done).min(1.0)
     }
 
     /// Waits for a core; false where the process dies meanwhile.
     fn take_core(&self) -> bool {
-        self.waiting.fetch_add(1, Ordering::Relaxed);
-        let mut free = locked(&self.cores);
+        self.queued.fetch_add(1, Ordering::Relaxed);
+        let mut free = locked(&self.free_cores);
         let taken = loop {
-            if self.over.load(Ordering::Relaxed) || self.serving().down {
+            if self.stopped.load(Ordering::Relaxed) || self.state().down {
                 break false;
             }
-            if *free > 0 && !self.serving().paused {
+            if *free > 0 && !self.state().paused {
                 *free -= 1;
                 break true;
             }
-            free = self.freed.wait_timeout(free, LOOK).unwrap_or_else(PoisonError::into_inner).0;
+            free = self.core_freed.wait_timeout(free, LOOK).unwrap_or_else(PoisonError::into_inner).0;
         };
         drop(free);
-        self.waiting.fetch_sub(1, Ordering::Relaxed);
+        self.queued.fetch_sub(1, Ordering::Relaxed);
         taken
     }
 
     fn give_core(&self) {
-        *locked(&self.cores) += 1;
-        self.freed.notify_one();
+        *locked(&self.free_cores) += 1;
+        self.core_freed.notify_one();
     }
 
     /// A call to the next tier, with an id of its own and what is left of the time.
-    fn call(&self, heard: &Heard, doing: &Doing, cmd: &str, call: u32, next: &mut Option<Peer>) -> bool {
-        let Some(behind) = self.make.behind else { return true };
+    fn call(
+        &self,
+        heard: &HttpMessage,
+        doing: &ServedRequestClass,
+        cmd: &str,
+        call: u32,
+        next: &mut Option<Peer>,
+    ) -> bool {
+        let Some(behind) = self.config.next_tier else { return true };
         let left: u64 = heard.header("x-expires-in-ms").and_then(|text| text.parse().ok()).unwrap_or(1000);
         let method = heard.method();
-        let key = match doing.repeats {
+        let key = match doing.retry_safety {
             RetrySafety::Idempotent | RetrySafety::NonIdempotent => String::new(),
             _ => format!("Idempotency-Key: {cmd}.{call}\r\n"),
         };
@@ -389,7 +409,7 @@
         let bytes = format!(
             "{method} /{} HTTP/1.1\r\nHost: lab\r\nX-Trace-Id: {cmd}.{}.{call}\r\nX-Customer: lab\r\n\
              X-Expires-In-Ms: {left}\r\n{key}{length}\r\n",
-            doing.name, self.make.name
+            doing.name, self.config.name
         );
         for _ in 0..2 {
             let kept = next.is_some();
@@ -398,8 +418,8 @@
                 None => TcpStream::connect_timeout(&behind, Duration::from_millis(200)).ok().map(Peer::new),
             };
             let Some(mut peer) = peer else { return false };
-            peer.patience(Some(Duration::from_millis(left + 100)));
-            let heard = peer.write(bytes.as_bytes()).and_then(|()| peer.answer());
+            peer.set_read_timeout(Some(Duration::from_millis(left + 100)));
+            let heard = peer.write(bytes.as_bytes()).and_then(|()| peer.read_response());
             match heard {
                 Ok(heard) => {
                     let ends =
@@ -417,17 +437,17 @@
 
     fn report(&self) -> String {
         use crate::plan::FalseLoad;
-        let (queue, inside) = match self.serving().says {
+        let (queue, inside) = match self.state().false_load {
             Some(FalseLoad::Idle) => (0, 0),
             Some(FalseLoad::Frozen) => {
-                let told = self.told.load(Ordering::Relaxed);
+                let told = self.last_report.load(Ordering::Relaxed);
                 (told as u32, (told >> 32) as u32)
             }
-            Some(FalseLoad::Busy) => (self.make.queue as u32, self.make.queue as u32),
+            Some(FalseLoad::Busy) => (self.config.queue_limit as u32, self.config.queue_limit as u32),
             None => {
                 let (queue, inside) =
-                    (self.waiting.load(Ordering::Relaxed), self.inside.load(Ordering::Relaxed));
-                self.told.store(u64::from(inside) << 32 | u64::from(queue), Ordering::Relaxed);
+                    (self.queued.load(Ordering::Relaxed), self.in_flight.load(Ordering::Relaxed));
+                self.last_report.store(u64::from(inside) << 32 | u64::from(queue), Ordering::Relaxed);
                 (queue, inside)
             }
         };
@@ -435,10 +455,10 @@
     }
 
     fn said(&self, status: u16, more: &str, body: &[u8]) -> Vec<u8> {
-        if self.make.reports {
-            answer(status, &format!("{more}Endpoint-Load-Metrics: {}\r\n", self.report()), body)
+        if self.config.reports_load {
+            response_bytes(status, &format!("{more}Endpoint-Load-Metrics: {}\r\n", self.report()), body)
         } else {
-            answer(status, more, body)
+            response_bytes(status, more, body)
         }
     }
 }
@@ -448,31 +468,35 @@
     use super::*;
 
     fn brought(commands: usize, cold: bool) -> [u64; 4] {
-        let ledger = Arc::new(Ledger::new(Instant::now()));
-        let make = Make {
+        let ledger = Arc::new(RuleChecker::new(Instant::now()));
+        let make = ServerConfig {
             name: "s".into(),
             cores: 1,
-            queue: 64,
+            queue_limit: 64,
             speed: 1.0,
-            cold_share: 0.3,
-            warm_after: Duration::from_secs(60),
-            cold_most: Some(ColdMost { multiple: 3.0, window: Duration::from_secs(2), least: 8 }),
-            grace: Duration::ZERO,
-            reports: false,
-            behind: None,
+            initial_fraction: 0.3,
+            warmup: Duration::from_secs(60),
+            overload_limit: Some(OverloadLimit {
+                multiple: 3.0,
+                window: Duration::from_secs(2),
+                min_requests: 8,
+            }),
+            drain_grace: Duration::ZERO,
+            reports_load: false,
+            next_tier: None,
             seed: 1,
         };
-        let doing = Doing {
+        let doing = ServedRequestClass {
             name: "view".into(),
-            repeats: RetrySafety::Idempotent,
-            work: 0.05,
-            spread: WorkDistribution::Fixed,
-            calls: 0,
+            retry_safety: RetrySafety::Idempotent,
+            mean_work: 0.05,
+            work_distribution: WorkDistribution::Fixed,
+            downstream_calls: 0,
         };
-        let mut fleet = Fleet::empty();
+        let mut fleet = ServerGroup::empty();
         let server = fleet.add(make, Arc::new(vec![doing]), ledger.clone()).expect("a port");
         if cold {
-            server.change(|serving| serving.cold_from = Some(Instant::now()));
+            server.update_state(|serving| serving.cold_since = Some(Instant::now()));
         }
         let asks = || {
             let mut peer = Peer::new(TcpStream::connect(server.address).expect("a connection"));
@@ -482,12 +506,12 @@
         // All are there before any is answered: a core takes a sixth of a second for one.
         let asked: Vec<Peer> = (0..commands).map(|_| asks()).collect();
         let begun = Instant::now();
-        while (server.taken.load(Ordering::Relaxed) as usize) < commands {
+        while (server.received_requests.load(Ordering::Relaxed) as usize) < commands {
             assert!(begun.elapsed() < Duration::from_secs(5), "all come");
             thread::yield_now();
         }
         drop(asked);
-        ledger.close().1
+        ledger.results().1
     }
 
     /// It can do 0.6 s of work in the window, and stands 1.8 s of it: 36 commands.
--- a/crates/lab/src/sockets/ledger.rs
+++ b/crates/lab/src/sockets/ledger.rs
@@ -20,14 +20,14 @@
     counts: [u64; 4],
 }
 
-pub struct Ledger {
+pub struct RuleChecker {
     began: Instant,
     books: Mutex<Books>,
 }
 
-impl Ledger {
-    pub fn new(began: Instant) -> Ledger {
-        Ledger { began, books: Mutex::default() }
+impl RuleChecker {
+    pub fn new(began: Instant) -> RuleChecker {
+        RuleChecker { began, books: Mutex::default() }
     }
 
     pub fn now(&self) -> Duration {
@@ -42,7 +42,7 @@
     }
 
     /// A server begins a command: a second effect is a breach of rule 2, and so is one after a decline.
-    pub fn began(&self, cmd: &str, server: &str, repeats: RetrySafety) {
+    pub fn attempt_started(&self, cmd: &str, server: &str, repeats: RetrySafety) {
         if cmd.is_empty() || repeats == RetrySafety::Idempotent {
             return;
         }
@@ -61,7 +61,7 @@
         });
     }
 
-    pub fn declined(&self, cmd: &str, repeats: RetrySafety) {
+    pub fn request_declined(&self, cmd: &str, repeats: RetrySafety) {
         self.with(|books, at| {
             if repeats == RetrySafety::NonIdempotent && books.ran.contains_key(cmd) {
                 books.breach(2, at, cmd, None, "a decline of what has run");
@@ -76,23 +76,23 @@
     }
 
     /// No final answer within the time limit and its slack.
-    pub fn unanswered(&self, cmd: &str, what: &str) {
+    pub fn missing_response(&self, cmd: &str, what: &str) {
         self.with(|books, at| books.breach(1, at, cmd, None, what));
     }
 
     /// A server that drains got a new command after the grace.
-    pub fn after_grace(&self, cmd: &str, server: &str, late: Duration) {
+    pub fn attempt_after_grace(&self, cmd: &str, server: &str, late: Duration) {
         let what = format!("a relay {:.3} s after the list was told", late.as_secs_f64());
         self.with(|books, at| books.breach(3, at, cmd, Some(server), &what));
     }
 
     /// A cold server was brought more than it can stand.
-    pub fn pushed_over(&self, server: &str, offered: f64, able: f64) {
+    pub fn cold_server_overloaded(&self, server: &str, offered: f64, able: f64) {
         let what = format!("{offered:.2} s of work brought to a cold server that can do {able:.2} s of it");
         self.with(|books, at| books.breach(4, at, "", Some(server), &what));
     }
 
-    pub fn close(&self) -> (Vec<Breach>, [u64; 4]) {
+    pub fn results(&self) -> (Vec<Breach>, [u64; 4]) {
         self.with(|books, _| (books.breaches.clone(), books.counts))
     }
 }
--- a/crates/lab/src/sockets/message.rs
+++ b/crates/lab/src/sockets/message.rs
@@ -11,14 +11,14 @@
 
 /// A message that has come.
 #[derive(Clone, Debug, Default)]
-pub struct Heard {
+pub struct HttpMessage {
     /// `GET /view HTTP/1.1`, or the status of an answer as text.
-    pub first: String,
+    pub start_line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
-impl Heard {
+impl HttpMessage {
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(known, _)| known.eq_ignore_ascii_case(name));
         found.map(|(_, value)| value.as_str())
@@ -26,19 +26,19 @@
 
     /// The status of an answer.
     pub fn status(&self) -> Option<u16> {
-        self.first.parse().ok()
+        self.start_line.parse().ok()
     }
 
     pub fn method(&self) -> &str {
-        self.first.split(' ').next().unwrap_or("")
+        self.start_line.split(' ').next().unwrap_or("")
     }
 
     pub fn path(&self) -> &str {
-        self.first.split(' ').nth(1).unwrap_or("")
+        self.start_line.split(' ').nth(1).unwrap_or("")
     }
 
     /// The first part of the path: a command's verb.
-    pub fn verb(&self) -> &str {
+    pub fn request_class(&self) -> &str {
         self.path().trim_start_matches('/').split(['/', '?']).next().unwrap_or("")
     }
 }
@@ -58,7 +58,7 @@
 struct Shape {
     head: usize,
     body: usize,
-    heard: Heard,
+    heard: HttpMessage,
 }
 
 fn odd(what: &str) -> io::Error {
@@ -73,12 +73,12 @@
     }
 
     /// The next command, or none where the other side has closed between two.
-    pub fn command(&mut self) -> io::Result<Option<Heard>> {
+    pub fn read_request(&mut self) -> io::Result<Option<HttpMessage>> {
         self.message(&Side::Commands)
     }
 
     /// The answer to what was written; an end before it is an error.
-    pub fn answer(&mut self) -> io::Result<Heard> {
+    pub fn read_response(&mut self) -> io::Result<HttpMessage> {
         self.message(&Side::Answers)?.ok_or_else(|| ErrorKind::UnexpectedEof.into())
     }
 
@@ -99,7 +99,7 @@
         closed || self.stream.set_nonblocking(false).is_err()
     }
 
-    pub fn patience(&self, span: Option<Duration>) {
+    pub fn set_read_timeout(&self, span: Option<Duration>) {
         // A span of nothing would mean for ever.
         let span = span.map(|span| span.max(Duration::from_millis(1)));
         let _ = self.stream.set_read_timeout(span);
@@ -109,7 +109,7 @@
         self.stream.write_all(bytes)
     }
 
-    fn message(&mut self, side: &Side) -> io::Result<Option<Heard>> {
+    fn message(&mut self, side: &Side) -> io::Result<Option<HttpMessage>> {
         let mut shape: Option<Shape> = None;
         loop {
             if shape.is_none() {
@@ -160,7 +160,7 @@
         let pair = |header: &httparse::Header<'_>| {
             (header.name.to_string(), String::from_utf8_lossy(header.value).into_owned())
         };
-        let heard = Heard { first, headers: named.map(pair).collect(), body: Vec::new() };
+        let heard = HttpMessage { start_line: first, headers: named.map(pair).collect(), body: Vec::new() };
         let body = match heard.header("content-length") {
             None => 0,
             Some(text) => text.trim().parse().map_err(|_| odd("Content-Length is no number"))?,
@@ -183,7 +183,7 @@
 }
 
 /// An answer's bytes.
-pub fn answer(status: u16, more: &str, body: &[u8]) -> Vec<u8> {
+pub fn response_bytes(status: u16, more: &str, body: &[u8]) -> Vec<u8> {
     let length = body.len();
     let mut bytes = format!("HTTP/1.1 {status} -\r\n{more}Content-Length: {length}\r\n\r\n").into_bytes();
     bytes.extend_from_slice(body);
--- a/crates/lab/src/sockets/mod.rs
+++ b/crates/lab/src/sockets/mod.rs
@@ -19,14 +19,17 @@
 mod settings;
 mod watches;
 
-pub use child::{Helper, Sidecar, program};
-pub use discovery::{Discovery, Entry, Trouble};
-pub use fleet::{Behind, ColdMost, Doing, Fleet, Make, Server, Serving, Verbs};
-pub use ledger::Ledger;
-pub use load::{Figures, LoadPlan, load};
-pub use message::{Heard, Peer, read};
-pub use ports::{free, free_datagrams, nobody, unused};
-pub use scene::{Scene, Seen, play, run_dir};
-pub use scripted::{Does, Scripted};
-pub use settings::{Told, config_of};
-pub use watches::{Counts, Watches};
+pub use child::{HelperProcess, Sidecar, sidecar_program};
+pub use discovery::{Discovery, DiscoveryFault, Entry};
+pub use fleet::{
+    NextTier, OverloadLimit, ServedRequestClass, ServedRequestClasses, Server, ServerConfig, ServerGroup,
+    ServerState,
+};
+pub use ledger::RuleChecker;
+pub use load::{LoadPlan, LoadResults, load};
+pub use message::{HttpMessage, Peer, read};
+pub use ports::{bind_loopback, bind_loopback_udp, unused_address, unused_address_v4};
+pub use scene::{SecondSummary, TestEnvironment, run_dir, run_scenario};
+pub use scripted::{ScriptedBehavior, ScriptedServer};
+pub use settings::{SidecarParameters, sidecar_config};
+pub use watches::{WatchCounts, WatchServer};
--- a/crates/lab/src/sockets/ports.rs
+++ b/crates/lab/src/sockets/ports.rs
@@ -6,12 +6,12 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
 /// A free port on a loopback address of its own: a port that one part lets go must not turn up in another.
-pub fn free() -> io::Result<TcpListener> {
+pub fn bind_loopback() -> io::Result<TcpListener> {
     TcpListener::bind((own_address(), 0))
 }
 
 /// The same for datagrams.
-pub fn free_datagrams() -> io::Result<(UdpSocket, SocketAddrV4)> {
+pub fn bind_loopback_udp() -> io::Result<(UdpSocket, SocketAddrV4)> {
     let address = own_address();
     let socket = UdpSocket::bind((address, 0))?;
     let port = socket.local_addr()?.port();
@@ -42,7 +42,7 @@
 ///
 /// One that was bound here and let go would not do. Whatever other thread starts a process meanwhile hands it a copy of
 /// the listener until its `exec`: the address stays in use that long, and the program that was told it can't listen.
-pub fn unused() -> SocketAddrV4 {
+pub fn unused_address_v4() -> SocketAddrV4 {
     let (address, round) = numbered(GIVEN.fetch_add(1, Ordering::Relaxed));
     let apart = std::process::id() >> 15;
     let port = UNUSED_FROM + apart % PIDS_APART * ROUNDS + round % ROUNDS;
@@ -50,6 +50,6 @@
 }
 
 /// An address where nobody listens.
-pub fn nobody() -> SocketAddr {
-    unused().into()
+pub fn unused_address() -> SocketAddr {
+    unused_address_v4().into()
 }
--- a/crates/lab/src/sockets/scene.rs
+++ b/crates/lab/src/sockets/scene.rs
@@ -2,14 +2,14 @@
 //! as callers, its faults at their times. What the emulated world knows of every queue can't be seen here: the
 //! rules are checked as far as stand-ins see them.
 
-use super::callers::{Asking, CallPlan, Done, Pace, run};
+use super::callers::{ClientPlan, ClientRequestClass, CompletedRequest, RequestRate, run};
 use super::child::Sidecar;
-use super::discovery::{Discovery, Entry, Trouble};
+use super::discovery::{Discovery, DiscoveryFault, Entry};
 use super::ejection_log::ejection_note;
-use super::fleet::{Doing, Fleet, Make, Server, Verbs};
-use super::ledger::Ledger;
-use super::ports::unused;
-use super::settings::{Told, config_of};
+use super::fleet::{ServedRequestClass, ServedRequestClasses, Server, ServerConfig, ServerGroup};
+use super::ledger::RuleChecker;
+use super::ports::unused_address_v4;
+use super::settings::{SidecarParameters, sidecar_config};
 use crate::plan::{Fault, FaultKind, Scenario, to_duration};
 use crate::referee::FinalOutcome;
 use crate::report::RunReport;
@@ -24,25 +24,25 @@
 const CONNECTIONS_MOST: f64 = 512.0;
 
 /// One second of a running scene, for whoever shows it.
-pub struct Seen<'a> {
+pub struct SecondSummary<'a> {
     pub second: usize,
     /// This second's figures.
-    pub of: &'a crate::tally::Second,
+    pub statistics: &'a crate::tally::Second,
     pub servers: Vec<(String, &'static str, f64)>,
     pub faults: Vec<String>,
 }
 
 struct Tier {
-    fleet: Fleet,
+    fleet: ServerGroup,
     discovery: Arc<Discovery>,
     sidecars: Vec<Sidecar>,
-    verbs: Verbs,
+    verbs: ServedRequestClasses,
 }
 
-pub struct Scene {
+pub struct TestEnvironment {
     plan: Scenario,
     tiers: Vec<Tier>,
-    ledger: Arc<Ledger>,
+    ledger: Arc<RuleChecker>,
     began: Instant,
     /// Words of the list source that are still to come: when, of which tier, what.
     words: Vec<(Duration, usize, Entry)>,
@@ -56,30 +56,30 @@
 }
 
 /// Plays a scenario with real processes. `show` hears of each second.
-pub fn play(
+pub fn run_scenario(
     plan: &Scenario,
     seed: u64,
     program: &Path,
     dir: &Path,
-    show: &mut dyn FnMut(&Seen),
+    show: &mut dyn FnMut(&SecondSummary),
 ) -> Result<RunReport, String> {
     if let Some(fault) = plan.first_virtual_time_only_fault() {
         return Err(format!("{} can be played in virtual time only", fault.label()));
     }
-    let mut scene = Scene::build(plan, seed, program, dir)?;
+    let mut scene = TestEnvironment::build(plan, seed, program, dir)?;
     let line = scene.run(show)?;
     scene.end();
     Ok(line)
 }
 
-fn doing(plan: &Scenario, tier: usize) -> Verbs {
+fn doing(plan: &Scenario, tier: usize) -> ServedRequestClasses {
     let last = tier + 1 >= plan.tiers.len();
-    let one = |verb: &crate::plan::RequestClass| Doing {
+    let one = |verb: &crate::plan::RequestClass| ServedRequestClass {
         name: verb.name.clone(),
-        repeats: verb.retry_safety,
-        work: verb.mean_work(tier),
-        spread: verb.work_distribution,
-        calls: if last { 0 } else { verb.downstream_calls },
+        retry_safety: verb.retry_safety,
+        mean_work: verb.mean_work(tier),
+        work_distribution: verb.work_distribution,
+        downstream_calls: if last { 0 } else { verb.downstream_calls },
     };
     Arc::new(plan.request_classes.iter().map(one).collect())
 }
@@ -88,13 +88,13 @@
     wrong.to_string()
 }
 
-impl Scene {
-    fn build(plan: &Scenario, seed: u64, program: &Path, dir: &Path) -> Result<Scene, String> {
+impl TestEnvironment {
+    fn build(plan: &Scenario, seed: u64, program: &Path, dir: &Path) -> Result<TestEnvironment, String> {
         let began = Instant::now();
-        let mut scene = Scene {
+        let mut scene = TestEnvironment {
             plan: plan.clone(),
             tiers: Vec::new(),
-            ledger: Arc::new(Ledger::new(began)),
+            ledger: Arc::new(RuleChecker::new(began)),
             began,
             words: Vec::new(),
             active: Vec::new(),
@@ -108,8 +108,12 @@
         let mut behind: Vec<Sidecar> = Vec::new();
         for tier in (0..plan.tiers.len()).rev() {
             let discovery = Discovery::start().map_err(io_told)?;
-            let mut built =
-                Tier { fleet: Fleet::empty(), discovery, sidecars: Vec::new(), verbs: doing(plan, tier) };
+            let mut built = Tier {
+                fleet: ServerGroup::empty(),
+                discovery,
+                sidecars: Vec::new(),
+                verbs: doing(plan, tier),
+            };
             for place in 0..plan.tiers[tier].servers {
                 let address = (!behind.is_empty()).then(|| behind[place % behind.len()].address);
                 scene.add_server(&mut built, tier, place, address)?;
@@ -131,26 +135,26 @@
         tier: &mut Tier,
         number: usize,
         place: usize,
-        behind: super::fleet::Behind,
+        behind: super::fleet::NextTier,
     ) -> Result<Arc<Server>, String> {
         let plan = &self.plan.tiers[number];
-        let make = Make {
+        let make = ServerConfig {
             name: format!("t{number}s{place}"),
             cores: plan.cores,
-            queue: plan.queue_limit,
+            queue_limit: plan.queue_limit,
             speed: plan.speeds[place % plan.speeds.len()],
-            cold_share: plan.cold_start.initial_fraction,
-            warm_after: to_duration(plan.cold_start.warmup),
-            cold_most: None,
-            grace: to_duration(self.plan.rules.removal_grace)
+            initial_fraction: plan.cold_start.initial_fraction,
+            warmup: to_duration(plan.cold_start.warmup),
+            overload_limit: None,
+            drain_grace: to_duration(self.plan.rules.removal_grace)
                 + to_duration(self.plan.discovery.delay)
                 + Duration::from_millis(100),
-            reports: plan.load_reports != crate::plan::ReportedLoad::None,
-            behind,
+            reports_load: plan.load_reports != crate::plan::ReportedLoad::None,
+            next_tier: behind,
             seed: self.seed,
         };
         let server = tier.fleet.add(make, tier.verbs.clone(), self.ledger.clone()).map_err(io_told)?;
-        tier.discovery.say(self.entry(number, place, &server, "ready", None));
+        tier.discovery.publish(self.entry(number, place, &server, "ready", None));
         Ok(server)
     }
 
@@ -164,12 +168,12 @@
     ) -> Entry {
         let zones = self.plan.zones.len();
         Entry {
-            id: server.make.name.clone(),
+            id: server.config.name.clone(),
             address: server.address,
             zone: self.plan.zones[place % zones].clone(),
             cell: (place / zones) as u32 % self.plan.tiers[tier].cells,
             state,
-            weight: if self.plan.tiers[tier].lists_weights { server.make.speed } else { 1.0 },
+            weight: if self.plan.tiers[tier].lists_weights { server.config.speed } else { 1.0 },
             started,
         }
     }
@@ -184,49 +188,49 @@
         let copies = self.plan.front.replicas;
         let one = |ordinal: usize| {
             let name = format!("t{number}n{ordinal}");
-            let listen = unused().into();
-            let told = Told {
+            let listen = unused_address_v4().into();
+            let told = SidecarParameters {
                 name: &name,
                 listen,
                 discovery: tier.discovery.address,
-                known: tier.discovery.whole(),
+                initial_endpoints: tier.discovery.snapshot(),
                 tier: number,
-                copies,
+                replicas: copies,
                 ordinal,
                 zone: ordinal % self.plan.zones.len(),
                 seed: self.seed + ordinal as u64,
                 sockets: 1024,
                 memory_mb: 192,
             };
-            Sidecar::start(program, dir, &name, &config_of(&self.plan, &told))
+            Sidecar::start(program, dir, &name, &sidecar_config(&self.plan, &told))
         };
         (0..copies).map(one).collect()
     }
 
-    fn call_plan(&self) -> CallPlan {
+    fn call_plan(&self) -> ClientPlan {
         let limit = self.plan.request_classes.iter().map(|verb| verb.time_limit).fold(0.0, f64::max);
-        let asking = |verb: &crate::plan::RequestClass| Asking {
+        let asking = |verb: &crate::plan::RequestClass| ClientRequestClass {
             name: verb.name.clone(),
-            repeats: verb.retry_safety,
+            retry_safety: verb.retry_safety,
             share: verb.share,
-            limit: to_duration(verb.time_limit),
+            time_limit: to_duration(verb.time_limit),
         };
-        CallPlan {
+        ClientPlan {
             targets: self.tiers[0].sidecars.iter().map(|sidecar| sidecar.address).collect(),
-            verbs: self.plan.request_classes.iter().map(asking).collect(),
+            request_classes: self.plan.request_classes.iter().map(asking).collect(),
             tenants: self.plan.tenants.iter().map(|tenant| (tenant.name.clone(), tenant.share)).collect(),
             connections: (self.plan.load.rate * limit).clamp(8.0, CONNECTIONS_MOST) as usize,
-            length: to_duration(self.plan.seconds),
+            duration: to_duration(self.plan.seconds),
             seed: self.seed,
-            prefix: "c".into(),
-            effects_again: true,
+            id_prefix: "c".into(),
+            retry_non_idempotent: true,
         }
     }
 
-    fn run(&mut self, show: &mut dyn FnMut(&Seen)) -> Result<RunReport, String> {
+    fn run(&mut self, show: &mut dyn FnMut(&SecondSummary)) -> Result<RunReport, String> {
         let calls = self.call_plan();
         let tally = Mutex::new(Statistics::new(to_duration(self.plan.settle), self.plan.tenants.len(), 0));
-        let (pace, stop) = (Pace::new(self.plan.load.rate), AtomicBool::new(false));
+        let (pace, stop) = (RequestRate::new(self.plan.load.rate), AtomicBool::new(false));
         // Where copies die, what they held is lost: no decision of theirs.
         let strict = !self
             .plan
@@ -236,9 +240,9 @@
         let (ledger, plan) = (self.ledger.clone(), self.plan.clone());
         self.began = Instant::now();
         let began = self.began;
-        let watch = || -> Box<dyn FnMut(&Done) + '_> {
+        let watch = || -> Box<dyn FnMut(&CompletedRequest) + '_> {
             let (tally, ledger, plan) = (&tally, &ledger, &plan);
-            Box::new(move |done: &Done| {
+            Box::new(move |done: &CompletedRequest| {
                 let mut tally = tally.lock().unwrap_or_else(PoisonError::into_inner);
                 note(&mut tally, ledger, plan, done, strict);
             })
@@ -251,11 +255,11 @@
             driven.and(joined)
         });
         driven?;
-        let (breaches, counts) = self.ledger.close();
+        let (breaches, counts) = self.ledger.results();
         let tally = tally.into_inner().unwrap_or_else(PoisonError::into_inner);
         let (mut totals, seconds, marks) = tally.finish();
         // Stand-ins count what came to them over the whole run, the settling time included.
-        let taken = |server: &Arc<Server>| server.taken.load(Ordering::Relaxed);
+        let taken = |server: &Arc<Server>| server.received_requests.load(Ordering::Relaxed);
         totals.attempts = self.tiers[0].fleet.servers.iter().map(taken).sum();
         let came: u64 = seconds.iter().map(|second| u64::from(second.arrived)).sum();
         totals.attempts_per_request = totals.attempts as f64 / came.max(1) as f64;
@@ -272,8 +276,8 @@
     fn drive(
         &mut self,
         tally: &Mutex<Statistics>,
-        pace: &Pace,
-        show: &mut dyn FnMut(&Seen),
+        pace: &RequestRate,
+        show: &mut dyn FnMut(&SecondSummary),
     ) -> Result<(), String> {
         let length = to_duration(self.plan.seconds);
         let mut second = 0;
@@ -287,7 +291,7 @@
                 let copies = tier.sidecars.iter_mut().enumerate();
                 let mut tally = tally.lock().unwrap_or_else(PoisonError::into_inner);
                 for (copy, sidecar) in copies {
-                    for line in sidecar.new_lines() {
+                    for line in sidecar.new_log_lines() {
                         note_mark(&mut tally, now, copy, &line);
                     }
                 }
@@ -297,7 +301,12 @@
                 let mut tally = tally.lock().unwrap_or_else(PoisonError::into_inner);
                 tally.end_second(now, &loads);
                 if let Some(of) = tally.last_second() {
-                    show(&Seen { second, of, servers: self.standing(), faults: self.fault_names() });
+                    show(&SecondSummary {
+                        second,
+                        statistics: of,
+                        servers: self.standing(),
+                        faults: self.fault_names(),
+                    });
                 }
                 second += 1;
                 drop(tally);
@@ -312,7 +321,7 @@
         for (tier, built) in self.tiers.iter_mut().enumerate() {
             for (copy, sidecar) in built.sidecars.iter_mut().enumerate() {
                 if tier > 0 || !away.contains(&copy) {
-                    sidecar.must_run()?;
+                    sidecar.check_running()?;
                 }
             }
         }
@@ -325,17 +334,17 @@
 
     fn standing(&self) -> Vec<(String, &'static str, f64)> {
         let one = |server: &Arc<Server>| {
-            let serving = server.serving();
+            let serving = server.state();
             let standing = match serving {
                 _ if serving.down => "down",
                 _ if serving.silent => "silent",
                 _ if serving.paused => "paused",
                 _ if serving.draining_since.is_some() => "drains",
-                _ if serving.errors > 0.0 => "errors",
-                _ if serving.slow > 1.0 => "slow",
+                _ if serving.error_fraction > 0.0 => "errors",
+                _ if serving.slowdown > 1.0 => "slow",
                 _ => "up",
             };
-            (server.make.name.clone(), standing, server.load())
+            (server.config.name.clone(), standing, server.load())
         };
         self.tiers.iter().flat_map(|tier| tier.fleet.servers.iter().map(one)).collect()
     }
@@ -344,7 +353,7 @@
         self.active.iter().map(|number| self.plan.faults[*number].label()).collect()
     }
 
-    fn faults(&mut self, now: Duration, pace: &Pace) -> Result<(), String> {
+    fn faults(&mut self, now: Duration, pace: &RequestRate) -> Result<(), String> {
         for (number, fault) in self.plan.clone().faults.iter().enumerate() {
             let begun = self.active.contains(&number) || self.ended.contains(&number);
             if !begun && now >= to_duration(fault.at) {
@@ -375,7 +384,7 @@
             .collect();
         self.leaving.retain(|(at, _, _)| *at > now);
         for (tier, place) in gone {
-            self.tiers[tier].fleet.servers[place].change(|serving| serving.down = true);
+            self.tiers[tier].fleet.servers[place].update_state(|serving| serving.down = true);
             self.tell(tier, place, "gone", None, now);
         }
         let surges = self.active.iter().map(|number| &self.plan.faults[*number]);
@@ -417,7 +426,7 @@
         let (due, later): (Vec<_>, Vec<_>) = self.words.drain(..).partition(|(at, _, _)| *at <= now);
         self.words = later;
         for (_, tier, entry) in due {
-            self.tiers[tier].discovery.say(entry);
+            self.tiers[tier].discovery.publish(entry);
         }
     }
 
@@ -433,27 +442,29 @@
                 };
                 let slow = of(FaultKind::Slow).and_then(|fault| fault.factor).unwrap_or(1.0);
                 let shared = all(FaultKind::SharedSlowness).and_then(|fault| fault.factor).unwrap_or(1.0);
-                server.change(|serving| {
-                    serving.slow = slow * shared;
-                    serving.errors = of(FaultKind::Errors).and_then(|fault| fault.share).unwrap_or(0.0);
-                    serving.errors_of = of(FaultKind::Errors).and_then(|fault| fault.request_class.clone());
-                    serving.heavy = all(FaultKind::Heavy).and_then(|fault| fault.factor).unwrap_or(1.0);
-                    serving.heavy_share =
+                server.update_state(|serving| {
+                    serving.slowdown = slow * shared;
+                    serving.error_fraction =
+                        of(FaultKind::Errors).and_then(|fault| fault.share).unwrap_or(0.0);
+                    serving.error_class = of(FaultKind::Errors).and_then(|fault| fault.request_class.clone());
+                    serving.heavy_factor =
+                        all(FaultKind::Heavy).and_then(|fault| fault.factor).unwrap_or(1.0);
+                    serving.heavy_fraction =
                         all(FaultKind::Heavy).map_or(0.0, |fault| fault.share.unwrap_or(1.0));
                     serving.paused = of(FaultKind::Pause).is_some();
-                    serving.says = of(FaultKind::FalseLoadReports).and_then(|fault| fault.false_load);
+                    serving.false_load = of(FaultKind::FalseLoadReports).and_then(|fault| fault.false_load);
                 });
             }
         }
         for (tier, built) in self.tiers.iter().enumerate() {
             let has = |kind: FaultKind| faults.iter().any(|fault| fault.kind == kind && fault.tier == tier);
             let trouble = match () {
-                () if has(FaultKind::ListDown) => Trouble::Down,
-                () if has(FaultKind::ListEmpty) => Trouble::Empty,
-                () if has(FaultKind::ListStale) => Trouble::Stale,
-                () => Trouble::None,
+                () if has(FaultKind::ListDown) => DiscoveryFault::Down,
+                () if has(FaultKind::ListEmpty) => DiscoveryFault::Empty,
+                () if has(FaultKind::ListStale) => DiscoveryFault::Stale,
+                () => DiscoveryFault::None,
             };
-            built.discovery.set_trouble_if_new(trouble);
+            built.discovery.set_fault_if_changed(trouble);
         }
     }
 
@@ -462,7 +473,7 @@
         match fault.kind {
             FaultKind::Crash | FaultKind::Vanish => {
                 for (server, place) in self.struck(fault).into_iter().zip(&fault.servers) {
-                    server.change(|serving| match fault.kind {
+                    server.update_state(|serving| match fault.kind {
                         FaultKind::Crash => serving.down = true,
                         _ => serving.silent = true,
                     });
@@ -474,14 +485,14 @@
             }
             FaultKind::HalfOpen => {
                 let forget =
-                    |serving: &mut super::fleet::Serving| serving.half_open_before = Some(Instant::now());
-                self.struck(fault).iter().for_each(|server| server.change(forget));
+                    |serving: &mut super::fleet::ServerState| serving.half_open_before = Some(Instant::now());
+                self.struck(fault).iter().for_each(|server| server.update_state(forget));
             }
             FaultKind::Grow => self.grow(fault, now)?,
             FaultKind::Shrink => {
                 for (server, place) in self.struck(fault).into_iter().zip(&fault.servers) {
                     self.tell(fault.tier, *place, "draining", None, now);
-                    server.change(|serving| serving.draining_since = Some(Instant::now()));
+                    server.update_state(|serving| serving.draining_since = Some(Instant::now()));
                     self.leaving.push((
                         now + to_duration(self.plan.discovery.drain_time),
                         fault.tier,
@@ -518,11 +529,11 @@
     /// It comes back cold, as a process that has just started.
     fn start_server(&mut self, tier: usize, place: usize, now: Duration) {
         let server = self.tiers[tier].fleet.servers[place].clone();
-        server.change(|serving| {
-            (serving.down, serving.silent, serving.cold_from) = (false, false, Some(Instant::now()));
+        server.update_state(|serving| {
+            (serving.down, serving.silent, serving.cold_since) = (false, false, Some(Instant::now()));
         });
         // What it said of its end is overtaken.
-        let name = server.make.name.clone();
+        let name = server.config.name.clone();
         self.words.retain(|(_, _, entry)| entry.id != name);
         self.tell(tier, place, "ready", Some(SystemTime::now()), now);
     }
@@ -536,7 +547,7 @@
             let mut tier = self.tiers.remove(fault.tier);
             let added = self.add_server(&mut tier, fault.tier, place, behind);
             self.tiers.insert(fault.tier, tier);
-            added?.change(|serving| serving.cold_from = Some(Instant::now()));
+            added?.update_state(|serving| serving.cold_since = Some(Instant::now()));
             self.tell(fault.tier, place, "ready", Some(SystemTime::now()), now);
         }
         Ok(())
@@ -551,7 +562,7 @@
     fn lose_zone(&mut self, fault: &Fault, now: Duration) {
         for tier in 0..self.tiers.len() {
             for place in self.places_in(tier, fault) {
-                self.tiers[tier].fleet.servers[place].change(|serving| serving.silent = true);
+                self.tiers[tier].fleet.servers[place].update_state(|serving| serving.silent = true);
                 self.tell(tier, place, "gone", None, now + to_duration(self.plan.discovery.removal_delay));
             }
         }
@@ -584,31 +595,37 @@
     fn restart_copies(&mut self, now: Duration) -> Result<(), String> {
         let due: Vec<usize> = self.away.iter().filter(|(at, _)| *at <= now).map(|(_, copy)| *copy).collect();
         self.away.retain(|(at, _)| *at > now);
-        due.into_iter().try_for_each(|copy| self.tiers[0].sidecars[copy].again())
+        due.into_iter().try_for_each(|copy| self.tiers[0].sidecars[copy].restart())
     }
 
     fn end(&mut self) {
         self.tiers.iter_mut().for_each(|tier| {
             tier.sidecars.clear();
-            tier.discovery.end();
+            tier.discovery.stop();
         });
     }
 }
 
-fn note(tally: &mut Statistics, ledger: &Ledger, plan: &Scenario, done: &Done, strict: bool) {
-    let verb = &plan.request_classes[done.verb];
+fn note(
+    tally: &mut Statistics,
+    ledger: &RuleChecker,
+    plan: &Scenario,
+    done: &CompletedRequest,
+    strict: bool,
+) {
+    let verb = &plan.request_classes[done.request_class];
     tally.record_arrival(done.intended, verb.utility, done.tenant);
-    tally.record_final_outcome(done.ended, done.intended, done.word);
+    tally.record_final_outcome(done.ended, done.intended, done.outcome);
     let took = done.ended.saturating_sub(done.intended).as_secs_f64();
-    if done.word == FinalOutcome::Answered {
+    if done.outcome == FinalOutcome::Answered {
         let earned = if took <= verb.latency_objective { verb.utility } else { verb.late_utility };
         tally.record_utility(done.ended, done.intended, earned, done.tenant);
     }
-    if done.word == FinalOutcome::Declined {
-        ledger.declined(done.cmd, verb.retry_safety);
+    if done.outcome == FinalOutcome::Declined {
+        ledger.request_declined(done.request_id, verb.retry_safety);
     }
-    if let Some(why) = done.lost.filter(|_| strict) {
-        ledger.unanswered(done.cmd, why);
+    if let Some(why) = done.lost_reason.filter(|_| strict) {
+        ledger.missing_response(done.request_id, why);
     }
 }
 
--- a/crates/lab/src/sockets/settings.rs
+++ b/crates/lab/src/sockets/settings.rs
@@ -5,13 +5,13 @@
 use std::net::SocketAddr;
 
 /// What one sidecar is told beside the scenario.
-pub struct Told<'a> {
+pub struct SidecarParameters<'a> {
     pub name: &'a str,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
-    pub known: Value,
+    pub initial_endpoints: Value,
     pub tier: usize,
-    pub copies: usize,
+    pub replicas: usize,
     pub ordinal: usize,
     pub zone: usize,
     pub seed: u64,
@@ -36,7 +36,7 @@
         "OverdueUtility": verb.late_utility})
 }
 
-pub fn config_of(plan: &Scenario, told: &Told) -> Value {
+pub fn sidecar_config(plan: &Scenario, told: &SidecarParameters) -> Value {
     let (rules, tier) = (&plan.rules, &plan.tiers[told.tier]);
     let all: f64 = plan.tenants.iter().map(|tenant| tenant.share).sum();
     let tenants = plan.tenants.iter().map(|tenant| {
@@ -48,8 +48,8 @@
     });
     json!({"name": told.name, "listen": told.listen.to_string(), "discovery": told.discovery.to_string(),
         "seed": format!("{:x}", told.seed),
-        "limits": {"cores": 1.0, "memory_mb": told.memory_mb, "sockets": told.sockets}, "known": told.known,
-        "settings": {"Balancers": told.copies, "Ordinal": told.ordinal, "Discovery": "automatic",
+        "limits": {"cores": 1.0, "memory_mb": told.memory_mb, "sockets": told.sockets}, "known": told.initial_endpoints,
+        "settings": {"Balancers": told.replicas, "Ordinal": told.ordinal, "Discovery": "automatic",
             "Localities": plan.zones, "MyZone": told.zone, "Tier": told.tier, "Resolution": 1000,
             "BeyondShareUtility": rules.over_quota_value,
             "Verbs": plan.request_classes.iter().map(verb).collect::<Vec<_>>(),
--- a/crates/lab/src/sockets/watches.rs
+++ b/crates/lab/src/sockets/watches.rs
@@ -2,8 +2,8 @@
 //! them and how much processor time that took; `discovery.rs` has the one with troubles, for few.
 
 use super::discovery::Entry;
-use super::message::answer;
-use super::ports::free;
+use super::message::response_bytes;
+use super::ports::bind_loopback;
 use polling::{Event, Events, Poller};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, ErrorKind, Read, Write};
@@ -19,7 +19,7 @@
 const CALL_MOST: usize = 8 << 10;
 
 #[derive(Default)]
-struct Book {
+struct EndpointList {
     generation: u64,
     /// Every entry as it is sent, by the generation that it has.
     entries: BTreeMap<String, (u64, String)>,
@@ -27,28 +27,28 @@
 
 /// What was counted since the start.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Counts {
-    pub calls: u64,
-    pub answers: u64,
+pub struct WatchCounts {
+    pub requests: u64,
+    pub responses: u64,
     pub bytes_in: u64,
     pub bytes_out: u64,
     /// Connections that are open now.
-    pub open: u64,
+    pub open_connections: u64,
     /// Nanoseconds of processor time of its thread; 0 where the system does not tell.
     pub cpu_ns: u64,
 }
 
 #[derive(Default)]
 struct Counters {
-    calls: AtomicU64,
-    answers: AtomicU64,
+    requests: AtomicU64,
+    responses: AtomicU64,
     bytes_in: AtomicU64,
     bytes_out: AtomicU64,
-    open: AtomicU64,
+    open_connections: AtomicU64,
 }
 
 struct Shared {
-    book: Mutex<Book>,
+    book: Mutex<EndpointList>,
     poller: Poller,
     counters: Counters,
     over: AtomicBool,
@@ -56,7 +56,7 @@
     task: OnceLock<std::path::PathBuf>,
 }
 
-pub struct Watches {
+pub struct WatchServer {
     pub address: SocketAddr,
     shared: Arc<Shared>,
     thread: Option<JoinHandle<()>>,
@@ -70,9 +70,9 @@
     waits: Option<(u64, Instant)>,
 }
 
-impl Watches {
-    pub fn start() -> io::Result<Watches> {
-        let listener = free()?;
+impl WatchServer {
+    pub fn start() -> io::Result<WatchServer> {
+        let listener = bind_loopback()?;
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
@@ -86,19 +86,19 @@
         unsafe { shared.poller.add(&listener, Event::readable(LISTENER))? };
         let own = shared.clone();
         let serve = move || {
-            Serving { shared: own, listener, conns: BTreeMap::new(), due: BTreeSet::new(), next: 0 }.run();
+            WatchLoop { shared: own, listener, conns: BTreeMap::new(), due: BTreeSet::new(), next: 0 }.run();
         };
         let thread = thread::Builder::new().name("watches".into()).spawn(serve)?;
-        Ok(Watches { address, shared, thread: Some(thread) })
+        Ok(WatchServer { address, shared, thread: Some(thread) })
     }
 
     /// Takes an entry in; all watches hear of it.
-    pub fn say(&self, entry: &Entry) {
-        self.say_all(std::slice::from_ref(entry));
+    pub fn publish(&self, entry: &Entry) {
+        self.publish_all(std::slice::from_ref(entry));
     }
 
     /// All of them as one change.
-    pub fn say_all(&self, entries: &[Entry]) {
+    pub fn publish_all(&self, entries: &[Entry]) {
         let mut book = self.shared.book();
         book.generation += 1;
         let generation = book.generation;
@@ -110,29 +110,29 @@
         let _ = self.shared.poller.notify();
     }
 
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> WatchCounts {
         let of = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
-        let Counters { calls, answers, bytes_in, bytes_out, open } = &self.shared.counters;
+        let Counters { requests, responses, bytes_in, bytes_out, open_connections } = &self.shared.counters;
         let told =
             self.shared.task.get().and_then(|task| std::fs::read_to_string(task.join("schedstat")).ok());
         let cpu = told.and_then(|text| text.split(' ').next()?.parse().ok());
-        Counts {
-            calls: of(calls),
-            answers: of(answers),
+        WatchCounts {
+            requests: of(requests),
+            responses: of(responses),
             bytes_in: of(bytes_in),
             bytes_out: of(bytes_out),
-            open: of(open),
+            open_connections: of(open_connections),
             cpu_ns: cpu.unwrap_or(0),
         }
     }
 
     /// Bytes of the whole list as a new watch is told it, with its head.
     pub fn list_bytes(&self) -> usize {
-        answer(200, "", self.shared.book().whole().as_bytes()).len()
+        response_bytes(200, "", self.shared.book().whole().as_bytes()).len()
     }
 }
 
-impl Drop for Watches {
+impl Drop for WatchServer {
     fn drop(&mut self) {
         self.shared.over.store(true, Ordering::Relaxed);
         let _ = self.shared.poller.notify();
@@ -143,12 +143,12 @@
 }
 
 impl Shared {
-    fn book(&self) -> MutexGuard<'_, Book> {
+    fn book(&self) -> MutexGuard<'_, EndpointList> {
         self.book.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Book {
+impl EndpointList {
     fn told<'a>(&self, whole: bool, entries: impl Iterator<Item = &'a str>) -> String {
         let entries: Vec<&str> = entries.collect();
         format!(
@@ -171,7 +171,7 @@
     }
 }
 
-struct Serving {
+struct WatchLoop {
     shared: Arc<Shared>,
     listener: TcpListener,
     conns: BTreeMap<usize, Conn>,
@@ -180,7 +180,7 @@
     next: usize,
 }
 
-impl Serving {
+impl WatchLoop {
     fn run(mut self) {
         if let Ok(task) = std::fs::read_link("/proc/thread-self") {
             let _ = self.shared.task.set(std::path::Path::new("/proc").join(task));
@@ -225,7 +225,7 @@
             let added = stream.set_nonblocking(true).is_ok()
                 && unsafe { self.shared.poller.add(&stream, Event::readable(key)) }.is_ok();
             if added {
-                self.shared.counters.open.fetch_add(1, Ordering::Relaxed);
+                self.shared.counters.open_connections.fetch_add(1, Ordering::Relaxed);
                 self.conns.insert(key, Conn { stream, came: Vec::new(), goes: Vec::new(), waits: None });
             }
         }
@@ -238,7 +238,7 @@
         if let Some((_, until)) = conn.waits {
             self.due.remove(&(until, key));
         }
-        self.shared.counters.open.fetch_sub(1, Ordering::Relaxed);
+        self.shared.counters.open_connections.fetch_sub(1, Ordering::Relaxed);
     }
 
     /// Reads and writes what can be; `false` where the connection is over.
@@ -270,7 +270,7 @@
     }
 
     fn call(&mut self, key: usize, head: &str) {
-        self.shared.counters.calls.fetch_add(1, Ordering::Relaxed);
+        self.shared.counters.requests.fetch_add(1, Ordering::Relaxed);
         let path = head.split(' ').nth(1).unwrap_or("");
         let query = path.split_once('?').map_or("", |(_, query)| query);
         let figure = |name: &str| {
@@ -295,8 +295,8 @@
 
     fn say(&mut self, key: usize, list: &str) {
         let Some(conn) = self.conns.get_mut(&key) else { return };
-        self.shared.counters.answers.fetch_add(1, Ordering::Relaxed);
-        conn.goes.extend_from_slice(&answer(200, "", list.as_bytes()));
+        self.shared.counters.responses.fetch_add(1, Ordering::Relaxed);
+        conn.goes.extend_from_slice(&response_bytes(200, "", list.as_bytes()));
     }
 
     fn tell_waiting(&mut self, key: usize) {
--- a/crates/lab/tests/callers.rs
+++ b/crates/lab/tests/callers.rs
@@ -3,7 +3,9 @@
 use landingspread_lab::plan::RetrySafety;
 use landingspread_lab::referee::FinalOutcome;
 use landingspread_lab::sockets::Peer;
-use landingspread_lab::sockets::callers::{Asking, CallPlan, Done, Pace, run};
+use landingspread_lab::sockets::callers::{
+    ClientPlan, ClientRequestClass, CompletedRequest, RequestRate, run,
+};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -16,33 +18,33 @@
 
 /// Effectful commands over one connection, each sent as soon as `next` has told that the peer is ready for it.
 fn ends_of(commands: usize, to: SocketAddr, next: Receiver<()>) -> Vec<(FinalOutcome, Option<&'static str>)> {
-    let plan = CallPlan {
+    let plan = ClientPlan {
         targets: vec![to],
-        verbs: vec![Asking {
+        request_classes: vec![ClientRequestClass {
             name: "confirm".into(),
-            repeats: RetrySafety::NonIdempotent,
+            retry_safety: RetrySafety::NonIdempotent,
             share: 1.0,
-            limit: LIMIT,
+            time_limit: LIMIT,
         }],
         tenants: vec![("acme".into(), 1.0)],
         connections: 1,
-        length: 2 * LIMIT,
+        duration: 2 * LIMIT,
         seed: 1,
-        prefix: "t".into(),
-        effects_again: false,
+        id_prefix: "t".into(),
+        retry_non_idempotent: false,
     };
     let (stop, next, ends) = (AtomicBool::new(false), Mutex::new(next), Mutex::new(Vec::new()));
-    let watch = || -> Box<dyn FnMut(&Done) + '_> {
-        Box::new(|done: &Done| {
+    let watch = || -> Box<dyn FnMut(&CompletedRequest) + '_> {
+        Box::new(|done: &CompletedRequest| {
             let mut ends = ends.lock().unwrap_or_else(PoisonError::into_inner);
-            ends.push((done.word, done.lost));
+            ends.push((done.outcome, done.lost_reason));
             let told = next.lock().unwrap_or_else(PoisonError::into_inner).recv_timeout(LIMIT);
             if ends.len() == commands || told.is_err() {
                 stop.store(true, Ordering::Relaxed);
             }
         })
     };
-    run(&plan, &Pace::new(0.0), &stop, Instant::now(), &watch);
+    run(&plan, &RequestRate::new(0.0), &stop, Instant::now(), &watch);
     ends.into_inner().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -55,7 +57,7 @@
 fn accepted(listener: &TcpListener) -> Peer {
     let (stream, _) = listener.accept().expect("a connection");
     let peer = Peer::new(stream);
-    peer.patience(Some(LIMIT));
+    peer.set_read_timeout(Some(LIMIT));
     peer
 }
 
@@ -68,7 +70,7 @@
     let peers = thread::spawn(move || {
         for _ in 0..20 {
             let mut peer = accepted(&listener);
-            peer.command().expect("a whole command").expect("a command");
+            peer.read_request().expect("a whole command").expect("a command");
             peer.write(ANSWER).expect("it is written");
             drop(peer);
             let _ = ready.send(());
@@ -84,14 +86,14 @@
     let (ready, next): (Sender<()>, Receiver<()>) = channel();
     let peers = thread::spawn(move || {
         let mut fresh = accepted(&listener);
-        fresh.command().expect("a whole command").expect("a command");
+        fresh.read_request().expect("a whole command").expect("a command");
         drop(fresh);
         let _ = ready.send(());
         let mut kept = accepted(&listener);
-        kept.command().expect("a whole command").expect("a command");
+        kept.read_request().expect("a whole command").expect("a command");
         kept.write(ANSWER).expect("it is written");
         let _ = ready.send(());
-        kept.command().expect("a whole command").expect("a command");
+        kept.read_request().expect("a whole command").expect("a command");
         drop(kept);
         let _ = ready.send(());
     });
--- a/crates/lab/tests/ports.rs
+++ b/crates/lab/tests/ports.rs
@@ -1,6 +1,6 @@
 //! Addresses that programs under test are told to listen at, while other threads start programs.
 
-use landingspread_lab::sockets::nobody;
+use landingspread_lab::sockets::unused_address;
 use std::net::TcpListener;
 use std::os::unix::process::CommandExt;
 use std::process::Command;
@@ -39,7 +39,7 @@
         .collect();
     let taken: Vec<_> = (0..ASKED)
         .filter_map(|_| {
-            let address = nobody();
+            let address = unused_address();
             TcpListener::bind(address).err().map(|wrong| (address, wrong))
         })
         .collect();
--- a/crates/sidecar/tests/control/answers.rs
+++ b/crates/sidecar/tests/control/answers.rs
@@ -20,7 +20,7 @@
             let (remaining, recorded) = (remaining.clone(), recorded.clone());
             thread::spawn(move || {
                 let mut peer = Peer::new(stream);
-                while let Ok(Some(call)) = peer.command() {
+                while let Ok(Some(call)) = peer.read_request() {
                     recorded.lock().expect("lock is not poisoned").push(call.path().to_string());
                     let Some(body) = remaining.lock().expect("lock is not poisoned").next() else {
                         thread::sleep(ms(30_000));
--- a/crates/sidecar/tests/control/rig.rs
+++ b/crates/sidecar/tests/control/rig.rs
@@ -1,7 +1,7 @@
 //! Helpers of the control tests: control machines and sidecars as processes, their files, and calls to both.
 
 use crate::helpers::*;
-use landingspread_lab::sockets::{Does, Scripted};
+use landingspread_lab::sockets::{ScriptedBehavior, ScriptedServer};
 use serde_json::Value;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -293,8 +293,9 @@
 }
 
 /// Starts three servers that answer after 150 ms.
-pub fn slow_endpoints() -> (Vec<Scripted>, Vec<SocketAddr>) {
-    let endpoints: Vec<Scripted> = (0..3).map(|_| start_endpoint(Does::Wait(150))).collect();
+pub fn slow_endpoints() -> (Vec<ScriptedServer>, Vec<SocketAddr>) {
+    let endpoints: Vec<ScriptedServer> =
+        (0..3).map(|_| start_endpoint(ScriptedBehavior::RespondAfterMs(150))).collect();
     let addresses = endpoints.iter().map(|server| server.address).collect();
     (endpoints, addresses)
 }
--- a/crates/sidecar/tests/control/versions.rs
+++ b/crates/sidecar/tests/control/versions.rs
@@ -2,7 +2,7 @@
 
 use crate::helpers::*;
 use crate::rig::*;
-use landingspread_lab::sockets::{Discovery, Does, Scripted};
+use landingspread_lab::sockets::{Discovery, ScriptedBehavior, ScriptedServer};
 use serde_json::{Value, json};
 use std::sync::Arc;
 use std::time::Instant;
@@ -73,12 +73,12 @@
     let folder = folder("moves");
     let machines = machines(&folder, 2);
     let list = machine_list(&machines.iter().map(|machine| (machine.address, "")).collect::<Vec<_>>());
-    let endpoints: Vec<Scripted> = (0..3).map(|_| start_endpoint(Does::Answer)).collect();
+    let endpoints: Vec<ScriptedServer> = (0..3).map(|_| start_endpoint(ScriptedBehavior::Respond)).collect();
     let sources: Vec<Arc<Discovery>> = endpoints
         .iter()
         .map(|server| {
             let source = start_discovery();
-            source.write(1, endpoint_list(1, &[("s1", server.address, "ready")]).to_string());
+            source.set_raw_list(1, endpoint_list(1, &[("s1", server.address, "ready")]).to_string());
             source
         })
         .collect();
@@ -91,8 +91,8 @@
         .collect();
     let sidecars: Vec<&FollowingSidecar> = all.iter().collect();
     let routes_to = |sidecar: &FollowingSidecar, server: usize| {
-        let before = endpoints[server].seen().cmds.len();
-        sidecar.request("view", 1) == Some(200) && endpoints[server].seen().cmds.len() > before
+        let before = endpoints[server].record().requests.len();
+        sidecar.request("view", 1) == Some(200) && endpoints[server].record().requests.len() > before
     };
     sidecars.iter().for_each(|sidecar| wait_until("the file's discovery is used", || routes_to(sidecar, 0)));
     let moved = publish(machines[0].address, &json!({"discovery.address": sources[1].address.to_string()}));
--- a/crates/sidecar/tests/cut.rs
+++ b/crates/sidecar/tests/cut.rs
@@ -4,7 +4,7 @@
 mod helpers;
 
 use helpers::*;
-use landingspread_lab::sockets::{Does, Peer};
+use landingspread_lab::sockets::{Peer, ScriptedBehavior};
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::process::{Command, Stdio};
@@ -27,7 +27,7 @@
             let length = length.clone();
             thread::spawn(move || {
                 let mut peer = Peer::new(stream);
-                while let Ok(Some(_)) = peer.command() {
+                while let Ok(Some(_)) = peer.read_request() {
                     let end = length.load(Ordering::Relaxed);
                     if peer.write(&whole[..end]).is_err() || end < whole.len() {
                         return;
@@ -65,7 +65,7 @@
 
 #[test]
 fn truncated_request_reaches_no_server_and_is_closed() {
-    let endpoint = start_endpoint(Does::Answer);
+    let endpoint = start_endpoint(ScriptedBehavior::Respond);
     let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", endpoint.address)]);
     assert_eq!(sidecar.send_request("hold", "first", 1500), 200);
     let before = open_descriptors(&sidecar);
@@ -80,7 +80,7 @@
     }
     wait_until("no descriptor stays open for truncated messages", || open_descriptors(&sidecar) <= before);
     assert_eq!(sidecar.send_request("hold", "last", 1500), 200);
-    assert_eq!(endpoint.count(), 2, "a truncated request reached the server");
+    assert_eq!(endpoint.request_count(), 2, "a truncated request reached the server");
 }
 
 #[test]
@@ -103,19 +103,20 @@
 
 #[test]
 fn truncated_list_leaves_the_previous_one_in_force() {
-    let (first, second) = (start_endpoint(Does::Answer), start_endpoint(Does::Answer));
+    let (first, second) =
+        (start_endpoint(ScriptedBehavior::Respond), start_endpoint(ScriptedBehavior::Respond));
     let (sidecar, discovery) = Sidecar::start_with_servers(&[("s1", first.address)]);
     let whole = endpoint_list(3, &[("s2", second.address, "ready")]).to_string();
     for (round, part) in [whole.len() / 3, whole.len() - 1].into_iter().enumerate() {
-        let before = discovery.seen().0;
-        discovery.write(2 + round as u64, whole[..part].to_string());
-        wait_until("discovery is polled again", || discovery.seen().0 > before);
+        let before = discovery.call_counts().0;
+        discovery.set_raw_list(2 + round as u64, whole[..part].to_string());
+        wait_until("discovery is polled again", || discovery.call_counts().0 > before);
         assert_eq!(sidecar.send_request("confirm", &format!("l{round}"), 1500), 200);
     }
-    assert_eq!((first.count(), second.count()), (2, 0));
-    discovery.write(9, whole);
+    assert_eq!((first.request_count(), second.request_count()), (2, 0));
+    discovery.set_raw_list(9, whole);
     wait_until("a complete list is in force", || {
         assert_eq!(sidecar.send_request("view", "n", 1500), 200);
-        second.count() > 0
+        second.request_count() > 0
     });
 }
--- a/crates/sidecar/tests/discovery_recovery/measure.rs
+++ b/crates/sidecar/tests/discovery_recovery/measure.rs
@@ -3,7 +3,7 @@
 use crate::helpers::*;
 use crate::plan::Plan;
 use crate::stand_in::DiscoveryStandIn;
-use landingspread_lab::sockets::{Does, Peer, Scripted};
+use landingspread_lab::sockets::{Peer, ScriptedBehavior, ScriptedServer};
 use serde_json::{Value, json};
 use std::sync::atomic::Ordering;
 use std::thread;
@@ -27,7 +27,7 @@
     change: impl FnOnce(&mut Value),
     once_down: impl FnOnce(&Sidecar) -> T,
 ) -> Timing {
-    let servers = [(); 2].map(|()| start_endpoint(Does::Answer));
+    let servers = [(); 2].map(|()| start_endpoint(ScriptedBehavior::Respond));
     let discovery = DiscoveryStandIn::start(plan.clone(), [servers[0].address, servers[1].address]);
     let known = endpoint_list(0, &[("s1", servers[0].address, "ready")]);
     let sidecar = Sidecar::start_as(&known, discovery.address, |config| {
@@ -41,16 +41,16 @@
     let _guard = once_down(&sidecar);
     let mut client = Peer::new(sidecar.connect().expect("failed to connect to the sidecar"));
     let mut number = 0;
-    let mut send_request = |servers: &[Scripted; 2]| {
+    let mut send_request = |servers: &[ScriptedServer; 2]| {
         number += 1;
         let _ = client.write(request_text("view", &format!("c{number}"), 1900).as_bytes());
-        let status = client.answer().ok().and_then(|response| response.status());
+        let status = client.read_response().ok().and_then(|response| response.status());
         if plan.crowded && status != Some(200) {
             client = Peer::new(sidecar.connect().expect("failed to connect to the sidecar"));
         } else {
             assert_eq!(status, Some(200), "{plan:?}");
         }
-        servers[1].count() > 0
+        servers[1].request_count() > 0
     };
     let begun = Instant::now();
     while !send_request(&servers) {
@@ -58,11 +58,11 @@
         thread::sleep(ms(25));
     }
     let in_force = Instant::now();
-    let before = servers[0].count();
+    let before = servers[0].request_count();
     for _ in 0..5 {
         send_request(&servers);
     }
-    assert_eq!(servers[0].count(), before, "the draining server got another request: {plan:?}");
+    assert_eq!(servers[0].request_count(), before, "the draining server got another request: {plan:?}");
     discovery.over.store(true, Ordering::Relaxed);
     let changed_at = discovery.changed_at().expect("list change was made");
     let times = discovery.times();
--- a/crates/sidecar/tests/discovery_recovery/stand_in.rs
+++ b/crates/sidecar/tests/discovery_recovery/stand_in.rs
@@ -2,7 +2,7 @@
 
 use crate::helpers::{bind_unused_port, endpoint_list, ms};
 use crate::plan::{ChangeTime, FailureMode, Plan, Recovery};
-use landingspread_lab::sockets::{Heard, Peer};
+use landingspread_lab::sockets::{HttpMessage, Peer};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::{Value, json};
@@ -126,7 +126,7 @@
 
     pub fn serve_calls(&self, stream: TcpStream) {
         let mut peer = Peer::new(stream);
-        while let Ok(Some(call)) = peer.command() {
+        while let Ok(Some(call)) = peer.read_request() {
             self.times().calls += 1;
             let parameter = |name| number(&call, name).unwrap_or(0);
             let (after, until) = (parameter("after"), Instant::now() + ms(parameter("wait_ms")));
@@ -215,7 +215,7 @@
 }
 
 /// The value of a numeric query parameter of a poll.
-pub fn number(call: &Heard, name: &str) -> Option<u64> {
+pub fn number(call: &HttpMessage, name: &str) -> Option<u64> {
     let query = call.path().split_once('?')?.1;
     query.split('&').find_map(|part| part.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
 }
--- a/crates/sidecar/tests/endings.rs
+++ b/crates/sidecar/tests/endings.rs
@@ -5,7 +5,7 @@
 
 use helpers::gate::*;
 use helpers::*;
-use landingspread_lab::sockets::{Does, Peer};
+use landingspread_lab::sockets::{Peer, ScriptedBehavior};
 use serde_json::json;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -154,7 +154,7 @@
 
 #[test]
 fn connecting_attempt_leaves_a_server_that_drains_or_moves() {
-    let other = start_endpoint(Does::Answer);
+    let other = start_endpoint(ScriptedBehavior::Respond);
     for (round, change) in ["draining", "gone", "missing", "moved"].into_iter().enumerate() {
         let mut gate = Gate::start_closed();
         let discovery = start_discovery();
@@ -174,7 +174,7 @@
             "moved" => vec![("s1", other.address, "ready")],
             state => vec![("s1", gate.address, state), ("s2", other.address, "ready")],
         };
-        discovery.write(2, endpoint_list(2, &entries).to_string());
+        discovery.set_raw_list(2, endpoint_list(2, &entries).to_string());
         wait_until("the connection attempts are given up", || connecting_count(gate.address) == 0);
         let abandoned = Instant::now();
         gate.open();
@@ -201,7 +201,7 @@
             thread::spawn(move || {
                 let _ = stream.peek(&mut [0]);
                 let mut peer = Peer::new(stream);
-                while let Ok(Some(request)) = peer.command() {
+                while let Ok(Some(request)) = peer.read_request() {
                     if request.body.len() > 1000 {
                         *counted.lock().expect("lock is not poisoned") += 1;
                         thread::sleep(ms(3000));
@@ -235,7 +235,8 @@
 #[test]
 fn after_sigterm_accepted_requests_are_answered_and_it_exits() {
     // One server answers and one does not. A third one, different in each run, accepts no connection.
-    let (answering, hanging) = (start_endpoint(Does::Answer), start_endpoint(Does::Wait(20_000)));
+    let (answering, hanging) =
+        (start_endpoint(ScriptedBehavior::Respond), start_endpoint(ScriptedBehavior::RespondAfterMs(20_000)));
     let mut runs = Vec::new();
     for number in 0..24u64 {
         let (answering, hanging) = (answering.address, hanging.address);
@@ -333,7 +334,7 @@
 fn after_sigterm_long_requests_are_answered_before_the_kill() {
     for cancel in [true, false] {
         let mut gate = Gate::start_closed();
-        let hanging = start_endpoint(Does::Wait(20_000));
+        let hanging = start_endpoint(ScriptedBehavior::RespondAfterMs(20_000));
         let discovery = start_discovery();
         let known = endpoint_list(1, &[("s1", hanging.address, "ready"), ("s2", gate.address, "ready")]);
         let mut sidecar = Sidecar::start_as(&known, discovery.address, |config| {
@@ -351,7 +352,7 @@
         };
         let mut open: Vec<TcpStream> = (0..9).map(send).collect();
         wait_until("some requests are open and some wait for a connection", || {
-            hanging.count() > 0 && connecting_count(gate.address) > 0
+            hanging.request_count() > 0 && connecting_count(gate.address) > 0
         });
         sidecar.signal("-TERM");
         let terminated = Instant::now();
@@ -384,7 +385,7 @@
 fn parallel_attempt_does_not_begin_after_the_response() {
     for cancel in [true, false] {
         let mut gate = Gate::start_closed();
-        let server = start_endpoint(Does::Wait(30));
+        let server = start_endpoint(ScriptedBehavior::RespondAfterMs(30));
         let discovery = start_discovery();
         let known = endpoint_list(1, &[("s1", server.address, "ready")]);
         let sidecar = Sidecar::start_as(&known, discovery.address, |config| {
@@ -394,10 +395,10 @@
         for number in 0..20 {
             assert_eq!(sidecar.send_request("view", &format!("w{number}"), 3900), 200);
         }
-        let before = discovery.seen().0;
+        let before = discovery.call_counts().0;
         let both = [("s1", server.address, "ready"), ("s2", gate.address, "ready")];
-        discovery.write(2, endpoint_list(2, &both).to_string());
-        wait_until("the sidecar has the new list", || discovery.seen().0 > before);
+        discovery.set_raw_list(2, endpoint_list(2, &both).to_string());
+        wait_until("the sidecar has the new list", || discovery.call_counts().0 > before);
         // Requests routed to the closed server soon get a parallel attempt, and the other server answers them.
         let mut pairs = 0;
         for number in 0..60 {
@@ -444,10 +445,10 @@
         for stream in listener.incoming().flatten() {
             thread::spawn(move || {
                 let mut peer = Peer::new(stream);
-                if matches!(peer.command(), Ok(Some(_))) && peer.write(OK).is_ok() {
+                if matches!(peer.read_request(), Ok(Some(_))) && peer.write(OK).is_ok() {
                     let _ = peer.stream.peek(&mut [0]);
                     let _ = peer.write(OK);
-                    let _ = peer.command();
+                    let _ = peer.read_request();
                 }
             });
         }
--- a/crates/sidecar/tests/fleet.rs
+++ b/crates/sidecar/tests/fleet.rs
@@ -3,7 +3,7 @@
 
 use landingspread_lab::fleet::plan::read;
 use landingspread_lab::fleet::rig::{LOOK_EVERY, Played, Ways, play, run_dir};
-use landingspread_lab::sockets::{Peer, Sidecar, free_datagrams, unused};
+use landingspread_lab::sockets::{Peer, Sidecar, bind_loopback_udp, unused_address_v4};
 use landingspread_membership::{Address, Budget, Host, MemberConfig, Membership, as_newer_version};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
 use std::path::Path;
@@ -103,7 +103,7 @@
 }
 
 fn run_newer(seeds: Vec<Address>, stop: Arc<AtomicBool>) -> (thread::JoinHandle<usize>, Address) {
-    let (socket, address) = free_datagrams().expect("failed to bind a UDP socket");
+    let (socket, address) = bind_loopback_udp().expect("failed to bind a UDP socket");
     socket.set_read_timeout(Some(Duration::from_millis(10))).expect("failed to set the read timeout");
     let began = Instant::now();
     let since_1970 = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
@@ -137,9 +137,9 @@
 
 fn live_members(console: SocketAddr) -> Option<usize> {
     let mut peer = Peer::new(TcpStream::connect_timeout(&console, Duration::from_millis(200)).ok()?);
-    peer.patience(Some(Duration::from_millis(500)));
+    peer.set_read_timeout(Some(Duration::from_millis(500)));
     peer.write(b"GET /fleet HTTP/1.1\r\nHost: x\r\nAccept: application/json\r\n\r\n").ok()?;
-    let response = peer.answer().ok()?;
+    let response = peer.read_response().ok()?;
     let fleet: serde_json::Value = serde_json::from_slice(&response.body).ok()?;
     fleet["live"].as_u64().map(|live| live as usize)
 }
@@ -157,11 +157,11 @@
 }
 
 fn addresses(count: usize) -> Vec<Address> {
-    (0..count).map(|_| unused()).collect()
+    (0..count).map(|_| unused_address_v4()).collect()
 }
 
 fn address() -> SocketAddr {
-    unused().into()
+    unused_address_v4().into()
 }
 
 /// Starts a sidecar with one server that gets no requests. `before` is added to the top-level keys of its configuration,
--- a/crates/sidecar/tests/floods.rs
+++ b/crates/sidecar/tests/floods.rs
@@ -5,7 +5,7 @@
 
 use helpers::gate::*;
 use helpers::*;
-use landingspread_lab::sockets::{Does, Peer};
+use landingspread_lab::sockets::{Peer, ScriptedBehavior};
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::Arc;
@@ -53,7 +53,7 @@
 
 #[test]
 fn endless_pipelining_delays_no_other_client() {
-    let server = start_endpoint(Does::Answer);
+    let server = start_endpoint(ScriptedBehavior::Respond);
     let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", server.address)]);
     let over = Arc::new(AtomicBool::new(false));
     let text = "GET /_health HTTP/1.1\r\nHost: a\r\n\r\n".to_string();
@@ -73,7 +73,7 @@
             let over = over.clone();
             thread::spawn(move || {
                 let mut peer = Peer::new(stream);
-                let Ok(Some(request)) = peer.command() else { return };
+                let Ok(Some(request)) = peer.read_request() else { return };
                 if request.method() != "POST" {
                     let _ = peer.write(OK);
                     return;
@@ -89,7 +89,7 @@
 
 #[test]
 fn endless_response_delays_no_other_client() {
-    let server = start_endpoint(Does::Answer);
+    let server = start_endpoint(ScriptedBehavior::Respond);
     let over = Arc::new(AtomicBool::new(false));
     let at = start_endless_server(&over);
     let (sidecar, discovery) = Sidecar::start_with_servers(&[("s1", at)]);
@@ -100,7 +100,7 @@
     let read = Arc::<AtomicUsize>::default();
     drain(stream.try_clone().expect("failed to clone the connection"), read.clone());
     wait_until("the endless response is forwarded", || read.load(Ordering::Relaxed) > 4 * 1024 * 1024);
-    discovery.write(2, endpoint_list(2, &[("s2", server.address, "ready")]).to_string());
+    discovery.set_raw_list(2, endpoint_list(2, &[("s2", server.address, "ready")]).to_string());
     thread::sleep(ms(100));
     assert_requests_are_served(&sidecar, "endless");
     let before = read.load(Ordering::Relaxed);
@@ -111,7 +111,7 @@
 #[test]
 fn pipelined_requests_are_answered_once_each_in_order() {
     const REQUESTS: usize = 3000;
-    let server = start_endpoint(Does::Answer);
+    let server = start_endpoint(ScriptedBehavior::Respond);
     let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", server.address)]);
     let mut stream = sidecar.connect().expect("failed to connect to the sidecar");
     let mut responses = Peer::new(stream.try_clone().expect("failed to clone the connection"));
@@ -126,14 +126,14 @@
     for number in 0..10 {
         let expected = if number == 9 { 404 } else { 200 };
         assert_eq!(
-            responses.answer().ok().and_then(|response| response.status()),
+            responses.read_response().ok().and_then(|response| response.status()),
             Some(expected),
             "{number}"
         );
     }
-    assert!(responses.answer().is_err(), "the connection stayed open after an invalid request");
+    assert!(responses.read_response().is_err(), "the connection stayed open after an invalid request");
     let _ = writer.join();
-    assert_eq!(server.count(), 9, "requests after the invalid one were forwarded");
+    assert_eq!(server.request_count(), 9, "requests after the invalid one were forwarded");
     let mut stream = sidecar.connect().expect("failed to connect to the sidecar");
     let mut responses = Peer::new(stream.try_clone().expect("failed to clone the connection"));
     let all: String = (0..REQUESTS).map(|number| request_text("view", &format!("n{number}"), 1900)).collect();
@@ -142,15 +142,19 @@
         if number % 300 == 0 {
             assert_eq!(sidecar.send_request("view", &format!("beside{number}"), 1900), 200);
         }
-        assert_eq!(responses.answer().ok().and_then(|response| response.status()), Some(200), "{number}");
+        assert_eq!(
+            responses.read_response().ok().and_then(|response| response.status()),
+            Some(200),
+            "{number}"
+        );
     }
     writer.join().expect("writer thread panicked").expect("failed to write to the connection");
-    assert_eq!(server.count(), 9 + REQUESTS + REQUESTS / 300, "each request is forwarded once");
+    assert_eq!(server.request_count(), 9 + REQUESTS + REQUESTS / 300, "each request is forwarded once");
 }
 
 #[test]
 fn endless_heads_are_rejected_and_delay_no_other_client() {
-    let server = start_endpoint(Does::Answer);
+    let server = start_endpoint(ScriptedBehavior::Respond);
     let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", server.address)]);
     let writers = (0..8).map(|_| {
         let mut stream = sidecar.connect().expect("failed to connect to the sidecar");
@@ -166,7 +170,7 @@
     let writers: Vec<_> = writers.collect();
     assert_requests_are_served(&sidecar, "heads");
     writers.into_iter().for_each(|writer| writer.join().expect("writer thread panicked"));
-    assert_eq!(server.count(), 40, "an endless head was forwarded");
+    assert_eq!(server.request_count(), 40, "an endless head was forwarded");
 }
 
 #[test]
@@ -258,10 +262,12 @@
     let read = Arc::<AtomicUsize>::default();
     drain(stream.try_clone().expect("failed to clone the connection"), read.clone());
     wait_until("the endless response is forwarded", || read.load(Ordering::Relaxed) > 4 * 1024 * 1024);
-    let before = discovery.seen().0;
-    discovery
-        .write(2, servers_at(gate.address, 24).to_string().replace("\"generation\":1", "\"generation\":2"));
-    wait_until("the sidecar has the new list", || discovery.seen().0 > before);
+    let before = discovery.call_counts().0;
+    discovery.set_raw_list(
+        2,
+        servers_at(gate.address, 24).to_string().replace("\"generation\":1", "\"generation\":2"),
+    );
+    wait_until("the sidecar has the new list", || discovery.call_counts().0 > before);
     let (mut longest, mut late) = (ms(0), Vec::new());
     for number in 0..60 {
         let mut stream = sidecar.connect().expect("failed to connect to the sidecar");
--- a/crates/sidecar/tests/gone.rs
+++ b/crates/sidecar/tests/gone.rs
@@ -113,9 +113,9 @@
             for number in 0..40 {
                 assert_eq!(sidecar.send_request(VERBS[number % 2], &format!("w{number}"), 3900), 200);
             }
-            let before = discovery.seen().0;
-            discovery.write(2, endpoint_list(2, &list(CLIENTS / 2, CLIENTS)).to_string());
-            wait_until("the sidecar has the new list", || discovery.seen().0 > before);
+            let before = discovery.call_counts().0;
+            discovery.set_raw_list(2, endpoint_list(2, &list(CLIENTS / 2, CLIENTS)).to_string());
+            wait_until("the sidecar has the new list", || discovery.call_counts().0 > before);
             near.answering.store(false, Ordering::Relaxed);
         }
         WaitsFor::RetryAfterRefusal if !stopped => answer_with(&near, NEVER_RAN),
--- a/crates/sidecar/tests/helpers/gate.rs
+++ b/crates/sidecar/tests/helpers/gate.rs
@@ -91,7 +91,7 @@
             received.push((String::new(), Instant::now()));
             received.len() - 1
         };
-        let Ok(Some(request)) = peer.command() else { return };
+        let Ok(Some(request)) = peer.read_request() else { return };
         let id = if request.path() == "/ping" {
             HEALTH_CHECK_ID
         } else {
--- a/crates/sidecar/tests/helpers/mod.rs
+++ b/crates/sidecar/tests/helpers/mod.rs
@@ -3,7 +3,7 @@
 
 pub mod gate;
 
-use landingspread_lab::sockets::{self, Discovery, Does, Heard, Peer, Scripted};
+use landingspread_lab::sockets::{self, Discovery, HttpMessage, Peer, ScriptedBehavior, ScriptedServer};
 use serde_json::{Value, json};
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -22,16 +22,16 @@
 
 /// A listener at an unused port of 127.0.0.1.
 pub fn bind_unused_port() -> TcpListener {
-    sockets::free().expect("failed to bind to an unused port")
+    sockets::bind_loopback().expect("failed to bind to an unused port")
 }
 
-pub fn start_endpoint(does: Does) -> Scripted {
-    Scripted::start(does).expect("failed to start the test endpoint")
+pub fn start_endpoint(does: ScriptedBehavior) -> ScriptedServer {
+    ScriptedServer::start(does).expect("failed to start the test endpoint")
 }
 
-/// A test discovery whose endpoint list is set by `write`.
+/// A test discovery whose endpoint list is set by `set_raw_list`.
 pub fn start_discovery() -> Arc<Discovery> {
-    Discovery::written().expect("failed to start the test discovery")
+    Discovery::with_raw_lists().expect("failed to start the test discovery")
 }
 
 /// An answer of discovery: the complete list of this generation with the id, address and lifecycle state of each server.
@@ -153,7 +153,7 @@
     }
 
     /// Sends these bytes on a new connection and reads one response: its status, its head and its body.
-    pub fn send_text(&self, text: &str) -> Option<(u16, Heard, Vec<u8>)> {
+    pub fn send_text(&self, text: &str) -> Option<(u16, HttpMessage, Vec<u8>)> {
         let mut stream = self.connect()?;
         // The sidecar may reject a request and close the connection before all of it is written.
         let _ = stream.write_all(text.as_bytes());
@@ -216,8 +216,8 @@
 }
 
 /// Reads one response: its status, its head and its body. None if the connection ends before it is complete.
-pub fn read_response(stream: &mut TcpStream) -> Option<(u16, Heard, Vec<u8>)> {
-    let mut head = Peer::new(stream.try_clone().ok()?).answer().ok()?;
+pub fn read_response(stream: &mut TcpStream) -> Option<(u16, HttpMessage, Vec<u8>)> {
+    let mut head = Peer::new(stream.try_clone().ok()?).read_response().ok()?;
     let body = std::mem::take(&mut head.body);
     Some((head.status()?, head, body))
 }
@@ -237,7 +237,7 @@
 
 /// An address at which no process listens and which a process may be configured to listen at.
 pub fn unused_address() -> SocketAddr {
-    sockets::nobody()
+    sockets::unused_address()
 }
 
 /// Waits until the condition holds; panics with its description after `WAIT_BOUND`.
--- a/crates/sidecar/tests/late_copies.rs
+++ b/crates/sidecar/tests/late_copies.rs
@@ -40,7 +40,7 @@
 fn serve_connection(stream: TcpStream, late_by: Duration, runs: &Mutex<BTreeMap<String, usize>>) {
     let mut again = stream.try_clone().expect("failed to clone the connection");
     let mut peer = Peer::new(stream);
-    while let Ok(Some(request)) = peer.command() {
+    while let Ok(Some(request)) = peer.read_request() {
         let id = request.header("x-trace-id").unwrap_or("").to_string();
         let rejected = request.path().starts_with("/confirm") && id.ends_with(['2', '5', '8']);
         if request.path().starts_with("/confirm") && !rejected {
--- a/crates/sidecar/tests/local_failures.rs
+++ b/crates/sidecar/tests/local_failures.rs
@@ -4,7 +4,7 @@
 mod helpers;
 
 use helpers::*;
-use landingspread_lab::sockets::{Discovery, Does, Scripted};
+use landingspread_lab::sockets::{Discovery, ScriptedBehavior, ScriptedServer};
 use rustix::process::{Pid, Resource, Rlimit, getrlimit, prlimit};
 use std::io::Write;
 use std::net::TcpStream;
@@ -34,8 +34,8 @@
         .expect("failed to set the descriptor limit");
 }
 
-fn start_with_four_servers() -> (Sidecar, Vec<Scripted>, Arc<Discovery>) {
-    let servers: Vec<Scripted> = (0..4).map(|_| start_endpoint(Does::Answer)).collect();
+fn start_with_four_servers() -> (Sidecar, Vec<ScriptedServer>, Arc<Discovery>) {
+    let servers: Vec<ScriptedServer> = (0..4).map(|_| start_endpoint(ScriptedBehavior::Respond)).collect();
     let ids: Vec<String> = (0..4).map(|number| format!("s{number}")).collect();
     let known: Vec<_> = ids.iter().map(String::as_str).zip(servers.iter().map(|s| s.address)).collect();
     let (sidecar, discovery) = Sidecar::start_with_servers(&known);
@@ -137,7 +137,7 @@
 
 #[test]
 fn start_waits_for_an_address_briefly_in_use() {
-    let server = start_endpoint(Does::Answer);
+    let server = start_endpoint(ScriptedBehavior::Respond);
     let discovery = start_discovery();
     let known = endpoint_list(1, &[("s1", server.address, "ready")]);
     let address = unused_address();
--- a/crates/sidecar/tests/operator_formats.rs
+++ b/crates/sidecar/tests/operator_formats.rs
@@ -4,7 +4,7 @@
 mod helpers;
 
 use helpers::*;
-use landingspread_lab::sockets::free_datagrams;
+use landingspread_lab::sockets::bind_loopback_udp;
 use serde_json::Value;
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -119,7 +119,7 @@
             std::fs::write(path, SNAPSHOT).expect("failed to write the file");
         }
         let [machine, listen, console] = std::array::from_fn(|_| unused_address());
-        let (socket, fleet) = free_datagrams().expect("failed to bind a UDP socket");
+        let (socket, fleet) = bind_loopback_udp().expect("failed to bind a UDP socket");
         drop(socket);
         let config = format!("listen = \"{machine}\"\nmachines = [\"{machine}\"]\nstate = {state:?}\n");
         let control = start_program(&["control"], &folder.join("machine.toml"), &config);
