--- a/crates/sidecar/tests/operators.rs
+++ b/crates/sidecar/tests/operators.rs
@@ -3,7 +3,7 @@
 mod helpers;
 
 use helpers::*;
-use landingspread_lab::sockets::{self, Discovery, Does};
+use landingspread_lab::sockets::{self, Discovery, ScriptedBehavior};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -39,7 +39,7 @@
 
 #[test]
 fn console_answers_within_1_s_under_load_and_idle_connections() {
-    let slow = start_endpoint(Does::Wait(1500));
+    let slow = start_endpoint(ScriptedBehavior::RespondAfterMs(1500));
     let console = unused_address();
     let discovery = start_discovery();
     let known = ready_endpoint_list(&[("s1", slow.address)], 1);
@@ -71,7 +71,7 @@
 
 #[test]
 fn requests_in_all_forms_are_answered_and_others_are_rejected() {
-    let endpoint = start_endpoint(Does::Answer);
+    let endpoint = start_endpoint(ScriptedBehavior::Respond);
     let (console, discovery) = (unused_address(), start_discovery());
     let known = ready_endpoint_list(&[("s1", endpoint.address)], 1);
     let _sidecar =
@@ -108,7 +108,7 @@
 
 #[test]
 fn endpoint_in_maintenance_gets_no_requests_until_it_exits() {
-    let endpoints = [(); 2].map(|()| start_endpoint(Does::Answer));
+    let endpoints = [(); 2].map(|()| start_endpoint(ScriptedBehavior::Respond));
     let entries = [("s1", endpoints[0].address), ("s2", endpoints[1].address)];
     let (console, discovery) = (unused_address(), start_discovery());
     let sidecar = Sidecar::start_as(&ready_endpoint_list(&entries, 1), discovery.address, |config| {
@@ -116,22 +116,26 @@
         config["settings"]["Discovery"] = json!("automatic");
     });
     wait_until("both endpoints receive requests", || {
-        sidecar.send_request("view", &format!("u{}", endpoints[0].count() + endpoints[1].count()), 1500);
-        endpoints.iter().all(|endpoint| endpoint.count() > 0)
+        sidecar.send_request(
+            "view",
+            &format!("u{}", endpoints[0].request_count() + endpoints[1].request_count()),
+            1500,
+        );
+        endpoints.iter().all(|endpoint| endpoint.request_count() > 0)
     });
     assert_eq!(maintenance(console, "enter", "s1"), Some(200));
-    let before = endpoints[0].count();
+    let before = endpoints[0].request_count();
     for (generation, list) in [(2, &entries[..]), (3, &entries[1..]), (4, &entries[..])] {
-        discovery.write(generation, ready_endpoint_list(list, generation).to_string());
+        discovery.set_raw_list(generation, ready_endpoint_list(list, generation).to_string());
         for number in 0..20 {
             assert_eq!(sidecar.send_request("view", &format!("m{generation}-{number}"), 1500), 200);
         }
     }
-    assert_eq!(endpoints[0].count(), before);
+    assert_eq!(endpoints[0].request_count(), before);
     assert_eq!(maintenance(console, "exit", "s1"), Some(200));
     let begun = Instant::now();
     let mut number = 0;
-    while endpoints[0].count() == before {
+    while endpoints[0].request_count() == before {
         assert!(begun.elapsed() < ms(4000), "s1 gets no requests 4 s after it left maintenance");
         number += 1;
         assert_eq!(sidecar.send_request("view", &format!("n{number}"), 1500), 200);
@@ -149,12 +153,12 @@
 
 impl InheritedListener {
     /// The endpoints are named s1, s2 and so on.
-    fn with_endpoints(name: &str, endpoints: &[sockets::Scripted]) -> InheritedListener {
+    fn with_endpoints(name: &str, endpoints: &[sockets::ScriptedServer]) -> InheritedListener {
         let ids: Vec<String> = (1..=endpoints.len()).map(|number| format!("s{number}")).collect();
         let entries = ids.iter().zip(endpoints).map(|(id, endpoint)| (id.as_str(), endpoint.address));
         let known = ready_endpoint_list(&entries.collect::<Vec<_>>(), 1);
         let discovery = start_discovery();
-        discovery.write(1, known.to_string());
+        discovery.set_raw_list(1, known.to_string());
         let listener = bind_unused_port();
         rustix::io::fcntl_setfd(&listener, rustix::io::FdFlags::empty())
             .expect("failed to clear FD_CLOEXEC of the listener");
@@ -240,7 +244,7 @@
     outcomes
 }
 
-fn assert_none_lost_or_repeated(outcomes: &[Outcome], endpoints: &[sockets::Scripted]) {
+fn assert_none_lost_or_repeated(outcomes: &[Outcome], endpoints: &[sockets::ScriptedServer]) {
     let lost: Vec<_> = outcomes.iter().filter(|(_, status)| *status != Some(200)).collect();
     assert!(
         lost.is_empty(),
@@ -251,7 +255,7 @@
     );
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
     for endpoint in endpoints {
-        for request in &endpoint.seen().cmds {
+        for request in &endpoint.record().requests {
             *runs.entry(request.header("x-trace-id").unwrap_or("").to_string()).or_default() += 1;
         }
     }
@@ -261,13 +265,13 @@
 
 #[test]
 fn upgrade_under_load_keeps_requests_and_maintenance() {
-    let endpoints = [(); 3].map(|()| start_endpoint(Does::Answer));
+    let endpoints = [(); 3].map(|()| start_endpoint(ScriptedBehavior::Respond));
     let listener = InheritedListener::with_endpoints("upgrade", &endpoints);
     let (mut old, console) = listener.start_serving();
     let load = BackgroundLoad::start(old.address);
     wait_until("the load sends requests", || load.sent() > 200);
     assert_eq!(maintenance(console, "enter", "s3"), Some(200));
-    let before = endpoints[2].count();
+    let before = endpoints[2].request_count();
     for round in 0..2 {
         let (new, console) = listener.start_serving();
         old.signal("-TERM");
@@ -281,13 +285,13 @@
         assert_eq!(maintenance(console, "enter", "s3"), Some(200), "round {round}");
     }
     // Requests that were open when maintenance began are counted too.
-    assert!(endpoints[2].count() <= before + 8, "s3 got requests in maintenance");
+    assert!(endpoints[2].request_count() <= before + 8, "s3 got requests in maintenance");
     assert_none_lost_or_repeated(&load.end(), &endpoints);
 }
 
 #[test]
 fn old_process_serves_on_if_a_new_one_dies() {
-    let endpoints = [(); 2].map(|()| start_endpoint(Does::Answer));
+    let endpoints = [(); 2].map(|()| start_endpoint(ScriptedBehavior::Respond));
     let listener = InheritedListener::with_endpoints("half-way", &endpoints);
     let (mut old, first) = listener.start_serving();
     let load = BackgroundLoad::start(old.address);
@@ -298,20 +302,24 @@
     assert_eq!(maintenance(second, "enter", "s2"), Some(200));
     assert_eq!(status(first), Some(200));
     thread::sleep(ms(300));
-    let before = endpoints[1].count();
+    let before = endpoints[1].request_count();
     let sent = load.sent();
     new.signal("-TERM");
     wait_until("the load goes on", || load.sent() > sent + 200);
     assert!(old.running() && status(first) == Some(200));
-    assert_eq!(endpoints[1].count(), before, "the old process ignored maintenance set at the new one");
+    assert_eq!(
+        endpoints[1].request_count(),
+        before,
+        "the old process ignored maintenance set at the new one"
+    );
     assert_eq!(maintenance(first, "exit", "s2"), Some(200));
-    wait_until("s2 receives requests again", || endpoints[1].count() > before);
+    wait_until("s2 receives requests again", || endpoints[1].request_count() > before);
     assert_none_lost_or_repeated(&load.end(), &endpoints);
 }
 
 #[test]
 fn new_process_keeps_maintenance_if_the_old_one_is_killed() {
-    let endpoints = [(); 2].map(|()| start_endpoint(Does::Answer));
+    let endpoints = [(); 2].map(|()| start_endpoint(ScriptedBehavior::Respond));
     let listener = InheritedListener::with_endpoints("dies-first", &endpoints);
     let (old, first) = listener.start_serving();
     assert_eq!(maintenance(first, "enter", "s1"), Some(200));
@@ -324,7 +332,7 @@
         || new.status(&request_text("view", &format!("d{}", number.fetch_add(1, Ordering::Relaxed)), 1900));
     wait_until("the new process answers requests", || next() == Some(200));
     (0..30).for_each(|_| assert_eq!(next(), Some(200)));
-    assert_eq!((endpoints[0].count(), endpoints[1].count() > 30), (0, true));
+    assert_eq!((endpoints[0].request_count(), endpoints[1].request_count() > 30), (0, true));
     assert_eq!(maintenance(second, "exit", "s1"), Some(200));
-    wait_until("s1 receives requests again", || next() == Some(200) && endpoints[0].count() > 0);
+    wait_until("s1 receives requests again", || next() == Some(200) && endpoints[0].request_count() > 0);
 }
--- a/crates/sidecar/tests/pipelining.rs
+++ b/crates/sidecar/tests/pipelining.rs
@@ -4,7 +4,7 @@
 mod helpers;
 
 use helpers::*;
-use landingspread_lab::sockets::{Discovery, Does, Peer, Scripted};
+use landingspread_lab::sockets::{Discovery, Peer, ScriptedBehavior, ScriptedServer};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
 
-fn start_with_server(does: Does) -> (Sidecar, Scripted, Arc<Discovery>) {
+fn start_with_server(does: ScriptedBehavior) -> (Sidecar, ScriptedServer, Arc<Discovery>) {
     let server = start_endpoint(does);
     let (sidecar, discovery) = Sidecar::start_with_servers(&[("s1", server.address)]);
     (sidecar, server, discovery)
@@ -33,7 +33,7 @@
     let mut peer = Peer::new(stream);
     let mut all = Vec::new();
     while all.len() < count {
-        let Ok(response) = peer.answer() else { break };
+        let Ok(response) = peer.read_response() else { break };
         all.push((response.status().expect("response has a status"), since.elapsed()));
     }
     all
@@ -48,7 +48,7 @@
 fn forwarded_time_failures() -> Vec<String> {
     const TAKES: u64 = 400;
     const LEFT: u64 = 1000;
-    let (sidecar, server, _discovery) = start_with_server(Does::Wait(TAKES));
+    let (sidecar, server, _discovery) = start_with_server(ScriptedBehavior::RespondAfterMs(TAKES));
     let begun = Instant::now();
     let stream = write_pipelined(&sidecar, &numbered_requests("t", "view", 4, LEFT));
     let mut failures = Vec::new();
@@ -56,7 +56,7 @@
     if all.len() < 4 {
         failures.push(format!("forwarded time: {} of 4 responses", all.len()));
     }
-    for (number, request) in (0u64..).zip(&server.seen().cmds) {
+    for (number, request) in (0u64..).zip(&server.record().requests) {
         let stated: u64 = request
             .header("x-expires-in-ms")
             .and_then(|text| text.parse().ok())
@@ -72,7 +72,7 @@
 
 /// The server never answers in time: the last of five requests must be answered as early as the first.
 fn late_response_failures() -> Vec<String> {
-    let (sidecar, _server, _discovery) = start_with_server(Does::Wait(10_000));
+    let (sidecar, _server, _discovery) = start_with_server(ScriptedBehavior::RespondAfterMs(10_000));
     let begun = Instant::now();
     let stream = write_pipelined(&sidecar, &numbered_requests("l", "confirm", 5, 500));
     let all = read_responses(stream, 5, begun);
@@ -87,7 +87,7 @@
 /// SIGTERM arrives while most requests of four connections are queued: all of them must be answered.
 fn shutdown_failures() -> Vec<String> {
     const EACH: usize = 20;
-    let (mut sidecar, _server, _discovery) = start_with_server(Does::Wait(350));
+    let (mut sidecar, _server, _discovery) = start_with_server(ScriptedBehavior::RespondAfterMs(350));
     let streams: Vec<TcpStream> = (0..4)
         .map(|number| {
             write_pipelined(&sidecar, &numbered_requests(&format!("s{number}-"), "view", EACH, 4000))
@@ -107,7 +107,7 @@
 
 /// The next request arrives together with the end of a body too long to be buffered: both must be answered.
 fn long_body_failures() -> Vec<String> {
-    let (sidecar, _server, _discovery) = start_with_server(Does::Answer);
+    let (sidecar, _server, _discovery) = start_with_server(ScriptedBehavior::Respond);
     let mut failures = Vec::new();
     for (round, length) in [65_537usize, 70_000, 81_920, 200_000].into_iter().enumerate() {
         let long =
@@ -139,7 +139,7 @@
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let mut peer = Peer::new(stream);
-            while let Ok(Some(request)) = peer.command() {
+            while let Ok(Some(request)) = peer.read_request() {
                 if request.path() == "/ping" {
                     let _ = peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
                     continue;
--- a/crates/sidecar/tests/repeats.rs
+++ b/crates/sidecar/tests/repeats.rs
@@ -36,12 +36,12 @@
     for number in 0..40 {
         assert_eq!(sidecar.send_request("hold", &format!("w{number}"), 3900), 200);
     }
-    let before = discovery.seen().0;
+    let before = discovery.call_counts().0;
     let servers = ids.iter().enumerate();
     let at = |number: usize| if number < 3 { near.address } else { far.address };
     let servers: Vec<_> = servers.map(|(number, id)| (id.as_str(), at(number), "ready")).collect();
-    discovery.write(2, endpoint_list(2, &servers).to_string());
-    wait_until("the sidecar has the new list", || discovery.seen().0 > before);
+    discovery.set_raw_list(2, endpoint_list(2, &servers).to_string());
+    wait_until("the sidecar has the new list", || discovery.call_counts().0 > before);
     (sidecar, discovery)
 }
 
--- a/crates/sidecar/tests/scenes.rs
+++ b/crates/sidecar/tests/scenes.rs
@@ -28,7 +28,7 @@
     let plan = plan::parse(name, &format!("{SCENARIO}{faults}")).expect("scenario is a valid plan");
     let dir = run_dir(name).expect("failed to create the run directory");
     let mut seconds = 0;
-    let result = sockets::play(&plan, 1, Path::new(PROGRAM), &dir, &mut |_| seconds += 1)
+    let result = sockets::run_scenario(&plan, 1, Path::new(PROGRAM), &dir, &mut |_| seconds += 1)
         .expect("scenario run failed");
     assert_eq!(result.breach_counts, [0; 4], "{:?}", result.breaches);
     assert!(result.totals.answered > 300 && seconds >= 4, "{:?}", result.totals);
@@ -59,22 +59,22 @@
 
 #[test]
 fn load_latency_counts_from_the_scheduled_send_time() {
-    let fleet = bench::fleet(1).expect("failed to start the test server");
+    let fleet = bench::start_servers(1).expect("failed to start the test server");
     let server = fleet.servers[0].clone();
     let pause = thread::spawn(move || {
         thread::sleep(Duration::from_millis(500));
-        server.change(|serving| serving.paused = true);
+        server.update_state(|serving| serving.paused = true);
         thread::sleep(Duration::from_millis(600));
-        server.change(|serving| serving.paused = false);
+        server.update_state(|serving| serving.paused = false);
     });
     let figures = load(&LoadPlan {
         targets: vec![fleet.servers[0].address],
-        verb: "view".into(),
+        request_class: "view".into(),
         connections: 2,
         rate: 200.0,
-        limit: Duration::from_secs(5),
-        settle: Duration::ZERO,
-        length: Duration::from_millis(1600),
+        time_limit: Duration::from_secs(5),
+        warmup: Duration::ZERO,
+        duration: Duration::from_millis(1600),
         seed: 1,
     });
     pause.join().expect("pause thread panicked");
--- a/crates/sidecar/tests/soak.rs
+++ b/crates/sidecar/tests/soak.rs
@@ -1,7 +1,7 @@
 //! A short soak run: a dozen real processes under overlapping faults, with all rules checked. The long run is
 //! `landingspread-lab soak --seed N --time 20s`.
 
-use landingspread_lab::soak::{Plan, play};
+use landingspread_lab::soak::{Plan, run};
 use std::path::Path;
 use std::time::Duration;
 
@@ -15,17 +15,12 @@
     for seed in SEEDS {
         let plan = Plan::sized(seed, LENGTH, SIDECARS, SERVERS);
         let program = Path::new(env!("CARGO_BIN_EXE_landingspread"));
-        let verdict = play(&plan, program).expect("soak run failed to complete");
+        let verdict = run(&plan, program).expect("soak run failed to complete");
         println!(
             "seed {seed}: {} requests, {} attempts, {} faults",
-            verdict.requests, verdict.attempts, verdict.troubles
+            verdict.requests, verdict.attempts, verdict.faults
         );
-        assert!(
-            verdict.violations.is_empty(),
-            "seed {seed}: {:#?}\n{:#?}",
-            verdict.violations,
-            plan.troubles
-        );
-        assert!(verdict.answered * 2 > verdict.requests && verdict.troubles >= 4, "{verdict:#?}");
+        assert!(verdict.violations.is_empty(), "seed {seed}: {:#?}\n{:#?}", verdict.violations, plan.faults);
+        assert!(verdict.answered * 2 > verdict.requests && verdict.faults >= 4, "{verdict:#?}");
     }
 }
--- a/crates/sidecar/tests/sockets.rs
+++ b/crates/sidecar/tests/sockets.rs
@@ -3,7 +3,7 @@
 mod helpers;
 
 use helpers::*;
-use landingspread_lab::sockets::{Does, Heard, Scripted, read};
+use landingspread_lab::sockets::{HttpMessage, ScriptedBehavior, ScriptedServer, read};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -14,7 +14,7 @@
 
 #[test]
 fn request_is_forwarded_with_its_remaining_time() {
-    let endpoint = start_endpoint(Does::Answer);
+    let endpoint = start_endpoint(ScriptedBehavior::Respond);
     let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", endpoint.address)]);
     let mut stream = sidecar.connect().expect("failed to connect to the sidecar");
     for id in ["a1", "a2"] {
@@ -26,12 +26,12 @@
         assert_eq!(head.header("x-kept"), Some(id));
     }
     assert_eq!(sidecar.send_request("view", "a3", 800), 200);
-    let seen = endpoint.seen();
-    assert!(seen.cmds[0].first == "POST /hold");
-    assert!(seen.cmds[2].first == "GET /view/1?x=2");
-    assert_eq!(seen.cmds[0].header("x-trace-id"), Some("a1"));
-    assert_eq!(seen.cmds[0].header("idempotency-key"), Some("ka1"));
-    let left: u64 = seen.cmds[0]
+    let seen = endpoint.record();
+    assert!(seen.requests[0].start_line == "POST /hold");
+    assert!(seen.requests[2].start_line == "GET /view/1?x=2");
+    assert_eq!(seen.requests[0].header("x-trace-id"), Some("a1"));
+    assert_eq!(seen.requests[0].header("idempotency-key"), Some("ka1"));
+    let left: u64 = seen.requests[0]
         .header("x-expires-in-ms")
         .and_then(|text| text.parse().ok())
         .expect("forwarded request has X-Expires-In-Ms");
@@ -40,29 +40,30 @@
 
 #[test]
 fn refused_or_never_run_effectful_request_is_retried() {
-    let (rejecting, answering) = (start_endpoint(Does::TurnAway), start_endpoint(Does::Answer));
+    let (rejecting, answering) =
+        (start_endpoint(ScriptedBehavior::Reject), start_endpoint(ScriptedBehavior::Respond));
     let servers = [("s1", unused_address()), ("s2", rejecting.address), ("s3", answering.address)];
     let (sidecar, _discovery) = Sidecar::start_with_servers(&servers);
     for number in 0..8 {
         assert_eq!(sidecar.send_request("confirm", &format!("c{number}"), 1500), 200);
     }
-    assert_eq!(answering.count(), 8, "each request ran once");
+    assert_eq!(answering.request_count(), 8, "each request ran once");
 }
 
 #[test]
 fn effectful_request_with_a_broken_connection_is_not_retried() {
-    for does in [Does::Break, Does::Fail] {
+    for does in [ScriptedBehavior::Disconnect, ScriptedBehavior::Fail] {
         let endpoints = [start_endpoint(does), start_endpoint(does)];
         let (sidecar, _discovery) =
             Sidecar::start_with_servers(&[("s1", endpoints[0].address), ("s2", endpoints[1].address)]);
         assert_eq!(sidecar.send_request("confirm", "e1", 1500), 502);
-        assert_eq!(endpoints[0].count() + endpoints[1].count(), 1);
+        assert_eq!(endpoints[0].request_count() + endpoints[1].request_count(), 1);
         assert!(
             [429, 503].contains(&sidecar.send_request("view", "p1", 1500)),
             "a pure request may be retried"
         );
         assert_eq!(
-            endpoints[0].count() + endpoints[1].count(),
+            endpoints[0].request_count() + endpoints[1].request_count(),
             3,
             "the pure request was tried at both servers"
         );
@@ -71,7 +72,7 @@
 
 #[test]
 fn connection_closed_by_the_endpoint_is_not_reused() {
-    let endpoint = start_endpoint(Does::AnswerAndClose);
+    let endpoint = start_endpoint(ScriptedBehavior::RespondAndClose);
     let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", endpoint.address)]);
     for number in 0..5 {
         assert_eq!(sidecar.send_request("confirm", &format!("k{number}"), 1500), 200);
@@ -81,7 +82,7 @@
 
 #[test]
 fn effectful_request_avoids_idle_connections_dropped_silently() {
-    let endpoint = start_endpoint(Does::LetGoAfter(80));
+    let endpoint = start_endpoint(ScriptedBehavior::CloseAfterIdleMs(80));
     let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", endpoint.address)]);
     let mut broken = 0;
     for number in 0..12 {
@@ -97,7 +98,7 @@
 
 #[test]
 fn second_copy_of_a_response_is_not_taken_for_the_next_one() {
-    let endpoint = start_endpoint(Does::AnswerTwice);
+    let endpoint = start_endpoint(ScriptedBehavior::RespondTwice);
     let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", endpoint.address)]);
     let mut stream = sidecar.connect().expect("failed to connect to the sidecar");
     for number in 0..30 {
@@ -112,23 +113,25 @@
 
 #[test]
 fn new_server_at_a_known_address_gets_new_connections() {
-    let endpoint = start_endpoint(Does::Answer);
+    let endpoint = start_endpoint(ScriptedBehavior::Respond);
     let (sidecar, discovery) = Sidecar::start_with_servers(&[("s1", endpoint.address)]);
     for (generation, server) in [(2, "s2"), (3, "s3")] {
         assert_eq!(sidecar.send_request("view", server, 1500), 200);
         thread::sleep(ms(10));
-        let before = discovery.seen().0;
-        discovery
-            .write(generation, endpoint_list(generation, &[(server, endpoint.address, "ready")]).to_string());
-        wait_until("the sidecar has the new list", || discovery.seen().0 > before);
+        let before = discovery.call_counts().0;
+        discovery.set_raw_list(
+            generation,
+            endpoint_list(generation, &[(server, endpoint.address, "ready")]).to_string(),
+        );
+        wait_until("the sidecar has the new list", || discovery.call_counts().0 > before);
     }
     assert_eq!(sidecar.send_request("view", "last", 1500), 200);
-    assert_eq!(endpoint.seen().connections, 3);
+    assert_eq!(endpoint.record().connections, 3);
 }
 
 #[test]
 fn clients_without_a_request_are_closed_in_time_and_first() {
-    let endpoint = start_endpoint(Does::Answer);
+    let endpoint = start_endpoint(ScriptedBehavior::Respond);
     let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", endpoint.address)]);
     let mut served = sidecar.connect().expect("failed to connect to the sidecar");
     let mut send = |id: &str| {
@@ -163,7 +166,7 @@
 
 #[test]
 fn idle_clients_after_one_request_delay_no_other_client() {
-    let endpoint = start_endpoint(Does::Answer);
+    let endpoint = start_endpoint(ScriptedBehavior::Respond);
     let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", endpoint.address)]);
     let mut idle = Vec::new();
     let mut total_latency = ms(0);
@@ -188,7 +191,7 @@
 
 #[test]
 fn idle_clients_give_way_and_excess_clients_get_a_response() {
-    let endpoint = start_endpoint(Does::Wait(900));
+    let endpoint = start_endpoint(ScriptedBehavior::RespondAfterMs(900));
     let servers = ["s1", "s2", "s3", "s4", "s5", "s6"].map(|id| (id, endpoint.address));
     let (sidecar, _discovery) = Sidecar::start_with_servers(&servers);
     let idle: Vec<TcpStream> = (0..100).filter_map(|_| sidecar.connect()).collect();
@@ -210,7 +213,7 @@
 
 #[test]
 fn new_connection_is_not_closed_before_its_first_request() {
-    let endpoint = start_endpoint(Does::Answer);
+    let endpoint = start_endpoint(ScriptedBehavior::Respond);
     let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", endpoint.address)]);
     let mut new: Vec<TcpStream> = (0..40).filter_map(|_| sidecar.connect()).collect();
     for (number, stream) in new.iter_mut().enumerate() {
@@ -222,66 +225,66 @@
 
 #[test]
 fn draining_server_gets_no_more_requests() {
-    let (old, new) = (start_endpoint(Does::Answer), start_endpoint(Does::Answer));
+    let (old, new) = (start_endpoint(ScriptedBehavior::Respond), start_endpoint(ScriptedBehavior::Respond));
     let (sidecar, discovery) = Sidecar::start_with_servers(&[("s1", old.address)]);
     assert_eq!(sidecar.send_request("view", "d0", 1500), 200);
-    wait_until("the sidecar polls discovery", || discovery.seen().0 == 1);
+    wait_until("the sidecar polls discovery", || discovery.call_counts().0 == 1);
     let list = [("s1", old.address, "draining"), ("s2", new.address, "ready")];
-    discovery.write(2, endpoint_list(2, &list).to_string());
-    wait_until("the next poll comes at once", || discovery.seen().0 == 2);
+    discovery.set_raw_list(2, endpoint_list(2, &list).to_string());
+    wait_until("the next poll comes at once", || discovery.call_counts().0 == 2);
     for number in 1..6 {
         assert_eq!(sidecar.send_request("view", &format!("d{number}"), 1500), 200);
     }
-    assert_eq!((old.count(), new.count()), (1, 5));
+    assert_eq!((old.request_count(), new.request_count()), (1, 5));
 }
 
 #[test]
 fn silent_watch_is_given_up_and_opened_again() {
-    let (old, new) = (start_endpoint(Does::Answer), start_endpoint(Does::Answer));
+    let (old, new) = (start_endpoint(ScriptedBehavior::Respond), start_endpoint(ScriptedBehavior::Respond));
     let (sidecar, discovery) = Sidecar::start_with_servers(&[("s1", old.address)]);
     // The test discovery answers only when its list changes, whatever wait the poll states.
-    wait_until("the silent poll is given up", || discovery.seen().1 == 1);
-    wait_until("discovery is polled again", || discovery.seen().0 == 2);
-    discovery.write(2, endpoint_list(2, &[("s2", new.address, "ready")]).to_string());
+    wait_until("the silent poll is given up", || discovery.call_counts().1 == 1);
+    wait_until("discovery is polled again", || discovery.call_counts().0 == 2);
+    discovery.set_raw_list(2, endpoint_list(2, &[("s2", new.address, "ready")]).to_string());
     wait_until("the list of the new poll is in force", || {
-        sidecar.send_request("view", "q1", 1500) == 200 && new.count() > 0
+        sidecar.send_request("view", "q1", 1500) == 200 && new.request_count() > 0
     });
 }
 
 #[test]
 fn request_to_a_slow_endpoint_ends_in_time_and_is_cancelled() {
-    let endpoint = start_endpoint(Does::Wait(3000));
+    let endpoint = start_endpoint(ScriptedBehavior::RespondAfterMs(3000));
     let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", endpoint.address)]);
     let begun = Instant::now();
     let status = sidecar.send_request("confirm", "w1", 300);
     let took = begun.elapsed();
     assert_eq!(status, 502, "the request may have run");
     assert!(took > ms(280) && took < ms(370), "the final response came after {took:?}");
-    wait_until("the connection to the endpoint is closed", || endpoint.seen().dropped == 1);
+    wait_until("the connection to the endpoint is closed", || endpoint.record().cancelled == 1);
 }
 
 #[test]
 fn client_disconnection_cancels_its_attempt() {
-    let endpoint = start_endpoint(Does::Wait(4000));
+    let endpoint = start_endpoint(ScriptedBehavior::RespondAfterMs(4000));
     let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", endpoint.address)]);
     let mut stream = sidecar.connect().expect("failed to connect to the sidecar");
     stream.write_all(request_text("view", "l1", 1900).as_bytes()).expect("failed to write to the connection");
-    wait_until("the attempt has reached the endpoint", || endpoint.count() == 1);
+    wait_until("the attempt has reached the endpoint", || endpoint.request_count() == 1);
     let begun = Instant::now();
     drop(stream);
-    wait_until("the connection to the endpoint is closed", || endpoint.seen().dropped == 1);
+    wait_until("the connection to the endpoint is closed", || endpoint.record().cancelled == 1);
     assert!(begun.elapsed() < ms(500));
-    assert_eq!(endpoint.count(), 1, "another attempt followed the disconnection");
+    assert_eq!(endpoint.request_count(), 1, "another attempt followed the disconnection");
 }
 
 #[test]
 fn client_leaving_pipelined_requests_cancels_only_its_attempt() {
-    let endpoint = start_endpoint(Does::Wait(600));
+    let endpoint = start_endpoint(ScriptedBehavior::RespondAfterMs(600));
     let (sidecar, _discovery) =
         Sidecar::start_with_servers(&[("s1", endpoint.address), ("s2", endpoint.address)]);
     let mut first = sidecar.connect().expect("failed to connect to the sidecar");
     first.write_all(request_text("view", "o1", 1900).as_bytes()).expect("failed to write to the connection");
-    wait_until("the attempt has reached the endpoint", || endpoint.count() == 1);
+    wait_until("the attempt has reached the endpoint", || endpoint.request_count() == 1);
     // Clients that reuse the id of an open request and disconnect at once, possibly before their request is rejected.
     for _ in 0..20 {
         let mut second = sidecar.connect().expect("failed to connect to the sidecar");
@@ -294,17 +297,17 @@
     ahead
         .write_all(request_text("view", "o2", 1900).repeat(3).as_bytes())
         .expect("failed to write to the connection");
-    wait_until("the attempt has reached the endpoint", || endpoint.count() == 2);
+    wait_until("the attempt has reached the endpoint", || endpoint.request_count() == 2);
     let begun = Instant::now();
     drop(ahead);
-    wait_until("the connection to the endpoint is closed", || endpoint.seen().dropped == 1);
+    wait_until("the connection to the endpoint is closed", || endpoint.record().cancelled == 1);
     assert!(begun.elapsed() < ms(400));
-    assert_eq!(endpoint.count(), 2);
+    assert_eq!(endpoint.request_count(), 2);
 }
 
 #[test]
 fn list_of_thousands_of_servers_is_accepted() {
-    let endpoint = start_endpoint(Does::Answer);
+    let endpoint = start_endpoint(ScriptedBehavior::Respond);
     let (sidecar, discovery) = Sidecar::start_with_servers(&[]);
     assert_eq!(sidecar.send_request("view", "w1", 900), 503);
     let mut list = endpoint_list(2, &[("s1", endpoint.address, "ready")]);
@@ -314,13 +317,13 @@
         drained["instanceId"] = json!(format!("old-{number}"));
         list["instances"].as_array_mut().expect("instances are an array").push(drained.clone());
     }
-    discovery.write(2, list.to_string());
+    discovery.set_raw_list(2, list.to_string());
     wait_until("the long list is in force", || sidecar.send_request("view", "w2", 900) == 200);
 }
 
 #[test]
 fn known_list_stays_without_discovery_or_with_invalid_lists() {
-    let endpoint = start_endpoint(Does::Answer);
+    let endpoint = start_endpoint(ScriptedBehavior::Respond);
     let known = endpoint_list(1, &[("s1", endpoint.address, "ready")]);
     let without_discovery = Sidecar::start(&known, unused_address());
     assert_eq!(without_discovery.send_request("view", "n1", 1500), 200);
@@ -331,8 +334,8 @@
         "[]".to_string(),
     ];
     for (number, list) in lists.into_iter().enumerate() {
-        discovery.write(2, list);
-        wait_until("discovery is polled again", || discovery.seen().0 > number as u64 + 1);
+        discovery.set_raw_list(2, list);
+        wait_until("discovery is polled again", || discovery.call_counts().0 > number as u64 + 1);
         assert_eq!(sidecar.send_request("view", &format!("b{number}"), 1500), 200);
     }
     assert!(sidecar.running());
@@ -343,19 +346,24 @@
 #[test]
 fn rules_hold_with_randomly_misbehaving_endpoints() {
     for seed in 0..3 {
-        let endpoints: Vec<Scripted> = (0..4).map(|at| start_endpoint(Does::Any(seed * 10 + at))).collect();
+        let endpoints: Vec<ScriptedServer> =
+            (0..4).map(|at| start_endpoint(ScriptedBehavior::Random(seed * 10 + at))).collect();
         let ids = ["s1", "s2", "s3", "s4"];
         let mut servers: Vec<_> =
             ids.into_iter().zip(endpoints.iter().map(|endpoint| endpoint.address)).collect();
         servers.push(("s5", unused_address()));
         let (mut sidecar, _discovery) = Sidecar::start_with_servers(&servers);
         let count_runs = |id: &str| {
-            let runs_at = |(at, endpoint): (usize, &Scripted)| {
-                let seen = endpoint.seen();
-                let has_id = |head: &&Heard| head.header("x-trace-id") == Some(id);
-                let rejected =
-                    |head: &Heard| matches!(Does::Any(seed * 10 + at as u64).with(head), Does::TurnAway);
-                seen.cmds.iter().filter(has_id).filter(|head| !rejected(head)).count()
+            let runs_at = |(at, endpoint): (usize, &ScriptedServer)| {
+                let seen = endpoint.record();
+                let has_id = |head: &&HttpMessage| head.header("x-trace-id") == Some(id);
+                let rejected = |head: &HttpMessage| {
+                    matches!(
+                        ScriptedBehavior::Random(seed * 10 + at as u64).resolve(head),
+                        ScriptedBehavior::Reject
+                    )
+                };
+                seen.requests.iter().filter(has_id).filter(|head| !rejected(head)).count()
             };
             endpoints.iter().enumerate().map(runs_at).sum::<usize>()
         };
@@ -390,7 +398,7 @@
 
 #[test]
 fn invalid_requests_get_an_error_and_reach_no_endpoint() {
-    let endpoint = start_endpoint(Does::Answer);
+    let endpoint = start_endpoint(ScriptedBehavior::Respond);
     let (mut sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", endpoint.address)]);
     let head = "X-Trace-Id: x\r\nX-Customer: acme\r\n";
     let cases = [
@@ -414,50 +422,50 @@
     let mut cut = sidecar.connect().expect("failed to connect to the sidecar");
     cut.write_all(b"POST /confirm HTTP/1.1\r\nContent-Le").expect("failed to write to the connection");
     drop(cut);
-    assert_eq!(endpoint.count(), 0);
+    assert_eq!(endpoint.request_count(), 0);
     assert_eq!(sidecar.send_request("confirm", "z1", 1500), 200);
     assert!(sidecar.running());
 }
 
 #[test]
 fn sighup_moves_the_watch_unless_the_file_is_invalid() {
-    let endpoints = [(); 3].map(|()| start_endpoint(Does::Answer));
+    let endpoints = [(); 3].map(|()| start_endpoint(ScriptedBehavior::Respond));
     let (mut sidecar, old) = Sidecar::start_with_servers(&[("s1", endpoints[0].address)]);
-    wait_until("the sidecar polls the old discovery", || old.seen().0 == 1);
+    wait_until("the sidecar polls the old discovery", || old.call_counts().0 == 1);
     let known = endpoint_list(1, &[("s1", endpoints[0].address, "ready")]);
     let mut invalid = sidecar_config(&known, sidecar.address, unused_address());
     invalid["settings"]["Verbs"][0]["Effect"] = json!(7);
     sidecar.reload(&invalid.to_string());
     sidecar.reload("{");
     assert_eq!(sidecar.send_request("view", "h1", 1500), 200);
-    old.write(7, endpoint_list(7, &[("s2", endpoints[1].address, "ready")]).to_string());
-    wait_until("the old discovery is polled again", || old.seen().0 == 2);
+    old.set_raw_list(7, endpoint_list(7, &[("s2", endpoints[1].address, "ready")]).to_string());
+    wait_until("the old discovery is polled again", || old.call_counts().0 == 2);
     wait_until("its new list is in force", || {
-        sidecar.send_request("view", "h2", 1500) == 200 && endpoints[1].count() > 0
+        sidecar.send_request("view", "h2", 1500) == 200 && endpoints[1].request_count() > 0
     });
     let new = start_discovery();
-    new.write(3, endpoint_list(3, &[("s3", endpoints[2].address, "ready")]).to_string());
+    new.set_raw_list(3, endpoint_list(3, &[("s3", endpoints[2].address, "ready")]).to_string());
     sidecar.reload(&sidecar_config(&known, sidecar.address, new.address).to_string());
     wait_until("the new discovery is watched after its whole list, whose generation is lower", || {
-        new.seen().0 == 2
+        new.call_counts().0 == 2
     });
-    wait_until("the watch at the old discovery is closed", || old.seen().1 == 1);
-    let before = endpoints[1].count();
+    wait_until("the watch at the old discovery is closed", || old.call_counts().1 == 1);
+    let before = endpoints[1].request_count();
     for number in 0..4 {
         assert_eq!(sidecar.send_request("view", &format!("h3{number}"), 1500), 200);
     }
-    assert_eq!((endpoints[1].count(), endpoints[2].count()), (before, 4));
+    assert_eq!((endpoints[1].request_count(), endpoints[2].request_count()), (before, 4));
     assert!(sidecar.running());
 }
 
 #[test]
 fn after_sigterm_it_accepts_for_a_while_finishes_and_exits() {
-    let endpoint = start_endpoint(Does::Wait(400));
+    let endpoint = start_endpoint(ScriptedBehavior::RespondAfterMs(400));
     let (mut sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", endpoint.address)]);
     let mut idle = sidecar.connect().expect("failed to connect to the sidecar");
     let mut early = sidecar.connect().expect("failed to connect to the sidecar");
     early.write_all(request_text("view", "t1", 1900).as_bytes()).expect("failed to write to the connection");
-    wait_until("the attempt has reached the endpoint", || endpoint.count() == 1);
+    wait_until("the attempt has reached the endpoint", || endpoint.request_count() == 1);
     sidecar.signal("-TERM");
     let begun = Instant::now();
     wait_until("the health check answers 503", || {
@@ -533,19 +541,22 @@
 
 #[test]
 fn with_probed_loads_first_requests_go_to_the_least_loaded() {
-    let (busy, idle) = (start_endpoint(Does::Holds(3)), start_endpoint(Does::Holds(0)));
+    let (busy, idle) = (
+        start_endpoint(ScriptedBehavior::ReportInFlight(3)),
+        start_endpoint(ScriptedBehavior::ReportInFlight(0)),
+    );
     let known = endpoint_list(1, &[("s1", busy.address, "ready"), ("s2", idle.address, "ready")]);
     let discovery = start_discovery();
     let sidecar = Sidecar::start_as(&known, discovery.address, set_sidecar_per_client);
     for (number, verb) in ["view", "confirm", "hold"].repeat(7).into_iter().enumerate() {
         assert_eq!(sidecar.send_request(verb, &format!("c{number}"), 1500), 200);
     }
-    assert_eq!((busy.count(), idle.count()), (0, 21));
+    assert_eq!((busy.request_count(), idle.request_count()), (0, 21));
 }
 
 #[test]
 fn saved_statistics_are_used_after_a_restart_and_saved_again() {
-    let (slow, fast) = (start_endpoint(Does::Answer), start_endpoint(Does::Answer));
+    let (slow, fast) = (start_endpoint(ScriptedBehavior::Respond), start_endpoint(ScriptedBehavior::Respond));
     let known = endpoint_list(1, &[("s1", slow.address, "ready"), ("s2", fast.address, "ready")]);
     let discovery = start_discovery();
     let statistics_file =
@@ -580,11 +591,11 @@
     let run_with = |text: &str, change: &dyn Fn(&mut Value)| {
         std::fs::write(&statistics_file, text).expect("failed to write the file");
         let sidecar = start(change);
-        let before = (slow.count(), fast.count());
+        let before = (slow.request_count(), fast.request_count());
         for number in 0..20 {
             assert_eq!(sidecar.send_request("view", &format!("f{number}"), 1500), 200);
         }
-        ((slow.count() - before.0, fast.count() - before.1), sidecar)
+        ((slow.request_count() - before.0, fast.request_count() - before.1), sidecar)
     };
     let run = |text: &str| run_with(text, &|_| ());
     let (counts, _sidecar) = run(&saved(1000).to_string());
@@ -620,7 +631,7 @@
 
 #[test]
 fn request_cost_is_read_from_the_configured_header() {
-    let endpoint = start_endpoint(Does::Answer);
+    let endpoint = start_endpoint(ScriptedBehavior::Respond);
     let known = endpoint_list(1, &[("s1", endpoint.address, "ready")]);
     let discovery = start_discovery();
     let sidecar =
--- a/crates/sidecar/tests/stalled_clients.rs
+++ b/crates/sidecar/tests/stalled_clients.rs
@@ -5,7 +5,7 @@
 mod helpers;
 
 use helpers::*;
-use landingspread_lab::sockets::Does;
+use landingspread_lab::sockets::ScriptedBehavior;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::thread;
@@ -68,7 +68,7 @@
 
 #[test]
 fn client_that_stops_within_a_request_is_closed_within_3_s() {
-    let server = start_endpoint(Does::Answer);
+    let server = start_endpoint(ScriptedBehavior::Respond);
     let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", server.address)]);
     let stops = [StopsIn::Head, StopsIn::Body, StopsIn::LongBody, StopsIn::BodyAfterSlowHead];
     let cases = stops.into_iter().flat_map(|stops| [(stops, false), (stops, true)]);
@@ -84,7 +84,7 @@
         late.map(|(stops, reused, after)| format!("{stops:?}, reused: {reused}: {after:?}")).collect()
     });
     assert!(failures.is_empty(), "{failures:#?}");
-    let requests = &server.seen().cmds;
+    let requests = &server.record().requests;
     assert!(
         requests.iter().all(|request| request.path().starts_with("/view")),
         "an incomplete request was forwarded"
@@ -93,7 +93,7 @@
 
 #[test]
 fn slow_client_that_goes_on_writing_is_served() {
-    let server = start_endpoint(Does::Answer);
+    let server = start_endpoint(ScriptedBehavior::Respond);
     let (sidecar, _discovery) = Sidecar::start_with_servers(&[("s1", server.address)]);
     let slow = |reused: bool, pause: Duration| -> u16 {
         let mut stream: TcpStream = sidecar.connect().expect("failed to connect to the sidecar");
--- a/crates/sidecar/tests/starts.rs
+++ b/crates/sidecar/tests/starts.rs
@@ -62,7 +62,7 @@
         for stream in listener.incoming().flatten() {
             thread::spawn(move || {
                 let mut peer = Peer::new(stream);
-                while let Ok(Some(_)) = peer.command() {
+                while let Ok(Some(_)) = peer.read_request() {
                     thread::sleep(DISCOVERY_DELAY);
                     let body = endpoint_list(1, &[("s1", server, "ready")]).to_string();
                     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
@@ -217,7 +217,7 @@
     let (sidecar, discovery) = Sidecar::start_with_servers(&[("s1", server)]);
     assert_eq!(sidecar.status("GET /_health HTTP/1.1\r\n\r\n"), Some(200));
     wait_until("the ready line is logged", || sidecar.diagnostics().contains(" ready "));
-    discovery.write(2, endpoint_list(2, &[("s1", server, "ready")]).to_string());
+    discovery.set_raw_list(2, endpoint_list(2, &[("s1", server, "ready")]).to_string());
     wait_until("the first list is logged", || {
         sidecar.diagnostics().contains("the first endpoint list has come first_list_ms=")
     });
--- a/crates/sidecar/tests/streams.rs
+++ b/crates/sidecar/tests/streams.rs
@@ -4,7 +4,7 @@
 mod helpers;
 
 use helpers::*;
-use landingspread_lab::sockets::{Does, Heard, Peer};
+use landingspread_lab::sockets::{HttpMessage, Peer, ScriptedBehavior};
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -310,7 +310,7 @@
 
 #[test]
 fn idle_and_half_sent_clients_keep_no_other_from_a_response() {
-    let endpoint = start_endpoint(Does::Answer);
+    let endpoint = start_endpoint(ScriptedBehavior::Respond);
     let sidecar = start_sidecar(&[("s1", endpoint.address)], 16, 192);
     let mut clients = Vec::new();
     for wave in 0..20 {
@@ -334,7 +334,7 @@
 
 #[test]
 fn allowed_forms_of_http_are_accepted() {
-    let endpoint = start_endpoint(Does::Answer);
+    let endpoint = start_endpoint(ScriptedBehavior::Respond);
     let sidecar = start_sidecar(&[("s1", endpoint.address)], 16, 80);
     let head = "x-trace-ID:h1\r\nX-CUSTOMER:\t acme \r\nx-expires-in-ms: 1900";
     let forms = [
@@ -358,12 +358,12 @@
     let text = text.collect::<String>();
     let (first, rest) = text.as_bytes().split_at(text.len() * 2 / 3);
     peer.write(first).expect("failed to write to the connection");
-    let request_id = |response: Heard| response.header("x-kept").map(str::to_string);
-    assert_eq!(peer.answer().ok().and_then(request_id).as_deref(), Some("p1"));
+    let request_id = |response: HttpMessage| response.header("x-kept").map(str::to_string);
+    assert_eq!(peer.read_response().ok().and_then(request_id).as_deref(), Some("p1"));
     peer.write(rest).expect("failed to write to the connection");
     for number in 2..=5 {
         assert_eq!(
-            peer.answer().ok().and_then(request_id),
+            peer.read_response().ok().and_then(request_id),
             Some(format!("p{number}")),
             "responses to pipelined requests come in order"
         );
--- a/crates/sidecar/tests/watches.rs
+++ b/crates/sidecar/tests/watches.rs
@@ -71,7 +71,7 @@
         let polls = polls.clone();
         thread::spawn(move || {
             let mut peer = Peer::new(stream);
-            while let Ok(Some(_)) = peer.command() {
+            while let Ok(Some(_)) = peer.read_request() {
                 let number = {
                     let mut polls = polls.lock().expect("lock is not poisoned");
                     polls.push(Instant::now());
@@ -236,7 +236,7 @@
         for stream in listener.incoming().flatten() {
             let stream: TcpStream = stream;
             let mut peer = Peer::new(stream);
-            if matches!(peer.command(), Ok(Some(_))) {
+            if matches!(peer.read_request(), Ok(Some(_))) {
                 recorded.lock().expect("lock is not poisoned").push(Instant::now());
                 let _ = peer.stream.write_all(b"HTTP/1.1 503 -\r\nContent-Length: 0\r\n\r\n");
             }
