--- a/crates/lab/src/cold.rs
+++ b/crates/lab/src/cold.rs
@@ -1,65 +1,65 @@
-//! What a cold server is brought by all copies together, in each sliding window, against what it bears. It owns that
-//! sum and its judgement; whoever hosts the server says when something comes, how much, and what it can do by then.
+//! The work that all replicas together send to a cold server within a sliding window, compared with its overload bound.
+//! The simulation or the socket rig reports each arrival with its work and the present bound.
 
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// What a cold server bears at a moment.
+/// The overload bound of a cold server at one time.
 #[derive(Clone, Copy, Debug)]
 pub struct OverloadBound {
     pub window: Duration,
-    /// Commands of mean work that the rule allows within it: multiple x present capacity x window / mean work.
+    /// Requests of mean work allowed within the window: overload multiple x present capacity x window / mean work.
     pub budget: f64,
-    /// With so many commands the budget itself is the bound, with nothing put down to chance.
+    /// From this count of requests in the window on, the budget itself is the bound, without an allowance for chance.
     pub min_requests: usize,
 }
 
-/// What is put down to chance beyond a budget of `budget` commands of mean work, and with it.
+/// The budget plus an allowance for chance, in requests of mean work: N + 2 sqrt(N) + 2.
 pub fn allowance(budget: f64) -> f64 {
     budget + 2.0 * budget.max(0.0).sqrt() + 2.0
 }
 
-/// The fullest window in one life of a cold server, measured against its allowance.
+/// The window of one process of a cold server that was fullest relative to its allowance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ColdPeak {
     pub server: String,
-    /// Seconds since the start, at the window's end.
+    /// End of the window in seconds since the start.
     pub at: f64,
-    /// Commands of mean work that all copies sent within it.
+    /// Requests of mean work that all replicas sent within the window.
     #[serde(rename = "sent")]
     pub offered: f64,
-    /// What the rule allows by the server's capacity at that moment.
+    /// The budget by the capacity of the server at that time.
     pub budget: f64,
 }
 
 impl ColdPeak {
-    /// Commands that it would still have borne; below 0 it falls.
+    /// Requests left until the allowance; the server is overloaded below 0.
     pub fn margin(&self) -> f64 {
         allowance(self.budget) - self.offered
     }
 
-    /// What was sent as a share of what it bears: from 1 on it falls.
+    /// Offered requests as a fraction of the allowance; the server is overloaded above 1.
     pub fn ratio(&self) -> f64 {
         self.offered / allowance(self.budget)
     }
 }
 
-/// All windows of all cold servers of some runs.
+/// Extremes over the windows of all cold servers of one or more runs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ColdPeaks {
-    /// Lives of cold servers that anything was sent to.
+    /// Count of processes of cold servers that received any request.
     #[serde(rename = "lives")]
     pub process_lives: u64,
-    /// Of these, lives with a window beyond its allowance.
+    /// Count of these processes with a window beyond its allowance.
     #[serde(rename = "beyond")]
     pub over_allowance: u64,
-    /// The life that came nearest to its allowance, as a share, and the one that stayed farthest from it.
+    /// The processes whose fullest window has the highest and the lowest ratio to its allowance.
     #[serde(rename = "highest")]
     pub highest_ratio: Option<ColdPeak>,
     #[serde(rename = "lowest")]
     pub lowest_ratio: Option<ColdPeak>,
-    /// The window with the fewest commands left, and the life whose fullest window had the most left.
+    /// The processes whose fullest window has the smallest and the largest margin to its allowance.
     #[serde(rename = "closest")]
     pub smallest_margin: Option<ColdPeak>,
     #[serde(rename = "widest")]
@@ -67,19 +67,19 @@
 }
 
 impl ColdPeaks {
-    fn add_process(&mut self, highest: &ColdPeak, closest: &ColdPeak) {
+    fn add_process(&mut self, highest_ratio: &ColdPeak, smallest_margin: &ColdPeak) {
         self.process_lives += 1;
-        self.over_allowance += u64::from(highest.ratio() > 1.0);
+        self.over_allowance += u64::from(highest_ratio.ratio() > 1.0);
         let keep =
             |kept: &mut Option<ColdPeak>, new: &ColdPeak, better: &dyn Fn(&ColdPeak, &ColdPeak) -> bool| {
                 if kept.as_ref().is_none_or(|kept| better(new, kept)) {
                     *kept = Some(new.clone());
                 }
             };
-        keep(&mut self.highest_ratio, highest, &|new, kept| new.ratio() > kept.ratio());
-        keep(&mut self.lowest_ratio, highest, &|new, kept| new.ratio() < kept.ratio());
-        keep(&mut self.smallest_margin, closest, &|new, kept| new.margin() < kept.margin());
-        keep(&mut self.largest_margin, closest, &|new, kept| new.margin() > kept.margin());
+        keep(&mut self.highest_ratio, highest_ratio, &|new, kept| new.ratio() > kept.ratio());
+        keep(&mut self.lowest_ratio, highest_ratio, &|new, kept| new.ratio() < kept.ratio());
+        keep(&mut self.smallest_margin, smallest_margin, &|new, kept| new.margin() < kept.margin());
+        keep(&mut self.largest_margin, smallest_margin, &|new, kept| new.margin() > kept.margin());
     }
 
     pub fn merge(&mut self, other: &ColdPeaks) {
@@ -95,7 +95,7 @@
         (self.process_lives, self.over_allowance) = (lives, beyond);
     }
 
-    /// One line for people; none where no cold server was sent anything.
+    /// A summary in one line; `None` if no cold server received a request.
     pub fn summary(&self) -> Option<String> {
         let peak = |peak: &Option<ColdPeak>| {
             peak.as_ref().map(|peak| {
@@ -115,49 +115,52 @@
     }
 }
 
-/// The sum for one server, life by life.
+/// The work offered to one cold server within the window, and the peaks of its present process.
 #[derive(Clone, Debug, Default)]
 pub struct OfferedWork {
-    within: VecDeque<(Duration, f64)>,
-    highest: Option<ColdPeak>,
-    closest: Option<ColdPeak>,
+    window_requests: VecDeque<(Duration, f64)>,
+    highest_ratio: Option<ColdPeak>,
+    smallest_margin: Option<ColdPeak>,
 }
 
 impl OfferedWork {
-    /// `sent` commands of mean work come at `now`. Whether it falls: beyond what is put down to chance, or, with `least`
-    /// commands or more, beyond the budget itself, which is the lab's own bound and the stricter one for large budgets.
-    pub fn record(&mut self, server: &str, now: Duration, sent: f64, bound: OverloadBound) -> bool {
+    /// Records the arrival of `offered` requests of mean work and returns whether they overload the server: beyond the
+    /// allowance or, with `min_requests` or more in the window, beyond the budget itself. The second bound is the
+    /// stricter one for large budgets.
+    pub fn record(&mut self, server: &str, now: Duration, offered: f64, bound: OverloadBound) -> bool {
         let OverloadBound { window, budget, min_requests: least } = bound;
-        self.within.push_back((now, sent));
-        while self.within.front().is_some_and(|(at, _)| *at + window < now) {
-            self.within.pop_front();
+        self.window_requests.push_back((now, offered));
+        while self.window_requests.front().is_some_and(|(at, _)| *at + window < now) {
+            self.window_requests.pop_front();
         }
-        let sent = self.total();
-        let peak = ColdPeak { server: server.to_string(), at: now.as_secs_f64(), offered: sent, budget };
-        if self.highest.as_ref().is_none_or(|known| peak.ratio() > known.ratio()) {
-            self.highest = Some(peak.clone());
+        let offered = self.total();
+        let peak = ColdPeak { server: server.to_string(), at: now.as_secs_f64(), offered, budget };
+        if self.highest_ratio.as_ref().is_none_or(|known| peak.ratio() > known.ratio()) {
+            self.highest_ratio = Some(peak.clone());
         }
-        if self.closest.as_ref().is_none_or(|known| peak.margin() < known.margin()) {
-            self.closest = Some(peak.clone());
+        if self.smallest_margin.as_ref().is_none_or(|known| peak.margin() < known.margin()) {
+            self.smallest_margin = Some(peak.clone());
         }
-        peak.ratio() > 1.0 || (self.within.len() >= least && sent > budget)
+        peak.ratio() > 1.0 || (self.window_requests.len() >= least && offered > budget)
     }
 
-    /// Commands of mean work in the window that ended with the last one.
+    /// Requests of mean work in the window that ends with the last arrival.
     pub fn total(&self) -> f64 {
-        self.within.iter().map(|(_, sent)| sent).sum()
+        self.window_requests.iter().map(|(_, offered)| offered).sum()
     }
 
-    /// What was sent before no longer counts, and the life goes on.
+    /// Clears the window; the peaks of the process are kept.
     pub fn clear(&mut self) {
-        self.within.clear();
+        self.window_requests.clear();
     }
 
-    /// Its life is over, or it is warm.
+    /// Adds the peaks of the process to `into`, when the process ends or is warm.
     pub fn finish_process(&mut self, into: &mut ColdPeaks) {
-        self.within.clear();
-        if let (Some(highest), Some(closest)) = (self.highest.take(), self.closest.take()) {
-            into.add_process(&highest, &closest);
+        self.window_requests.clear();
+        if let (Some(highest_ratio), Some(smallest_margin)) =
+            (self.highest_ratio.take(), self.smallest_margin.take())
+        {
+            into.add_process(&highest_ratio, &smallest_margin);
         }
     }
 }
--- a/crates/lab/src/experiment/ready.rs
+++ b/crates/lab/src/experiment/ready.rs
@@ -264,5 +264,5 @@
 /// Plays one run.
 pub fn run_one(scenario: &Scenario, picker: LoadBalancerKind, seed: u64) -> crate::world::Run {
     let plan = Rc::new(scenario.clone());
-    crate::world::simulate(&plan, seed, &|hand, terms, seed, now| picker.make(hand, terms, seed, now))
+    crate::world::simulate(&plan, seed, &|host, settings, seed, now| picker.create(host, settings, seed, now))
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! The lab: an emulated world that hosts the real decisions, its load and faults, a referee of the four rules,
-//! baselines, experiments over seeds and axes, and reports. Nothing depends on it but tests.
+//! The lab: a discrete-event simulation around the real decision module and test rigs on real sockets, with load,
+//! faults, checks of the four rules, baseline load balancers, experiments and reports. Only tests depend on it.
 
 pub mod cold;
 pub mod experiment;
--- a/crates/lab/src/picker.rs
+++ b/crates/lab/src/picker.rs
@@ -1,4 +1,4 @@
-//! Who picks, as the world calls it.
+//! The interface between the simulation and the load balancers that it hosts.
 
 use landingspread_decisions::host::{
     AttemptEnd, Host, Id, ListedServer, LoadReport, Outcome, RequestArrival,
@@ -6,20 +6,20 @@
 use landingspread_decisions::policy::Policy;
 use std::time::Duration;
 
-/// What can happen to a copy, one method for each: the decision module's own.
+/// The events of one replica, one method each, as the decision module takes them.
 pub trait LoadBalancer {
     fn endpoint_list_cached(&mut self, now: Duration, entries: &[ListedServer]);
     fn endpoint_list_received(&mut self, now: Duration, entries: &[ListedServer]);
     fn endpoint_list_changed(&mut self, now: Duration, entries: &[ListedServer]);
     fn discovery_poll_failed(&mut self, now: Duration);
     fn request_arrived(&mut self, now: Duration, arrival: RequestArrival);
-    fn client_disconnected(&mut self, now: Duration, cmd: &Id);
-    fn attempt_ended(&mut self, now: Duration, ended: AttemptEnd);
+    fn client_disconnected(&mut self, now: Duration, request: &Id);
+    fn attempt_ended(&mut self, now: Duration, attempt_end: AttemptEnd);
     fn health_check_ended(&mut self, now: Duration, outcome: Outcome, server: &Id, load: LoadReport);
     fn timer_fired(&mut self, now: Duration);
-    /// Words of another copy's decisions, by its number.
-    fn peer_message_received(&mut self, _now: Duration, _peer: u32, _words: &[u8]) {}
-    /// A datagram of the fleet.
+    /// Handles a message of another replica's decisions; `peer` is the ordinal of the sender.
+    fn peer_message_received(&mut self, _now: Duration, _peer: u32, _message: &[u8]) {}
+    /// Handles a datagram of fleet membership.
     fn datagram_received(&mut self, _now: Duration, _bytes: &[u8]) {}
 }
 
@@ -44,12 +44,12 @@
         Policy::request_arrived(self, now, arrival);
     }
 
-    fn client_disconnected(&mut self, now: Duration, cmd: &Id) {
-        Policy::client_disconnected(self, now, cmd);
+    fn client_disconnected(&mut self, now: Duration, request: &Id) {
+        Policy::client_disconnected(self, now, request);
     }
 
-    fn attempt_ended(&mut self, now: Duration, ended: AttemptEnd) {
-        Policy::attempt_ended(self, now, ended);
+    fn attempt_ended(&mut self, now: Duration, attempt_end: AttemptEnd) {
+        Policy::attempt_ended(self, now, attempt_end);
     }
 
     fn health_check_ended(&mut self, now: Duration, outcome: Outcome, server: &Id, load: LoadReport) {
@@ -60,7 +60,7 @@
         Policy::timer_fired(self, now);
     }
 
-    fn peer_message_received(&mut self, now: Duration, peer: u32, words: &[u8]) {
-        Policy::peer_message_received(self, now, peer, words);
+    fn peer_message_received(&mut self, now: Duration, peer: u32, message: &[u8]) {
+        Policy::peer_message_received(self, now, peer, message);
     }
 }
--- a/crates/lab/src/pickers/fleeted.rs
+++ b/crates/lab/src/pickers/fleeted.rs
@@ -1,5 +1,5 @@
-//! The decisions with the fleet's membership beside them, as the program has them where `[fleet]` is configured. It owns
-//! only what joins the two: the program's own thread does the same.
+//! The decision module together with fleet membership, as the sidecar runs them where `[fleet]` is configured. This
+//! module only connects the two, as the fleet thread of the sidecar does.
 
 use crate::fleet::emulated::{address_of, copy_of};
 use crate::picker::LoadBalancer;
@@ -16,96 +16,107 @@
 use landingspread_membership::{Address, Budget, Host, MemberConfig, Membership};
 use std::time::Duration;
 
-const SEEDS: usize = 3;
-const LIARS_EACH: usize = 7;
-/// The time of day at the world's start, in milliseconds.
-const BEGAN: u64 = 1_800_000_000_000;
+/// Count of replicas that a starting member contacts first.
+const SEED_MEMBERS: usize = 3;
+/// One in this many replicas sends false reports.
+const FALSE_REPORTER_SPACING: usize = 7;
+/// Unix time at the start of the simulation, in milliseconds.
+const START_UNIX_MS: u64 = 1_800_000_000_000;
 
-struct Mail(HostHandle);
+/// Sends the datagrams of membership through the simulated network.
+struct DatagramSender(HostHandle);
 
-impl Host for Mail {
+impl Host for DatagramSender {
     fn send(&mut self, to: Address, bytes: &[u8]) {
-        copy_of(to).into_iter().for_each(|copy| self.0.send_datagram(copy, bytes));
+        copy_of(to).into_iter().for_each(|replica| self.0.send_datagram(replica, bytes));
     }
 }
 
-/// Verdicts that a copy passed go to its notes, beside its marks.
-struct Notes(HostHandle);
+/// Records the replica's verdicts on zones as notes, next to those on ejections.
+struct VerdictNotes(HostHandle);
 
-impl localities::Host for Notes {
+impl localities::Host for VerdictNotes {
     fn verdict_issued(&mut self, zone: &str, verdict: &localities::Verdict, _: &localities::Evidence) {
         self.0.note(&format!("mark zone {zone} {}", verdict.stage.name()));
     }
 }
 
-pub struct Fleeted {
+/// The decision module of a replica with its fleet membership and, if enabled, zone failover.
+pub struct FleetBalancer {
     policy: Policy<HostHandle>,
-    membership: Membership<Mail>,
-    zones: Option<ZoneFailover<Notes>>,
-    /// What this copy says of zones is made up.
-    lies: bool,
-    tick_at: Duration,
+    membership: Membership<DatagramSender>,
+    zones: Option<ZoneFailover<VerdictNotes>>,
+    /// Whether this replica sends false reports of zones.
+    reports_falsely: bool,
+    next_tick: Duration,
 }
 
-fn looks(seen: &ZoneObservation) -> ZoneHealth {
-    match (seen.silent, seen.answered) {
+fn zone_health(observation: &ZoneObservation) -> ZoneHealth {
+    match (observation.silent, observation.answered) {
         (Some(since), _) => ZoneHealth::Silent { since },
-        (None, Some(sent)) => ZoneHealth::Answering { sent_ago: sent, slow: seen.slow },
+        (None, Some(sent)) => ZoneHealth::Answering { sent_ago: sent, slow: observation.slow },
         (None, None) => ZoneHealth::Unknown,
     }
 }
 
-fn id_of(address: Address) -> u64 {
+fn replica_id(address: Address) -> u64 {
     copy_of(address).unwrap_or(0) as u64
 }
 
-impl Fleeted {
-    /// `zones`: whether the fleet leaves any; `lies`: whether a seventh of the copies says of them what is not so.
+impl FleetBalancer {
+    /// `zones` enables zone failover; `reports_falsely` lets one in `FALSE_REPORTER_SPACING` replicas send false reports of zones.
     pub fn start(
-        hand: HostHandle,
-        terms: Settings,
+        host: HostHandle,
+        settings: Settings,
         seed: u64,
         now: Duration,
         zones: bool,
-        lies: bool,
-    ) -> Fleeted {
-        let (copy, zone, copies, first) = hand.membership_identity();
-        let of_zones = localities::FailoverConfig {
-            id: copy as u64,
+        reports_falsely: bool,
+    ) -> FleetBalancer {
+        let (replica, zone, replicas, first) = host.membership_identity();
+        let failover_config = localities::FailoverConfig {
+            id: replica as u64,
             zone: zone.clone(),
-            zones: hand.zones(),
+            zones: host.zones(),
             timings: RecoveryTimings::default(),
         };
-        let zones = zones.then(|| ZoneFailover::start(Notes(hand.clone()), of_zones));
-        let lies = lies && copy % LIARS_EACH == 0;
+        let zones = zones.then(|| ZoneFailover::start(VerdictNotes(host.clone()), failover_config));
+        let reports_falsely = reports_falsely && replica % FALSE_REPORTER_SPACING == 0;
         let config = MemberConfig {
-            address: address_of(copy),
-            name: format!("n{copy}"),
+            address: address_of(replica),
+            name: format!("n{replica}"),
             zone,
-            fleet: format!("tier {}", terms.tier),
-            incarnation: BEGAN + now.as_millis() as u64,
-            seeds: (first..first + copies.min(SEEDS)).map(address_of).collect(),
+            fleet: format!("tier {}", settings.tier),
+            incarnation: START_UNIX_MS + now.as_millis() as u64,
+            seeds: (first..first + replicas.min(SEED_MEMBERS)).map(address_of).collect(),
             budget: Budget::default(),
-            configured_members: terms.replicas,
+            configured_members: settings.replicas,
         };
-        let membership = Membership::start(Mail(hand.clone()), config, seed ^ 0x6d65_6d62, now);
-        Fleeted { policy: Policy::start(hand, terms, seed, now), membership, zones, lies, tick_at: now }
+        let membership = Membership::start(DatagramSender(host.clone()), config, seed ^ 0x6d65_6d62, now);
+        FleetBalancer {
+            policy: Policy::start(host, settings, seed, now),
+            membership,
+            zones,
+            reports_falsely,
+            next_tick: now,
+        }
     }
 
     fn tick_zones(&mut self, now: Duration) {
         let Some(zones) = &mut self.zones else { return };
-        let seen = self.policy.zone_observations(now);
-        let own = |seen: &ZoneObservation| OwnObservation {
-            zone: seen.zone as usize,
-            ready: seen.ready,
-            health: looks(seen),
+        let observation = self.policy.zone_observations(now);
+        let own = |observation: &ZoneObservation| OwnObservation {
+            zone: observation.zone as usize,
+            ready: observation.ready,
+            health: zone_health(observation),
         };
-        let mut own: Vec<OwnObservation> = seen.iter().map(own).collect();
-        for own in own.iter_mut().filter(|_| self.lies) {
-            // Now silent, now not, for a second or so at a time.
-            let lie =
-                (now.as_millis() as u64 / 700 + own.zone as u64 * 5 + id_of(self.membership.address())) % 3;
-            own.health = match lie {
+        let mut own: Vec<OwnObservation> = observation.iter().map(own).collect();
+        for own in own.iter_mut().filter(|_| self.reports_falsely) {
+            // Reports an unreachable zone two times out of three, changing every 700 ms.
+            let false_pattern =
+                (now.as_millis() as u64 / 700 + own.zone as u64 * 5 + replica_id(self.membership.address()))
+                    % 3;
+            own.health = match false_pattern {
                 0 => own.health,
                 _ => ZoneHealth::Silent { since: Duration::ZERO },
             };
@@ -115,7 +126,7 @@
             now,
             &own,
             live.map(|member| PeerReport {
-                id: id_of(member.address()),
+                id: replica_id(member.address()),
                 name: member.name(),
                 zone: member.zone(),
                 report: member.payload().map(|(report, _)| report),
@@ -133,7 +144,7 @@
     }
 }
 
-impl LoadBalancer for Fleeted {
+impl LoadBalancer for FleetBalancer {
     fn endpoint_list_cached(&mut self, now: Duration, entries: &[ListedServer]) {
         self.policy.endpoint_list_cached(now, entries);
     }
@@ -154,12 +165,12 @@
         self.policy.request_arrived(now, arrival);
     }
 
-    fn client_disconnected(&mut self, now: Duration, cmd: &Id) {
-        self.policy.client_disconnected(now, cmd);
+    fn client_disconnected(&mut self, now: Duration, request: &Id) {
+        self.policy.client_disconnected(now, request);
     }
 
-    fn attempt_ended(&mut self, now: Duration, ended: AttemptEnd) {
-        self.policy.attempt_ended(now, ended);
+    fn attempt_ended(&mut self, now: Duration, attempt_end: AttemptEnd) {
+        self.policy.attempt_ended(now, attempt_end);
     }
 
     fn health_check_ended(&mut self, now: Duration, outcome: Outcome, server: &Id, load: LoadReport) {
@@ -167,25 +178,25 @@
     }
 
     fn timer_fired(&mut self, now: Duration) {
-        if self.tick_at <= now {
-            self.tick_at = now + Membership::<Mail>::TICK_INTERVAL;
+        if self.next_tick <= now {
+            self.next_tick = now + Membership::<DatagramSender>::TICK_INTERVAL;
             self.membership.set_request_rate(self.policy.request_rate());
             self.tick_zones(now);
             self.membership.tick(now);
             let size = self.membership.fleet_size();
-            let copies = ReplicaView {
+            let replicas = ReplicaView {
                 count: size.members,
                 max_alive: size.possibly_live,
                 ordinal: size.ordinal().map(u32::from),
                 mean_request_rate: size.mean_request_rate,
             };
-            self.policy.replicas_changed(now, &copies);
+            self.policy.replicas_changed(now, &replicas);
         }
         self.policy.timer_fired(now);
     }
 
-    fn peer_message_received(&mut self, now: Duration, peer: u32, words: &[u8]) {
-        self.policy.peer_message_received(now, peer, words);
+    fn peer_message_received(&mut self, now: Duration, peer: u32, message: &[u8]) {
+        self.policy.peer_message_received(now, peer, message);
     }
 
     fn datagram_received(&mut self, now: Duration, bytes: &[u8]) {
--- a/crates/lab/src/pickers/mod.rs
+++ b/crates/lab/src/pickers/mod.rs
@@ -1,5 +1,5 @@
-//! Who picks: the program's decision module, and baselines to hold against it. The baselines live here and in no
-//! other place.
+//! The load balancers that the simulation compares: the decision module, alone or with fleet membership, and the
+//! baselines.
 
 mod fleeted;
 mod named;
--- a/crates/lab/src/pickers/named.rs
+++ b/crates/lab/src/pickers/named.rs
@@ -1,7 +1,7 @@
-//! Pickers by name.
+//! Load balancers by name.
 
-use super::fleeted::Fleeted;
-use super::plain::{Plain, Tries, Way};
+use super::fleeted::FleetBalancer;
+use super::plain::{AttemptLimits, BaselineBalancer, Selection};
 use crate::picker::LoadBalancer;
 use crate::world::HostHandle;
 use landingspread_decisions::policy::Policy;
@@ -9,26 +9,26 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A picker by the name that files and the command line give it.
+/// A load balancer, by its name in files and on the command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoadBalancerKind {
     Landingspread,
-    /// With the membership beside it, as `[fleet]` in the program's configuration puts it there.
+    /// With fleet membership, as with `[fleet]` in the sidecar's configuration.
     LandingspreadFleet,
-    /// With that, and with zones left by the fleet, as `[localities]` does it.
+    /// With fleet membership and zone failover, as with `[localities]`.
     LandingspreadZones,
-    /// The same, where a seventh of the copies says of zones what is not so.
+    /// The same, where one in seven replicas sends false reports of zones.
     #[serde(rename = "landingspread_zones_lied")]
     LandingspreadZonesFalseReports,
     Random,
     RoundRobin,
     LeastOutstanding,
     TwoChoices,
-    /// The better of two, and each command is sent once.
+    /// The less loaded of two random servers, with one attempt for each request.
     #[serde(rename = "no_repeats")]
     NoRetries,
-    /// The better of two, and two further tries after any failure or without an answer in time, at every tier.
+    /// The less loaded of two random servers, with up to two retries after a failure or timeout, at every tier.
     #[serde(rename = "plain_repeats")]
     PlainRetries,
     TrueState,
@@ -49,6 +49,7 @@
         LoadBalancerKind::TrueState,
     ];
 
+    /// The name in files and on the command line.
     pub fn name(self) -> &'static str {
         match self {
             LoadBalancerKind::Landingspread => "landingspread",
@@ -65,32 +66,39 @@
         }
     }
 
-    pub fn make(self, hand: HostHandle, terms: Settings, seed: u64, now: Duration) -> Box<dyn LoadBalancer> {
-        let way = match self {
-            LoadBalancerKind::Landingspread => return Box::new(Policy::start(hand, terms, seed, now)),
+    /// Creates a load balancer of this kind.
+    pub fn create(
+        self,
+        host: HostHandle,
+        settings: Settings,
+        seed: u64,
+        now: Duration,
+    ) -> Box<dyn LoadBalancer> {
+        let selection = match self {
+            LoadBalancerKind::Landingspread => return Box::new(Policy::start(host, settings, seed, now)),
             LoadBalancerKind::LandingspreadFleet => {
-                return Box::new(Fleeted::start(hand, terms, seed, now, false, false));
+                return Box::new(FleetBalancer::start(host, settings, seed, now, false, false));
             }
             LoadBalancerKind::LandingspreadZones => {
-                return Box::new(Fleeted::start(hand, terms, seed, now, true, false));
+                return Box::new(FleetBalancer::start(host, settings, seed, now, true, false));
             }
             LoadBalancerKind::LandingspreadZonesFalseReports => {
-                return Box::new(Fleeted::start(hand, terms, seed, now, true, true));
+                return Box::new(FleetBalancer::start(host, settings, seed, now, true, true));
             }
-            LoadBalancerKind::Random => Way::Random,
-            LoadBalancerKind::RoundRobin => Way::RoundRobin,
-            LoadBalancerKind::LeastOutstanding => Way::LeastOutstanding,
+            LoadBalancerKind::Random => Selection::Random,
+            LoadBalancerKind::RoundRobin => Selection::RoundRobin,
+            LoadBalancerKind::LeastOutstanding => Selection::LeastOutstanding,
             LoadBalancerKind::TwoChoices | LoadBalancerKind::NoRetries | LoadBalancerKind::PlainRetries => {
-                Way::TwoChoices
+                Selection::TwoChoices
             }
-            LoadBalancerKind::TrueState => Way::TrueState,
+            LoadBalancerKind::TrueState => Selection::TrueState,
         };
-        let tries = match self {
-            LoadBalancerKind::NoRetries => Tries::ONE,
-            LoadBalancerKind::PlainRetries => Tries::THREE,
-            _ => Tries::ALL,
+        let limits = match self {
+            LoadBalancerKind::NoRetries => AttemptLimits::SINGLE,
+            LoadBalancerKind::PlainRetries => AttemptLimits::THREE_TIMED,
+            _ => AttemptLimits::PLAN,
         };
-        Box::new(Plain::new(hand, terms, seed, way, tries))
+        Box::new(BaselineBalancer::new(host, settings, seed, selection, limits))
     }
 }
 
@@ -98,10 +106,10 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<LoadBalancerKind, String> {
-        let named = LoadBalancerKind::ALL.into_iter().find(|named| named.name() == text);
-        named.ok_or_else(|| {
-            let all: Vec<&str> = LoadBalancerKind::ALL.iter().map(|named| named.name()).collect();
-            format!("{text:?} is no picker; there are {}", all.join(", "))
+        let kind = LoadBalancerKind::ALL.into_iter().find(|kind| kind.name() == text);
+        kind.ok_or_else(|| {
+            let all: Vec<&str> = LoadBalancerKind::ALL.iter().map(|kind| kind.name()).collect();
+            format!("{text:?} is no picker; expected one of {}", all.join(", "))
         })
     }
 }
--- a/crates/lab/src/pickers/plain.rs
+++ b/crates/lab/src/pickers/plain.rs
@@ -1,7 +1,7 @@
-//! Baselines: one rule for the pick, and the least that the four rules ask beside it. They relay at once, go on to
-//! another server after a failure while that is harmless, mark nothing, hold nothing and know no cold start.
+//! Baselines: one selection rule, and only what the rules on final answers and safe retries require besides. They send
+//! at once, retry a failure at another server where that is safe, and have no ejection, no queue and no slow start.
 
-use super::rules::{Sent, may_decline, may_go};
+use super::rules::{SentAttempt, may_reject, may_send};
 use crate::picker::LoadBalancer;
 use crate::world::HostHandle;
 use landingspread_decisions::host::{
@@ -13,217 +13,234 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// How a baseline selects a server among the eligible ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Selection {
     Random,
     RoundRobin,
-    /// Fewest of this copy's own relays out.
+    /// The server with the fewest outstanding attempts of this replica.
     LeastOutstanding,
-    /// The better by that of two drawn evenly (Mitzenmacher 2001).
+    /// The one of two random servers with fewer outstanding attempts (Mitzenmacher 2001).
     TwoChoices,
-    /// The shortest wait by the servers' true state, which no copy can know, and a decline where no server would
-    /// answer within the goal: a bound.
+    /// The shortest wait by the true state of the servers, which no replica can know, and a rejection where no server
+    /// would answer within the objective. An upper bound for comparison.
     TrueState,
 }
 
-struct Known {
+struct KnownServer {
     id: Id,
     zone: u32,
     cell: u32,
     ready: bool,
-    out: u32,
+    outstanding: u32,
 }
 
-struct Open {
-    verb: usize,
-    due: Duration,
-    good_until: Duration,
-    /// It can't be sent again.
-    spent: bool,
-    sent: Vec<Sent>,
+struct OpenRequest {
+    class: usize,
+    deadline: Duration,
+    objective_deadline: Duration,
+    /// Set when no further attempt is allowed.
+    no_more_attempts: bool,
+    attempts: Vec<SentAttempt>,
 }
 
-/// How often a baseline sends one command at most, and how long it waits each time.
+/// The most attempts of a baseline for one request, and the timeout of each.
 #[derive(Clone, Copy, Debug)]
-pub struct Tries {
-    pub most: u32,
-    /// As a share of the verb's time limit; what is overdue by then is called off and sent to another server.
-    pub patience: f64,
+pub struct AttemptLimits {
+    pub max_attempts: u32,
+    /// Timeout of an attempt as a fraction of the class's time limit; after it the request goes to another server.
+    pub timeout_fraction: f64,
 }
 
-impl Tries {
-    /// As often as the plan allows, each until the command's own time is over.
-    pub const ALL: Tries = Tries { most: u32::MAX, patience: 1.0 };
-    pub const ONE: Tries = Tries { most: 1, patience: 1.0 };
-    /// Two further tries after any failure, or when a third of the limit is over without an answer.
-    pub const THREE: Tries = Tries { most: 3, patience: 1.0 / 3.0 };
+impl AttemptLimits {
+    /// As many attempts as the plan allows, each until the deadline of the request.
+    pub const PLAN: AttemptLimits = AttemptLimits { max_attempts: u32::MAX, timeout_fraction: 1.0 };
+    /// One attempt, until the deadline of the request.
+    pub const SINGLE: AttemptLimits = AttemptLimits { max_attempts: 1, timeout_fraction: 1.0 };
+    /// Up to two retries, after a failure or when a third of the time limit has passed without an answer.
+    pub const THREE_TIMED: AttemptLimits = AttemptLimits { max_attempts: 3, timeout_fraction: 1.0 / 3.0 };
 }
 
-pub struct Plain {
-    hand: HostHandle,
-    terms: Settings,
-    way: Way,
-    tries: Tries,
+/// A baseline load balancer with one selection rule.
+pub struct BaselineBalancer {
+    host: HostHandle,
+    settings: Settings,
+    selection: Selection,
+    limits: AttemptLimits,
     rng: ChaCha8Rng,
-    servers: Vec<Known>,
-    places: BTreeMap<Id, usize>,
-    open: BTreeMap<Id, Open>,
-    turn: usize,
-    failures: u32,
+    servers: Vec<KnownServer>,
+    positions: BTreeMap<Id, usize>,
+    open: BTreeMap<Id, OpenRequest>,
+    next_server: usize,
+    poll_failures: u32,
 }
 
-impl Plain {
-    pub fn new(hand: HostHandle, terms: Settings, seed: u64, way: Way, tries: Tries) -> Plain {
+impl BaselineBalancer {
+    pub fn new(
+        host: HostHandle,
+        settings: Settings,
+        seed: u64,
+        selection: Selection,
+        limits: AttemptLimits,
+    ) -> BaselineBalancer {
         let rng = ChaCha8Rng::seed_from_u64(seed);
-        Plain {
-            hand,
-            terms,
-            way,
-            tries,
+        BaselineBalancer {
+            host,
+            settings,
+            selection,
+            limits,
             rng,
             servers: Vec::new(),
-            places: BTreeMap::new(),
+            positions: BTreeMap::new(),
             open: BTreeMap::new(),
-            turn: 0,
-            failures: 0,
+            next_server: 0,
+            poll_failures: 0,
         }
     }
 
-    fn take(&mut self, entries: &[ListedServer]) {
+    fn update_servers(&mut self, entries: &[ListedServer]) {
         for entry in entries {
             let count = self.servers.len();
-            let place = *self.places.entry(entry.server.clone()).or_insert(count);
-            if place == count {
+            let position = *self.positions.entry(entry.server.clone()).or_insert(count);
+            if position == count {
                 let (id, zone, cell) = (entry.server.clone(), entry.zone, entry.cell);
-                self.servers.push(Known { id, zone, cell, ready: false, out: 0 });
+                self.servers.push(KnownServer { id, zone, cell, ready: false, outstanding: 0 });
             }
-            self.servers[place].ready = entry.lifecycle == Lifecycle::Ready;
+            self.servers[position].ready = entry.lifecycle == Lifecycle::Ready;
         }
     }
 
-    fn pick(&mut self, open: &Open, now: Duration) -> Option<usize> {
-        let fits = |place: &usize| {
-            let server = &self.servers[*place];
+    fn choose_server(&mut self, open: &OpenRequest, now: Duration) -> Option<usize> {
+        let is_eligible = |position: &usize| {
+            let server = &self.servers[*position];
             server.ready
-                && !open.sent.iter().any(|sent| sent.server == *place)
-                && may_go(&self.terms, open.verb, &open.sent, server.zone, server.cell, now)
+                && !open.attempts.iter().any(|attempts| attempts.server == *position)
+                && may_send(&self.settings, open.class, &open.attempts, server.zone, server.cell, now)
         };
-        let fitting: Vec<usize> = (0..self.servers.len()).filter(fits).collect();
-        if fitting.is_empty() {
+        let eligible: Vec<usize> = (0..self.servers.len()).filter(is_eligible).collect();
+        if eligible.is_empty() {
             return None;
         }
-        // Seconds in which an answer still earns something.
-        let left = open.good_until.saturating_sub(now).as_secs_f64();
-        let one = fitting[self.rng.random_range(0..fitting.len())];
-        let other = fitting[self.rng.random_range(0..fitting.len())];
-        let fewest = |place: &usize| self.servers[*place].out;
-        match self.way {
-            Way::Random => Some(one),
-            Way::RoundRobin => {
-                self.turn += 1;
-                Some(fitting[self.turn % fitting.len()])
+        // Seconds until the latency objective.
+        let remaining = open.objective_deadline.saturating_sub(now).as_secs_f64();
+        let first_draw = eligible[self.rng.random_range(0..eligible.len())];
+        let second_draw = eligible[self.rng.random_range(0..eligible.len())];
+        let outstanding_attempts = |position: &usize| self.servers[*position].outstanding;
+        match self.selection {
+            Selection::Random => Some(first_draw),
+            Selection::RoundRobin => {
+                self.next_server += 1;
+                Some(eligible[self.next_server % eligible.len()])
             }
-            Way::TwoChoices => [one, other].into_iter().min_by_key(fewest),
-            // From a place of its own: the first of equals would be the same one at every copy.
-            Way::LeastOutstanding => {
-                let start = fitting.iter().position(|place| *place == one).unwrap_or(0);
-                fitting[start..].iter().chain(&fitting[..start]).copied().min_by_key(fewest)
+            Selection::TwoChoices => [first_draw, second_draw].into_iter().min_by_key(outstanding_attempts),
+            // Starts at a random position: otherwise all replicas would choose the same one of equal servers.
+            Selection::LeastOutstanding => {
+                let start = eligible.iter().position(|position| *position == first_draw).unwrap_or(0);
+                eligible[start..].iter().chain(&eligible[..start]).copied().min_by_key(outstanding_attempts)
             }
-            Way::TrueState => {
-                let wait = |place: &usize| {
-                    let wait = self.hand.true_wait(&self.servers[*place].id, open.verb)?;
-                    (wait <= left).then_some((wait, *place))
+            Selection::TrueState => {
+                let wait = |position: &usize| {
+                    let wait = self.host.true_wait(&self.servers[*position].id, open.class)?;
+                    (wait <= remaining).then_some((wait, *position))
                 };
-                let best = fitting.iter().filter_map(wait).min_by(|a, b| a.0.total_cmp(&b.0));
-                best.map(|(_, place)| place)
+                let best = eligible.iter().filter_map(wait).min_by(|a, b| a.0.total_cmp(&b.0));
+                best.map(|(_, position)| position)
             }
         }
     }
 
-    fn go(&mut self, id: &Id, now: Duration) {
+    fn send_attempt(&mut self, id: &Id, now: Duration) {
         let Some(mut open) = self.open.remove(id) else { return };
-        let most = self.terms.capabilities.max_attempts.min(self.tries.most);
-        let may = !open.spent && open.due > now && (open.sent.len() as u32) < most;
-        let place = if may { self.pick(&open, now) } else { None };
-        let Some(place) = place else {
-            if may_decline(&self.terms, open.verb, &open.sent) {
-                self.hand.reject(id, self.terms.capabilities.max_retry_after);
+        let max_attempts = self.settings.capabilities.max_attempts.min(self.limits.max_attempts);
+        let allowed =
+            !open.no_more_attempts && open.deadline > now && (open.attempts.len() as u32) < max_attempts;
+        let position = if allowed { self.choose_server(&open, now) } else { None };
+        let Some(position) = position else {
+            if may_reject(&self.settings, open.class, &open.attempts) {
+                self.host.reject(id, self.settings.capabilities.max_retry_after);
             } else {
-                self.hand.fail(id);
+                self.host.fail(id);
             }
             return;
         };
-        let server = &mut self.servers[place];
-        server.out += 1;
-        let limit = self.terms.classes.get(open.verb).map_or(Duration::MAX, |verb| verb.time_limit);
-        let until = open.due.min(now.saturating_add(limit.mul_f64(self.tries.patience)));
+        let server = &mut self.servers[position];
+        server.outstanding += 1;
+        let limit = self.settings.classes.get(open.class).map_or(Duration::MAX, |class| class.time_limit);
+        let attempt_deadline =
+            open.deadline.min(now.saturating_add(limit.mul_f64(self.limits.timeout_fraction)));
         let (zone, cell) = (server.zone, server.cell);
-        open.sent.push(Sent { server: place, zone, cell, at: now, outcome: None });
-        let to = server.id.clone();
+        open.attempts.push(SentAttempt { server: position, zone, cell, sent_at: now, outcome: None });
+        let server_id = server.id.clone();
         self.open.insert(id.clone(), open);
-        self.hand.start_attempt(id, &to, until);
+        self.host.start_attempt(id, &server_id, attempt_deadline);
     }
 }
 
-impl LoadBalancer for Plain {
+impl LoadBalancer for BaselineBalancer {
     fn endpoint_list_cached(&mut self, _now: Duration, entries: &[ListedServer]) {
         self.servers.iter_mut().for_each(|server| server.ready = false);
-        self.take(entries);
+        self.update_servers(entries);
     }
 
     fn endpoint_list_received(&mut self, now: Duration, entries: &[ListedServer]) {
-        self.failures = 0;
+        self.poll_failures = 0;
         self.endpoint_list_cached(now, entries);
     }
 
     fn endpoint_list_changed(&mut self, _now: Duration, entries: &[ListedServer]) {
-        self.failures = 0;
-        self.take(entries);
+        self.poll_failures = 0;
+        self.update_servers(entries);
     }
 
     fn discovery_poll_failed(&mut self, _now: Duration) {
-        self.failures += 1;
-        self.hand.wake_after(Duration::from_secs(1));
+        self.poll_failures += 1;
+        self.host.wake_after(Duration::from_secs(1));
     }
 
     fn request_arrived(&mut self, now: Duration, arrival: RequestArrival) {
-        let RequestArrival { class: verb, deadline: due, .. } = arrival;
-        let goal = self.terms.classes.get(verb).map_or(due, |verb| now + verb.latency_objective);
-        let open = Open { verb, due, good_until: goal.min(due), spent: false, sent: Vec::new() };
+        let RequestArrival { class, deadline, .. } = arrival;
+        let goal = self.settings.classes.get(class).map_or(deadline, |class| now + class.latency_objective);
+        let open = OpenRequest {
+            class,
+            deadline,
+            objective_deadline: goal.min(deadline),
+            no_more_attempts: false,
+            attempts: Vec::new(),
+        };
         self.open.insert(arrival.id.clone(), open);
-        self.go(&arrival.id, now);
+        self.send_attempt(&arrival.id, now);
     }
 
-    fn client_disconnected(&mut self, _now: Duration, cmd: &Id) {
-        let Some(open) = self.open.remove(cmd) else { return };
-        for (number, sent) in (0u32..).zip(&open.sent) {
-            if sent.outcome.is_none() {
-                self.servers[sent.server].out -= 1;
-                self.hand.cancel_attempt(cmd, number);
+    fn client_disconnected(&mut self, _now: Duration, request: &Id) {
+        let Some(open) = self.open.remove(request) else { return };
+        for (number, attempts) in (0u32..).zip(&open.attempts) {
+            if attempts.outcome.is_none() {
+                self.servers[attempts.server].outstanding -= 1;
+                self.host.cancel_attempt(request, number);
             }
         }
     }
 
-    fn attempt_ended(&mut self, now: Duration, ended: AttemptEnd) {
-        let Some(open) = self.open.get_mut(&ended.request) else { return };
-        let Some(sent) = open.sent.get_mut(ended.attempt as usize) else { return };
-        sent.outcome = Some(ended.outcome);
-        self.servers[sent.server].out -= 1;
-        if ended.body_consumed {
-            open.spent = true;
+    fn attempt_ended(&mut self, now: Duration, attempt_end: AttemptEnd) {
+        let Some(open) = self.open.get_mut(&attempt_end.request) else { return };
+        let Some(attempts) = open.attempts.get_mut(attempt_end.attempt as usize) else { return };
+        attempts.outcome = Some(attempt_end.outcome);
+        self.servers[attempts.server].outstanding -= 1;
+        if attempt_end.body_consumed {
+            open.no_more_attempts = true;
         }
-        if ended.request_closed {
-            self.open.remove(&ended.request);
+        if attempt_end.request_closed {
+            self.open.remove(&attempt_end.request);
         } else {
-            self.go(&ended.request, now);
+            self.send_attempt(&attempt_end.request, now);
         }
     }
 
     fn health_check_ended(&mut self, _now: Duration, _outcome: Outcome, _server: &Id, _load: LoadReport) {}
 
     fn timer_fired(&mut self, _now: Duration) {
-        if self.failures > 0 {
-            self.hand.poll_discovery();
+        if self.poll_failures > 0 {
+            self.host.poll_discovery();
         }
     }
 }
--- a/crates/lab/src/pickers/rules.rs
+++ b/crates/lab/src/pickers/rules.rs
@@ -1,50 +1,59 @@
-//! Rules 1 and 2 as any baseline keeps them: which server a command may still go to, and what its end may be.
+//! Rules 1 and 2 as the baselines keep them: where a request may still be sent, and how it may end.
 
 use landingspread_decisions::host::Outcome;
 use landingspread_decisions::settings::{DedupScope, RetrySafety, Settings};
 use std::time::Duration;
 
-/// A relay as a baseline remembers it.
-pub struct Sent {
+/// An attempt of a request, as a baseline records it.
+pub struct SentAttempt {
     pub server: usize,
     pub zone: u32,
     pub cell: u32,
-    pub at: Duration,
+    pub sent_at: Duration,
     pub outcome: Option<Outcome>,
 }
 
-impl Sent {
+impl SentAttempt {
     pub fn may_have_run(&self) -> bool {
         self.outcome.is_none_or(|outcome| !outcome.never_ran())
     }
 }
 
-fn repeats(terms: &Settings, verb: usize) -> RetrySafety {
-    terms.classes.get(verb).map_or(RetrySafety::NonIdempotent, |verb| verb.retry_safety)
+fn retry_safety(settings: &Settings, class: usize) -> RetrySafety {
+    settings.classes.get(class).map_or(RetrySafety::NonIdempotent, |class| class.retry_safety)
 }
 
-/// Whether a further relay to a server in this zone and cell is harmless.
-pub fn may_go(terms: &Settings, verb: usize, sent: &[Sent], zone: u32, cell: u32, now: Duration) -> bool {
-    let memory = terms.classes.get(verb).map_or(Duration::ZERO, |verb| verb.dedup_window);
-    sent.iter().filter(|sent| sent.may_have_run()).all(|sent| match repeats(terms, verb) {
-        RetrySafety::Idempotent => true,
-        RetrySafety::NonIdempotent => false,
-        RetrySafety::IdempotencyKeyed(group) => {
-            let within = match group {
-                DedupScope::All => true,
-                DedupScope::Zone => sent.zone == zone,
-                DedupScope::Cell => sent.zone == zone && sent.cell == cell,
-            };
-            within && now < sent.at + memory
+/// Whether a further attempt at a server in this zone and cell is safe.
+pub fn may_send(
+    settings: &Settings,
+    class: usize,
+    attempts: &[SentAttempt],
+    zone: u32,
+    cell: u32,
+    now: Duration,
+) -> bool {
+    let dedup_window = settings.classes.get(class).map_or(Duration::ZERO, |class| class.dedup_window);
+    attempts.iter().filter(|attempts| attempts.may_have_run()).all(|attempts| {
+        match retry_safety(settings, class) {
+            RetrySafety::Idempotent => true,
+            RetrySafety::NonIdempotent => false,
+            RetrySafety::IdempotencyKeyed(scope) => {
+                let in_scope = match scope {
+                    DedupScope::All => true,
+                    DedupScope::Zone => attempts.zone == zone,
+                    DedupScope::Cell => attempts.zone == zone && attempts.cell == cell,
+                };
+                in_scope && now < attempts.sent_at + dedup_window
+            }
         }
     })
 }
 
-/// Whether giving it up may be told as harmless to try again.
-pub fn may_decline(terms: &Settings, verb: usize, sent: &[Sent]) -> bool {
-    let harmless = matches!(
-        repeats(terms, verb),
+/// Whether the request may be rejected, which tells the client that a retry is safe.
+pub fn may_reject(settings: &Settings, class: usize, attempts: &[SentAttempt]) -> bool {
+    let safe_to_repeat = matches!(
+        retry_safety(settings, class),
         RetrySafety::Idempotent | RetrySafety::IdempotencyKeyed(DedupScope::All)
     );
-    harmless || !sent.iter().any(Sent::may_have_run)
+    safe_to_repeat || !attempts.iter().any(SentAttempt::may_have_run)
 }
--- a/crates/lab/src/referee.rs
+++ b/crates/lab/src/referee.rs
@@ -1,5 +1,7 @@
-//! The four rules, checked at every step of a run. It hears plain facts from the world, decides nothing and
-//! changes nothing; a breach names the command, the server, the copy and the moment.
+//! Checks the four rules at each step of a run, without influence on it: (1) each request has one final answer, in
+//! time, and no attempt after it; (2) no unsafe retry, duplicate effect or rejection of what may have run; (3) no
+//! attempt at a server that is known to drain or to be removed; (4) no overload of a cold server. A breach names the
+//! request, server, replica and time.
 
 use crate::plan::{RetrySafety, Rules, to_duration};
 use landingspread_decisions::host::Outcome;
@@ -7,9 +9,10 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Breaches told one by one; past that they are only counted.
-const TOLD_MOST: usize = 100;
+/// Bound on recorded breaches; further ones are only counted.
+const MAX_RECORDED_BREACHES: usize = 100;
 
+/// One breach of a rule.
 #[derive(Clone, Debug, Serialize, PartialEq)]
 pub struct Breach {
     pub rule: u8,
@@ -27,32 +30,33 @@
 impl fmt::Display for Breach {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "rule {} at {:.3} s: {}", self.rule, self.at, self.description)?;
-        if let Some(cmd) = self.request {
-            write!(f, "; command c{cmd}")?;
+        if let Some(request) = self.request {
+            write!(f, "; command c{request}")?;
         }
         if let Some(server) = &self.server {
             write!(f, "; server {server}")?;
         }
         match self.replica {
-            Some(copy) => write!(f, "; copy {copy}"),
+            Some(replica) => write!(f, "; copy {replica}"),
             None => Ok(()),
         }
     }
 }
 
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FinalOutcome {
     Answered,
     Declined,
     Terminated,
-    /// The client went away.
+    /// The client disconnected.
     Left,
-    /// Its copy died: no decision of the copy's.
+    /// The process of its replica ended, or it had no final answer by its deadline.
     Lost,
 }
 
-/// Where a relay went, as the rules see it.
+/// The server of an attempt with its zone and cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Location {
     pub server: usize,
@@ -60,11 +64,11 @@
     pub cell: u32,
 }
 
-/// An earlier relay of the same command, as its copy knows it by now.
+/// An earlier attempt of the same request, as its replica knows it.
 #[derive(Clone, Copy, Debug)]
 pub struct PriorAttempt {
     pub location: Location,
-    pub sent: Duration,
+    pub sent_at: Duration,
     pub outcome: Option<Outcome>,
 }
 
@@ -74,7 +78,7 @@
     }
 }
 
-/// A command as the rules see it.
+/// The facts of a request that the rules refer to.
 pub struct RequestFacts<'a> {
     pub request: u64,
     pub replica: usize,
@@ -85,115 +89,129 @@
     pub prior_attempts: &'a [PriorAttempt],
 }
 
+/// The checker of one run and the breaches that it found.
 pub struct Referee {
-    grace: Duration,
-    slack: Duration,
-    parallel: bool,
+    removal_grace: Duration,
+    deadline_slack: Duration,
+    hedging: bool,
     pub breaches: Vec<Breach>,
-    /// By rule, the first at place 0.
+    /// Count of breaches by rule, with rule 1 at index 0.
     pub counts: [u64; 4],
 }
 
 impl Referee {
     pub fn new(rules: &Rules) -> Referee {
-        let (grace, slack) = (to_duration(rules.removal_grace), to_duration(rules.deadline_slack));
-        Referee { grace, slack, parallel: rules.hedging, breaches: Vec::new(), counts: [0; 4] }
+        let (removal_grace, deadline_slack) =
+            (to_duration(rules.removal_grace), to_duration(rules.deadline_slack));
+        Referee {
+            removal_grace,
+            deadline_slack,
+            hedging: rules.hedging,
+            breaches: Vec::new(),
+            counts: [0; 4],
+        }
     }
 
+    /// Count of breaches of all rules.
     pub fn total(&self) -> u64 {
         self.counts.iter().sum()
     }
 
-    fn breach(
+    fn record_breach(
         &mut self,
         rule: u8,
         now: Duration,
-        facts: Option<&RequestFacts>,
+        request: Option<&RequestFacts>,
         server: Option<&str>,
-        what: &str,
+        description: &str,
     ) {
         self.counts[usize::from(rule) - 1] += 1;
-        if self.breaches.len() < TOLD_MOST {
+        if self.breaches.len() < MAX_RECORDED_BREACHES {
             self.breaches.push(Breach {
                 rule,
                 at: now.as_secs_f64(),
-                request: facts.map(|facts| facts.request),
+                request: request.map(|request| request.request),
                 server: server.map(str::to_string),
-                replica: facts.map(|facts| facts.replica),
-                description: what.to_string(),
+                replica: request.map(|request| request.replica),
+                description: description.to_string(),
             });
         }
     }
 
-    /// A copy asks for a relay. `off` is since when it knows that the server drains or is gone.
+    /// Checks rules 1 to 3 for a new attempt. `unavailable_since` is the time since which the replica knows that the
+    /// server drains or is removed.
     pub fn attempt_started(
         &mut self,
         now: Duration,
-        facts: &RequestFacts,
+        request: &RequestFacts,
         to: Location,
         name: &str,
-        off: Option<Duration>,
+        unavailable_since: Option<Duration>,
     ) {
-        if facts.final_outcome.is_some() {
-            self.breach(1, now, Some(facts), Some(name), "a relay after the final answer");
+        if request.final_outcome.is_some() {
+            self.record_breach(1, now, Some(request), Some(name), "a relay after the final answer");
         }
-        if let Some(since) = off.filter(|since| now > *since + self.grace) {
-            let what = format!("a relay {:.3} s after the copy was told", (now - since).as_secs_f64());
-            self.breach(3, now, Some(facts), Some(name), &what);
+        if let Some(since) = unavailable_since.filter(|since| now > *since + self.removal_grace) {
+            let description = format!("a relay {:.3} s after the copy was told", (now - since).as_secs_f64());
+            self.record_breach(3, now, Some(request), Some(name), &description);
         }
-        for earlier in facts.prior_attempts.iter().filter(|earlier| earlier.may_have_run()) {
-            if earlier.outcome.is_none() && !self.parallel {
-                self.breach(2, now, Some(facts), Some(name), "a relay beside one that is still out");
-            } else if !repeat_is_dropped(facts, earlier, to, now) {
-                self.breach(2, now, Some(facts), Some(name), "a relay of what may have run");
+        for prior in request.prior_attempts.iter().filter(|prior| prior.may_have_run()) {
+            if prior.outcome.is_none() && !self.hedging {
+                self.record_breach(2, now, Some(request), Some(name), "a relay beside one that is still out");
+            } else if !repeat_is_deduplicated(request, prior, to, now) {
+                self.record_breach(2, now, Some(request), Some(name), "a relay of what may have run");
             }
         }
     }
 
-    pub fn request_finished(&mut self, now: Duration, facts: &RequestFacts, word: FinalOutcome) {
-        if let Some(first) = facts.final_outcome {
-            let what = format!("a second final answer, {word:?} after {first:?}");
-            self.breach(1, now, Some(facts), None, &what);
+    /// Checks rules 1 and 2 for a final outcome.
+    pub fn request_finished(&mut self, now: Duration, request: &RequestFacts, final_outcome: FinalOutcome) {
+        if let Some(earlier_outcome) = request.final_outcome {
+            let description = format!("a second final answer, {final_outcome:?} after {earlier_outcome:?}");
+            self.record_breach(1, now, Some(request), None, &description);
         }
-        if matches!(word, FinalOutcome::Answered | FinalOutcome::Declined | FinalOutcome::Terminated)
-            && now > facts.deadline + self.slack
+        if matches!(final_outcome, FinalOutcome::Answered | FinalOutcome::Declined | FinalOutcome::Terminated)
+            && now > request.deadline + self.deadline_slack
         {
-            self.breach(1, now, Some(facts), None, "a final answer past the time limit");
+            self.record_breach(1, now, Some(request), None, "a final answer past the time limit");
         }
-        let harmless = matches!(facts.retry_safety, RetrySafety::Idempotent | RetrySafety::KeyedEverywhere);
-        if word == FinalOutcome::Declined
-            && !harmless
-            && facts.prior_attempts.iter().any(PriorAttempt::may_have_run)
+        let safe_to_repeat =
+            matches!(request.retry_safety, RetrySafety::Idempotent | RetrySafety::KeyedEverywhere);
+        if final_outcome == FinalOutcome::Declined
+            && !safe_to_repeat
+            && request.prior_attempts.iter().any(PriorAttempt::may_have_run)
         {
-            self.breach(2, now, Some(facts), None, "a decline of what may have run");
+            self.record_breach(2, now, Some(request), None, "a decline of what may have run");
         }
     }
 
-    /// The time limit and the slack are over.
-    pub fn deadline_passed(&mut self, now: Duration, facts: &RequestFacts) {
-        if facts.final_outcome.is_none() {
-            self.breach(1, now, Some(facts), None, "no final answer in time");
+    /// Checks rule 1 after the time limit and the slack have passed.
+    pub fn deadline_passed(&mut self, now: Duration, request: &RequestFacts) {
+        if request.final_outcome.is_none() {
+            self.record_breach(1, now, Some(request), None, "no final answer in time");
         }
     }
 
-    /// A server begins to work on a command that something has run before, and drops no repeat of it.
-    pub fn duplicate_effect(&mut self, now: Duration, facts: &RequestFacts, name: &str) {
-        self.breach(2, now, Some(facts), Some(name), "a second effect");
+    /// Records a breach of rule 2: a server executes a request that was executed before and is not deduplicated there.
+    pub fn duplicate_effect(&mut self, now: Duration, request: &RequestFacts, name: &str) {
+        self.record_breach(2, now, Some(request), Some(name), "a second effect");
     }
 
-    pub fn cold_server_overloaded(&mut self, now: Duration, name: &str, offered: f64, able: f64) {
-        let what = format!("a cold server is brought {offered:.2} s of work where it can do {able:.2} s");
-        self.breach(4, now, None, Some(name), &what);
+    /// Records a breach of rule 4. `offered` and `capacity` are seconds of work within the overload window.
+    pub fn cold_server_overloaded(&mut self, now: Duration, name: &str, offered: f64, capacity: f64) {
+        let description =
+            format!("a cold server is brought {offered:.2} s of work where it can do {capacity:.2} s");
+        self.record_breach(4, now, None, Some(name), &description);
     }
 }
 
-fn repeat_is_dropped(facts: &RequestFacts, earlier: &PriorAttempt, to: Location, now: Duration) -> bool {
-    let within = match facts.retry_safety {
+fn repeat_is_deduplicated(request: &RequestFacts, prior: &PriorAttempt, to: Location, now: Duration) -> bool {
+    let in_scope = match request.retry_safety {
         RetrySafety::Idempotent => return true,
         RetrySafety::NonIdempotent => return false,
         RetrySafety::KeyedEverywhere => true,
-        RetrySafety::KeyedInZone => earlier.location.zone == to.zone,
-        RetrySafety::KeyedInCell => earlier.location.zone == to.zone && earlier.location.cell == to.cell,
+        RetrySafety::KeyedInZone => prior.location.zone == to.zone,
+        RetrySafety::KeyedInCell => prior.location.zone == to.zone && prior.location.cell == to.cell,
     };
-    within && now <= earlier.sent + facts.dedup_window
+    in_scope && now <= prior.sent_at + request.dedup_window
 }
--- a/crates/lab/src/tally.rs
+++ b/crates/lab/src/tally.rs
@@ -1,4 +1,4 @@
-//! What a run is measured by: final answers, utility, latencies, marks and loads, second by second.
+//! The statistics of a run, in total and by second: final outcomes, utility, latencies, ejections and server loads.
 
 use crate::referee::FinalOutcome;
 use hdrhistogram::Histogram;
@@ -6,11 +6,12 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Servers whose load is kept one by one; the rest is in the mean.
-const SERVERS_MOST: usize = 48;
-const MARKS_MOST: usize = 2_000;
+/// Bound on the servers whose load is kept individually; the mean includes all servers.
+const MAX_SERVER_LOADS: usize = 48;
+/// Bound on the notes that a run keeps.
+const MAX_EJECTION_NOTES: usize = 2_000;
 
-/// One second of a run. Utility is counted when a command first comes, what it earns when it is answered.
+/// One second of a run. Offered utility counts at the arrival of an operation, earned utility at the answer.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub struct Second {
     pub offered: f64,
@@ -22,48 +23,51 @@
     pub terminated: u32,
     pub left: u32,
     pub lost: u32,
-    /// Milliseconds; half and 99 of 100 were answered as quickly.
+    /// Median and 99th percentile of the latency of the answers, in milliseconds.
     pub p50: f64,
     pub p99: f64,
-    /// Mean commands in a server for each of its cores.
+    /// Requests at a server divided by its cores, as the mean over all servers.
     pub load: f64,
-    /// The same for single servers, in order of their numbers.
+    /// The same for each of the first servers, in order of their numbers.
     pub loads: Vec<f64>,
 }
 
+/// A log line of a replica about the ejection or return of a server.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct EjectionNote {
+    /// Seconds since the start.
     pub at: f64,
     #[serde(rename = "copy")]
     pub replica: usize,
-    /// The copy's own words: `mark s3`, `return s3`.
+    /// The replica's log line: `mark s3`, `return s3`.
     #[serde(rename = "note")]
     pub text: String,
 }
 
-/// Relays to one tier, of commands that came to the first tier past the settling time.
+/// Attempts at one tier, for requests that arrived at the first tier after the settling time.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub struct TierAttempts {
-    /// First relays: one for each call that was sent on at all.
+    /// First attempts: one for each request that was sent to a server.
     pub first: u64,
-    /// Further ones, by how the one before ended: it never ran.
+    /// Retries after an attempt that never ran.
     pub after_never_ran: u64,
-    /// It failed or broke, or there was no answer by its time.
+    /// Retries after an attempt that failed, broke off, timed out or was still open.
     pub after_failed: u64,
-    /// The copy itself called it off.
+    /// Retries after an attempt that the replica cancelled.
     pub after_cancelled: u64,
 }
 
 impl TierAttempts {
+    /// All attempts at the tier.
     pub fn total(&self) -> u64 {
         self.first + self.after_never_ran + self.after_failed + self.after_cancelled
     }
 }
 
-/// What a run came to, without the settling time at its start.
+/// Totals of a run, without the settling time at its start.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub struct Totals {
-    /// Earned utility as a share of the offered.
+    /// Earned utility as a fraction of the offered utility.
     #[serde(rename = "kept")]
     pub utility_fraction: f64,
     #[serde(rename = "came")]
@@ -77,18 +81,18 @@
     pub lost: u64,
     #[serde(rename = "relays")]
     pub attempts: u64,
-    /// Relays for each command.
+    /// Attempts divided by arrived operations.
     #[serde(rename = "relays_each")]
     pub attempts_per_request: f64,
-    /// Milliseconds from a command's coming to its answer.
+    /// Percentiles of the latency from the arrival of a request to its answer, in milliseconds.
     pub p50: f64,
     pub p90: f64,
     pub p99: f64,
     pub p999: f64,
-    /// Commands that clients had no copy for, or the world no room.
+    /// Requests that were refused because no replica ran or the bound on open requests was reached.
     #[serde(rename = "unheard")]
     pub not_accepted: u64,
-    /// Relays to servers that could not be reached, and when the last of them was sent, in seconds since the start.
+    /// Attempts at servers that were down or unreachable, and the time of the last one in seconds since the start.
     #[serde(default)]
     #[serde(rename = "vain")]
     pub unreachable_attempts: u64,
@@ -96,37 +100,39 @@
     #[serde(rename = "vain_last")]
     pub last_unreachable_at: f64,
     pub tenants: Vec<f64>,
-    /// In order of the tiers.
+    /// Attempts at each tier, in order of the tiers.
     #[serde(default)]
     pub tiers: Vec<TierAttempts>,
 }
 
 impl Totals {
-    /// Relays to the last tier over the commands that clients wanted: 1 where nothing is repeated or given up.
+    /// Attempts at the last tier divided by operations of clients: 1 without retries and failures.
     pub fn attempt_amplification(&self) -> f64 {
         self.tiers.last().map_or(0, TierAttempts::total) as f64 / self.arrived.max(1) as f64
     }
 }
 
 fn histogram() -> Histogram<u64> {
-    // Microseconds up to an hour; two digits are what a plot shows.
-    Histogram::new_with_bounds(1, 3_600_000_000, 2).expect("bounds and digits are within what it takes")
+    // Microseconds up to an hour, with two significant digits, which suffices for plots.
+    Histogram::new_with_bounds(1, 3_600_000_000, 2)
+        .expect("the bounds and the count of digits are valid for a histogram")
 }
 
+/// Collects the statistics of one run.
 pub struct Statistics {
     settle: Duration,
     seconds: Vec<Second>,
-    within: Histogram<u64>,
-    all: Histogram<u64>,
+    second_latencies: Histogram<u64>,
+    total_latencies: Histogram<u64>,
     totals: Totals,
     offered: f64,
     earned: f64,
-    by_tenant: Vec<(f64, f64)>,
-    marks: Vec<EjectionNote>,
-    filled: usize,
+    utility_by_tenant: Vec<(f64, f64)>,
+    ejections: Vec<EjectionNote>,
+    ended_seconds: usize,
 }
 
-fn ms(histogram: &Histogram<u64>, share: f64) -> f64 {
+fn quantile_ms(histogram: &Histogram<u64>, share: f64) -> f64 {
     histogram.value_at_quantile(share) as f64 / 1000.0
 }
 
@@ -135,18 +141,18 @@
         Statistics {
             settle,
             seconds: Vec::new(),
-            within: histogram(),
-            all: histogram(),
+            second_latencies: histogram(),
+            total_latencies: histogram(),
             totals: Totals { tiers: vec![TierAttempts::default(); tiers], ..Totals::default() },
             offered: 0.0,
             earned: 0.0,
-            by_tenant: vec![(0.0, 0.0); tenants],
-            marks: Vec::new(),
-            filled: 0,
+            utility_by_tenant: vec![(0.0, 0.0); tenants],
+            ejections: Vec::new(),
+            ended_seconds: 0,
         }
     }
 
-    fn second(&mut self, now: Duration) -> &mut Second {
+    fn second_at(&mut self, now: Duration) -> &mut Second {
         let at = now.as_secs() as usize;
         if self.seconds.len() <= at {
             self.seconds.resize(at + 1, Second::default());
@@ -154,68 +160,78 @@
         &mut self.seconds[at]
     }
 
-    /// `counted` is whether its first coming lies past the settling time.
+    /// Records the first arrival of an operation with the utility that it offers.
     pub fn record_arrival(&mut self, now: Duration, utility: f64, tenant: usize) {
-        let second = self.second(now);
-        second.offered += utility;
-        second.arrived += 1;
+        let second_at = self.second_at(now);
+        second_at.offered += utility;
+        second_at.arrived += 1;
         if now >= self.settle {
             self.totals.arrived += 1;
             self.offered += utility;
-            self.by_tenant[tenant].0 += utility;
+            self.utility_by_tenant[tenant].0 += utility;
         }
     }
 
-    pub fn record_utility(&mut self, now: Duration, since: Duration, utility: f64, tenant: usize) {
-        self.second(now).earned += utility;
-        if since >= self.settle {
+    /// Records the utility that a request earned, with the time of its arrival.
+    pub fn record_utility(&mut self, now: Duration, arrived_at: Duration, utility: f64, tenant: usize) {
+        self.second_at(now).earned += utility;
+        if arrived_at >= self.settle {
             self.earned += utility;
             self.totals.within_objective += u64::from(utility > 0.0);
-            self.by_tenant[tenant].1 += utility;
+            self.utility_by_tenant[tenant].1 += utility;
         }
     }
 
-    pub fn record_final_outcome(&mut self, now: Duration, since: Duration, word: FinalOutcome) {
-        let counted = u64::from(since >= self.settle);
-        let second = self.second(now);
-        let of_second = match word {
-            FinalOutcome::Answered => &mut second.answered,
-            FinalOutcome::Declined => &mut second.declined,
-            FinalOutcome::Terminated => &mut second.terminated,
-            FinalOutcome::Left => &mut second.left,
-            FinalOutcome::Lost => &mut second.lost,
+    /// Records the final outcome of a request, with the time of its arrival.
+    pub fn record_final_outcome(&mut self, now: Duration, arrived_at: Duration, final_outcome: FinalOutcome) {
+        let counted = u64::from(arrived_at >= self.settle);
+        let second_at = self.second_at(now);
+        let second_count = match final_outcome {
+            FinalOutcome::Answered => &mut second_at.answered,
+            FinalOutcome::Declined => &mut second_at.declined,
+            FinalOutcome::Terminated => &mut second_at.terminated,
+            FinalOutcome::Left => &mut second_at.left,
+            FinalOutcome::Lost => &mut second_at.lost,
         };
-        *of_second += 1;
-        let of_all = match word {
+        *second_count += 1;
+        let total_count = match final_outcome {
             FinalOutcome::Answered => &mut self.totals.answered,
             FinalOutcome::Declined => &mut self.totals.declined,
             FinalOutcome::Terminated => &mut self.totals.terminated,
             FinalOutcome::Left => &mut self.totals.left,
             FinalOutcome::Lost => &mut self.totals.lost,
         };
-        *of_all += counted;
-        if word == FinalOutcome::Answered {
-            let took = now.saturating_sub(since).as_micros() as u64;
-            self.within.saturating_record(took.max(1));
+        *total_count += counted;
+        if final_outcome == FinalOutcome::Answered {
+            let latency = now.saturating_sub(arrived_at).as_micros() as u64;
+            self.second_latencies.saturating_record(latency.max(1));
             if counted > 0 {
-                self.all.saturating_record(took.max(1));
+                self.total_latencies.saturating_record(latency.max(1));
             }
         }
     }
 
-    /// `vain`: its server can't be reached from there.
-    pub fn record_attempt(&mut self, now: Duration, vain: bool) {
+    /// Records an attempt; `unreachable` says that the replica can't reach its server.
+    pub fn record_attempt(&mut self, now: Duration, unreachable: bool) {
         self.totals.attempts += u64::from(now >= self.settle);
-        if vain && now >= self.settle {
+        if unreachable && now >= self.settle {
             self.totals.unreachable_attempts += 1;
             self.totals.last_unreachable_at = now.as_secs_f64();
         }
     }
 
-    /// `since` is when its command came to the first tier; `before` how the relay before it ended, if there was one.
-    pub fn record_tier_attempt(&mut self, tier: usize, since: Duration, before: Option<Option<Outcome>>) {
-        let Some(of_tier) = self.totals.tiers.get_mut(tier).filter(|_| since >= self.settle) else { return };
-        match before {
+    /// Records an attempt at a tier. `arrived_at` is the arrival of its request at the first tier; `previous_outcome` is
+    /// the outcome of the previous attempt, with an inner `None` if that one is still open.
+    pub fn record_tier_attempt(
+        &mut self,
+        tier: usize,
+        arrived_at: Duration,
+        previous_outcome: Option<Option<Outcome>>,
+    ) {
+        let Some(of_tier) = self.totals.tiers.get_mut(tier).filter(|_| arrived_at >= self.settle) else {
+            return;
+        };
+        match previous_outcome {
             None => of_tier.first += 1,
             Some(Some(Outcome::Cancelled)) => of_tier.after_cancelled += 1,
             Some(Some(outcome)) if outcome.never_ran() => of_tier.after_never_ran += 1,
@@ -223,45 +239,51 @@
         }
     }
 
+    /// Records a request that was refused before a replica saw it.
     pub fn record_not_accepted(&mut self, now: Duration) {
         self.totals.not_accepted += u64::from(now >= self.settle);
     }
 
-    pub fn record_note(&mut self, now: Duration, copy: usize, note: &str) {
-        if self.marks.len() < MARKS_MOST && (note.starts_with("mark") || note.starts_with("return")) {
-            self.marks.push(EjectionNote { at: now.as_secs_f64(), replica: copy, text: note.into() });
+    /// Records a log line if it tells of an ejection or a return, up to a bound.
+    pub fn record_note(&mut self, now: Duration, replica: usize, text: &str) {
+        if self.ejections.len() < MAX_EJECTION_NOTES
+            && (text.starts_with("mark") || text.starts_with("return"))
+        {
+            self.ejections.push(EjectionNote { at: now.as_secs_f64(), replica, text: text.into() });
         }
     }
 
-    /// Ends a second. `loads` are the servers' commands for each core.
+    /// Closes a second. `loads` are the requests at each server divided by its cores.
     pub fn end_second(&mut self, now: Duration, loads: &[f64]) {
-        let (p50, p99) = (ms(&self.within, 0.5), ms(&self.within, 0.99));
-        self.within.reset();
-        let at = self.filled;
-        self.filled += 1;
-        self.second(now);
-        let second = &mut self.seconds[at];
-        (second.p50, second.p99) = (p50, p99);
-        second.load = loads.iter().sum::<f64>() / loads.len().max(1) as f64;
-        second.loads = loads.iter().take(SERVERS_MOST).copied().collect();
+        let (p50, p99) =
+            (quantile_ms(&self.second_latencies, 0.5), quantile_ms(&self.second_latencies, 0.99));
+        self.second_latencies.reset();
+        let at = self.ended_seconds;
+        self.ended_seconds += 1;
+        self.second_at(now);
+        let second_at = &mut self.seconds[at];
+        (second_at.p50, second_at.p99) = (p50, p99);
+        second_at.load = loads.iter().sum::<f64>() / loads.len().max(1) as f64;
+        second_at.loads = loads.iter().take(MAX_SERVER_LOADS).copied().collect();
     }
 
-    /// The second that was ended last.
+    /// The second that was closed last.
     pub fn last_second(&self) -> Option<&Second> {
-        self.seconds.get(self.filled.checked_sub(1)?)
+        self.seconds.get(self.ended_seconds.checked_sub(1)?)
     }
 
+    /// Returns the totals, the closed seconds and the notes on ejections.
     pub fn finish(mut self) -> (Totals, Vec<Second>, Vec<EjectionNote>) {
         let part = |(offered, earned): &(f64, f64)| if *offered > 0.0 { earned / offered } else { 1.0 };
         let whole = (self.offered, self.earned);
         self.totals.utility_fraction = part(&whole);
-        self.totals.tenants = self.by_tenant.iter().map(part).collect();
+        self.totals.tenants = self.utility_by_tenant.iter().map(part).collect();
         self.totals.attempts_per_request = self.totals.attempts as f64 / self.totals.arrived.max(1) as f64;
-        self.totals.p50 = ms(&self.all, 0.5);
-        self.totals.p90 = ms(&self.all, 0.9);
-        self.totals.p99 = ms(&self.all, 0.99);
-        self.totals.p999 = ms(&self.all, 0.999);
-        self.seconds.truncate(self.filled);
-        (self.totals, self.seconds, self.marks)
+        self.totals.p50 = quantile_ms(&self.total_latencies, 0.5);
+        self.totals.p90 = quantile_ms(&self.total_latencies, 0.9);
+        self.totals.p99 = quantile_ms(&self.total_latencies, 0.99);
+        self.totals.p999 = quantile_ms(&self.total_latencies, 0.999);
+        self.seconds.truncate(self.ended_seconds);
+        (self.totals, self.seconds, self.ejections)
     }
 }
--- a/crates/lab/src/world/agenda.rs
+++ b/crates/lab/src/world/agenda.rs
@@ -1,52 +1,53 @@
-//! What is to happen, in order of time. At one moment what was put down first happens first: the order is stated
-//! and does not depend on the heap.
+//! The event queue of the simulation, ordered by time. Events of the same time are taken in the order in which they
+//! were scheduled, so the order does not depend on the heap.
 
-use super::happening::Happening;
+use super::happening::SimEvent;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-struct Entry {
+struct ScheduledEvent {
     at: Duration,
-    number: u64,
-    what: Happening,
+    sequence: u64,
+    event: SimEvent,
 }
 
-impl PartialEq for Entry {
-    fn eq(&self, other: &Entry) -> bool {
-        self.number == other.number
+impl PartialEq for ScheduledEvent {
+    fn eq(&self, other: &ScheduledEvent) -> bool {
+        self.sequence == other.sequence
     }
 }
 
-impl Eq for Entry {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Entry {
-    fn partial_cmp(&self, other: &Entry) -> Option<Ordering> {
+impl PartialOrd for ScheduledEvent {
+    fn partial_cmp(&self, other: &ScheduledEvent) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Entry {
-    fn cmp(&self, other: &Entry) -> Ordering {
-        (self.at, self.number).cmp(&(other.at, other.number))
+impl Ord for ScheduledEvent {
+    fn cmp(&self, other: &ScheduledEvent) -> Ordering {
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
-/// Its size is bounded by what it is about: so many entries for each open command, copy, server and fault.
+/// Pending events by time. The size is bounded by a fixed number of events for each open request, replica, server and
+/// fault.
 #[derive(Default)]
-pub struct Agenda {
-    heap: BinaryHeap<Reverse<Entry>>,
-    number: u64,
+pub struct EventQueue {
+    heap: BinaryHeap<Reverse<ScheduledEvent>>,
+    sequence: u64,
 }
 
-impl Agenda {
-    pub fn put(&mut self, at: Duration, what: Happening) {
-        self.number += 1;
-        self.heap.push(Reverse(Entry { at, number: self.number, what }));
+impl EventQueue {
+    pub fn schedule(&mut self, at: Duration, event: SimEvent) {
+        self.sequence += 1;
+        self.heap.push(Reverse(ScheduledEvent { at, sequence: self.sequence, event }));
     }
 
-    pub fn next(&mut self) -> Option<(Duration, Happening)> {
-        self.heap.pop().map(|Reverse(entry)| (entry.at, entry.what))
+    pub fn next(&mut self) -> Option<(Duration, SimEvent)> {
+        self.heap.pop().map(|Reverse(scheduled)| (scheduled.at, scheduled.event))
     }
 
     pub fn len(&self) -> usize {
--- a/crates/lab/src/world/faults.rs
+++ b/crates/lab/src/world/faults.rs
@@ -1,93 +1,95 @@
-//! Faults as they begin, go on and end. Those that only change a factor act by being among the active ones; the
-//! others act here.
+//! The begin, the steps and the end of faults. A fault that only changes a factor takes effect by being among the active
+//! faults; the others act on the state here.
 
-use super::ground::{Ground, Standing};
-use super::happening::Happening;
+use super::ground::{ServerStatus, SimulationState};
+use super::happening::SimEvent;
 use crate::plan::{Fault, FaultKind, to_duration};
 use std::time::Duration;
 
-impl Ground {
-    pub fn put_faults(&mut self) {
-        for (number, fault) in self.plan.clone().faults.iter().enumerate() {
-            self.put(to_duration(fault.at), Happening::FaultBegins(number));
-            self.put(to_duration(fault.at + fault.duration), Happening::FaultEnds(number));
+impl SimulationState {
+    pub fn schedule_faults(&mut self) {
+        for (fault_index, fault) in self.plan.clone().faults.iter().enumerate() {
+            self.schedule(to_duration(fault.at), SimEvent::FaultBegins(fault_index));
+            self.schedule(to_duration(fault.at + fault.duration), SimEvent::FaultEnds(fault_index));
         }
     }
 
-    fn struck(&self, fault: &Fault) -> Vec<usize> {
-        let of_tier = &self.by_tier[fault.tier];
-        fault.servers.iter().filter_map(|place| of_tier.get(*place).copied()).collect()
+    fn affected_servers(&self, fault: &Fault) -> Vec<usize> {
+        let servers_of_tier = &self.servers_by_tier[fault.tier];
+        fault.servers.iter().filter_map(|index| servers_of_tier.get(*index).copied()).collect()
     }
 
-    pub fn fault_begins(&mut self, number: usize) {
+    pub fn fault_begins(&mut self, fault_index: usize) {
         let plan = self.plan.clone();
-        let fault = &plan.faults[number];
+        let fault = &plan.faults[fault_index];
         if fault.kind == FaultKind::ListStale {
-            self.remember_lists(fault.tier);
+            self.snapshot_lists(fault.tier);
         }
-        self.active.push(number);
+        self.active_faults.push(fault_index);
         match fault.kind {
-            FaultKind::Crash => self.strike_all(self.struck(fault), Standing::Down),
-            FaultKind::Vanish => self.strike_all(self.struck(fault), Standing::Silent),
+            FaultKind::Crash => self.take_all_down(self.affected_servers(fault), ServerStatus::Down),
+            FaultKind::Vanish => self.take_all_down(self.affected_servers(fault), ServerStatus::Unreachable),
             FaultKind::Grow => self.grow(fault),
             FaultKind::Shrink => self.shrink(fault),
-            FaultKind::ListEmpty => self.tell_whole(fault.tier),
+            FaultKind::ListEmpty => self.broadcast_full_list(fault.tier),
             FaultKind::ListDown => self.end_watches(fault.tier),
             FaultKind::ZoneLost => self.lose_zone(fault),
-            FaultKind::ListFlapping | FaultKind::ReplicasRestarted => self.fault_step(number, 0),
+            FaultKind::ListFlapping | FaultKind::ReplicasRestarted => self.fault_step(fault_index, 0),
             FaultKind::ReplicasDown => {
-                (0..plan.affected_replicas(fault)).for_each(|copy| self.copy_dies(copy))
+                (0..plan.affected_replicas(fault)).for_each(|replica| self.stop_replica(replica))
             }
             _ => {}
         }
     }
 
-    pub fn fault_ends(&mut self, number: usize) {
+    pub fn fault_ends(&mut self, fault_index: usize) {
         let plan = self.plan.clone();
-        let fault = &plan.faults[number];
-        self.active.retain(|active| *active != number);
+        let fault = &plan.faults[fault_index];
+        self.active_faults.retain(|active| *active != fault_index);
         match fault.kind {
             FaultKind::Crash | FaultKind::Vanish => {
-                self.struck(fault).into_iter().for_each(|server| self.put_up(server));
+                self.affected_servers(fault).into_iter().for_each(|server| self.bring_up(server));
             }
             FaultKind::Pause => {
-                let struck = self.struck(fault);
-                struck.into_iter().for_each(|server| self.put_in(Duration::ZERO, Happening::GoesOn(server)));
+                let affected_servers = self.affected_servers(fault);
+                affected_servers
+                    .into_iter()
+                    .for_each(|server| self.schedule_in(Duration::ZERO, SimEvent::PauseEnded(server)));
             }
-            FaultKind::ZoneLost => self.regain_zone(fault),
-            FaultKind::ListEmpty | FaultKind::ListStale => self.tell_whole(fault.tier),
-            FaultKind::ListFlapping => self.flap(fault, false),
+            FaultKind::ZoneLost => self.restore_zone(fault),
+            FaultKind::ListEmpty | FaultKind::ListStale => self.broadcast_full_list(fault.tier),
+            FaultKind::ListFlapping => self.set_flapping(fault, false),
             FaultKind::ReplicasDown => (0..plan.affected_replicas(fault))
-                .for_each(|copy| self.put_in(Duration::ZERO, Happening::CopyUp(copy))),
+                .for_each(|replica| self.schedule_in(Duration::ZERO, SimEvent::ReplicaStarts(replica))),
             _ => {}
         }
     }
 
-    fn strike_all(&mut self, servers: Vec<usize>, standing: Standing) {
+    fn take_all_down(&mut self, servers: Vec<usize>, status: ServerStatus) {
         for server in servers {
-            if self.servers[server].standing == Standing::Up && !self.servers[server].gone {
-                self.strike_down(server, standing);
+            if self.servers[server].status == ServerStatus::Up && !self.servers[server].removed {
+                self.take_down(server, status);
             }
         }
     }
 
-    /// A process starts that is away now; one that another fault still holds down waits for that one's end.
-    fn put_up(&mut self, server: usize) {
-        let held = self.faults().any(|fault| {
+    /// Starts a server that is down, unless another active fault still keeps it down; that fault starts it at its end.
+    fn bring_up(&mut self, server: usize) {
+        let still_affected = self.faults().any(|fault| {
             matches!(fault.kind, FaultKind::Crash | FaultKind::Vanish)
-                && self.strikes(fault, &self.servers[server])
+                && self.affects(fault, &self.servers[server])
                 || fault.kind == FaultKind::ZoneLost
-                    && self.zone_number(fault.zone.as_ref()) == Some(self.servers[server].zone)
+                    && self.zone_index(fault.zone.as_ref()) == Some(self.servers[server].zone)
         });
-        if !held && self.servers[server].standing != Standing::Up {
-            let life = self.servers[server].life;
-            self.put_in(Duration::ZERO, Happening::ServerUp(server, life));
+        if !still_affected && self.servers[server].status != ServerStatus::Up {
+            let generation = self.servers[server].generation;
+            self.schedule_in(Duration::ZERO, SimEvent::ServerStarts(server, generation));
         }
     }
 
-    pub fn server_up(&mut self, server: usize, life: u32) {
-        let here = &self.servers[server];
-        if here.life == life && here.standing != Standing::Up && !here.gone {
+    pub fn server_starts(&mut self, server: usize, generation: u32) {
+        let target = &self.servers[server];
+        if target.generation == generation && target.status != ServerStatus::Up && !target.removed {
             self.start_server(server);
         }
     }
@@ -95,91 +97,92 @@
     fn grow(&mut self, fault: &Fault) {
         for _ in 0..fault.count.unwrap_or(0) {
             let server = self.add_server(fault.tier);
-            self.servers[server].life += 1;
-            let copy = self.add_own_copy(server);
-            if let Some(copy) = copy {
-                self.copies[copy].up = false;
+            self.servers[server].generation += 1;
+            let replica = self.add_attached_replica(server);
+            if let Some(replica) = replica {
+                self.replicas[replica].up = false;
             }
             self.start_server(server);
         }
     }
 
     fn shrink(&mut self, fault: &Fault) {
-        let drain = to_duration(self.plan.discovery.drain_time);
-        for server in self.struck(fault) {
+        let drain_time = to_duration(self.plan.discovery.drain_time);
+        for server in self.affected_servers(fault) {
             self.servers[server].draining = true;
-            self.list_hears(server);
-            self.put_in(drain, Happening::ServerLeaves(server));
+            self.update_list_source(server);
+            self.schedule_in(drain_time, SimEvent::ServerRemoved(server));
         }
     }
 
-    pub fn server_leaves(&mut self, server: usize) {
-        self.servers[server].gone = true;
-        self.strike_down(server, Standing::Down);
-        self.list_hears(server);
+    pub fn remove_server(&mut self, server: usize) {
+        self.servers[server].removed = true;
+        self.take_down(server, ServerStatus::Down);
+        self.update_list_source(server);
     }
 
     fn lose_zone(&mut self, fault: &Fault) {
-        let Some(zone) = self.zone_number(fault.zone.as_ref()) else { return };
+        let Some(zone) = self.zone_index(fault.zone.as_ref()) else { return };
         let servers = (0..self.servers.len()).filter(|server| self.servers[*server].zone == zone).collect();
-        self.strike_all(servers, Standing::Silent);
-        for copy in 0..self.copies.len() {
-            if self.copies[copy].zone == zone {
-                self.copy_dies(copy);
+        self.take_all_down(servers, ServerStatus::Unreachable);
+        for replica in 0..self.replicas.len() {
+            if self.replicas[replica].zone == zone {
+                self.stop_replica(replica);
             }
         }
     }
 
-    fn regain_zone(&mut self, fault: &Fault) {
-        let Some(zone) = self.zone_number(fault.zone.as_ref()) else { return };
+    fn restore_zone(&mut self, fault: &Fault) {
+        let Some(zone) = self.zone_index(fault.zone.as_ref()) else { return };
         for server in 0..self.servers.len() {
             if self.servers[server].zone == zone {
-                self.put_up(server);
+                self.bring_up(server);
             }
         }
-        for copy in 0..self.copies.len() {
-            if self.copies[copy].zone == zone && self.copies[copy].beside.is_none() {
-                self.put_in(Duration::ZERO, Happening::CopyUp(copy));
+        for replica in 0..self.replicas.len() {
+            if self.replicas[replica].zone == zone && self.replicas[replica].attached_server.is_none() {
+                self.schedule_in(Duration::ZERO, SimEvent::ReplicaStarts(replica));
             }
         }
     }
 
-    /// The step of a fault that acts again and again.
-    pub fn fault_step(&mut self, number: usize, step: u32) {
+    /// Runs one step of a fault that acts repeatedly and schedules the next.
+    pub fn fault_step(&mut self, fault_index: usize, step: u32) {
         let plan = self.plan.clone();
-        let fault = &plan.faults[number];
-        if !self.active.contains(&number) && fault.kind == FaultKind::ListFlapping {
+        let fault = &plan.faults[fault_index];
+        if !self.active_faults.contains(&fault_index) && fault.kind == FaultKind::ListFlapping {
             return;
         }
-        let every = to_duration(fault.seconds.unwrap_or(1.0));
+        let step_interval = to_duration(fault.seconds.unwrap_or(1.0));
         match fault.kind {
-            FaultKind::ListFlapping => self.flap(fault, step.is_multiple_of(2)),
+            FaultKind::ListFlapping => self.set_flapping(fault, step.is_multiple_of(2)),
             FaultKind::ReplicasRestarted => {
-                self.copy_dies(step as usize);
-                self.put_in(Duration::from_secs(1), Happening::CopyUp(step as usize));
+                self.stop_replica(step as usize);
+                self.schedule_in(Duration::from_secs(1), SimEvent::ReplicaStarts(step as usize));
                 if step as usize + 1 >= plan.affected_replicas(fault) {
                     return;
                 }
             }
             _ => return,
         }
-        self.put_in(every, Happening::FaultStep(number, step + 1));
+        self.schedule_in(step_interval, SimEvent::FaultStep(fault_index, step + 1));
     }
 
-    /// The list says that these servers drain, or takes it back.
-    fn flap(&mut self, fault: &Fault, out: bool) {
-        for server in self.struck(fault) {
-            let truly = self.servers[server].draining;
-            self.servers[server].draining = truly || out;
-            self.list_hears(server);
-            self.servers[server].draining = truly;
+    /// Lists the servers of the fault as draining, or by their actual state again.
+    fn set_flapping(&mut self, fault: &Fault, listed_draining: bool) {
+        for server in self.affected_servers(fault) {
+            let actually_draining = self.servers[server].draining;
+            self.servers[server].draining = actually_draining || listed_draining;
+            self.update_list_source(server);
+            self.servers[server].draining = actually_draining;
         }
     }
 
-    fn remember_lists(&mut self, tier: usize) {
-        let list = self.list_of(tier);
-        for copy in self.copies.iter_mut().filter(|copy| copy.tier == tier) {
-            copy.last_list = list.clone();
+    /// Keeps the present list at each replica of the tier, to be served while the list is stale.
+    fn snapshot_lists(&mut self, tier: usize) {
+        let list = self.listed_servers(tier);
+        for replica in self.replicas.iter_mut().filter(|replica| replica.tier == tier) {
+            replica.last_list = list.clone();
         }
     }
 }
--- a/crates/lab/src/world/ground.rs
+++ b/crates/lab/src/world/ground.rs
@@ -1,12 +1,12 @@
-//! The emulated world's books: servers, copies, commands, and what is to happen. It owns their shapes and how one
-//! finds the other; it must never call a picker, which is for the loop in `world/mod.rs` alone, so that a picker
-//! that asks for something during a call finds the books free.
-
-use super::agenda::Agenda;
-use super::dice::{Dice, exponential};
-use super::happening::{Alive, Happening, JobKey, Leg};
-use super::source::Source;
-use super::window::Window;
+//! The state of the simulation: servers, replicas, requests, the network and the event queue. It never calls a load
+//! balancer: only the loop in `world/mod.rs` does, while the state is not borrowed, so that a load balancer may call its
+//! host meanwhile.
+
+use super::agenda::EventQueue;
+use super::dice::{RandomStreams, exponential};
+use super::happening::{AttemptKey, JobKey, ReplicaProcess, SimEvent};
+use super::source::ListSource;
+use super::window::SequenceMap;
 use crate::cold::{ColdPeaks, OfferedWork};
 use crate::plan::{Fault, RetrySafety, Scenario, to_duration};
 use crate::referee::{FinalOutcome, Location, PriorAttempt, Referee, RequestFacts};
@@ -18,188 +18,199 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Open commands that the world has room for: past it clients are turned away before any copy.
-pub const CMDS_MOST: usize = 400_000;
+/// Bound on open requests; beyond it clients are refused before a replica sees them.
+pub const MAX_OPEN_REQUESTS: usize = 400_000;
 
+/// The status of a server's process and of its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ServerStatus {
     Up,
-    /// Its process has ended: connections are refused.
+    /// The process has ended: connections are refused.
     Down,
-    /// Nothing of it is heard.
-    Silent,
+    /// The machine neither answers nor refuses connections.
+    Unreachable,
 }
 
+/// A server, over all its processes.
 pub struct Server {
     pub id: Id,
     pub tier: usize,
-    /// Its number within its tier.
-    pub place: usize,
+    /// Index within the tier.
+    pub index_in_tier: usize,
     pub zone: u32,
     pub cell: u32,
     pub speed: f64,
-    pub standing: Standing,
-    pub life: u32,
-    /// Since when it warms; none once it is warm.
-    pub cold_from: Option<Duration>,
-    pub up_since: Option<Duration>,
+    pub status: ServerStatus,
+    pub generation: u32,
+    /// Start of the warm-up of the present process; `None` for a server that was warm from the start of the run.
+    pub warming_since: Option<Duration>,
+    pub started_at: Option<Duration>,
     pub draining: bool,
-    pub gone: bool,
+    pub removed: bool,
     pub queue: VecDeque<JobKey>,
     pub running: usize,
     pub jobs: usize,
-    pub jammed: bool,
-    /// What was brought while it was cold.
-    pub brought: OfferedWork,
-    pub reported: (Duration, f64, f64),
-    /// The copy by which it calls the next tier.
-    pub copy: Option<usize>,
+    pub congested: bool,
+    /// Work that arrived while the server was cold.
+    pub offered_work: OfferedWork,
+    /// Time and figures (queued, in flight) of the last load report that was computed.
+    pub last_report: (Duration, f64, f64),
+    /// The replica through which it calls the next tier.
+    pub replica: Option<usize>,
 }
 
 impl Server {
-    pub fn where_it_is(&self, number: usize) -> Location {
+    pub fn location(&self, number: usize) -> Location {
         Location { server: number, zone: self.zone, cell: self.cell }
     }
 }
 
+/// The work of one attempt at a server.
 pub struct Job {
     pub serial: u64,
     pub server: usize,
-    pub leg: Leg,
-    pub verb: usize,
+    pub attempt_key: AttemptKey,
+    pub class: usize,
     pub tenant: usize,
-    pub origin: u64,
-    /// The copy waits no longer than this, as far as the server is told.
-    pub until: Duration,
+    pub operation: u64,
+    /// Time until which the replica waits, if the server is told; otherwise the maximum.
+    pub attempt_deadline: Duration,
     pub work: f64,
     pub calls_left: u32,
-    pub called_off: bool,
+    pub cancelled: bool,
     pub started: bool,
-    /// It fails at once.
-    pub errs: bool,
-    pub back: Duration,
+    /// Whether the job fails instead of being answered.
+    pub fails: bool,
+    pub return_delay: Duration,
 }
 
-pub struct Relay {
+/// One attempt of a request, as its replica knows it.
+pub struct Attempt {
     pub server: usize,
-    pub sent: Duration,
-    pub until: Duration,
+    pub sent_at: Duration,
+    pub attempt_deadline: Duration,
     pub delay: Duration,
-    pub fresh: bool,
-    /// Its server failed as a call of its own to the next tier did.
-    pub failed_below: bool,
+    pub new_connection: bool,
+    /// Whether the server failed because its own call to the next tier failed.
+    pub failed_downstream: bool,
     pub outcome: Option<Outcome>,
     pub job: Option<JobKey>,
 }
 
-pub struct Cmd {
+/// A request at a replica, from a client or from a job of the tier above.
+pub struct Request {
     pub id: Id,
-    pub copy: Alive,
-    pub verb: usize,
+    pub process: ReplicaProcess,
+    pub class: usize,
     pub tenant: usize,
-    pub came: Duration,
-    /// When the command came to the first tier that this one is part of.
-    pub since: Duration,
-    pub due: Duration,
-    pub origin: u64,
-    pub finished: Option<FinalOutcome>,
-    pub relays: Vec<Relay>,
-    /// Jobs of it that some server still holds.
+    pub arrived_at: Duration,
+    /// Arrival at the first tier of the request that this one belongs to.
+    pub entered_at: Duration,
+    pub deadline: Duration,
+    pub operation: u64,
+    pub final_outcome: Option<FinalOutcome>,
+    pub attempts: Vec<Attempt>,
+    /// Count of its jobs that servers still hold.
     pub jobs: u32,
-    /// The job that waits for it, in the tier before.
+    /// The job of the tier above that waits for this request.
     pub parent: Option<JobKey>,
 }
 
-/// What a client wants once, however many commands it takes.
-pub struct Origin {
-    pub verb: usize,
+/// A client's operation, sent as one request or, with retries, as several.
+pub struct Operation {
+    pub class: usize,
     pub tenant: usize,
     pub zone: u32,
-    pub size: f64,
-    pub tries: u32,
-    pub beyond: bool,
-    /// Where and when it was begun, but for dropped repeats.
-    pub ran: Vec<(Location, Duration, u64)>,
-    /// Commands of it that are not forgotten, and a try to come.
-    pub live: u32,
+    pub work_multiple: f64,
+    pub retries: u32,
+    pub over_quota: bool,
+    /// Executions that were not deduplicated: location, time and number of the request.
+    pub executions: Vec<(Location, Duration, u64)>,
+    /// Requests that still refer to the operation, plus a scheduled retry.
+    pub references: u32,
 }
 
+/// Idle connections of a replica to one process of a server.
 #[derive(Clone, Copy, Default)]
-pub struct Kept {
-    pub idle: u32,
-    pub last: Duration,
-    pub life: u32,
+pub struct IdleConnections {
+    pub count: u32,
+    pub last_used: Duration,
+    pub generation: u32,
 }
 
-pub struct Copy {
+/// One replica of the sidecar, over all its processes.
+pub struct Replica {
     pub tier: usize,
     pub zone: u32,
     pub ordinal: u32,
-    pub life: u32,
+    pub generation: u32,
     pub up: bool,
-    /// The server beside which it stands; none in the first tier.
-    pub beside: Option<usize>,
-    /// Which servers it was told are ready, by their number.
-    pub known: Vec<bool>,
-    pub off_since: BTreeMap<usize, Duration>,
+    /// The server that calls through this replica; `None` in the first tier.
+    pub attached_server: Option<usize>,
+    /// Whether the last list showed a server as ready, by the number of the server.
+    pub listed_ready: Vec<bool>,
+    /// Since when the replica knows that a server drains or is removed.
+    pub unavailable_since: BTreeMap<usize, Duration>,
     pub watching: bool,
-    /// Lists come in order: none before this.
-    pub list_at: Duration,
+    /// Delivery time of the latest list; later lists are not delivered before it.
+    pub last_list_at: Duration,
     pub last_list: Rc<[ListedServer]>,
-    pub kept: BTreeMap<usize, Kept>,
+    pub idle_connections: BTreeMap<usize, IdleConnections>,
 }
 
-pub struct Ground {
+/// The whole state of one run.
+pub struct SimulationState {
     pub plan: Rc<Scenario>,
     pub now: Duration,
-    pub agenda: Agenda,
-    pub dice: Dice,
+    pub event_queue: EventQueue,
+    pub rng: RandomStreams,
     pub servers: Vec<Server>,
-    pub by_tier: Vec<Vec<usize>>,
-    pub copies: Vec<Copy>,
-    pub cmds: Window<Cmd>,
-    pub origins: Window<Origin>,
+    pub servers_by_tier: Vec<Vec<usize>>,
+    pub replicas: Vec<Replica>,
+    pub requests: SequenceMap<Request>,
+    pub operations: SequenceMap<Operation>,
     pub jobs: Slab<Job>,
-    pub serial: u64,
-    pub source: Source,
-    /// Numbers of the faults that act now.
-    pub active: Vec<usize>,
+    pub last_job_serial: u64,
+    pub list_source: ListSource,
+    /// Indices in the plan of the faults that act now.
+    pub active_faults: Vec<usize>,
     pub referee: Referee,
-    pub tally: Statistics,
-    /// What cold servers were brought, over all their lives.
-    pub cold: ColdPeaks,
-    pub tenants: Vec<(u64, f64)>,
-    pub steps: u64,
+    pub statistics: Statistics,
+    /// The highest load on cold servers, over all their processes.
+    pub cold_peaks: ColdPeaks,
+    /// By tenant: the present second and the operations counted in it.
+    pub quota_usage: Vec<(u64, f64)>,
+    pub events: u64,
 }
 
-impl Ground {
-    pub fn new(plan: Rc<Scenario>, seed: u64) -> Ground {
+impl SimulationState {
+    pub fn new(plan: Rc<Scenario>, seed: u64) -> SimulationState {
         let settle = to_duration(plan.settle);
-        let mut ground = Ground {
+        let mut state = SimulationState {
             now: Duration::ZERO,
-            agenda: Agenda::default(),
-            dice: Dice::new(seed),
+            event_queue: EventQueue::default(),
+            rng: RandomStreams::new(seed),
             servers: Vec::new(),
-            by_tier: vec![Vec::new(); plan.tiers.len()],
-            copies: Vec::new(),
-            cmds: Window::default(),
-            origins: Window::default(),
+            servers_by_tier: vec![Vec::new(); plan.tiers.len()],
+            replicas: Vec::new(),
+            requests: SequenceMap::default(),
+            operations: SequenceMap::default(),
             jobs: Slab::new(),
-            serial: 0,
-            source: Source::default(),
-            active: Vec::new(),
+            last_job_serial: 0,
+            list_source: ListSource::default(),
+            active_faults: Vec::new(),
             referee: Referee::new(&plan.rules),
-            tally: Statistics::new(settle, plan.tenants.len(), plan.tiers.len()),
-            cold: ColdPeaks::default(),
-            tenants: vec![(0, 0.0); plan.tenants.len()],
-            steps: 0,
+            statistics: Statistics::new(settle, plan.tenants.len(), plan.tiers.len()),
+            cold_peaks: ColdPeaks::default(),
+            quota_usage: vec![(0, 0.0); plan.tenants.len()],
+            events: 0,
             plan,
         };
-        ground.people();
-        ground
+        state.populate();
+        state
     }
 
-    fn people(&mut self) {
+    fn populate(&mut self) {
         let plan = self.plan.clone();
         for tier in 0..plan.tiers.len() {
             for _ in 0..plan.tiers[tier].servers {
@@ -208,194 +219,201 @@
         }
         for ordinal in 0..plan.front.replicas {
             let zone = (ordinal % plan.zones.len()) as u32;
-            self.add_copy(0, zone, ordinal as u32, None);
+            self.add_replica(0, zone, ordinal as u32, None);
         }
         for server in 0..self.servers.len() {
-            self.add_own_copy(server);
+            self.add_attached_replica(server);
         }
         for server in 0..self.servers.len() {
-            self.source.hear(&self.servers[server], server);
+            self.list_source.update(&self.servers[server], server);
         }
     }
 
     pub fn add_server(&mut self, tier: usize) -> usize {
-        let (number, place) = (self.servers.len(), self.by_tier[tier].len());
+        let (number, location) = (self.servers.len(), self.servers_by_tier[tier].len());
         let plan = &self.plan.tiers[tier];
         self.servers.push(Server {
             id: format!("s{number}").into(),
             tier,
-            place,
-            zone: (place % self.plan.zones.len()) as u32,
-            cell: (place / self.plan.zones.len()) as u32 % plan.cells,
-            speed: plan.speeds[place % plan.speeds.len()],
-            standing: Standing::Up,
-            life: 0,
-            cold_from: None,
-            up_since: None,
+            index_in_tier: location,
+            zone: (location % self.plan.zones.len()) as u32,
+            cell: (location / self.plan.zones.len()) as u32 % plan.cells,
+            speed: plan.speeds[location % plan.speeds.len()],
+            status: ServerStatus::Up,
+            generation: 0,
+            warming_since: None,
+            started_at: None,
             draining: false,
-            gone: false,
+            removed: false,
             queue: VecDeque::new(),
             running: 0,
             jobs: 0,
-            jammed: false,
-            brought: OfferedWork::default(),
-            reported: (Duration::ZERO, 0.0, 0.0),
-            copy: None,
+            congested: false,
+            offered_work: OfferedWork::default(),
+            last_report: (Duration::ZERO, 0.0, 0.0),
+            replica: None,
         });
-        self.by_tier[tier].push(number);
+        self.servers_by_tier[tier].push(number);
         number
     }
 
-    fn add_copy(&mut self, tier: usize, zone: u32, ordinal: u32, beside: Option<usize>) -> usize {
-        self.copies.push(Copy {
+    fn add_replica(&mut self, tier: usize, zone: u32, ordinal: u32, attached_server: Option<usize>) -> usize {
+        self.replicas.push(Replica {
             tier,
             zone,
             ordinal,
-            life: 0,
+            generation: 0,
             up: true,
-            beside,
-            known: Vec::new(),
-            off_since: BTreeMap::new(),
+            attached_server,
+            listed_ready: Vec::new(),
+            unavailable_since: BTreeMap::new(),
             watching: true,
-            list_at: Duration::ZERO,
+            last_list_at: Duration::ZERO,
             last_list: Rc::new([]),
-            kept: BTreeMap::new(),
+            idle_connections: BTreeMap::new(),
         });
-        self.copies.len() - 1
+        self.replicas.len() - 1
     }
 
-    /// A server whose tier has another behind it calls that by a copy of its own.
-    pub fn add_own_copy(&mut self, server: usize) -> Option<usize> {
-        let Server { tier, zone, place, .. } = self.servers[server];
+    /// Adds the replica through which a server calls the next tier, if there is one.
+    pub fn add_attached_replica(&mut self, server: usize) -> Option<usize> {
+        let Server { tier, zone, index_in_tier: location, .. } = self.servers[server];
         if tier + 1 >= self.plan.tiers.len() {
             return None;
         }
-        let copy = self.add_copy(tier + 1, zone, place as u32, Some(server));
-        self.servers[server].copy = Some(copy);
-        Some(copy)
+        let replica = self.add_replica(tier + 1, zone, location as u32, Some(server));
+        self.servers[server].replica = Some(replica);
+        Some(replica)
     }
 
-    pub fn put(&mut self, at: Duration, what: Happening) {
-        self.agenda.put(at, what);
+    /// Schedules an event at a point of virtual time.
+    pub fn schedule(&mut self, at: Duration, event: SimEvent) {
+        self.event_queue.schedule(at, event);
     }
 
-    pub fn put_in(&mut self, after: Duration, what: Happening) {
-        self.agenda.put(self.now + after, what);
+    /// Schedules an event after a delay.
+    pub fn schedule_in(&mut self, delay: Duration, event: SimEvent) {
+        self.event_queue.schedule(self.now + delay, event);
     }
 
-    /// The number in a server's or command's id.
-    pub fn number(id: &Id) -> Option<u64> {
+    /// The number in the id of a server or request.
+    pub fn id_number(id: &Id) -> Option<u64> {
         id.get(1..)?.parse().ok()
     }
 
-    pub fn server_number(&self, id: &Id) -> Option<usize> {
-        Ground::number(id).map(|number| number as usize).filter(|number| *number < self.servers.len())
+    pub fn server_index(&self, id: &Id) -> Option<usize> {
+        SimulationState::id_number(id)
+            .map(|number| number as usize)
+            .filter(|number| *number < self.servers.len())
     }
 
-    pub fn alive(&self, copy: Alive) -> bool {
-        let here = &self.copies[copy.copy];
-        here.up && here.life == copy.life
+    pub fn is_running(&self, process: ReplicaProcess) -> bool {
+        let origin_zone = &self.replicas[process.replica];
+        origin_zone.up && origin_zone.generation == process.generation
     }
 
-    pub fn as_alive(&self, copy: usize) -> Alive {
-        Alive { copy, life: self.copies[copy].life }
+    pub fn current_process(&self, replica: usize) -> ReplicaProcess {
+        ReplicaProcess { replica, generation: self.replicas[replica].generation }
     }
 
     pub fn faults(&self) -> impl Iterator<Item = &Fault> {
-        self.active.iter().map(|number| &self.plan.faults[*number])
+        self.active_faults.iter().map(|number| &self.plan.faults[*number])
     }
 
-    /// Whether a fault that acts now strikes this server by name.
-    pub fn strikes(&self, fault: &Fault, server: &Server) -> bool {
-        fault.tier == server.tier && fault.servers.contains(&server.place)
+    /// Whether a fault names this server.
+    pub fn affects(&self, fault: &Fault, server: &Server) -> bool {
+        fault.tier == server.tier && fault.servers.contains(&server.index_in_tier)
     }
 
-    pub fn zone_number(&self, name: Option<&String>) -> Option<u32> {
+    pub fn zone_index(&self, name: Option<&String>) -> Option<u32> {
         self.plan.zones.iter().position(|zone| Some(zone) == name).map(|at| at as u32)
     }
 
-    /// Whether nothing passes between two zones.
-    pub fn cut(&self, one: u32, other: u32) -> bool {
+    /// Whether a fault cuts the network between two zones.
+    pub fn zones_are_cut(&self, first: u32, second: u32) -> bool {
         use crate::plan::FaultKind;
-        one != other
+        first != second
             && self.faults().any(|fault| {
-                let zone = self.zone_number(fault.zone.as_ref());
-                fault.kind == FaultKind::ZoneCut && (zone == Some(one) || zone == Some(other))
+                let zone = self.zone_index(fault.zone.as_ref());
+                fault.kind == FaultKind::ZoneCut && (zone == Some(first) || zone == Some(second))
             })
     }
 
-    /// A message's time one way.
-    pub fn delay(&mut self, one: u32, other: u32) -> Duration {
+    /// Draws the one-way delay of a message between two zones.
+    pub fn sample_delay(&mut self, first: u32, second: u32) -> Duration {
         let network = &self.plan.network;
-        let base = if one == other { network.same_zone_delay } else { network.cross_zone_delay };
-        to_duration(base * (1.0 + 0.2 * exponential(&mut self.dice.network)))
+        let base_delay = if first == second { network.same_zone_delay } else { network.cross_zone_delay };
+        to_duration(base_delay * (1.0 + 0.2 * exponential(&mut self.rng.network)))
     }
 
-    /// Carries a word from copy to copy, as the network does by now: perhaps never, perhaps twice.
-    pub fn carry(&mut self, from: usize, to: usize, word: &dyn Fn() -> Happening) {
+    /// Sends a message between replicas over the network, which may lose or duplicate it.
+    pub fn send_between_replicas(&mut self, from: usize, to: usize, delivery: &dyn Fn() -> SimEvent) {
         use crate::plan::FaultKind;
-        let (here, there) = (self.copies[from].zone, self.copies[to].zone);
-        let apart = |fault: &Fault, copy: usize| {
-            self.copies[copy].beside.is_none()
-                && (self.copies[copy].ordinal as usize) < self.plan.affected_replicas(fault)
+        let (origin_zone, target_zone) = (self.replicas[from].zone, self.replicas[to].zone);
+        let isolated = |fault: &Fault, replica: usize| {
+            self.replicas[replica].attached_server.is_none()
+                && (self.replicas[replica].ordinal as usize) < self.plan.affected_replicas(fault)
         };
-        let parted = self.faults().any(|fault| {
-            fault.kind == FaultKind::ReplicasPartitioned && apart(fault, from) != apart(fault, to)
+        let partitioned = self.faults().any(|fault| {
+            fault.kind == FaultKind::ReplicasPartitioned && isolated(fault, from) != isolated(fault, to)
         });
-        if parted || self.cut(here, there) {
+        if partitioned || self.zones_are_cut(origin_zone, target_zone) {
             return;
         }
-        let passes: f64 = self
+        let delivery_probability: f64 = self
             .faults()
             .filter(|fault| fault.kind == FaultKind::PeerMessagesLost)
             .map(|fault| 1.0 - fault.share.unwrap_or(0.0))
             .product();
         let network = &self.plan.network;
-        let (base, doubled) = (
-            if here == there { network.same_zone_delay } else { network.cross_zone_delay },
+        let (base_delay, duplication_probability) = (
+            if origin_zone == target_zone { network.same_zone_delay } else { network.cross_zone_delay },
             network.peer_message_duplication,
         );
-        let rng = &mut self.dice.words;
-        if rng.random::<f64>() >= passes * (1.0 - network.peer_message_loss) {
+        let rng = &mut self.rng.peer_messages;
+        if rng.random::<f64>() >= delivery_probability * (1.0 - network.peer_message_loss) {
             return;
         }
-        for _ in 0..if rng.random::<f64>() < doubled { 2 } else { 1 } {
-            let way = to_duration(base * (1.0 + 0.2 * exponential(rng)));
-            self.agenda.put(self.now + way, word());
+        for _ in 0..if rng.random::<f64>() < duplication_probability { 2 } else { 1 } {
+            let delay = to_duration(base_delay * (1.0 + 0.2 * exponential(rng)));
+            self.event_queue.schedule(self.now + delay, delivery());
         }
     }
 
-    pub fn repeats(&self, verb: usize) -> RetrySafety {
-        self.plan.request_classes[verb].retry_safety
+    pub fn retry_safety(&self, class: usize) -> RetrySafety {
+        self.plan.request_classes[class].retry_safety
     }
 
-    /// Hands a command's facts to the referee.
-    pub fn judge(&mut self, number: u64, what: impl FnOnce(&mut Referee, &RequestFacts)) {
-        let Some(cmd) = self.cmds.get(number) else { return };
-        let place = |relay: &Relay| self.servers[relay.server].where_it_is(relay.server);
-        let earlier =
-            |relay: &Relay| PriorAttempt { location: place(relay), sent: relay.sent, outcome: relay.outcome };
-        let earlier: Vec<PriorAttempt> = cmd.relays.iter().map(earlier).collect();
-        let verb = &self.plan.request_classes[cmd.verb];
+    /// Calls the referee with the facts of a request.
+    pub fn check_rules(&mut self, number: u64, check: impl FnOnce(&mut Referee, &RequestFacts)) {
+        let Some(request) = self.requests.get(number) else { return };
+        let location = |attempt: &Attempt| self.servers[attempt.server].location(attempt.server);
+        let prior_attempt = |attempt: &Attempt| PriorAttempt {
+            location: location(attempt),
+            sent_at: attempt.sent_at,
+            outcome: attempt.outcome,
+        };
+        let prior_attempts: Vec<PriorAttempt> = request.attempts.iter().map(prior_attempt).collect();
+        let class = &self.plan.request_classes[request.class];
         let facts = RequestFacts {
             request: number,
-            replica: cmd.copy.copy,
-            retry_safety: verb.retry_safety,
-            dedup_window: to_duration(verb.dedup_window),
-            deadline: cmd.due,
-            final_outcome: cmd.finished,
-            prior_attempts: &earlier,
+            replica: request.process.replica,
+            retry_safety: class.retry_safety,
+            dedup_window: to_duration(class.dedup_window),
+            deadline: request.deadline,
+            final_outcome: request.final_outcome,
+            prior_attempts: &prior_attempts,
         };
-        what(&mut self.referee, &facts);
+        check(&mut self.referee, &facts);
     }
 
-    /// What copies that start now find in their old list.
-    pub fn list_of(&self, tier: usize) -> Rc<[ListedServer]> {
-        self.by_tier[tier].iter().filter_map(|server| self.source.entry(*server)).collect()
+    /// The present entries of the servers of a tier, without faults of the list source.
+    pub fn listed_servers(&self, tier: usize) -> Rc<[ListedServer]> {
+        self.servers_by_tier[tier].iter().filter_map(|server| self.list_source.entry(*server)).collect()
     }
 
-    /// Commands in each server for each of its cores.
-    pub fn loads(&self) -> Vec<f64> {
+    /// Requests at each server divided by its cores.
+    pub fn server_loads(&self) -> Vec<f64> {
         let load = |server: &Server| server.jobs as f64 / self.plan.tiers[server.tier].cores as f64;
         self.servers.iter().map(load).collect()
     }
--- a/crates/lab/src/world/hand.rs
+++ b/crates/lab/src/world/hand.rs
@@ -1,8 +1,8 @@
-//! What a picker may ask for, done in the emulated world. It writes to the books and to the agenda only: whatever
-//! comes of it reaches the picker later, as a happening of its own.
+//! The host of a load balancer in the simulation. Its calls change only the state and the event queue: their effects
+//! reach the load balancer later, as events.
 
-use super::ground::{Ground, Kept, Relay, Standing};
-use super::happening::{Alive, Happening, Leg};
+use super::ground::{Attempt, IdleConnections, ServerStatus, SimulationState};
+use super::happening::{AttemptKey, ReplicaProcess, SimEvent};
 use crate::plan::to_duration;
 use crate::referee::FinalOutcome;
 use landingspread_decisions::host::{Event, Host, Id, LoadReport, Outcome};
@@ -10,174 +10,208 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// One copy's side of the world, in one of its lives.
+/// The host of one process of a replica.
 #[derive(Clone)]
 pub struct HostHandle {
-    pub(super) ground: Rc<RefCell<Ground>>,
-    pub(super) alive: Alive,
+    pub(super) state: Rc<RefCell<SimulationState>>,
+    pub(super) process: ReplicaProcess,
 }
 
 impl HostHandle {
-    /// The command of this copy that the id names.
-    fn own(&self, ground: &Ground, id: &Id) -> Option<u64> {
-        let number = Ground::number(id)?;
-        ground.cmds.get(number).filter(|cmd| cmd.copy == self.alive && cmd.id == *id)?;
+    /// The number of this process's request with the given id.
+    fn own_request(&self, state: &SimulationState, id: &Id) -> Option<u64> {
+        let number = SimulationState::id_number(id)?;
+        state.requests.get(number).filter(|request| request.process == self.process && request.id == *id)?;
         Some(number)
     }
 
-    /// Seconds that a command of this verb would take to its answer at a server, by its true state and by nothing
-    /// that a copy could know; none where no answer would come, or it would jam. For the true-state bound alone.
-    pub fn true_wait(&self, server: &Id, verb: usize) -> Option<f64> {
-        let ground = self.ground.borrow();
-        let number = ground.server_number(server)?;
-        let here = &ground.servers[number];
-        let tier = &ground.plan.tiers[here.tier];
-        let zone = ground.copies[self.alive.copy].zone;
-        let away = here.standing != Standing::Up || here.draining || here.gone || ground.cut(zone, here.zone);
+    /// Seconds until a server would answer a request of this class, by the true state of the server, which no replica can
+    /// know; `None` if no answer would come or the server would become congested. Only for the true-state baseline.
+    pub fn true_wait(&self, server: &Id, class: usize) -> Option<f64> {
+        let state = self.state.borrow();
+        let number = state.server_index(server)?;
+        let target = &state.servers[number];
+        let tier = &state.plan.tiers[target.tier];
+        let zone = state.replicas[self.process.replica].zone;
+        let unavailable = target.status != ServerStatus::Up
+            || target.draining
+            || target.removed
+            || state.zones_are_cut(zone, target.zone);
         let cores = tier.cores as f64;
-        let jams = tier.congestion.as_ref().is_some_and(|jam| (here.jobs + 1) as f64 / cores >= jam.onset);
-        if away || jams || ground.paused(here) {
+        let would_congest = tier
+            .congestion
+            .as_ref()
+            .is_some_and(|congestion| (target.jobs + 1) as f64 / cores >= congestion.onset);
+        if unavailable || would_congest || state.is_paused(target) {
             return None;
         }
-        let speed = ground.speed(number).max(1e-9);
-        let waits = (here.jobs as f64 + 1.0 - cores).max(0.0) * ground.mean_work(here.tier) / cores;
-        Some((waits + ground.plan.request_classes.get(verb)?.mean_work(here.tier)) / speed)
+        let speed = state.speed(number).max(1e-9);
+        let queueing_work =
+            (target.jobs as f64 + 1.0 - cores).max(0.0) * state.mean_work(target.tier) / cores;
+        Some((queueing_work + state.plan.request_classes.get(class)?.mean_work(target.tier)) / speed)
     }
 }
 
 impl HostHandle {
-    /// Sends a datagram of the fleet to another copy, by its number.
+    /// Sends a datagram of fleet membership to another replica, by its number.
     pub fn send_datagram(&mut self, to: usize, bytes: &[u8]) {
-        let ground = &mut *self.ground.borrow_mut();
-        if to < ground.copies.len() {
-            let (alive, bytes): (Alive, Rc<[u8]>) = (ground.as_alive(to), bytes.into());
-            ground.carry(self.alive.copy, to, &|| Happening::Datagram(alive, bytes.clone()));
+        let state = &mut *self.state.borrow_mut();
+        if to < state.replicas.len() {
+            let (process, bytes): (ReplicaProcess, Rc<[u8]>) = (state.current_process(to), bytes.into());
+            state.send_between_replicas(self.process.replica, to, &|| {
+                SimEvent::DatagramReceived(process, bytes.clone())
+            });
         }
     }
 
-    /// All zones by name.
+    /// The names of all zones, in the order of the plan.
     pub fn zones(&self) -> Vec<String> {
-        self.ground.borrow().plan.zones.clone()
+        self.state.borrow().plan.zones.clone()
     }
 
-    /// What a copy's membership is told of itself and the others: its number, its zone's name, how many copies its tier
-    /// has, and the number of the first of them.
+    /// The number of this replica, the name of its zone, the count of replicas of its tier, and the number of the first
+    /// of them.
     pub fn membership_identity(&self) -> (usize, String, usize, usize) {
-        let ground = self.ground.borrow();
-        let own = &ground.copies[self.alive.copy];
-        let mut of_tier = (0..ground.copies.len()).filter(|copy| ground.copies[*copy].tier == own.tier);
+        let state = self.state.borrow();
+        let own = &state.replicas[self.process.replica];
+        let mut of_tier =
+            (0..state.replicas.len()).filter(|replica| state.replicas[*replica].tier == own.tier);
         let first = of_tier.next().unwrap_or(0);
-        (self.alive.copy, ground.plan.zones[own.zone as usize].clone(), of_tier.count() + 1, first)
+        (self.process.replica, state.plan.zones[own.zone as usize].clone(), of_tier.count() + 1, first)
     }
 }
 
 impl Host for HostHandle {
-    fn start_attempt(&mut self, cmd: &Id, server: &Id, not_past: Duration) {
-        let ground = &mut *self.ground.borrow_mut();
-        let (Some(number), Some(to)) = (self.own(ground, cmd), ground.server_number(server)) else { return };
-        let now = ground.now;
-        let place = ground.servers[to].where_it_is(to);
-        let off = ground.copies[self.alive.copy].off_since.get(&to).copied();
-        ground.judge(number, |referee, facts| referee.attempt_started(now, facts, place, server, off));
-        let (zone, other) = (ground.copies[self.alive.copy].zone, ground.servers[to].zone);
-        let vain = ground.servers[to].standing != Standing::Up || ground.cut(zone, other);
-        ground.tally.record_attempt(now, vain);
-        let tier = ground.servers[to].tier;
-        if let Some(cmd) = ground.cmds.get(number) {
-            ground.tally.record_tier_attempt(tier, cmd.since, cmd.relays.last().map(|relay| relay.outcome));
+    fn start_attempt(&mut self, request: &Id, server: &Id, requested_deadline: Duration) {
+        let state = &mut *self.state.borrow_mut();
+        let (Some(number), Some(to)) = (self.own_request(state, request), state.server_index(server)) else {
+            return;
+        };
+        let now = state.now;
+        let location = state.servers[to].location(to);
+        let unavailable_since = state.replicas[self.process.replica].unavailable_since.get(&to).copied();
+        state.check_rules(number, |referee, facts| {
+            referee.attempt_started(now, facts, location, server, unavailable_since)
+        });
+        let (zone, server_zone) = (state.replicas[self.process.replica].zone, state.servers[to].zone);
+        let unreachable =
+            state.servers[to].status != ServerStatus::Up || state.zones_are_cut(zone, server_zone);
+        state.statistics.record_attempt(now, unreachable);
+        let tier = state.servers[to].tier;
+        if let Some(request) = state.requests.get(number) {
+            state.statistics.record_tier_attempt(
+                tier,
+                request.entered_at,
+                request.attempts.last().map(|attempt| attempt.outcome),
+            );
         }
-        let delay = ground.delay(zone, other);
-        let fresh = ground.take_connection(self.alive.copy, to);
-        let Some(cmd) = ground.cmds.get_mut(number) else { return };
-        let until = if not_past.is_zero() { cmd.due } else { not_past.min(cmd.due) };
-        let leg = Leg { cmd: number, relay: cmd.relays.len() as u32 };
-        let moot = cmd.finished.is_some() || until <= now;
-        let failed_below = false;
-        cmd.relays.push(Relay {
+        let delay = state.sample_delay(zone, server_zone);
+        let new_connection = state.needs_new_connection(self.process.replica, to);
+        let Some(request) = state.requests.get_mut(number) else { return };
+        let attempt_deadline = if requested_deadline.is_zero() {
+            request.deadline
+        } else {
+            requested_deadline.min(request.deadline)
+        };
+        let attempt_key = AttemptKey { request: number, attempt: request.attempts.len() as u32 };
+        let expired = request.final_outcome.is_some() || attempt_deadline <= now;
+        let failed_downstream = false;
+        request.attempts.push(Attempt {
             server: to,
-            sent: now,
-            until,
+            sent_at: now,
+            attempt_deadline,
             delay,
-            fresh,
-            failed_below,
+            new_connection,
+            failed_downstream,
             outcome: None,
             job: None,
         });
-        if moot {
-            ground.put_in(Duration::ZERO, Happening::Ended(leg, Outcome::NotSent, LoadReport::default()));
+        if expired {
+            state.schedule_in(
+                Duration::ZERO,
+                SimEvent::AttemptEnded(attempt_key, Outcome::NotSent, LoadReport::default()),
+            );
             return;
         }
-        let trips = if fresh { 3 } else { 1 };
-        ground.put_in(delay * trips, Happening::Reach(leg));
-        ground.put(until, Happening::OutOfTime(leg));
+        let one_way_trips = if new_connection { 3 } else { 1 };
+        state.schedule_in(delay * one_way_trips, SimEvent::AttemptArrived(attempt_key));
+        state.schedule(attempt_deadline, SimEvent::AttemptTimedOut(attempt_key));
     }
 
-    fn reject(&mut self, cmd: &Id, come_back: Option<Duration>) {
-        let ground = &mut *self.ground.borrow_mut();
-        if let Some(number) = self.own(ground, cmd) {
-            ground.finish(number, FinalOutcome::Declined, come_back);
+    fn reject(&mut self, request: &Id, retry_after: Option<Duration>) {
+        let state = &mut *self.state.borrow_mut();
+        if let Some(number) = self.own_request(state, request) {
+            state.finish(number, FinalOutcome::Declined, retry_after);
         }
     }
 
-    fn fail(&mut self, cmd: &Id) {
-        let ground = &mut *self.ground.borrow_mut();
-        if let Some(number) = self.own(ground, cmd) {
-            ground.finish(number, FinalOutcome::Terminated, None);
+    fn fail(&mut self, request: &Id) {
+        let state = &mut *self.state.borrow_mut();
+        if let Some(number) = self.own_request(state, request) {
+            state.finish(number, FinalOutcome::Terminated, None);
         }
     }
 
-    fn cancel_attempt(&mut self, cmd: &Id, relay: u32) {
-        let ground = &mut *self.ground.borrow_mut();
-        let Some(number) = self.own(ground, cmd) else { return };
-        if ground.plan.rules.cancellation {
-            let leg = Leg { cmd: number, relay };
-            ground.put_in(Duration::ZERO, Happening::Ended(leg, Outcome::Cancelled, LoadReport::default()));
+    fn cancel_attempt(&mut self, request: &Id, attempt: u32) {
+        let state = &mut *self.state.borrow_mut();
+        let Some(number) = self.own_request(state, request) else { return };
+        if state.plan.rules.cancellation {
+            let attempt_key = AttemptKey { request: number, attempt };
+            state.schedule_in(
+                Duration::ZERO,
+                SimEvent::AttemptEnded(attempt_key, Outcome::Cancelled, LoadReport::default()),
+            );
         }
     }
 
     fn check_health(&mut self, server: &Id) {
-        let ground = &mut *self.ground.borrow_mut();
-        let Some(number) = ground.server_number(server) else { return };
-        let zone = ground.copies[self.alive.copy].zone;
-        let (after, outcome) = ground.check(zone, number);
-        ground.put_in(after, Happening::Checked(self.alive, number, outcome));
+        let state = &mut *self.state.borrow_mut();
+        let Some(number) = state.server_index(server) else { return };
+        let zone = state.replicas[self.process.replica].zone;
+        let (after, outcome) = state.health_check_result(zone, number);
+        state.schedule_in(after, SimEvent::HealthCheckEnded(self.process, number, outcome));
     }
 
     fn wake_after(&mut self, after: Duration) {
-        // A picker that asks for no time at all would keep the world at one moment for ever.
+        // A timer without delay could fire forever without virtual time advancing.
         let after = after.max(Duration::from_micros(100));
-        self.ground.borrow_mut().put_in(after, Happening::Wake(self.alive));
+        self.state.borrow_mut().schedule_in(after, SimEvent::TimerFired(self.process));
     }
 
     fn poll_discovery(&mut self) {
-        let ground = &mut *self.ground.borrow_mut();
-        let zone = ground.copies[self.alive.copy].zone;
-        let delay = ground.delay(zone, zone);
-        ground.put_in(delay, Happening::ListCall(self.alive));
+        let state = &mut *self.state.borrow_mut();
+        let zone = state.replicas[self.process.replica].zone;
+        let delay = state.sample_delay(zone, zone);
+        state.schedule_in(delay, SimEvent::DiscoveryPolled(self.process));
     }
 
     fn close_idle_connections(&mut self, server: &Id) {
-        let ground = &mut *self.ground.borrow_mut();
-        if let Some(number) = ground.server_number(server)
-            && let Some(kept) = ground.copies[self.alive.copy].kept.get_mut(&number)
+        let state = &mut *self.state.borrow_mut();
+        if let Some(number) = state.server_index(server)
+            && let Some(idle_connections) =
+                state.replicas[self.process.replica].idle_connections.get_mut(&number)
         {
-            kept.idle = 0;
+            idle_connections.count = 0;
         }
     }
 
-    fn send_to_peers(&mut self, peer: Option<u32>, words: &[u8]) {
-        let ground = &mut *self.ground.borrow_mut();
-        let own = &ground.copies[self.alive.copy];
+    fn send_to_peers(&mut self, peer: Option<u32>, message: &[u8]) {
+        let state = &mut *self.state.borrow_mut();
+        let own = &state.replicas[self.process.replica];
         let (tier, ordinal) = (own.tier, own.ordinal);
-        let wanted = |copy: &usize| {
-            let other = &ground.copies[*copy];
-            other.tier == tier && other.ordinal != ordinal && peer.is_none_or(|peer| peer == other.ordinal)
+        let is_recipient = |replica: &usize| {
+            let server_zone = &state.replicas[*replica];
+            server_zone.tier == tier
+                && server_zone.ordinal != ordinal
+                && peer.is_none_or(|peer| peer == server_zone.ordinal)
         };
-        let to: Vec<usize> = (0..ground.copies.len()).filter(wanted).collect();
-        let words: Rc<[u8]> = words.into();
-        for copy in to {
-            let alive = ground.as_alive(copy);
-            ground.carry(self.alive.copy, copy, &|| Happening::Word(alive, ordinal, words.clone()));
+        let to: Vec<usize> = (0..state.replicas.len()).filter(is_recipient).collect();
+        let message: Rc<[u8]> = message.into();
+        for replica in to {
+            let process = state.current_process(replica);
+            state.send_between_replicas(self.process.replica, replica, &|| {
+                SimEvent::PeerMessageReceived(process, ordinal, message.clone())
+            });
         }
     }
 
@@ -187,60 +221,74 @@
 }
 
 impl HostHandle {
-    /// Adds a line to the copy's notes.
+    /// Records a log line of the replica; only notes on ejections are kept.
     pub fn note(&self, text: &str) {
-        let ground = &mut *self.ground.borrow_mut();
-        let now = ground.now;
-        ground.tally.record_note(now, self.alive.copy, text);
+        let state = &mut *self.state.borrow_mut();
+        let now = state.now;
+        state.statistics.record_note(now, self.process.replica, text);
     }
 }
 
-impl Ground {
-    /// Takes a kept connection, or says that a fresh one is needed.
-    fn take_connection(&mut self, copy: usize, server: usize) -> bool {
-        let here = &self.servers[server];
-        let idle = to_duration(self.plan.tiers[here.tier].connections.idle_timeout);
-        let (life, silent, now) = (here.life, here.standing == Standing::Silent, self.now);
-        let Some(kept) = self.copies[copy].kept.get_mut(&server) else { return true };
-        // One of an earlier life is known to be broken, but for those to a machine that has fallen silent.
-        if kept.idle == 0 || (kept.life != life && !silent) || now > kept.last + idle {
-            kept.idle = 0;
+impl SimulationState {
+    /// Takes an idle connection from the pool, or returns true if a new connection is needed.
+    fn needs_new_connection(&mut self, replica: usize, server: usize) -> bool {
+        let target = &self.servers[server];
+        let idle = to_duration(self.plan.tiers[target.tier].connections.idle_timeout);
+        let (generation, unreachable, now) =
+            (target.generation, target.status == ServerStatus::Unreachable, self.now);
+        let Some(idle_connections) = self.replicas[replica].idle_connections.get_mut(&server) else {
+            return true;
+        };
+        // A connection to an earlier process is known to be broken, except to a machine that has become unreachable.
+        if idle_connections.count == 0
+            || (idle_connections.generation != generation && !unreachable)
+            || now > idle_connections.last_used + idle
+        {
+            idle_connections.count = 0;
             return true;
         }
-        kept.idle -= 1;
+        idle_connections.count -= 1;
         false
     }
 
-    fn give_connection(&mut self, copy: usize, server: usize) {
-        const MOST: u32 = 64;
-        let (life, now) = (self.servers[server].life, self.now);
-        let kept = self.copies[copy].kept.entry(server).or_insert(Kept { idle: 0, last: now, life });
-        if kept.life != life {
-            *kept = Kept { idle: 0, last: now, life };
+    fn return_connection(&mut self, replica: usize, server: usize) {
+        const MAX_IDLE: u32 = 64;
+        let (generation, now) = (self.servers[server].generation, self.now);
+        let idle_connections = self.replicas[replica]
+            .idle_connections
+            .entry(server)
+            .or_insert(IdleConnections { count: 0, last_used: now, generation });
+        if idle_connections.generation != generation {
+            *idle_connections = IdleConnections { count: 0, last_used: now, generation };
         }
-        (kept.idle, kept.last) = ((kept.idle + 1).min(MOST), now);
+        (idle_connections.count, idle_connections.last_used) =
+            ((idle_connections.count + 1).min(MAX_IDLE), now);
     }
 
-    /// What became of a relay comes to its copy: noted once, and told whether it is news.
-    pub fn end_relay(&mut self, leg: Leg, outcome: Outcome) -> bool {
-        let Some(cmd) = self.cmds.get_mut(leg.cmd) else { return false };
-        let (copy, closed) = (cmd.copy, cmd.finished.is_some());
-        let Some(relay) = cmd.relays.get_mut(leg.relay as usize) else { return false };
-        if relay.outcome.is_some() {
+    /// Records the outcome of an attempt. Returns true if it is the first outcome and the process still runs.
+    pub fn record_attempt_end(&mut self, attempt_key: AttemptKey, outcome: Outcome) -> bool {
+        let Some(request) = self.requests.get_mut(attempt_key.request) else { return false };
+        let (process, closed) = (request.process, request.final_outcome.is_some());
+        let Some(attempt) = request.attempts.get_mut(attempt_key.attempt as usize) else { return false };
+        if attempt.outcome.is_some() {
             return false;
         }
-        relay.outcome = Some(outcome);
-        let (server, delay) = (relay.server, relay.delay);
-        if !self.alive(copy) {
+        attempt.outcome = Some(outcome);
+        let (server, delay) = (attempt.server, attempt.delay);
+        if !self.is_running(process) {
             return false;
         }
         match outcome {
-            Outcome::Ok | Outcome::Error | Outcome::Overloaded => self.give_connection(copy.copy, server),
-            Outcome::Timeout | Outcome::Cancelled => self.put_in(delay, Happening::CalledOff(leg)),
+            Outcome::Ok | Outcome::Error | Outcome::Overloaded => {
+                self.return_connection(process.replica, server)
+            }
+            Outcome::Timeout | Outcome::Cancelled => {
+                self.schedule_in(delay, SimEvent::AttemptCancelled(attempt_key))
+            }
             _ => {}
         }
         if outcome == Outcome::Ok && !closed {
-            self.finish(leg.cmd, FinalOutcome::Answered, None);
+            self.finish(attempt_key.request, FinalOutcome::Answered, None);
         }
         true
     }
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -1,6 +1,6 @@
-//! An emulated world in virtual time: what happens next, one thing after another, and the pickers that hear of it.
-//! It owns the loop and is the only place that calls a picker. There is no clock, no socket and no thread in it:
-//! the same plan, seed and picker give the same result, byte for byte.
+//! A discrete-event simulation in virtual time of clients, replicas of the sidecar and servers. This module owns the
+//! event loop and is the only one that calls load balancers. It uses no clock, socket or thread: the same plan, seed
+//! and load balancer give the same result, byte for byte.
 
 mod agenda;
 mod clients;
@@ -21,8 +21,8 @@
 use crate::plan::{RetrySafety, Scenario, to_duration};
 use crate::referee::Breach;
 use crate::tally::{EjectionNote, Second, Totals};
-use ground::Ground;
-use happening::{Alive, Happening, Leg};
+use ground::SimulationState;
+use happening::{AttemptKey, ReplicaProcess, SimEvent};
 use landingspread_decisions::host::{AttemptEnd, LoadReport, Outcome, RequestArrival};
 use landingspread_decisions::settings::{
     self, Capabilities, Costs, DedupScope, ObjectiveWeights, Settings, SlowStart,
@@ -31,309 +31,316 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Makes a copy's picker: from its hand, its terms, a seed, and the time.
-pub type Make<'a> = dyn Fn(HostHandle, Settings, u64, Duration) -> Box<dyn LoadBalancer> + 'a;
+/// Creates the load balancer of a replica from its host, its settings, a seed and the time.
+pub type MakeLoadBalancer<'a> = dyn Fn(HostHandle, Settings, u64, Duration) -> Box<dyn LoadBalancer> + 'a;
 
-/// What a run came to.
+/// The result of one simulated run.
 #[derive(Clone, Debug)]
 pub struct Run {
     pub totals: Totals,
     pub seconds: Vec<Second>,
     pub ejections: Vec<EjectionNote>,
-    /// Told one by one up to a bound; `breach_counts` has them all, by rule.
+    /// The first breaches, up to a bound; `breach_counts` counts all of them.
     pub breaches: Vec<Breach>,
+    /// Breaches by rule, with rule 1 at index 0.
     pub breach_counts: [u64; 4],
-    /// What cold servers were brought by all copies together.
+    /// The highest load that all replicas together put on cold servers.
     pub cold_peaks: ColdPeaks,
-    /// Things that happened.
+    /// Number of events processed.
     pub events: u64,
-    /// The most that was ever in the agenda: the world's size.
+    /// The largest number of events that were queued at once.
     pub max_queued_events: usize,
 }
 
-/// Plays a plan with one seed. After the clients stop, what is open is let end.
-pub fn simulate(plan: &Rc<Scenario>, seed: u64, make: &Make) -> Run {
-    let mut world = World::new(plan.clone(), seed, make);
-    let end = to_duration(plan.seconds) + world.longest_limit() + Duration::from_secs(1);
-    let mut most = 0;
+/// Simulates a plan with one seed. After clients stop sending, open requests have until their deadlines to end.
+pub fn simulate(plan: &Rc<Scenario>, seed: u64, create_balancer: &MakeLoadBalancer) -> Run {
+    let mut world = World::new(plan.clone(), seed, create_balancer);
+    let end = to_duration(plan.seconds) + world.max_time_limit() + Duration::from_secs(1);
+    let mut max_queued = 0;
     loop {
-        let next = world.ground.borrow_mut().agenda.next();
-        let Some((at, what)) = next.filter(|(at, _)| *at <= end) else { break };
+        let next_event = world.state.borrow_mut().event_queue.next();
+        let Some((time, event)) = next_event.filter(|(time, _)| *time <= end) else { break };
         {
-            let ground = &mut *world.ground.borrow_mut();
-            debug_assert!(at >= ground.now, "time goes forward");
-            (ground.now, ground.steps) = (at, ground.steps + 1);
-            most = most.max(ground.agenda.len());
+            let state = &mut *world.state.borrow_mut();
+            debug_assert!(time >= state.now, "time goes forward");
+            (state.now, state.events) = (time, state.events + 1);
+            max_queued = max_queued.max(state.event_queue.len());
         }
-        world.happen(at, what);
+        world.handle_event(time, event);
     }
-    world.close(most)
+    world.into_run(max_queued)
 }
 
 struct World<'a> {
-    ground: Rc<RefCell<Ground>>,
-    pickers: Vec<Option<Box<dyn LoadBalancer>>>,
-    make: &'a Make<'a>,
+    state: Rc<RefCell<SimulationState>>,
+    load_balancers: Vec<Option<Box<dyn LoadBalancer>>>,
+    create_balancer: &'a MakeLoadBalancer<'a>,
     seed: u64,
 }
 
 impl<'a> World<'a> {
-    fn new(plan: Rc<Scenario>, seed: u64, make: &'a Make<'a>) -> World<'a> {
-        let ground = Rc::new(RefCell::new(Ground::new(plan, seed)));
-        let mut world = World { ground, pickers: Vec::new(), make, seed };
-        let copies = world.ground.borrow().copies.len();
-        for copy in 0..copies {
-            world.copy_up(copy);
+    fn new(plan: Rc<Scenario>, seed: u64, create_balancer: &'a MakeLoadBalancer<'a>) -> World<'a> {
+        let state = Rc::new(RefCell::new(SimulationState::new(plan, seed)));
+        let mut world = World { state, load_balancers: Vec::new(), create_balancer, seed };
+        let replicas = world.state.borrow().replicas.len();
+        for replica in 0..replicas {
+            world.start_replica(replica);
         }
-        let mut ground = world.ground.borrow_mut();
-        ground.put_faults();
-        ground.put(Duration::ZERO, Happening::Arrival);
-        ground.put(Duration::from_secs(1), Happening::Sample);
-        drop(ground);
+        let mut state = world.state.borrow_mut();
+        state.schedule_faults();
+        state.schedule(Duration::ZERO, SimEvent::ClientArrival);
+        state.schedule(Duration::from_secs(1), SimEvent::SecondEnded);
+        drop(state);
         world
     }
 
-    fn longest_limit(&self) -> Duration {
-        let plan = &self.ground.borrow().plan;
-        to_duration(plan.request_classes.iter().map(|verb| verb.time_limit).fold(0.0, f64::max))
+    fn max_time_limit(&self) -> Duration {
+        let plan = &self.state.borrow().plan;
+        to_duration(plan.request_classes.iter().map(|class| class.time_limit).fold(0.0, f64::max))
     }
 
-    /// A copy's process starts: with nothing learned, and the list as the source has it. The books are free again
-    /// before the picker is made, as that asks for things at once.
-    fn copy_up(&mut self, copy: usize) {
-        let (alive, terms, list, now) = {
-            let ground = &mut *self.ground.borrow_mut();
-            let here = &mut ground.copies[copy];
-            (here.up, here.watching) = (true, true);
-            let alive = ground.as_alive(copy);
-            let list = ground.list_of(ground.copies[copy].tier);
-            ground.note_told(alive, true, &list);
-            (alive, terms_of(ground, copy), list, ground.now)
+    /// Starts a new process of a replica, with no statistics and the list as the source has it. The state is no longer
+    /// borrowed when the load balancer is created, because that calls its host at once.
+    fn start_replica(&mut self, replica: usize) {
+        let (process, settings, list, now) = {
+            let state = &mut *self.state.borrow_mut();
+            let record = &mut state.replicas[replica];
+            (record.up, record.watching) = (true, true);
+            let process = state.current_process(replica);
+            let list = state.listed_servers(state.replicas[replica].tier);
+            state.record_list(process, true, &list);
+            (process, settings_for(state, replica), list, state.now)
         };
-        let own = (copy as u64) << 20 | u64::from(alive.life);
-        let seed = self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ own;
-        let hand = HostHandle { ground: self.ground.clone(), alive };
-        let mut picker = (self.make)(hand, terms, seed, now);
-        picker.endpoint_list_cached(now, &list);
-        if self.pickers.len() <= copy {
-            self.pickers.resize_with(copy + 1, || None);
+        let process_number = (replica as u64) << 20 | u64::from(process.generation);
+        let seed = self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ process_number;
+        let host = HostHandle { state: self.state.clone(), process };
+        let mut load_balancer = (self.create_balancer)(host, settings, seed, now);
+        load_balancer.endpoint_list_cached(now, &list);
+        if self.load_balancers.len() <= replica {
+            self.load_balancers.resize_with(replica + 1, || None);
         }
-        self.pickers[copy] = Some(picker);
-        if alive.life > 0 {
-            // What it knows may be old: it asks for the list anew.
-            self.ground.borrow_mut().put(now, Happening::ListCall(alive));
+        self.load_balancers[replica] = Some(load_balancer);
+        if process.generation > 0 {
+            // The cached list may be stale: the replica polls for a new one.
+            self.state.borrow_mut().schedule(now, SimEvent::DiscoveryPolled(process));
         }
     }
 
-    fn picker(&mut self, copy: usize) -> Option<&mut Box<dyn LoadBalancer>> {
-        self.pickers.get_mut(copy)?.as_mut()
+    fn load_balancer_of(&mut self, replica: usize) -> Option<&mut Box<dyn LoadBalancer>> {
+        self.load_balancers.get_mut(replica)?.as_mut()
     }
 
-    /// The picker of a copy that is still in this life.
-    fn living(&mut self, alive: Alive) -> Option<&mut Box<dyn LoadBalancer>> {
-        if self.ground.borrow().alive(alive) { self.picker(alive.copy) } else { None }
+    /// The load balancer of a replica if this process of it still runs.
+    fn running_balancer(&mut self, process: ReplicaProcess) -> Option<&mut Box<dyn LoadBalancer>> {
+        if self.state.borrow().is_running(process) { self.load_balancer_of(process.replica) } else { None }
     }
 
-    fn happen(&mut self, now: Duration, what: Happening) {
-        let ground = self.ground.clone();
-        let books = || ground.borrow_mut();
-        match what {
-            Happening::Arrival => books().arrival(),
-            Happening::Again(origin) => books().send(origin),
-            Happening::Come(cmd) => self.come(now, cmd),
-            Happening::Quit(cmd) => self.quit(now, cmd),
-            Happening::Due(cmd) => books().due(cmd),
-            Happening::Reach(leg) => books().reach(leg),
-            Happening::Worked(job) => books().worked(job),
-            Happening::CallEnded(job, well) => books().call_ended(job, well),
-            Happening::Ended(leg, outcome, load) => self.ended(now, leg, outcome, load),
-            Happening::OutOfTime(leg) => self.ended(now, leg, Outcome::Timeout, LoadReport::default()),
-            Happening::CalledOff(leg) => books().called_off(leg),
-            Happening::Checked(alive, server, outcome) => {
-                let id = books().servers[server].id.clone();
-                if let Some(picker) = self.living(alive) {
-                    picker.health_check_ended(now, outcome, &id, LoadReport::default());
+    fn handle_event(&mut self, now: Duration, event: SimEvent) {
+        let state = self.state.clone();
+        let state_mut = || state.borrow_mut();
+        match event {
+            SimEvent::ClientArrival => state_mut().client_arrival(),
+            SimEvent::ClientRetry(operation) => state_mut().send(operation),
+            SimEvent::RequestArrived(request) => self.deliver_request(now, request),
+            SimEvent::ClientDisconnected(request) => self.disconnect_client(now, request),
+            SimEvent::DeadlinePassed(request) => state_mut().request_deadline_passed(request),
+            SimEvent::AttemptArrived(attempt_key) => state_mut().attempt_arrives(attempt_key),
+            SimEvent::CoreFinished(job) => state_mut().core_finished(job),
+            SimEvent::DownstreamCallEnded(job, succeeded) => {
+                state_mut().downstream_call_ended(job, succeeded)
+            }
+            SimEvent::AttemptEnded(attempt_key, outcome, load) => {
+                self.end_attempt(now, attempt_key, outcome, load)
+            }
+            SimEvent::AttemptTimedOut(attempt_key) => {
+                self.end_attempt(now, attempt_key, Outcome::Timeout, LoadReport::default())
+            }
+            SimEvent::AttemptCancelled(attempt_key) => state_mut().attempt_cancelled(attempt_key),
+            SimEvent::HealthCheckEnded(process, server, outcome) => {
+                let id = state_mut().servers[server].id.clone();
+                if let Some(load_balancer) = self.running_balancer(process) {
+                    load_balancer.health_check_ended(now, outcome, &id, LoadReport::default());
                 }
             }
-            Happening::Wake(alive) => {
-                if let Some(picker) = self.living(alive) {
-                    picker.timer_fired(now);
+            SimEvent::TimerFired(process) => {
+                if let Some(load_balancer) = self.running_balancer(process) {
+                    load_balancer.timer_fired(now);
                 }
             }
-            Happening::Told(alive, whole, entries) => self.told(now, alive, whole, &entries),
-            Happening::ListCallFailed(alive) => {
-                if let Some(picker) = self.living(alive) {
-                    picker.discovery_poll_failed(now);
+            SimEvent::ListDelivered(process, full, entries) => {
+                self.list_delivered(now, process, full, &entries)
+            }
+            SimEvent::DiscoveryPollFailed(process) => {
+                if let Some(load_balancer) = self.running_balancer(process) {
+                    load_balancer.discovery_poll_failed(now);
                 }
             }
-            Happening::ListCall(alive) => books().list_call(alive),
-            Happening::ListHears(server) => books().list_hears(server),
-            Happening::FaultBegins(fault) => books().fault_begins(fault),
-            Happening::FaultStep(fault, step) => books().fault_step(fault, step),
-            Happening::FaultEnds(fault) => books().fault_ends(fault),
-            Happening::ServerUp(server, life) => books().server_up(server, life),
-            Happening::ServerLeaves(server) => books().server_leaves(server),
-            Happening::GoesOn(server) => books().start_jobs(server),
-            Happening::CopyUp(copy) => {
-                let away = !books().copies[copy].up;
-                if away {
-                    self.copy_up(copy);
+            SimEvent::DiscoveryPolled(process) => state_mut().discovery_polled(process),
+            SimEvent::ListSourceUpdated(server) => state_mut().update_list_source(server),
+            SimEvent::FaultBegins(fault) => state_mut().fault_begins(fault),
+            SimEvent::FaultStep(fault, step) => state_mut().fault_step(fault, step),
+            SimEvent::FaultEnds(fault) => state_mut().fault_ends(fault),
+            SimEvent::ServerStarts(server, generation) => state_mut().server_starts(server, generation),
+            SimEvent::ServerRemoved(server) => state_mut().remove_server(server),
+            SimEvent::PauseEnded(server) => state_mut().start_jobs(server),
+            SimEvent::ReplicaStarts(replica) => {
+                let is_down = !state_mut().replicas[replica].up;
+                if is_down {
+                    self.start_replica(replica);
                 }
             }
-            Happening::Word(alive, peer, words) => {
-                if let Some(picker) = self.living(alive) {
-                    picker.peer_message_received(now, peer, &words);
+            SimEvent::PeerMessageReceived(process, peer, message) => {
+                if let Some(load_balancer) = self.running_balancer(process) {
+                    load_balancer.peer_message_received(now, peer, &message);
                 }
             }
-            Happening::Datagram(alive, bytes) => {
-                if let Some(picker) = self.living(alive) {
-                    picker.datagram_received(now, &bytes);
+            SimEvent::DatagramReceived(process, bytes) => {
+                if let Some(load_balancer) = self.running_balancer(process) {
+                    load_balancer.datagram_received(now, &bytes);
                 }
             }
-            Happening::Sample => self.sample(now),
+            SimEvent::SecondEnded => self.end_second(now),
         }
     }
 
-    fn come(&mut self, now: Duration, number: u64) {
+    fn deliver_request(&mut self, now: Duration, index: u64) {
         let arrival = {
-            let ground = &mut *self.ground.borrow_mut();
-            if !ground.come(number) {
+            let state = &mut *self.state.borrow_mut();
+            if !state.admit_request(index) {
                 return;
             }
-            let Some(cmd) = ground.cmds.get(number) else { return };
-            let (id, verb, due, tenant) = (cmd.id.clone(), cmd.verb, cmd.due, cmd.tenant);
-            let arrival = RequestArrival {
-                id,
-                class: verb,
-                deadline: due,
-                body_incomplete: false,
-                tenant,
-                declared_work: None,
-            };
-            (cmd.copy.copy, arrival)
+            let Some(request) = state.requests.get(index) else { return };
+            let (id, class, deadline, tenant) =
+                (request.id.clone(), request.class, request.deadline, request.tenant);
+            let arrival =
+                RequestArrival { id, class, deadline, body_incomplete: false, tenant, declared_work: None };
+            (request.process.replica, arrival)
         };
-        if let Some(picker) = self.picker(arrival.0) {
-            picker.request_arrived(now, arrival.1);
+        if let Some(load_balancer) = self.load_balancer_of(arrival.0) {
+            load_balancer.request_arrived(now, arrival.1);
         }
     }
 
-    fn quit(&mut self, now: Duration, number: u64) {
-        let left = {
-            let ground = &mut *self.ground.borrow_mut();
-            let Some(cmd) = ground.cmds.get(number).filter(|cmd| cmd.finished.is_none()) else { return };
-            let left = (cmd.copy, cmd.id.clone());
-            ground.finish(number, crate::referee::FinalOutcome::Left, None);
-            left
+    fn disconnect_client(&mut self, now: Duration, index: u64) {
+        let disconnected = {
+            let state = &mut *self.state.borrow_mut();
+            let Some(request) = state.requests.get(index).filter(|request| request.final_outcome.is_none())
+            else {
+                return;
+            };
+            let disconnected = (request.process, request.id.clone());
+            state.finish(index, crate::referee::FinalOutcome::Left, None);
+            disconnected
         };
-        if let Some(picker) = self.living(left.0) {
-            picker.client_disconnected(now, &left.1);
+        if let Some(load_balancer) = self.running_balancer(disconnected.0) {
+            load_balancer.client_disconnected(now, &disconnected.1);
         }
     }
 
-    fn ended(&mut self, now: Duration, leg: Leg, outcome: Outcome, load: LoadReport) {
-        let told = {
-            let ground = &mut *self.ground.borrow_mut();
-            if !ground.end_relay(leg, outcome) {
+    fn end_attempt(&mut self, now: Duration, attempt_key: AttemptKey, outcome: Outcome, load: LoadReport) {
+        let ended_attempt = {
+            let state = &mut *self.state.borrow_mut();
+            if !state.record_attempt_end(attempt_key, outcome) {
                 return;
             }
-            let Some(cmd) = ground.cmds.get(leg.cmd) else { return };
-            let relay = &cmd.relays[leg.relay as usize];
+            let Some(request) = state.requests.get(attempt_key.request) else { return };
+            let attempt = &request.attempts[attempt_key.attempt as usize];
             let ended = AttemptEnd {
-                request: cmd.id.clone(),
-                request_closed: cmd.finished.is_some(),
-                body_consumed: ground.plan.rules.nearest_tier_retries && relay.failed_below,
+                request: request.id.clone(),
+                request_closed: request.final_outcome.is_some(),
+                body_consumed: state.plan.rules.nearest_tier_retries && attempt.failed_downstream,
                 outcome,
-                attempt: leg.relay,
-                latency: now.saturating_sub(relay.sent),
-                server: ground.servers[relay.server].id.clone(),
+                attempt: attempt_key.attempt,
+                latency: now.saturating_sub(attempt.sent_at),
+                server: state.servers[attempt.server].id.clone(),
                 load,
             };
-            (cmd.copy, ended)
+            (request.process, ended)
         };
-        if let Some(picker) = self.living(told.0) {
-            picker.attempt_ended(now, told.1);
+        if let Some(load_balancer) = self.running_balancer(ended_attempt.0) {
+            load_balancer.attempt_ended(now, ended_attempt.1);
         }
     }
 
-    fn told(
+    fn list_delivered(
         &mut self,
         now: Duration,
-        alive: Alive,
-        whole: bool,
+        process: ReplicaProcess,
+        full: bool,
         entries: &[landingspread_decisions::host::ListedServer],
     ) {
-        if !self.ground.borrow().alive(alive) {
+        if !self.state.borrow().is_running(process) {
             return;
         }
-        self.ground.borrow_mut().note_told(alive, whole, entries);
-        let Some(picker) = self.living(alive) else { return };
-        if whole {
-            picker.endpoint_list_received(now, entries);
+        self.state.borrow_mut().record_list(process, full, entries);
+        let Some(load_balancer) = self.running_balancer(process) else { return };
+        if full {
+            load_balancer.endpoint_list_received(now, entries);
         } else {
-            picker.endpoint_list_changed(now, entries);
+            load_balancer.endpoint_list_changed(now, entries);
         }
     }
 
-    fn sample(&mut self, now: Duration) {
-        let ground = &mut *self.ground.borrow_mut();
-        let loads = ground.loads();
-        ground.tally.end_second(now.saturating_sub(Duration::from_nanos(1)), &loads);
-        if now < to_duration(ground.plan.seconds) {
-            ground.put_in(Duration::from_secs(1), Happening::Sample);
+    fn end_second(&mut self, now: Duration) {
+        let state = &mut *self.state.borrow_mut();
+        let loads = state.server_loads();
+        state.statistics.end_second(now.saturating_sub(Duration::from_nanos(1)), &loads);
+        if now < to_duration(state.plan.seconds) {
+            state.schedule_in(Duration::from_secs(1), SimEvent::SecondEnded);
         }
     }
 
-    fn close(self, agenda_most: usize) -> Run {
-        drop(self.pickers);
-        let Ok(ground) = Rc::try_unwrap(self.ground) else {
-            unreachable!("only the pickers held the books besides the loop")
+    fn into_run(self, max_queued_events: usize) -> Run {
+        drop(self.load_balancers);
+        let Ok(state) = Rc::try_unwrap(self.state) else {
+            unreachable!("only the load balancers share the state with the event loop")
         };
-        let mut ground = ground.into_inner();
-        for server in &mut ground.servers {
-            server.brought.finish_process(&mut ground.cold);
+        let mut state = state.into_inner();
+        for server in &mut state.servers {
+            server.offered_work.finish_process(&mut state.cold_peaks);
         }
-        let (steps, referee) = (ground.steps, ground.referee);
-        let (totals, seconds, marks) = ground.tally.finish();
+        let (events, referee) = (state.events, state.referee);
+        let (totals, seconds, ejections) = state.statistics.finish();
         Run {
             totals,
             seconds,
-            ejections: marks,
+            ejections,
             breaches: referee.breaches,
             breach_counts: referee.counts,
-            cold_peaks: ground.cold,
-            events: steps,
-            max_queued_events: agenda_most,
+            cold_peaks: state.cold_peaks,
+            events,
+            max_queued_events,
         }
     }
 }
 
-/// What a copy is told at its start.
-fn terms_of(ground: &Ground, number: usize) -> Settings {
-    let (plan, copy) = (&ground.plan, &ground.copies[number]);
-    let (tier, rules) = (&plan.tiers[copy.tier], &plan.rules);
-    let balancers = ground.copies.iter().filter(|other| other.tier == copy.tier).count();
+/// The settings with which a replica starts.
+fn settings_for(state: &SimulationState, index: usize) -> Settings {
+    let (plan, replica) = (&state.plan, &state.replicas[index]);
+    let (tier, rules) = (&plan.tiers[replica.tier], &plan.rules);
+    let balancers = state.replicas.iter().filter(|other| other.tier == replica.tier).count();
     let quota = |tenant: &crate::plan::Tenant| tenant.quota.unwrap_or(f64::MAX);
     Settings {
         replicas: balancers as f64,
         max_live_replicas: balancers as f64,
-        ordinal: copy.ordinal,
-        tier: copy.tier as u32,
+        ordinal: replica.ordinal,
+        tier: replica.tier as u32,
         idle_connection_timeout: to_duration(tier.connections.idle_timeout),
-        zone: copy.zone,
+        zone: replica.zone,
         polls_discovery: false,
         poll_interval: Duration::MAX,
         timer_resolution: Duration::ZERO,
         value_by_work: false,
         over_quota_value: rules.over_quota_value,
         quotas: plan.tenants.iter().map(quota).collect(),
-        classes: plan.request_classes.iter().map(verb_terms).collect(),
+        classes: plan.request_classes.iter().map(class_settings).collect(),
         capabilities: Capabilities {
             health_checks: tier.health_checks,
             cancellation: rules.cancellation,
             hedging: rules.hedging,
             peer_messages: rules.peer_messages,
             max_attempts: rules.max_attempts,
-            max_retry_after: Some(to_duration(rules.max_retry_after)).filter(|most| !most.is_zero()),
+            max_retry_after: Some(to_duration(rules.max_retry_after)).filter(|limit| !limit.is_zero()),
         },
         slow_start: SlowStart {
             initial_fraction: tier.cold_start.initial_fraction,
@@ -352,19 +359,19 @@
     }
 }
 
-fn verb_terms(verb: &crate::plan::RequestClass) -> settings::RequestClass {
+fn class_settings(class: &crate::plan::RequestClass) -> settings::RequestClass {
     settings::RequestClass {
-        retry_safety: match verb.retry_safety {
+        retry_safety: match class.retry_safety {
             RetrySafety::Idempotent => settings::RetrySafety::Idempotent,
             RetrySafety::KeyedEverywhere => settings::RetrySafety::IdempotencyKeyed(DedupScope::All),
             RetrySafety::KeyedInZone => settings::RetrySafety::IdempotencyKeyed(DedupScope::Zone),
             RetrySafety::KeyedInCell => settings::RetrySafety::IdempotencyKeyed(DedupScope::Cell),
             RetrySafety::NonIdempotent => settings::RetrySafety::NonIdempotent,
         },
-        dedup_window: to_duration(verb.dedup_window),
-        latency_objective: to_duration(verb.latency_objective),
-        time_limit: to_duration(verb.time_limit),
-        value: verb.utility,
-        late_value: verb.late_utility,
+        dedup_window: to_duration(class.dedup_window),
+        latency_objective: to_duration(class.latency_objective),
+        time_limit: to_duration(class.time_limit),
+        value: class.utility,
+        late_value: class.late_utility,
     }
 }
--- a/crates/lab/src/world/source.rs
+++ b/crates/lab/src/world/source.rs
@@ -1,173 +1,176 @@
-//! The list source: what it knows of the servers, whom it tells, and how it fails. It never asks a server and is
-//! told of changes late; it may lag, lie, fall silent and be empty.
+//! The source of endpoint lists, as service discovery: its entries, their delivery to replicas and its faults. It learns
+//! of changes with a delay and does not check servers itself; its lists may be late, stale, empty or not delivered.
 
-use super::ground::{Ground, Server, Standing};
-use super::happening::{Alive, Happening};
+use super::ground::{Server, ServerStatus, SimulationState};
+use super::happening::{ReplicaProcess, SimEvent};
 use crate::plan::{FaultKind, to_duration};
 use landingspread_decisions::host::{Lifecycle, ListedServer};
 use rand::Rng;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A call to a source that answers nobody fails after this.
-const CALL: Duration = Duration::from_millis(500);
+/// Time after which a poll of a source that does not answer fails.
+const POLL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// By server; what was never heard of is none.
+/// The latest entry of each server, by its number; `None` for a server that was never reported.
 #[derive(Default)]
-pub struct Source {
+pub struct ListSource {
     entries: Vec<Option<ListedServer>>,
 }
 
-impl Source {
-    /// Takes a server's standing as its word.
-    pub fn hear(&mut self, server: &Server, number: usize) {
+impl ListSource {
+    /// Records the present status of a server as its entry.
+    pub fn update(&mut self, server: &Server, number: usize) {
         if self.entries.len() <= number {
             self.entries.resize(number + 1, None);
         }
-        let state = match server.standing {
-            _ if server.gone => Lifecycle::Removed,
-            Standing::Down | Standing::Silent => Lifecycle::Removed,
-            Standing::Up if server.draining => Lifecycle::Draining,
-            Standing::Up => Lifecycle::Ready,
+        let lifecycle = match server.status {
+            _ if server.removed => Lifecycle::Removed,
+            ServerStatus::Down | ServerStatus::Unreachable => Lifecycle::Removed,
+            ServerStatus::Up if server.draining => Lifecycle::Draining,
+            ServerStatus::Up => Lifecycle::Ready,
         };
         self.entries[number] = Some(ListedServer {
             server: server.id.clone(),
             zone: server.zone,
             cell: server.cell,
-            lifecycle: state,
+            lifecycle,
             nominal_capacity: server.speed,
-            started_at: server.up_since,
+            started_at: server.started_at,
         });
     }
 
-    fn known(&self, number: usize) -> Option<&ListedServer> {
+    fn latest_entry(&self, number: usize) -> Option<&ListedServer> {
         self.entries.get(number)?.as_ref()
     }
 
-    /// A server's entry in a whole list; the gone are in none.
+    /// A server's entry in a full list; `None` for removed servers.
     pub fn entry(&self, number: usize) -> Option<ListedServer> {
-        self.known(number).filter(|entry| entry.lifecycle != Lifecycle::Removed).cloned()
+        self.latest_entry(number).filter(|entry| entry.lifecycle != Lifecycle::Removed).cloned()
     }
 }
 
-impl Ground {
-    fn source_fails(&self, kind: FaultKind, tier: usize) -> bool {
+impl SimulationState {
+    fn source_fault_active(&self, kind: FaultKind, tier: usize) -> bool {
         self.faults().any(|fault| fault.kind == kind && fault.tier == tier)
     }
 
-    /// The source hears how a server stands, and tells the copies.
-    pub fn list_hears(&mut self, number: usize) {
-        self.source.hear(&self.servers[number], number);
+    /// Records the status of a server in the list source and sends the change to the replicas.
+    pub fn update_list_source(&mut self, number: usize) {
+        self.list_source.update(&self.servers[number], number);
         self.publish(number);
     }
 
     pub fn publish(&mut self, number: usize) {
         let tier = self.servers[number].tier;
-        let Some(mut entry) = self.source.known(number).cloned() else { return };
+        let Some(mut entry) = self.list_source.latest_entry(number).cloned() else { return };
         if !self.plan.tiers[tier].lists_weights {
             entry.nominal_capacity = 1.0;
         }
         let change: Rc<[ListedServer]> = Rc::new([entry]);
-        self.tell_all(tier, false, &change);
+        self.broadcast_list(tier, false, &change);
     }
 
-    /// Tells all copies of a tier that watch, each after a time of its own.
-    fn tell_all(&mut self, tier: usize, whole: bool, entries: &Rc<[ListedServer]>) {
-        let (stale, empty) =
-            (self.source_fails(FaultKind::ListStale, tier), self.source_fails(FaultKind::ListEmpty, tier));
-        if (stale || empty || self.source_fails(FaultKind::ListDown, tier)) && !(whole && empty) {
+    /// Sends entries to all watching replicas of a tier, each with its own delay.
+    fn broadcast_list(&mut self, tier: usize, full: bool, entries: &Rc<[ListedServer]>) {
+        let (stale, empty) = (
+            self.source_fault_active(FaultKind::ListStale, tier),
+            self.source_fault_active(FaultKind::ListEmpty, tier),
+        );
+        if (stale || empty || self.source_fault_active(FaultKind::ListDown, tier)) && !(full && empty) {
             return;
         }
-        for copy in 0..self.copies.len() {
-            let here = &self.copies[copy];
-            if here.tier == tier && here.up && here.watching {
-                self.tell(copy, whole, entries.clone());
+        for replica in 0..self.replicas.len() {
+            let recipient = &self.replicas[replica];
+            if recipient.tier == tier && recipient.up && recipient.watching {
+                self.deliver_list(replica, full, entries.clone());
             }
         }
     }
 
-    fn tell(&mut self, copy: usize, whole: bool, entries: Rc<[ListedServer]>) {
-        let tier = self.copies[copy].tier;
-        let late = self.faults().filter(|fault| fault.kind == FaultKind::ListLate && fault.tier == tier);
-        let late: f64 = late.filter_map(|fault| fault.seconds).sum();
-        let lists = &self.plan.discovery;
-        let wait = lists.delay + late + lists.jitter * self.dice.network.random::<f64>();
-        let at = (self.now + to_duration(wait)).max(self.copies[copy].list_at);
-        self.copies[copy].list_at = at;
-        self.put(at, Happening::Told(self.as_alive(copy), whole, entries));
+    fn deliver_list(&mut self, replica: usize, full: bool, entries: Rc<[ListedServer]>) {
+        let tier = self.replicas[replica].tier;
+        let extra_delay =
+            self.faults().filter(|fault| fault.kind == FaultKind::ListLate && fault.tier == tier);
+        let extra_delay: f64 = extra_delay.filter_map(|fault| fault.seconds).sum();
+        let discovery = &self.plan.discovery;
+        let wait = discovery.delay + extra_delay + discovery.jitter * self.rng.network.random::<f64>();
+        let at = (self.now + to_duration(wait)).max(self.replicas[replica].last_list_at);
+        self.replicas[replica].last_list_at = at;
+        self.schedule(at, SimEvent::ListDelivered(self.current_process(replica), full, entries));
     }
 
-    /// The whole list as the source tells it now.
-    fn whole(&self, tier: usize) -> Rc<[ListedServer]> {
-        if self.source_fails(FaultKind::ListEmpty, tier) {
+    /// The full list as the source serves it now.
+    fn full_list(&self, tier: usize) -> Rc<[ListedServer]> {
+        if self.source_fault_active(FaultKind::ListEmpty, tier) {
             return Rc::from([]);
         }
         let mut entries: Vec<ListedServer> =
-            self.by_tier[tier].iter().filter_map(|server| self.source.entry(*server)).collect();
+            self.servers_by_tier[tier].iter().filter_map(|server| self.list_source.entry(*server)).collect();
         if !self.plan.tiers[tier].lists_weights {
             entries.iter_mut().for_each(|entry| entry.nominal_capacity = 1.0);
         }
         entries.into()
     }
 
-    pub fn tell_whole(&mut self, tier: usize) {
-        let whole = self.whole(tier);
-        self.tell_all(tier, true, &whole);
+    pub fn broadcast_full_list(&mut self, tier: usize) {
+        let full = self.full_list(tier);
+        self.broadcast_list(tier, true, &full);
     }
 
-    /// A copy's call comes to the source: it is told the whole list and watches from then on.
-    pub fn list_call(&mut self, alive: Alive) {
-        if !self.alive(alive) {
+    /// Answers a replica's poll with the full list; the replica watches for changes from then on.
+    pub fn discovery_polled(&mut self, process: ReplicaProcess) {
+        if !self.is_running(process) {
             return;
         }
-        let tier = self.copies[alive.copy].tier;
-        if self.source_fails(FaultKind::ListDown, tier) {
-            self.put_in(CALL, Happening::ListCallFailed(alive));
+        let tier = self.replicas[process.replica].tier;
+        if self.source_fault_active(FaultKind::ListDown, tier) {
+            self.schedule_in(POLL_TIMEOUT, SimEvent::DiscoveryPollFailed(process));
             return;
         }
-        self.copies[alive.copy].watching = true;
-        let list = if self.source_fails(FaultKind::ListStale, tier) {
-            self.copies[alive.copy].last_list.clone()
+        self.replicas[process.replica].watching = true;
+        let list = if self.source_fault_active(FaultKind::ListStale, tier) {
+            self.replicas[process.replica].last_list.clone()
         } else {
-            self.whole(tier)
+            self.full_list(tier)
         };
-        self.tell(alive.copy, true, list);
+        self.deliver_list(process.replica, true, list);
     }
 
-    /// The source goes down: all watches end, within a second.
+    /// Ends the watches of all replicas of a tier, each within a second.
     pub fn end_watches(&mut self, tier: usize) {
-        for copy in 0..self.copies.len() {
-            if self.copies[copy].tier == tier && self.copies[copy].up {
-                self.copies[copy].watching = false;
-                let after = Duration::from_secs_f64(self.dice.faults.random::<f64>());
-                self.put_in(after, Happening::ListCallFailed(self.as_alive(copy)));
+        for replica in 0..self.replicas.len() {
+            if self.replicas[replica].tier == tier && self.replicas[replica].up {
+                self.replicas[replica].watching = false;
+                let after = Duration::from_secs_f64(self.rng.faults.random::<f64>());
+                self.schedule_in(after, SimEvent::DiscoveryPollFailed(self.current_process(replica)));
             }
         }
     }
 
-    /// A copy is told: from now on it knows. Gives the entries back for the picker.
-    pub fn note_told(&mut self, alive: Alive, whole: bool, entries: &[ListedServer]) {
+    /// Records since when a replica knows that servers are unavailable, by the list that it receives.
+    pub fn record_list(&mut self, process: ReplicaProcess, full: bool, entries: &[ListedServer]) {
         let (now, count) = (self.now, self.servers.len());
         let mut ready: Vec<(usize, bool)> = Vec::with_capacity(entries.len());
         for entry in entries {
-            if let Some(number) = self.server_number(&entry.server) {
+            if let Some(number) = self.server_index(&entry.server) {
                 ready.push((number, entry.lifecycle == Lifecycle::Ready));
             }
         }
-        let copy = &mut self.copies[alive.copy];
-        copy.known.resize(count, false);
-        if whole {
+        let replica = &mut self.replicas[process.replica];
+        replica.listed_ready.resize(count, false);
+        if full {
             let mut listed = vec![false; count];
             ready.iter().for_each(|(number, _)| listed[*number] = true);
-            let missing = (0..count).filter(|number| copy.known[*number] && !listed[*number]);
+            let missing = (0..count).filter(|number| replica.listed_ready[*number] && !listed[*number]);
             ready.extend(missing.map(|number| (number, false)).collect::<Vec<_>>());
         }
         for (number, ready) in ready {
-            copy.known[number] = ready;
+            replica.listed_ready[number] = ready;
             if ready {
-                copy.off_since.remove(&number);
+                replica.unavailable_since.remove(&number);
             } else {
-                copy.off_since.entry(number).or_insert(now);
+                replica.unavailable_since.entry(number).or_insert(now);
             }
         }
     }
--- a/crates/lab/src/world/window.rs
+++ b/crates/lab/src/world/window.rs
@@ -1,58 +1,59 @@
-//! Things numbered in the order in which they came, of which the old ones go: a look-up is one step, and no map's
-//! order can reach a result.
+//! A map from consecutive numbers to items, of which mostly the oldest are removed. A look-up takes constant time, and
+//! iteration is in order of the numbers, so that results do not depend on hashing.
 
 use std::collections::VecDeque;
 
-pub struct Window<T> {
+/// Items by number, assigned in ascending order.
+pub struct SequenceMap<T> {
     first: u64,
-    kept: VecDeque<Option<T>>,
-    live: usize,
+    items: VecDeque<Option<T>>,
+    occupied: usize,
 }
 
-impl<T> Default for Window<T> {
-    fn default() -> Window<T> {
-        Window { first: 0, kept: VecDeque::new(), live: 0 }
+impl<T> Default for SequenceMap<T> {
+    fn default() -> SequenceMap<T> {
+        SequenceMap { first: 0, items: VecDeque::new(), occupied: 0 }
     }
 }
 
-impl<T> Window<T> {
-    pub fn add(&mut self, item: T) -> u64 {
-        self.kept.push_back(Some(item));
-        self.live += 1;
-        self.first + self.kept.len() as u64 - 1
+impl<T> SequenceMap<T> {
+    pub fn insert(&mut self, item: T) -> u64 {
+        self.items.push_back(Some(item));
+        self.occupied += 1;
+        self.first + self.items.len() as u64 - 1
     }
 
-    fn place(&self, number: u64) -> Option<usize> {
+    fn index_of(&self, number: u64) -> Option<usize> {
         usize::try_from(number.checked_sub(self.first)?).ok()
     }
 
     pub fn get(&self, number: u64) -> Option<&T> {
-        self.kept.get(self.place(number)?)?.as_ref()
+        self.items.get(self.index_of(number)?)?.as_ref()
     }
 
     pub fn get_mut(&mut self, number: u64) -> Option<&mut T> {
-        let place = self.place(number)?;
-        self.kept.get_mut(place)?.as_mut()
+        let index_of = self.index_of(number)?;
+        self.items.get_mut(index_of)?.as_mut()
     }
 
     pub fn remove(&mut self, number: u64) -> Option<T> {
-        let place = self.place(number)?;
-        let item = self.kept.get_mut(place)?.take();
-        self.live -= usize::from(item.is_some());
-        while self.kept.front().is_some_and(Option::is_none) {
-            self.kept.pop_front();
+        let index_of = self.index_of(number)?;
+        let item = self.items.get_mut(index_of)?.take();
+        self.occupied -= usize::from(item.is_some());
+        while self.items.front().is_some_and(Option::is_none) {
+            self.items.pop_front();
             self.first += 1;
         }
         item
     }
 
-    pub fn live(&self) -> usize {
-        self.live
+    pub fn len(&self) -> usize {
+        self.occupied
     }
 
-    /// In order of their numbers.
+    /// The items with their numbers, in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = (u64, &T)> {
-        let numbered = (self.first..).zip(&self.kept);
+        let numbered = (self.first..).zip(&self.items);
         numbered.filter_map(|(number, item)| Some((number, item.as_ref()?)))
     }
 }
