--- a/crates/lab/src/args.rs
+++ b/crates/lab/src/args.rs
@@ -1,19 +1,19 @@
-//! The command line's words.
+//! The subcommands and options of the command line.
 
 use argh::FromArgs;
 use landingspread_lab::pickers::LoadBalancerKind;
 use std::path::PathBuf;
 
-/// landingspread's lab: an emulated world for the decisions, with faults, a referee and reports
+/// landingspread's lab: simulation and test rigs for the load balancer, with faults, rule checks and reports
 #[derive(FromArgs)]
 pub struct CommandLine {
     #[argh(subcommand)]
-    pub wanted: Wanted,
+    pub subcommand: Subcommand,
 }
 
 #[derive(FromArgs)]
 #[argh(subcommand)]
-pub enum Wanted {
+pub enum Subcommand {
     List(List),
     Show(Show),
     Run(Run),
@@ -32,62 +32,63 @@
     Capacity(Capacity),
 }
 
-/// real processes under load and overlapping troubles, judged by the rules; the last line is held or broken
+/// run real processes under load and overlapping faults and check the rules; the last line is held or broken
 #[derive(FromArgs)]
 #[argh(subcommand, name = "soak")]
 pub struct Soak {
     /// the first seed
     #[argh(option, default = "1")]
     pub seed: u64,
-    /// how many seeds, one after another
+    /// count of seeds, run one after another
     #[argh(option, default = "1")]
     pub seeds: u64,
-    /// how long each is played, as in 20s
-    #[argh(option, default = "std::time::Duration::from_secs(20)", from_str_fn(span))]
+    /// duration of the run of each seed, as in 20s
+    #[argh(option, default = "std::time::Duration::from_secs(20)", from_str_fn(duration))]
     pub time: std::time::Duration,
-    /// sidecar processes, in place of 24
+    /// count of sidecar processes, 24 if not given
     #[argh(option)]
     pub sidecars: Option<usize>,
-    /// the landingspread to run; the one beside this program where it is not given
+    /// the landingspread program; the one next to this program if not given
     #[argh(option)]
     pub program: Option<PathBuf>,
 }
 
-fn span(text: &str) -> Result<std::time::Duration, String> {
+fn duration(text: &str) -> Result<std::time::Duration, String> {
     let seconds = text.strip_suffix('s').unwrap_or(text).parse::<f64>().ok();
-    let span = seconds.and_then(|seconds| std::time::Duration::try_from_secs_f64(seconds).ok());
-    span.ok_or_else(|| format!("{text:?} is no span such as 20s"))
+    let duration = seconds.and_then(|seconds| std::time::Duration::try_from_secs_f64(seconds).ok());
+    duration.ok_or_else(|| format!("{text:?} is not a duration such as 20s"))
 }
 
-/// time until every sidecar has a change of configuration in force, with control machines killed and regions cut
+/// measure the time until a configuration change is in force at every sidecar, with control machines killed and regions
+/// cut off
 #[derive(FromArgs)]
 #[argh(subcommand, name = "fan-out")]
 pub struct FanOut {
-    /// how many sidecars follow
+    /// count of sidecars that follow
     #[argh(option, default = "1000")]
     pub followers: usize,
-    /// of how many services
+    /// count of their services
     #[argh(option, default = "1")]
     pub services: usize,
-    /// seconds of calm that are measured
+    /// seconds without changes that are measured
     #[argh(option, default = "18.0")]
     pub calm: f64,
 }
 
-/// what each role needs at a size, from measured slopes, beside the operators' bounds; as Markdown
+/// print what each role needs at a size, from measured slopes, next to the operators' bounds, as Markdown
 #[derive(FromArgs)]
 #[argh(subcommand, name = "capacity")]
 pub struct Capacity {
-    /// the size; the built-in one where it is not given
+    /// file of the size; built in if not given
     #[argh(option)]
     pub size: Option<PathBuf>,
-    /// the slopes that scale wrote; the built-in ones where it is not given
+    /// file of the slopes that scale wrote; built in if not given
     #[argh(option)]
     pub slopes: Option<PathBuf>,
-    /// slopes with the mechanism that was missing first; the built-in ones where it is not given
+    /// file of the slopes with the mechanism that was missing at first; built in if not given
     #[argh(option)]
     pub after: Option<PathBuf>,
-    /// a page whose tables are to be replaced, in place of printing them
+    /// page whose tables are replaced, instead of printing them
     #[argh(option)]
     pub into: Option<PathBuf>,
     /// print the built-in size as a file to start from
@@ -95,191 +96,191 @@
     pub show: bool,
 }
 
-/// try everything that can come between a few copies and their verdicts on zones, up to a depth
+/// check all orders of events between a few replicas and their verdicts on zones, up to a depth
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub struct Check {
-    /// how many copies
+    /// count of replicas
     #[argh(option, default = "3")]
     pub copies: usize,
-    /// how many moments
+    /// count of steps
     #[argh(option, default = "4")]
     pub depth: usize,
-    /// a way that is wrong, in place of the program's own: last-word, counted-often
+    /// a faulty variant instead of the program's own rule: last-word, counted-often
     #[argh(option)]
     pub variant: Option<String>,
 }
 
-/// list the built-in experiments and worlds
+/// list the built-in experiments and scenarios
 #[derive(FromArgs)]
 #[argh(subcommand, name = "list")]
 pub struct List {}
 
-/// print a built-in experiment or world as a file to start from
+/// print a built-in experiment or scenario as a file to start from
 #[derive(FromArgs)]
 #[argh(subcommand, name = "show")]
 pub struct Show {
-    /// its name
+    /// name of the experiment or scenario
     #[argh(positional)]
     pub name: String,
 }
 
-/// play one case with one seed and say what came of it
+/// simulate one case with one seed and print the result
 #[derive(FromArgs)]
 #[argh(subcommand, name = "run")]
 pub struct Run {
-    /// an experiment or a world, built in or a file
+    /// an experiment or a scenario, built in or a file
     #[argh(positional)]
     pub name: String,
-    /// the case; the first where none is named
+    /// the case; the first one if not given
     #[argh(option)]
     pub case: Option<String>,
-    /// the picker
-    #[argh(option, default = "LoadBalancerKind::Landingspread")]
-    pub picker: LoadBalancerKind,
+    /// the load balancer
+    #[argh(option, long = "picker", default = "LoadBalancerKind::Landingspread")]
+    pub load_balancer: LoadBalancerKind,
     /// the seed
     #[argh(option, default = "1")]
     pub seed: u64,
-    /// a further picker to play beside it, for the report; may be given several times
+    /// a further load balancer to run for comparison in the report; may be given several times
     #[argh(option)]
     pub against: Vec<LoadBalancerKind>,
-    /// where a page with plots goes
+    /// file for a report with plots
     #[argh(option)]
     pub report: Option<PathBuf>,
-    /// print each second too
+    /// also print each second
     #[argh(switch)]
     pub seconds: bool,
 }
 
-/// make all runs of an experiment, on all cores
+/// run all runs of an experiment, on all cores
 #[derive(FromArgs)]
 #[argh(subcommand, name = "sweep")]
 pub struct Sweep {
-    /// an experiment or a world, built in or a file
+    /// an experiment or a scenario, built in or a file
     #[argh(positional)]
     pub name: String,
-    /// where the results go, as JSON lines
+    /// file for the results, as JSON lines
     #[argh(option)]
     pub out: Option<PathBuf>,
-    /// threads; as many as cores where it is not given
+    /// count of threads; one for each core if 0
     #[argh(option, default = "0")]
     pub threads: usize,
-    /// seeds, in place of the file's count
+    /// count of seeds, instead of the file's
     #[argh(option)]
     pub seeds: Option<u64>,
-    /// a picker, in place of the file's; may be given several times
-    #[argh(option)]
-    pub picker: Vec<LoadBalancerKind>,
+    /// a load balancer, instead of the file's; may be given several times
+    #[argh(option, long = "picker")]
+    pub load_balancers: Vec<LoadBalancerKind>,
 }
 
-/// hold one picker against the others, seed by seed, in results of a sweep
+/// compare one load balancer with the others, seed by seed, in the results of a sweep
 #[derive(FromArgs)]
 #[argh(subcommand, name = "compare")]
 pub struct Compare {
     /// the file that sweep wrote
     #[argh(positional)]
     pub results: PathBuf,
-    /// the picker that the others are held against
-    #[argh(option, default = "LoadBalancerKind::Landingspread")]
-    pub picker: LoadBalancerKind,
+    /// the load balancer that is compared with the others
+    #[argh(option, long = "picker", default = "LoadBalancerKind::Landingspread")]
+    pub load_balancer: LoadBalancerKind,
 }
 
-/// play one case on real sockets, round real landingspread processes
+/// run one case on real sockets with real landingspread processes
 #[derive(FromArgs)]
 #[argh(subcommand, name = "sockets")]
 pub struct Sockets {
-    /// an experiment or a world, built in or a file
+    /// an experiment or a scenario, built in or a file
     #[argh(positional)]
     pub name: String,
-    /// the case; the first where none is named
+    /// the case; the first one if not given
     #[argh(option)]
     pub case: Option<String>,
     /// the seed
     #[argh(option, default = "1")]
     pub seed: u64,
-    /// where a page with plots goes
+    /// file for a report with plots
     #[argh(option)]
     pub report: Option<PathBuf>,
-    /// the landingspread to run; the one beside this program where it is not given
+    /// the landingspread program; the one next to this program if not given
     #[argh(option)]
     pub program: Option<PathBuf>,
 }
 
-/// see it work: two tiers, two sidecars, one server killed and one slowed, in 30 seconds
+/// demonstrate two tiers and two sidecars in 30 seconds, with one server killed and one slowed
 #[derive(FromArgs)]
 #[argh(subcommand, name = "demo")]
 pub struct Demo {}
 
-/// send commands to an address and print the figures; latencies count from the intended send
+/// send requests to an address and print the results; latencies count from the intended time of sending
 #[derive(FromArgs)]
 #[argh(subcommand, name = "load")]
 pub struct Load {
     /// an address and port on loopback
     #[argh(positional)]
     pub to: std::net::SocketAddr,
-    /// connections
+    /// count of connections
     #[argh(option, default = "32")]
     pub connections: usize,
-    /// commands a second; as fast as they are answered where it is not given
+    /// requests per second; as fast as they are answered if 0
     #[argh(option, default = "0.0")]
     pub rate: f64,
-    /// seconds
+    /// duration in seconds
     #[argh(option, default = "5.0")]
     pub seconds: f64,
-    /// the verb, sent as GET
-    #[argh(option, default = "String::from(\"view\")")]
-    pub verb: String,
+    /// the request class, sent as GET
+    #[argh(option, long = "verb", default = "String::from(\"view\")")]
+    pub request_class: String,
 }
 
-/// how much one sidecar carries, by connections and servers, before stand-ins that answer at once
+/// measure the throughput of one sidecar by connections and servers, with stand-in servers that answer at once
 #[derive(FromArgs)]
 #[argh(subcommand, name = "bench")]
 pub struct Bench {
-    /// seconds before the figures count; 0 shows what a copy does that has just started
+    /// seconds before the measurement; 0 includes the start of the sidecar
     #[argh(option, default = "3.0")]
     pub settle: f64,
-    /// servers behind the sidecar; may be given several times, 8 and 200 where it is not
+    /// count of servers behind the sidecar; may be given several times; 8 and 200 if not given
     #[argh(option)]
     pub servers: Vec<usize>,
-    /// connections to it; may be given several times, 1, 8, 32 and 128 where it is not
+    /// count of connections to it; may be given several times; 1, 8, 32 and 128 if not given
     #[argh(option)]
     pub connections: Vec<usize>,
-    /// seconds for each figure
+    /// seconds for each measurement
     #[argh(option, default = "5.0")]
     pub seconds: f64,
-    /// the landingspread to run; the one beside this program where it is not given
+    /// the landingspread program; the one next to this program if not given
     #[argh(option)]
     pub program: Option<PathBuf>,
 }
 
-/// how much time one sidecar adds to a call: the same calls straight to stand-ins and through it, in turn
+/// measure the latency that one sidecar adds: the same calls directly to stand-in servers and through it, in turn
 #[derive(FromArgs)]
 #[argh(subcommand, name = "added")]
 pub struct Added {
-    /// calls a second; may be given several times, 65 and 650 where it is not
+    /// calls per second; may be given several times; 65 and 650 if not given
     #[argh(option)]
     pub rate: Vec<f64>,
-    /// pairs for each rate
+    /// count of pairs for each rate
     #[argh(option, default = "10")]
     pub pairs: usize,
     /// seconds for each half of a pair
     #[argh(option, default = "6.0")]
     pub seconds: f64,
-    /// connections to the sidecar, or to the stand-ins
+    /// count of connections to the sidecar or to the stand-in servers
     #[argh(option, default = "4")]
     pub connections: usize,
-    /// stand-ins
+    /// count of stand-in servers
     #[argh(option, default = "2")]
     pub servers: usize,
-    /// the landingspread to run; the one beside this program where it is not given
+    /// the landingspread program; the one next to this program if not given
     #[argh(option)]
     pub program: Option<PathBuf>,
-    /// a build to hold against it: calls go straight, through the one and through the other, in turn
+    /// a build to compare with: calls go directly, through the one and through the other, in turn
     #[argh(option)]
     pub against: Option<PathBuf>,
 }
 
-/// play a plan of faults round a fleet of processes; the last line says held or broken
+/// run a plan of faults with a fleet of processes; the last line says held or broken
 #[derive(FromArgs)]
 #[argh(subcommand, name = "fleet")]
 pub struct Fleet {
@@ -289,103 +290,103 @@
     /// the seed
     #[argh(option, default = "1")]
     pub seed: u64,
-    /// how many copies, in place of the plan's
+    /// count of replicas, instead of the plan's
     #[argh(option)]
     pub processes: Option<usize>,
-    /// play the copies' membership alone, in virtual time, with as many seeds from --seed on
+    /// simulate only the membership of the replicas in virtual time, with this count of seeds from --seed on
     #[argh(option)]
     pub emulated: Option<u64>,
-    /// seconds between looks at all views
+    /// seconds between checks of all views
     #[argh(option, default = "0.1")]
     pub look_every: f64,
-    /// seconds within which copies start, in virtual time
+    /// seconds within which replicas start, in virtual time
     #[argh(option, default = "1.0")]
     pub start_within: f64,
-    /// draw the faults from the seed; they are written out as a plan that replays them
+    /// draw the faults from the seed and write them as a plan that replays them
     #[argh(switch)]
     pub nemesis: bool,
-    /// where a page with a lane for each process goes
+    /// file for a report with a row for each process
     #[argh(option)]
     pub report: Option<PathBuf>,
-    /// the landingspread to run; the one beside this program where it is not given
+    /// the landingspread program; the one next to this program if not given
     #[argh(option)]
     pub program: Option<PathBuf>,
-    /// an older build, for faults that start it
+    /// an older build of landingspread, for faults that start it
     #[argh(option)]
     pub old: Option<PathBuf>,
-    /// leave the fleet part out of the copies' configuration: each goes by its configured count for ever
+    /// configure the replicas without [fleet], so that each uses its configured count of replicas
     #[argh(switch)]
     pub alone: bool,
-    /// leave the part out by which the fleet leaves zones
+    /// configure the replicas without [localities], so that no zone is left
     #[argh(switch)]
     pub no_localities: bool,
 }
 
-/// measure what the control side costs by size: hollow sidecars with real ones among them; slopes are fitted
+/// measure the cost of the control side by size, with emulated sidecars and some real ones, and fit slopes
 #[derive(FromArgs)]
 #[argh(subcommand, name = "scale")]
 pub struct Scale {
-    /// what is varied: copies, endpoints, changes_per_s or calls_per_s
+    /// the varied quantity: copies, endpoints, changes_per_s or calls_per_s
     #[argh(option, default = "String::from(\"copies\")")]
     pub by: String,
-    /// a value of it; may be given several times
+    /// a value of the varied quantity; may be given several times
     #[argh(option)]
     pub at: Vec<f64>,
-    /// copies, where they are not varied; the real ones are among them
+    /// count of replicas, if not varied, including the real ones
     #[argh(option, default = "30")]
     pub copies: usize,
-    /// endpoints, where they are not varied
+    /// count of endpoints, if not varied
     #[argh(option, default = "6")]
     pub endpoints: usize,
-    /// changes of the list a second, where they are not varied
+    /// changes of the list per second, if not varied
     #[argh(option, default = "0.0")]
     pub changes: f64,
-    /// copies of one fleet; all in one where it is 0
+    /// replicas per fleet; all in one fleet if 0
     #[argh(option, default = "0")]
     pub fleet_size: usize,
-    /// real sidecars among them; half of them carry calls
+    /// count of real sidecars; half of them carry calls
     #[argh(option, default = "4")]
     pub real: usize,
-    /// calls a second at each that carries calls
+    /// calls per second at each sidecar that carries calls
     #[argh(option, default = "65.0")]
     pub rate: f64,
-    /// runs of each size
+    /// count of runs of each size
     #[argh(option, default = "1")]
     pub runs: usize,
-    /// seconds that count
+    /// seconds of measurement
     #[argh(option, default = "10.0")]
     pub seconds: f64,
-    /// seconds after all see all before figures count
+    /// seconds between full views at all replicas and the measurement
     #[argh(option, default = "3.0")]
     pub settle: f64,
-    /// hollow ones to a process; by the size where it is 0
+    /// emulated sidecars per process; chosen by the size if 0
     #[argh(option, default = "0")]
     pub each: usize,
-    /// a zone's hollow ones are killed afterwards, and come back together
+    /// kill the emulated sidecars of one zone afterwards and start them again together
     #[argh(switch)]
     pub lose_a_zone: bool,
-    /// where runs are kept as JSON lines; those that it has are fitted too
+    /// file that collects runs as JSON lines; earlier runs in it are fitted too
     #[argh(option)]
     pub keep: Option<PathBuf>,
-    /// a size that is no part of the fit, which is told what it predicts there; may be given several times
+    /// a size left out of the fit, whose prediction is printed; may be given several times
     #[argh(option)]
     pub left_out: Vec<f64>,
-    /// where the slopes go, for capacity
+    /// file for the slopes, for capacity
     #[argh(option)]
     pub out: Option<PathBuf>,
-    /// MB that all processes may hold together
+    /// bound on the memory of all processes together in MB
     #[argh(option, default = "12_000.0")]
     pub memory_mb: f64,
-    /// processes at most
+    /// bound on the count of processes
     #[argh(option, default = "300")]
     pub processes: usize,
-    /// the git hash of what is measured
+    /// the git hash of the measured build
     #[argh(option, default = "String::from(\"unknown\")")]
     pub build: String,
-    /// the landingspread to run; the one beside this program where it is not given
+    /// the landingspread program; the one next to this program if not given
     #[argh(option)]
     pub program: Option<PathBuf>,
-    /// the form of CI: 120 and 240 copies once, 4 s each
+    /// the short form for CI: 120 and 240 replicas once, 4 s each
     #[argh(switch)]
     pub short: bool,
 }
--- a/crates/lab/src/cases.rs
+++ b/crates/lab/src/cases.rs
@@ -1,18 +1,20 @@
-//! From the names on the command line to what is played.
+//! Finds experiments and cases by their names on the command line.
 
 use landingspread_lab::experiment::{self, PreparedExperiment, Setting};
 
+/// Finds an experiment or a scenario by name.
 pub fn find(name: &str) -> Result<PreparedExperiment, String> {
-    experiment::find(name).map_err(|wrong| wrong.to_string())
+    experiment::find(name).map_err(|error| error.to_string())
 }
 
-pub fn case_of<'a>(ready: &'a PreparedExperiment, case: Option<&str>) -> Result<&'a Setting, String> {
+/// The setting of a case, or the first one if none is named.
+pub fn case_of<'a>(experiment: &'a PreparedExperiment, case: Option<&str>) -> Result<&'a Setting, String> {
     let setting = match case {
-        None => ready.settings.first(),
-        Some(case) => ready.settings.iter().find(|setting| setting.case == case),
+        None => experiment.settings.first(),
+        Some(case) => experiment.settings.iter().find(|setting| setting.case == case),
     };
     setting.ok_or_else(|| {
-        let cases: Vec<&str> = ready.settings.iter().map(|setting| setting.case.as_str()).collect();
-        format!("there is no such case; there are {}", cases.join(", "))
+        let cases: Vec<&str> = experiment.settings.iter().map(|setting| setting.case.as_str()).collect();
+        format!("there is no such case; expected one of {}", cases.join(", "))
     })
 }
--- a/crates/lab/src/experiment/builtin.rs
+++ b/crates/lab/src/experiment/builtin.rs
@@ -1,4 +1,4 @@
-//! The plans that come with the lab.
+//! Experiments and scenarios that are built into the program.
 
 const PLANS: [(&str, &str); 21] = [
     ("demo", include_str!("../../plans/demo.toml")),
@@ -24,10 +24,12 @@
     ("thousands", include_str!("../../plans/thousands.toml")),
 ];
 
+/// Names and texts of all built-in experiments and scenarios.
 pub fn builtins() -> impl Iterator<Item = (&'static str, &'static str)> {
     PLANS.into_iter()
 }
 
+/// The text of a built-in experiment or scenario.
 pub fn builtin(name: &str) -> Option<&'static str> {
     PLANS.into_iter().find(|(known, _)| *known == name).map(|(_, text)| text)
 }
--- a/crates/lab/src/experiment/mod.rs
+++ b/crates/lab/src/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! Experiments: files into runs, runs into results, results into comparisons.
+//! Experiments: their files, the runs they expand to, the results of the runs, and comparisons of results.
 
 mod builtin;
 mod compare;
--- a/crates/lab/src/experiment/ready.rs
+++ b/crates/lab/src/experiment/ready.rs
@@ -1,5 +1,5 @@
-//! Experiments: a file names a world, cases (lists of faults), pickers, seeds and swept axes; each combination is
-//! one run. It owns how a file becomes runs and in which order; the runs themselves know nothing of it.
+//! Experiments: a file names a scenario, cases (lists of faults), load balancers, seeds and axes of values; each
+//! combination is one run. This module expands a file to its runs in their order.
 
 use super::builtin::{builtin, builtins};
 use crate::pickers::LoadBalancerKind;
@@ -9,8 +9,8 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// Runs of one experiment: past it a sweep would hardly end.
-const RUNS_MOST: usize = 100_000;
+/// Bound on the runs of one experiment, because a larger sweep would hardly end.
+const MAX_RUNS: usize = 100_000;
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
@@ -18,12 +18,11 @@
     pub name: String,
     #[serde(default)]
     pub about: String,
-    /// A built-in world's name, or a file beside this one.
+    /// Name of a built-in scenario, or path of a file relative to this one.
     pub world: String,
-    #[serde(default = "calm")]
+    #[serde(default = "calm_case")]
     pub cases: Vec<Case>,
-    #[serde(default = "own")]
-    #[serde(rename = "pickers")]
+    #[serde(default = "default_balancers", rename = "pickers")]
     pub load_balancers: Vec<LoadBalancerKind>,
     #[serde(default)]
     pub seeds: Seeds,
@@ -31,7 +30,7 @@
     pub axes: Vec<Axis>,
 }
 
-/// Faults under a name, added to those of the world.
+/// A named list of faults, added to those of the scenario.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Case {
@@ -55,7 +54,7 @@
     }
 }
 
-/// A key of the world, as `load.rate` or `tiers.0.servers`, and the figures that it takes in turn.
+/// A key of the scenario, as `load.rate` or `tiers.0.servers`, and the values that it takes in turn.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Axis {
@@ -63,15 +62,15 @@
     pub values: Vec<toml::Value>,
 }
 
-fn calm() -> Vec<Case> {
+fn calm_case() -> Vec<Case> {
     vec![Case { name: "calm".into(), about: String::new(), faults: Vec::new() }]
 }
 
-fn own() -> Vec<LoadBalancerKind> {
+fn default_balancers() -> Vec<LoadBalancerKind> {
     vec![LoadBalancerKind::Landingspread]
 }
 
-/// One world with one case's faults, at one point of the axes.
+/// A scenario with the faults of one case and one combination of values of the axes.
 #[derive(Clone, Debug)]
 pub struct Setting {
     pub case: String,
@@ -80,7 +79,7 @@
     pub scenario: Scenario,
 }
 
-/// One run to be made.
+/// One run: a setting by its index, a load balancer and a seed.
 #[derive(Clone, Debug)]
 pub struct PlannedRun {
     pub setting: usize,
@@ -88,7 +87,7 @@
     pub seed: u64,
 }
 
-/// An experiment made ready: the settings, and the runs in their stated order (settings, pickers, seeds).
+/// An experiment with its settings and its runs, ordered by setting, load balancer and seed.
 pub struct PreparedExperiment {
     pub experiment: Experiment,
     pub settings: Vec<Setting>,
@@ -96,20 +95,20 @@
 }
 
 impl PreparedExperiment {
-    /// As many seeds as this, in place of the file's.
+    /// Replaces the count of seeds of the file.
     pub fn reseed(&mut self, count: u64) {
         self.experiment.seeds.count = count;
-        self.runs = runs_of(&self.experiment, &self.settings);
+        self.runs = list_runs(&self.experiment, &self.settings);
     }
 }
 
-/// Finds an experiment or a world by a built-in name or a file. A world alone is an experiment with one case.
+/// Finds an experiment or a scenario by its built-in name or path. A scenario is an experiment with one case.
 pub fn find(name: &str) -> Result<PreparedExperiment, FileError> {
-    let (file, text) = text_of(name, None)?;
+    let (file, text) = read_source(name, None)?;
     let is_experiment = text.lines().any(|line| line.trim_start().starts_with("world"));
     if is_experiment {
         let experiment: Experiment = parse_toml(&file, &text)?;
-        return ready(&file, &text, experiment);
+        return expand(&file, &text, experiment);
     }
     let scenario = plan::parse(&file, &text)?;
     let (name, about) = (scenario.name.clone(), scenario.about.clone());
@@ -117,97 +116,100 @@
         world: name.clone(),
         name,
         about,
-        cases: calm(),
-        load_balancers: own(),
+        cases: calm_case(),
+        load_balancers: default_balancers(),
         seeds: Seeds::default(),
         axes: Vec::new(),
     };
     let settings =
         vec![Setting { case: "calm".into(), about: experiment.about.clone(), point: Vec::new(), scenario }];
-    Ok(PreparedExperiment { runs: runs_of(&experiment, &settings), experiment, settings })
+    Ok(PreparedExperiment { runs: list_runs(&experiment, &settings), experiment, settings })
 }
 
-/// The text behind a name, and what messages call it.
-pub fn text_of(name: &str, beside: Option<&Path>) -> Result<(String, String), FileError> {
+/// Returns the name of the file for errors and the text of a built-in name or a file.
+pub fn read_source(name: &str, directory: Option<&Path>) -> Result<(String, String), FileError> {
     if let Some(text) = builtin(name) {
         return Ok((format!("{name}.toml"), text.to_string()));
     }
-    let path = beside.map_or_else(|| Path::new(name).to_path_buf(), |dir| dir.join(name));
+    let path = directory.map_or_else(|| Path::new(name).to_path_buf(), |dir| dir.join(name));
     let file = path.display().to_string();
-    let known = || builtins().map(|(name, _)| name).collect::<Vec<_>>().join(", ");
+    let builtin_names = || builtins().map(|(name, _)| name).collect::<Vec<_>>().join(", ");
     match std::fs::read_to_string(&path) {
         Ok(text) => Ok((file, text)),
-        Err(wrong) => Err(FileError::unreadable(file, format_args!("{wrong}; built in are {}", known()))),
+        Err(error) => {
+            Err(FileError::unreadable(file, format_args!("{error}; built-in names are {}", builtin_names())))
+        }
     }
 }
 
-fn ready(file: &str, text: &str, experiment: Experiment) -> Result<PreparedExperiment, FileError> {
-    let wrong = |key: &str, what: String| {
+fn expand(file: &str, text: &str, experiment: Experiment) -> Result<PreparedExperiment, FileError> {
+    let error = |key: &str, message: String| {
         let line = text.lines().position(|line| line.trim_start().starts_with(key)).map(|at| at + 1);
-        FileError::at_line(file, line, key, what)
+        FileError::at_line(file, line, key, message)
     };
-    let (world_file, world) = text_of(&experiment.world, Path::new(file).parent())?;
-    // The world is checked as it stands, so that its faults are told by its own lines.
-    plan::parse(&world_file, &world)?;
-    let bare: toml::Value = parse_toml(&world_file, &world)?;
+    let (scenario_file, scenario_source) = read_source(&experiment.world, Path::new(file).parent())?;
+    // The scenario is checked before the axes are applied, so that errors show lines of its file.
+    plan::parse(&scenario_file, &scenario_source)?;
+    let scenario_table: toml::Value = parse_toml(&scenario_file, &scenario_source)?;
     if experiment.cases.is_empty() || experiment.load_balancers.is_empty() {
-        return Err(wrong("cases", "at least one case and one picker are wanted".into()));
+        return Err(error("cases", "expected at least one case and one picker".into()));
     }
-    let points: usize = experiment.axes.iter().map(|axis| axis.values.len()).product();
-    let each = experiment.load_balancers.len().saturating_mul(experiment.seeds.count as usize);
-    let runs = points.saturating_mul(experiment.cases.len()).saturating_mul(each);
-    if runs == 0 || runs > RUNS_MOST {
-        return Err(wrong("seeds", format!("{runs} runs; from 1 to {RUNS_MOST} can be made")));
+    let combinations: usize = experiment.axes.iter().map(|axis| axis.values.len()).product();
+    let runs_per_setting = experiment.load_balancers.len().saturating_mul(experiment.seeds.count as usize);
+    let runs = combinations.saturating_mul(experiment.cases.len()).saturating_mul(runs_per_setting);
+    if runs == 0 || runs > MAX_RUNS {
+        return Err(error("seeds", format!("{runs} runs; expected 1 to {MAX_RUNS}")));
     }
     let mut settings = Vec::new();
-    for point in points_of(&experiment.axes) {
-        let mut table = bare.clone();
+    for point in axis_combinations(&experiment.axes) {
+        let mut table = scenario_table.clone();
         for (key, value) in &point {
-            set(&mut table, key, value.clone()).map_err(|what| wrong("axes", what))?;
+            set_key(&mut table, key, value.clone()).map_err(|message| error("axes", message))?;
         }
-        let told = toml::to_string(&table).map_err(|what| wrong("axes", what.to_string()))?;
+        let scenario_text = toml::to_string(&table).map_err(|message| error("axes", message.to_string()))?;
         for (number, case) in experiment.cases.iter().enumerate() {
-            let mut scenario = plan::parse(&name_of(&world_file, &point), &told)?;
+            let mut scenario = plan::parse(&scenario_label(&scenario_file, &point), &scenario_text)?;
             scenario.faults.extend(case.faults.iter().cloned());
-            if let Some((key, what)) = plan::first_error(&scenario) {
-                let own = scenario.faults.len() - case.faults.len();
-                let key = renumber(&key, own);
-                let (at, line) = (format!("cases.{number} ({})", case.name), line_of_case(text, number));
-                return Err(FileError::at_line(file, line, &at, format_args!("{key}: {what}")));
+            if let Some((key, message)) = plan::first_error(&scenario) {
+                let scenario_faults = scenario.faults.len() - case.faults.len();
+                let key = renumber_fault_key(&key, scenario_faults);
+                let (at, line) = (format!("cases.{number} ({})", case.name), case_line(text, number));
+                return Err(FileError::at_line(file, line, &at, format_args!("{key}: {message}")));
             }
             let point = point.iter().map(|(key, value)| (key.clone(), value.to_string())).collect();
             let about = format!("{}; {}", scenario.about, case.about);
             settings.push(Setting { case: case.name.clone(), about, point, scenario });
         }
     }
-    Ok(PreparedExperiment { runs: runs_of(&experiment, &settings), experiment, settings })
+    Ok(PreparedExperiment { runs: list_runs(&experiment, &settings), experiment, settings })
 }
 
-/// A case's faults come after the world's own in the scenario: told as the case counts them.
-fn renumber(key: &str, own: usize) -> String {
+/// Turns the index of a fault of the scenario into that within its case, because the faults of a case follow those of
+/// the scenario.
+fn renumber_fault_key(key: &str, scenario_faults: usize) -> String {
     let mut parts: Vec<String> = key.split('.').map(str::to_string).collect();
     if let Some(number) = parts.get_mut(1).filter(|_| key.starts_with("faults."))
         && let Ok(at) = number.parse::<usize>()
     {
-        *number = at.saturating_sub(own).to_string();
+        *number = at.saturating_sub(scenario_faults).to_string();
     }
     parts.join(".")
 }
 
-fn line_of_case(text: &str, number: usize) -> Option<usize> {
+fn case_line(text: &str, number: usize) -> Option<usize> {
     let cases = text.lines().enumerate().filter(|(_, line)| line.trim_start().starts_with("[[cases]]"));
     cases.map(|(at, _)| at + 1).nth(number)
 }
 
-/// What messages call a world: its file, and the point of the axes.
-fn name_of(world: &str, point: &[(String, toml::Value)]) -> String {
+/// The name of a scenario in errors: its file and the values of the axes.
+fn scenario_label(world: &str, point: &[(String, toml::Value)]) -> String {
     let point: Vec<String> = point.iter().map(|(key, value)| format!("{key} = {value}")).collect();
     if point.is_empty() { world.to_string() } else { format!("{world} with {}", point.join(", ")) }
 }
 
-/// All combinations, the last axis fastest.
-fn points_of(axes: &[Axis]) -> Vec<Vec<(String, toml::Value)>> {
-    let mut points = vec![Vec::new()];
+/// All combinations of the values of the axes; the last axis varies fastest.
+fn axis_combinations(axes: &[Axis]) -> Vec<Vec<(String, toml::Value)>> {
+    let mut combinations = vec![Vec::new()];
     for axis in axes {
         let with = |point: &Vec<(String, toml::Value)>| {
             let point = point.clone();
@@ -217,12 +219,12 @@
                 longer
             })
         };
-        points = points.iter().flat_map(with).collect();
+        combinations = combinations.iter().flat_map(with).collect();
     }
-    points
+    combinations
 }
 
-fn set(table: &mut toml::Value, key: &str, value: toml::Value) -> Result<(), String> {
+fn set_key(table: &mut toml::Value, key: &str, value: toml::Value) -> Result<(), String> {
     let mut at = table;
     for part in key.split('.') {
         at = match at {
@@ -241,19 +243,19 @@
     Ok(())
 }
 
-fn runs_of(experiment: &Experiment, settings: &[Setting]) -> Vec<PlannedRun> {
+fn list_runs(experiment: &Experiment, settings: &[Setting]) -> Vec<PlannedRun> {
     let mut runs = Vec::new();
     for setting in 0..settings.len() {
-        for picker in &experiment.load_balancers {
+        for load_balancer in &experiment.load_balancers {
             for seed in experiment.seeds.from..experiment.seeds.from.saturating_add(experiment.seeds.count) {
-                runs.push(PlannedRun { setting, load_balancer: *picker, seed });
+                runs.push(PlannedRun { setting, load_balancer: *load_balancer, seed });
             }
         }
     }
     runs
 }
 
-/// Whether a setting can be played in virtual time.
+/// An error if a fault of the setting needs real sockets.
 pub fn check_virtual_time(setting: &Setting) -> Result<(), String> {
     match setting.scenario.first_socket_only_fault() {
         None => Ok(()),
@@ -261,8 +263,10 @@
     }
 }
 
-/// Plays one run.
-pub fn run_one(scenario: &Scenario, picker: LoadBalancerKind, seed: u64) -> crate::world::Run {
+/// Simulates one run.
+pub fn run_one(scenario: &Scenario, load_balancer: LoadBalancerKind, seed: u64) -> crate::world::Run {
     let plan = Rc::new(scenario.clone());
-    crate::world::simulate(&plan, seed, &|host, settings, seed, now| picker.create(host, settings, seed, now))
+    crate::world::simulate(&plan, seed, &|host, settings, seed, now| {
+        load_balancer.create(host, settings, seed, now)
+    })
 }
--- a/crates/lab/src/experiment/results.rs
+++ b/crates/lab/src/experiment/results.rs
@@ -1,5 +1,5 @@
-//! Results as JSON lines: a header with the experiment, every setting and the build, then one line for each run.
-//! They hold nothing of the machine or the moment: the same build, file and seeds write the same bytes.
+//! Results as JSON lines: a header with the build, the experiment and all settings, then one line for each run. They
+//! hold no data of the machine or the time: the same build, file and seeds write the same bytes.
 
 use super::ready::{Experiment, PreparedExperiment, Setting};
 use crate::cold::ColdPeaks;
@@ -11,19 +11,21 @@
 use serde::{Deserialize, Serialize};
 use std::io::{self, BufRead, Write};
 
-/// The version and the commit that the lab was built from.
+/// The version of the lab and the commit that it was built from.
 pub fn build() -> String {
     format!("{} {}", env!("CARGO_PKG_VERSION"), env!("LAB_BUILD"))
 }
 
+/// The first line of the results.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Header {
     pub build: String,
     pub experiment: Experiment,
-    /// By number, as rows name them.
+    /// Indexed by the `setting` of the rows.
     pub settings: Vec<SettingRecord>,
 }
 
+/// One setting of the experiment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SettingRecord {
     pub case: String,
@@ -31,6 +33,7 @@
     pub scenario: Scenario,
 }
 
+/// The result of one run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Row {
     pub setting: usize,
@@ -40,23 +43,22 @@
     pub load_balancer: LoadBalancerKind,
     pub seed: u64,
     pub totals: Totals,
-    /// Breaches of the four rules, in order.
+    /// Count of breaches by rule, with rule 1 at index 0.
     #[serde(rename = "broken")]
     pub breach_counts: [u64; 4],
-    /// The first few, told one by one.
+    /// The first few breaches as text.
     pub breaches: Vec<String>,
-    /// What cold servers were brought by all copies together.
-    #[serde(default)]
-    #[serde(rename = "cold")]
+    /// The highest load that all replicas together put on cold servers.
+    #[serde(default, rename = "cold")]
     pub cold_peaks: ColdPeaks,
     #[serde(rename = "steps")]
     pub events: u64,
 }
 
 impl Row {
-    pub fn new(ready: &PreparedExperiment, number: usize, run: &Run) -> Row {
-        const TOLD: usize = 3;
-        let planned = &ready.runs[number];
+    pub fn new(ready: &PreparedExperiment, index: usize, run: &Run) -> Row {
+        const MAX_BREACHES: usize = 3;
+        let planned = &ready.runs[index];
         let setting = &ready.settings[planned.setting];
         Row {
             setting: planned.setting,
@@ -66,19 +68,20 @@
             seed: planned.seed,
             totals: run.totals.clone(),
             breach_counts: run.breach_counts,
-            breaches: run.breaches.iter().take(TOLD).map(Breach::to_string).collect(),
+            breaches: run.breaches.iter().take(MAX_BREACHES).map(Breach::to_string).collect(),
             cold_peaks: run.cold_peaks.clone(),
             events: run.events,
         }
     }
 
-    /// The case and the point of the axes, as tables name it.
+    /// The case and the values of the axes, as tables show them.
     pub fn name(&self) -> String {
         let point = self.point.iter().map(|(key, value)| format!(" {key}={value}"));
         self.case.clone() + &point.collect::<String>()
     }
 }
 
+/// The results of an experiment.
 #[derive(Clone, Debug)]
 pub struct Results {
     pub header: Header,
@@ -87,7 +90,7 @@
 
 impl Results {
     pub fn header_of(ready: &PreparedExperiment) -> Header {
-        let told = |setting: &Setting| SettingRecord {
+        let record = |setting: &Setting| SettingRecord {
             case: setting.case.clone(),
             point: setting.point.clone(),
             scenario: setting.scenario.clone(),
@@ -95,29 +98,30 @@
         Header {
             build: build(),
             experiment: ready.experiment.clone(),
-            settings: ready.settings.iter().map(told).collect(),
+            settings: ready.settings.iter().map(record).collect(),
         }
     }
 
-    pub fn write(&self, into: &mut impl Write) -> io::Result<()> {
-        serde_json::to_writer(&mut *into, &self.header)?;
+    /// Writes the results as JSON lines.
+    pub fn write(&self, writer: &mut impl Write) -> io::Result<()> {
+        serde_json::to_writer(&mut *writer, &self.header)?;
         for row in &self.rows {
-            writeln!(into)?;
-            serde_json::to_writer(&mut *into, row)?;
+            writeln!(writer)?;
+            serde_json::to_writer(&mut *writer, row)?;
         }
-        writeln!(into)
+        writeln!(writer)
     }
 
-    /// Reads what `write` wrote; a line that can't be read is named.
-    pub fn read(from: impl BufRead) -> Result<Results, String> {
+    /// Reads results that `write` wrote. An error names the line.
+    pub fn read(reader: impl BufRead) -> Result<Results, String> {
         let mut header = None;
         let mut rows = Vec::new();
-        for (number, line) in (1..).zip(from.lines()) {
-            let line = line.map_err(|wrong| wrong.to_string())?;
-            let told = |wrong: serde_json::Error| format!("line {number}: {wrong}");
+        for (index, line) in (1..).zip(reader.lines()) {
+            let line = line.map_err(|error| error.to_string())?;
+            let at_line = |error: serde_json::Error| format!("line {index}: {error}");
             match header {
-                None => header = Some(serde_json::from_str(&line).map_err(told)?),
-                Some(_) => rows.push(serde_json::from_str(&line).map_err(told)?),
+                None => header = Some(serde_json::from_str(&line).map_err(at_line)?),
+                Some(_) => rows.push(serde_json::from_str(&line).map_err(at_line)?),
             }
         }
         Ok(Results { header: header.ok_or("line 1: no header")?, rows })
--- a/crates/lab/src/live.rs
+++ b/crates/lab/src/live.rs
@@ -1,4 +1,4 @@
-//! The sub-commands that need real sockets. It owns what is shown while they run.
+//! The subcommands that use real sockets, and the output while they run.
 
 use crate::args::{Added, Bench, Load, Sockets};
 use crate::cases::{case_of, find};
@@ -14,7 +14,7 @@
     given.cloned().map_or_else(sockets::program, Ok)
 }
 
-/// One line a second; a terminal also gets each server, in place.
+/// Prints one line per second; a terminal also shows each server, updated in place.
 struct Table {
     terminal: bool,
     lines: usize,
@@ -25,25 +25,25 @@
         Table { terminal: std::io::stdout().is_terminal(), lines: 0 }
     }
 
-    fn show(&mut self, seen: &Seen) {
-        let second = seen.of;
+    fn show(&mut self, progress: &Seen) {
+        let second = progress.of;
         let mut text = format!(
             "{:3} s  came {:4}  answered {:4}  declined {:3}  terminated {:2}  p50 {:6.1} ms  p99 {:6.1} ms  {}\n",
-            seen.second + 1,
+            progress.second + 1,
             second.arrived,
             second.answered,
             second.declined,
             second.terminated,
             second.p50,
             second.p99,
-            seen.faults.join(", "),
+            progress.faults.join(", "),
         );
         if self.terminal {
-            // Up to where the table began, and clear from there.
+            // Moves the cursor to the start of the table and clears the screen from there.
             print!("\x1b[{}A\x1b[J", self.lines);
-            for (name, standing, load) in &seen.servers {
+            for (name, status, load) in &progress.servers {
                 let bar = "#".repeat(((load * 4.0) as usize).min(40));
-                text += &format!("    {name:6} {standing:7} {load:5.1} {bar}\n");
+                text += &format!("    {name:6} {status:7} {load:5.1} {bar}\n");
             }
             self.lines = text.lines().count();
         }
@@ -55,24 +55,24 @@
 fn play(setting: &Setting, seed: u64, program: &Path, name: &str) -> Result<(RunReport, PathBuf), String> {
     let dir = sockets::run_dir(name)?;
     let mut table = Table::new();
-    let line = sockets::play(&setting.scenario, seed, program, &dir, &mut |seen| table.show(seen))?;
-    Ok((line, dir))
+    let report = sockets::play(&setting.scenario, seed, program, &dir, &mut |progress| table.show(progress))?;
+    Ok((report, dir))
 }
 
 fn write_report(
     setting: &Setting,
     title: &str,
     command: String,
-    line: RunReport,
+    report: RunReport,
     path: &Path,
 ) -> Result<(), String> {
-    let story = ReportData::new(&setting.scenario, title, &setting.about, command, vec![line]);
-    let page = report::page(&story).map_err(|wrong| wrong.to_string())?;
-    std::fs::write(path, page).map_err(|wrong| format!("{}: {wrong}", path.display()))
+    let report_data = ReportData::new(&setting.scenario, title, &setting.about, command, vec![report]);
+    let page = report::page(&report_data).map_err(|error| error.to_string())?;
+    std::fs::write(path, page).map_err(|error| format!("{}: {error}", path.display()))
 }
 
-fn tell(line: &RunReport) {
-    let totals = &line.totals;
+fn print_summary(report: &RunReport) {
+    let totals = &report.totals;
     println!(
         "kept {:.3} of the utility; {} came, {} answered, {} declined, {} terminated, {} lost; p50 {:.1} ms, \
          p99 {:.1} ms; rules broken {:?}",
@@ -84,110 +84,115 @@
         totals.lost,
         totals.p50,
         totals.p99,
-        line.breach_counts,
+        report.breach_counts,
     );
-    line.breaches.iter().take(10).for_each(|breach| println!("{breach}"));
+    report.breaches.iter().take(10).for_each(|breach| println!("{breach}"));
 }
 
-pub fn sockets(wanted: &Sockets) -> Result<(), String> {
-    let ready = find(&wanted.name)?;
-    let setting = case_of(&ready, wanted.case.as_deref())?;
-    let (line, dir) = play(setting, wanted.seed, &program(wanted.program.as_ref())?, &setting.case)?;
-    tell(&line);
+pub fn sockets(arguments: &Sockets) -> Result<(), String> {
+    let experiment = find(&arguments.name)?;
+    let setting = case_of(&experiment, arguments.case.as_deref())?;
+    let (report, dir) = play(setting, arguments.seed, &program(arguments.program.as_ref())?, &setting.case)?;
+    print_summary(&report);
     println!("logs: {}", dir.display());
-    let Some(path) = &wanted.report else { return Ok(()) };
-    let title = format!("{}: {} on sockets", wanted.name, setting.case);
-    let command =
-        format!("landingspread-lab sockets {} --case {} --seed {}", wanted.name, setting.case, wanted.seed);
-    write_report(setting, &title, command, line, path)
+    let Some(path) = &arguments.report else { return Ok(()) };
+    let title = format!("{}: {} on sockets", arguments.name, setting.case);
+    let command = format!(
+        "landingspread-lab sockets {} --case {} --seed {}",
+        arguments.name, setting.case, arguments.seed
+    );
+    write_report(setting, &title, command, report, path)
 }
 
 pub fn demo() -> Result<(), String> {
-    let ready = find("demo")?;
-    let setting = case_of(&ready, None)?;
+    let experiment = find("demo")?;
+    let setting = case_of(&experiment, None)?;
     println!("{}", setting.about);
-    let (line, dir) = play(setting, 1, &program(None)?, "demo")?;
-    tell(&line);
+    let (report, dir) = play(setting, 1, &program(None)?, "demo")?;
+    print_summary(&report);
     let path = dir.join("report.html");
-    write_report(setting, "demo", "landingspread-lab demo".into(), line, &path)?;
+    write_report(setting, "demo", "landingspread-lab demo".into(), report, &path)?;
     println!("report: {}", path.display());
     Ok(())
 }
 
-pub fn load(wanted: &Load) -> Result<(), String> {
-    if !wanted.to.ip().is_loopback() {
-        return Err(format!("{} is not on loopback: the lab sends nowhere else", wanted.to));
+pub fn load(arguments: &Load) -> Result<(), String> {
+    if !arguments.to.ip().is_loopback() {
+        return Err(format!("{} is not on loopback: the lab sends nowhere else", arguments.to));
     }
-    let positive = |figure: f64| figure.is_finite() && figure >= 0.0;
-    if !positive(wanted.seconds) || !positive(wanted.rate) || !(1..=4096).contains(&wanted.connections) {
+    let is_valid = |value: f64| value.is_finite() && value >= 0.0;
+    if !is_valid(arguments.seconds)
+        || !is_valid(arguments.rate)
+        || !(1..=4096).contains(&arguments.connections)
+    {
         return Err("--seconds and --rate are no less than 0, --connections from 1 to 4096".into());
     }
-    let figures = sockets::load(&LoadPlan {
-        targets: vec![wanted.to],
-        verb: wanted.verb.clone(),
-        connections: wanted.connections,
-        rate: wanted.rate,
+    let results = sockets::load(&LoadPlan {
+        targets: vec![arguments.to],
+        verb: arguments.request_class.clone(),
+        connections: arguments.connections,
+        rate: arguments.rate,
         limit: Duration::from_secs(2),
         settle: Duration::from_millis(500),
-        length: Duration::from_secs_f64(wanted.seconds.min(3600.0)),
+        length: Duration::from_secs_f64(arguments.seconds.min(3600.0)),
         seed: 1,
     });
-    let text = serde_json::to_string_pretty(&figures).map_err(|wrong| wrong.to_string())?;
+    let text = serde_json::to_string_pretty(&results).map_err(|error| error.to_string())?;
     println!("{text}");
     Ok(())
 }
 
-fn or_else(given: &[usize], otherwise: &[usize]) -> Vec<usize> {
-    if given.is_empty() {
-        otherwise.to_vec()
+fn values_or(values: &[usize], default: &[usize]) -> Vec<usize> {
+    if values.is_empty() {
+        default.to_vec()
     } else {
-        given.iter().map(|figure| (*figure).clamp(1, 4096)).collect()
+        values.iter().map(|value| (*value).clamp(1, 4096)).collect()
     }
 }
 
-pub fn bench(wanted: &Bench) -> Result<(), String> {
-    let program = program(wanted.program.as_ref())?;
+pub fn bench(arguments: &Bench) -> Result<(), String> {
+    let program = program(arguments.program.as_ref())?;
     let dir = sockets::run_dir("bench")?;
-    let span = |seconds: f64, least: f64| Duration::from_secs_f64(seconds.clamp(least, 600.0));
-    let spans = (span(wanted.settle, 0.0), span(wanted.seconds, 0.5));
+    let clamped_duration = |seconds: f64, min: f64| Duration::from_secs_f64(seconds.clamp(min, 600.0));
+    let durations = (clamped_duration(arguments.settle, 0.0), clamped_duration(arguments.seconds, 0.5));
     println!(
         "| servers | connections | answered a second | p50 ms | p99 ms | declined | lost | cores used |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
-    let tell = |point: &points::Point| {
-        let points::Point { servers, figures, busy } = point;
+    let print_row = |point: &points::Point| {
+        let points::Point { servers, figures: results, busy } = point;
         let servers = if *servers == 0 { "none between".to_string() } else { servers.to_string() };
         println!(
             "| {servers} | {} | {:.0} | {:.3} | {:.3} | {} | {} | {busy:.2} |",
-            figures.connections,
-            figures.answered_per_s,
-            figures.p50,
-            figures.p99,
-            figures.declined,
-            figures.lost
+            results.connections,
+            results.answered_per_s,
+            results.p50,
+            results.p99,
+            results.declined,
+            results.lost
         );
     };
-    tell(&points::direct(32, spans)?);
-    for servers in &or_else(&wanted.servers, &[8, 200]) {
-        for connections in &or_else(&wanted.connections, &[1, 8, 32, 128]) {
-            tell(&points::through(&program, &dir, *servers, *connections, spans)?);
+    print_row(&points::direct(32, durations)?);
+    for servers in &values_or(&arguments.servers, &[8, 200]) {
+        for connections in &values_or(&arguments.connections, &[1, 8, 32, 128]) {
+            print_row(&points::through(&program, &dir, *servers, *connections, durations)?);
         }
     }
     Ok(())
 }
 
-pub fn added(wanted: &Added) -> Result<(), String> {
-    let mut programs = vec![program(wanted.program.as_ref())?];
-    programs.extend(wanted.against.clone());
-    let rates = if wanted.rate.is_empty() { vec![65.0, 650.0] } else { wanted.rate.clone() };
+pub fn added(arguments: &Added) -> Result<(), String> {
+    let mut programs = vec![program(arguments.program.as_ref())?];
+    programs.extend(arguments.against.clone());
+    let rates = if arguments.rate.is_empty() { vec![65.0, 650.0] } else { arguments.rate.clone() };
     let dir = sockets::run_dir("added")?;
     for rate in rates {
         let turns = Turns {
             rate: rate.clamp(0.1, 100_000.0),
-            pairs: wanted.pairs.clamp(1, 1000),
-            length: Duration::from_secs_f64(wanted.seconds.clamp(0.5, 600.0)),
-            connections: wanted.connections.clamp(1, 4096),
-            servers: wanted.servers.clamp(1, 1000),
+            pairs: arguments.pairs.clamp(1, 1000),
+            length: Duration::from_secs_f64(arguments.seconds.clamp(0.5, 600.0)),
+            connections: arguments.connections.clamp(1, 4096),
+            servers: arguments.servers.clamp(1, 1000),
         };
         print!("{}", added::page(&turns, &added::measure(&turns, &programs, &dir)?));
     }
--- a/crates/lab/src/pickers/fleeted.rs
+++ b/crates/lab/src/pickers/fleeted.rs
@@ -64,7 +64,8 @@
 }
 
 impl FleetBalancer {
-    /// `zones` enables zone failover; `reports_falsely` lets one in `FALSE_REPORTER_SPACING` replicas send false reports of zones.
+    /// `zones` enables zone failover; `reports_falsely` lets one in `FALSE_REPORTER_SPACING` replicas send false
+    /// reports of zones.
     pub fn start(
         host: HostHandle,
         settings: Settings,
@@ -112,7 +113,7 @@
         };
         let mut own: Vec<OwnObservation> = observation.iter().map(own).collect();
         for own in own.iter_mut().filter(|_| self.reports_falsely) {
-            // Reports an unreachable zone two times out of three, changing every 700 ms.
+            // Reports each zone as silent two times out of three, changing every 700 ms.
             let false_pattern =
                 (now.as_millis() as u64 / 700 + own.zone as u64 * 5 + replica_id(self.membership.address()))
                     % 3;
--- a/crates/lab/src/pickers/plain.rs
+++ b/crates/lab/src/pickers/plain.rs
@@ -114,7 +114,7 @@
         let is_eligible = |position: &usize| {
             let server = &self.servers[*position];
             server.ready
-                && !open.attempts.iter().any(|attempts| attempts.server == *position)
+                && !open.attempts.iter().any(|attempt| attempt.server == *position)
                 && may_send(&self.settings, open.class, &open.attempts, server.zone, server.cell, now)
         };
         let eligible: Vec<usize> = (0..self.servers.len()).filter(is_eligible).collect();
@@ -199,11 +199,12 @@
 
     fn request_arrived(&mut self, now: Duration, arrival: RequestArrival) {
         let RequestArrival { class, deadline, .. } = arrival;
-        let goal = self.settings.classes.get(class).map_or(deadline, |class| now + class.latency_objective);
+        let objective =
+            self.settings.classes.get(class).map_or(deadline, |class| now + class.latency_objective);
         let open = OpenRequest {
             class,
             deadline,
-            objective_deadline: goal.min(deadline),
+            objective_deadline: objective.min(deadline),
             no_more_attempts: false,
             attempts: Vec::new(),
         };
@@ -213,9 +214,9 @@
 
     fn client_disconnected(&mut self, _now: Duration, request: &Id) {
         let Some(open) = self.open.remove(request) else { return };
-        for (number, attempts) in (0u32..).zip(&open.attempts) {
-            if attempts.outcome.is_none() {
-                self.servers[attempts.server].outstanding -= 1;
+        for (number, attempt) in (0u32..).zip(&open.attempts) {
+            if attempt.outcome.is_none() {
+                self.servers[attempt.server].outstanding -= 1;
                 self.host.cancel_attempt(request, number);
             }
         }
@@ -223,9 +224,9 @@
 
     fn attempt_ended(&mut self, now: Duration, attempt_end: AttemptEnd) {
         let Some(open) = self.open.get_mut(&attempt_end.request) else { return };
-        let Some(attempts) = open.attempts.get_mut(attempt_end.attempt as usize) else { return };
-        attempts.outcome = Some(attempt_end.outcome);
-        self.servers[attempts.server].outstanding -= 1;
+        let Some(attempt) = open.attempts.get_mut(attempt_end.attempt as usize) else { return };
+        attempt.outcome = Some(attempt_end.outcome);
+        self.servers[attempt.server].outstanding -= 1;
         if attempt_end.body_consumed {
             open.no_more_attempts = true;
         }
--- a/crates/lab/src/pickers/rules.rs
+++ b/crates/lab/src/pickers/rules.rs
@@ -33,17 +33,17 @@
     now: Duration,
 ) -> bool {
     let dedup_window = settings.classes.get(class).map_or(Duration::ZERO, |class| class.dedup_window);
-    attempts.iter().filter(|attempts| attempts.may_have_run()).all(|attempts| {
+    attempts.iter().filter(|attempt| attempt.may_have_run()).all(|attempt| {
         match retry_safety(settings, class) {
             RetrySafety::Idempotent => true,
             RetrySafety::NonIdempotent => false,
             RetrySafety::IdempotencyKeyed(scope) => {
                 let in_scope = match scope {
                     DedupScope::All => true,
-                    DedupScope::Zone => attempts.zone == zone,
-                    DedupScope::Cell => attempts.zone == zone && attempts.cell == cell,
+                    DedupScope::Zone => attempt.zone == zone,
+                    DedupScope::Cell => attempt.zone == zone && attempt.cell == cell,
                 };
-                in_scope && now < attempts.sent_at + dedup_window
+                in_scope && now < attempt.sent_at + dedup_window
             }
         }
     })
--- a/crates/lab/src/plan/check.rs
+++ b/crates/lab/src/plan/check.rs
@@ -1,195 +1,212 @@
-//! Whether a scenario that could be read can be played. It owns every bound of the world's size: past them a run
-//! could grow without end.
+//! Validates a scenario that could be parsed. It owns the bounds on the size of a simulation, without which a run could
+//! need unbounded memory or time.
 
 use super::faults::{Fault, FaultKind};
 use super::scenario::Scenario;
 
-const SERVERS_MOST: usize = 20_000;
-const COPIES_MOST: usize = 10_000;
-const SECONDS_MOST: f64 = 86_400.0;
-const RATE_MOST: f64 = 1e6;
+const MAX_SERVERS: usize = 20_000;
+const MAX_REPLICAS: usize = 10_000;
+const MAX_SECONDS: f64 = 86_400.0;
+const MAX_RATE: f64 = 1e6;
 
-type Found = Option<(String, String)>;
+/// The key of an invalid value and the reason, if there is one.
+type Problem = Option<(String, String)>;
 
-fn found(key: impl Into<String>, what: impl Into<String>) -> Found {
-    Some((key.into(), what.into()))
+fn problem(key: impl Into<String>, message: impl Into<String>) -> Problem {
+    Some((key.into(), message.into()))
 }
 
-/// The first key that can't be played, and why.
-pub fn first_error(scenario: &Scenario) -> Found {
-    sizes(scenario)
-        .or_else(|| verbs(scenario))
-        .or_else(|| tiers(scenario))
-        .or_else(|| shares(scenario))
-        .or_else(|| scenario.faults.iter().enumerate().find_map(|(at, fault)| of_fault(scenario, at, fault)))
+/// The first invalid key and the reason.
+pub fn first_error(scenario: &Scenario) -> Problem {
+    check_sizes(scenario)
+        .or_else(|| check_classes(scenario))
+        .or_else(|| check_tiers(scenario))
+        .or_else(|| check_shares(scenario))
+        .or_else(|| {
+            scenario.faults.iter().enumerate().find_map(|(index, fault)| check_fault(scenario, index, fault))
+        })
 }
 
-/// A figure that must lie within a range, ends included.
-fn outside(key: String, figure: f64, least: f64, most: f64) -> Found {
-    let within = figure.is_finite() && figure >= least && figure <= most;
-    if within { None } else { found(key, format!("{figure} does not lie from {least} to {most}")) }
+/// An error if a figure lies outside a range, ends included.
+fn check_range(key: String, value: f64, min: f64, max: f64) -> Problem {
+    let within = value.is_finite() && value >= min && value <= max;
+    if within { None } else { problem(key, format!("{value} does not lie from {min} to {max}")) }
 }
 
-fn sizes(scenario: &Scenario) -> Found {
-    let Scenario { front, load, rules, network, discovery: lists, .. } = scenario;
-    outside("seconds".into(), scenario.seconds, 0.1, SECONDS_MOST)
-        .or_else(|| outside("settle".into(), scenario.settle, 0.0, scenario.seconds))
-        .or_else(|| outside("load.rate".into(), load.rate, 0.0, RATE_MOST))
-        .or_else(|| outside("load.retries".into(), f64::from(load.retries), 0.0, 10.0))
-        .or_else(|| outside("load.backoff".into(), load.backoff, 0.001, 60.0))
-        .or_else(|| outside("load.quits".into(), load.disconnect_fraction, 0.0, 1.0))
-        .or_else(|| outside("front.copies".into(), front.replicas as f64, 1.0, COPIES_MOST as f64))
-        .or_else(|| outside("front.notice".into(), front.detection_delay, 0.0, 60.0))
-        .or_else(|| outside("rules.relays".into(), f64::from(rules.max_attempts), 1.0, 16.0))
-        .or_else(|| outside("rules.come_back".into(), rules.max_retry_after, 0.0, 600.0))
-        .or_else(|| outside("rules.grace".into(), rules.removal_grace, 0.0, 60.0))
-        .or_else(|| outside("rules.slack".into(), rules.deadline_slack, 0.0, 1.0))
-        .or_else(|| outside("rules.crossing".into(), rules.cross_zone_cost, 0.0, 1.0))
-        .or_else(|| outside("rules.beyond_quota".into(), rules.over_quota_value, 0.0, 1.0))
-        .or_else(|| outside("network.near".into(), network.same_zone_delay, 0.0, 1.0))
-        .or_else(|| outside("network.far".into(), network.cross_zone_delay, 0.0, 1.0))
-        .or_else(|| outside("network.words_lost".into(), network.peer_message_loss, 0.0, 1.0))
-        .or_else(|| outside("network.words_doubled".into(), network.peer_message_duplication, 0.0, 1.0))
-        .or_else(|| outside("lists.lag".into(), lists.delay, 0.0, 60.0))
-        .or_else(|| outside("lists.jitter".into(), lists.jitter, 0.0, 60.0))
-        .or_else(|| outside("lists.drain".into(), lists.drain_time, 0.0, 600.0))
-        .or_else(|| outside("lists.notice".into(), lists.removal_delay, 0.0, 600.0))
+fn check_sizes(scenario: &Scenario) -> Problem {
+    let Scenario { front, load, rules, network, discovery, .. } = scenario;
+    check_range("seconds".into(), scenario.seconds, 0.1, MAX_SECONDS)
+        .or_else(|| check_range("settle".into(), scenario.settle, 0.0, scenario.seconds))
+        .or_else(|| check_range("load.rate".into(), load.rate, 0.0, MAX_RATE))
+        .or_else(|| check_range("load.retries".into(), f64::from(load.retries), 0.0, 10.0))
+        .or_else(|| check_range("load.backoff".into(), load.backoff, 0.001, 60.0))
+        .or_else(|| check_range("load.quits".into(), load.disconnect_fraction, 0.0, 1.0))
+        .or_else(|| check_range("front.copies".into(), front.replicas as f64, 1.0, MAX_REPLICAS as f64))
+        .or_else(|| check_range("front.notice".into(), front.detection_delay, 0.0, 60.0))
+        .or_else(|| check_range("rules.relays".into(), f64::from(rules.max_attempts), 1.0, 16.0))
+        .or_else(|| check_range("rules.come_back".into(), rules.max_retry_after, 0.0, 600.0))
+        .or_else(|| check_range("rules.grace".into(), rules.removal_grace, 0.0, 60.0))
+        .or_else(|| check_range("rules.slack".into(), rules.deadline_slack, 0.0, 1.0))
+        .or_else(|| check_range("rules.crossing".into(), rules.cross_zone_cost, 0.0, 1.0))
+        .or_else(|| check_range("rules.beyond_quota".into(), rules.over_quota_value, 0.0, 1.0))
+        .or_else(|| check_range("network.near".into(), network.same_zone_delay, 0.0, 1.0))
+        .or_else(|| check_range("network.far".into(), network.cross_zone_delay, 0.0, 1.0))
+        .or_else(|| check_range("network.words_lost".into(), network.peer_message_loss, 0.0, 1.0))
+        .or_else(|| check_range("network.words_doubled".into(), network.peer_message_duplication, 0.0, 1.0))
+        .or_else(|| check_range("lists.lag".into(), discovery.delay, 0.0, 60.0))
+        .or_else(|| check_range("lists.jitter".into(), discovery.jitter, 0.0, 60.0))
+        .or_else(|| check_range("lists.drain".into(), discovery.drain_time, 0.0, 600.0))
+        .or_else(|| check_range("lists.notice".into(), discovery.removal_delay, 0.0, 600.0))
 }
 
-fn verbs(scenario: &Scenario) -> Found {
+fn check_classes(scenario: &Scenario) -> Problem {
     if scenario.request_classes.is_empty() {
-        return found("verbs", "at least one is wanted");
+        return problem("verbs", "expected at least one request class");
     }
-    scenario.request_classes.iter().enumerate().find_map(|(at, verb)| {
-        let key = |leaf: &str| format!("verbs.{at}.{leaf}");
-        let work = || verb.work.iter().find_map(|work| outside(key("work"), *work, 1e-6, 60.0));
-        outside(key("limit"), verb.time_limit, 0.001, 600.0)
-            .or_else(|| outside(key("goal"), verb.latency_objective, 0.001, verb.time_limit))
-            .or_else(|| outside(key("share"), verb.share, 0.0, 1e6))
-            .or_else(|| outside(key("utility"), verb.utility, 0.0, 1e6))
-            .or_else(|| outside(key("overdue_utility"), verb.late_utility, 0.0, 1e6))
-            .or_else(|| outside(key("memory"), verb.dedup_window, 0.0, 3600.0))
-            .or_else(|| outside(key("calls"), f64::from(verb.downstream_calls), 0.0, 16.0))
-            .or_else(|| if verb.work.is_empty() { found(key("work"), "has no figure") } else { work() })
+    scenario.request_classes.iter().enumerate().find_map(|(index, class)| {
+        let key = |field: &str| format!("verbs.{index}.{field}");
+        let work = || class.work.iter().find_map(|work| check_range(key("work"), *work, 1e-6, 60.0));
+        check_range(key("limit"), class.time_limit, 0.001, 600.0)
+            .or_else(|| check_range(key("goal"), class.latency_objective, 0.001, class.time_limit))
+            .or_else(|| check_range(key("share"), class.share, 0.0, 1e6))
+            .or_else(|| check_range(key("utility"), class.utility, 0.0, 1e6))
+            .or_else(|| check_range(key("overdue_utility"), class.late_utility, 0.0, 1e6))
+            .or_else(|| check_range(key("memory"), class.dedup_window, 0.0, 3600.0))
+            .or_else(|| check_range(key("calls"), f64::from(class.downstream_calls), 0.0, 16.0))
+            .or_else(|| {
+                if class.work.is_empty() {
+                    problem(key("work"), "expected at least one value")
+                } else {
+                    work()
+                }
+            })
     })
 }
 
-fn tiers(scenario: &Scenario) -> Found {
+fn check_tiers(scenario: &Scenario) -> Problem {
     if scenario.tiers.is_empty() {
-        return found("tiers", "at least one is wanted");
+        return problem("tiers", "expected at least one tier");
     }
-    let all: usize = scenario.tiers.iter().map(|tier| tier.servers).sum();
-    if all > SERVERS_MOST {
-        return found("tiers", format!("{all} servers are more than {SERVERS_MOST}"));
+    let total: usize = scenario.tiers.iter().map(|tier| tier.servers).sum();
+    if total > MAX_SERVERS {
+        return problem("tiers", format!("{total} servers are more than {MAX_SERVERS}"));
     }
-    scenario.tiers.iter().enumerate().find_map(|(at, tier)| {
-        let key = |leaf: &str| format!("tiers.{at}.{leaf}");
-        let (cold, connections) = (&tier.cold_start, &tier.connections);
-        let speeds = || tier.speeds.iter().find_map(|speed| outside(key("speeds"), *speed, 0.01, 100.0));
-        outside(key("cores"), tier.cores as f64, 1.0, 1024.0)
-            .or_else(|| outside(key("queue"), tier.queue_limit as f64, 0.0, 100_000.0))
-            .or_else(|| outside(key("cells"), f64::from(tier.cells), 1.0, 10_000.0))
-            .or_else(|| outside(key("report_every"), tier.report_interval, 0.0, 60.0))
-            .or_else(|| outside(key("cold.share"), cold.initial_fraction, 0.01, 1.0))
-            .or_else(|| outside(key("cold.warm_after"), cold.warmup, 0.0, 3600.0))
-            .or_else(|| outside(key("cold.multiple"), cold.overload_multiple, 1.0, 1000.0))
-            .or_else(|| outside(key("cold.window"), cold.overload_window, 0.1, 60.0))
-            .or_else(|| outside(key("cold.down"), cold.restart_delay, 0.0, 600.0))
-            .or_else(|| outside(key("connections.work"), connections.work, 0.0, 1.0))
-            .or_else(|| outside(key("connections.idle"), connections.idle_timeout, 0.0, 3600.0))
-            .or_else(|| outside(key("connections.dial"), connections.connect_timeout, 0.001, 10.0))
+    scenario.tiers.iter().enumerate().find_map(|(index, tier)| {
+        let key = |field: &str| format!("tiers.{index}.{field}");
+        let (cold_start, connections) = (&tier.cold_start, &tier.connections);
+        let speeds = || tier.speeds.iter().find_map(|speed| check_range(key("speeds"), *speed, 0.01, 100.0));
+        check_range(key("cores"), tier.cores as f64, 1.0, 1024.0)
+            .or_else(|| check_range(key("queue"), tier.queue_limit as f64, 0.0, 100_000.0))
+            .or_else(|| check_range(key("cells"), f64::from(tier.cells), 1.0, 10_000.0))
+            .or_else(|| check_range(key("report_every"), tier.report_interval, 0.0, 60.0))
+            .or_else(|| check_range(key("cold.share"), cold_start.initial_fraction, 0.01, 1.0))
+            .or_else(|| check_range(key("cold.warm_after"), cold_start.warmup, 0.0, 3600.0))
+            .or_else(|| check_range(key("cold.multiple"), cold_start.overload_multiple, 1.0, 1000.0))
+            .or_else(|| check_range(key("cold.window"), cold_start.overload_window, 0.1, 60.0))
+            .or_else(|| check_range(key("cold.down"), cold_start.restart_delay, 0.0, 600.0))
+            .or_else(|| check_range(key("connections.work"), connections.work, 0.0, 1.0))
+            .or_else(|| check_range(key("connections.idle"), connections.idle_timeout, 0.0, 3600.0))
+            .or_else(|| check_range(key("connections.dial"), connections.connect_timeout, 0.001, 10.0))
+            .or_else(|| {
+                tier.congestion.as_ref().and_then(|congestion| {
+                    check_range(key("jam.clear"), congestion.recovery, 0.0, congestion.onset)
+                })
+            })
             .or_else(|| {
                 tier.congestion
                     .as_ref()
-                    .and_then(|jam| outside(key("jam.clear"), jam.recovery, 0.0, jam.onset))
+                    .and_then(|congestion| check_range(key("jam.speed"), congestion.speed, 0.01, 1.0))
             })
             .or_else(|| {
-                tier.congestion.as_ref().and_then(|jam| outside(key("jam.speed"), jam.speed, 0.01, 1.0))
+                if tier.speeds.is_empty() {
+                    problem(key("speeds"), "expected at least one value")
+                } else {
+                    speeds()
+                }
             })
-            .or_else(|| if tier.speeds.is_empty() { found(key("speeds"), "has no figure") } else { speeds() })
     })
 }
 
-fn shares(scenario: &Scenario) -> Found {
+fn check_shares(scenario: &Scenario) -> Problem {
     let zones = scenario.zones.len();
     if zones == 0 || zones > 64 {
-        return found("zones", format!("{zones} zones; from 1 to 64 are wanted"));
+        return problem("zones", format!("{zones} zones; expected 1 to 64"));
     }
     if scenario.tenants.is_empty() || scenario.tenants.len() > 10_000 {
-        return found("tenants", "from 1 to 10,000 are wanted");
+        return problem("tenants", "expected 1 to 10,000 tenants");
     }
-    let share = |share: &f64| outside("front.traffic".into(), *share, 1e-3, 1e6);
-    if let Some(wrong) = scenario.front.traffic_shares.iter().find_map(share) {
-        return Some(wrong);
+    let share = |share: &f64| check_range("front.traffic".into(), *share, 1e-3, 1e6);
+    if let Some(error) = scenario.front.traffic_shares.iter().find_map(share) {
+        return Some(error);
     }
-    let shares = &scenario.front.zone_shares;
-    if !shares.is_empty() && shares.len() != zones {
-        return found("front.zone_shares", format!("{} figures for {zones} zones", shares.len()));
+    let zone_shares = &scenario.front.zone_shares;
+    if !zone_shares.is_empty() && zone_shares.len() != zones {
+        return problem("front.zone_shares", format!("{} values for {zones} zones", zone_shares.len()));
     }
-    if scenario.request_classes.iter().all(|verb| verb.share <= 0.0) {
-        return found("verbs.0.share", "all shares are 0");
+    if scenario.request_classes.iter().all(|class| class.share <= 0.0) {
+        return problem("verbs.0.share", "all shares are 0");
     }
     if scenario.tenants.iter().all(|tenant| tenant.share <= 0.0) {
-        return found("tenants.0.share", "all shares are 0");
+        return problem("tenants.0.share", "all shares are 0");
     }
-    let share = |(at, share): (usize, f64)| outside(format!("tenants.{at}.share"), share, 0.0, 1e6);
+    let share = |(index, share): (usize, f64)| check_range(format!("tenants.{index}.share"), share, 0.0, 1e6);
     scenario.tenants.iter().map(|tenant| tenant.share).enumerate().find_map(share)
 }
 
-fn of_fault(scenario: &Scenario, at: usize, fault: &Fault) -> Found {
-    let key = |leaf: &str| format!("faults.{at}.{leaf}");
-    let kind = fault.label();
+fn check_fault(scenario: &Scenario, index: usize, fault: &Fault) -> Problem {
+    let key = |field: &str| format!("faults.{index}.{field}");
+    let label = fault.label();
     let Some(tier) = scenario.tiers.get(fault.tier) else {
-        return found(key("tier"), format!("there is no tier {}", fault.tier));
+        return problem(key("tier"), format!("there is no tier {}", fault.tier));
     };
-    let beyond = |place: &&usize| **place >= tier.servers;
-    if let Some(place) = fault.servers.iter().find(beyond) {
-        return found(key("servers"), format!("tier {} has no server {place}", fault.tier));
+    let out_of_range = |server: &&usize| **server >= tier.servers;
+    if let Some(server) = fault.servers.iter().find(out_of_range) {
+        return problem(key("servers"), format!("tier {} has no server {server}", fault.tier));
     }
-    if fault.names_servers() && fault.servers.is_empty() {
-        return found(key("servers"), format!("{kind} needs the servers it strikes"));
+    if fault.needs_servers() && fault.servers.is_empty() {
+        return problem(key("servers"), format!("{label} needs the indices of its servers"));
     }
-    if let Some(verb) = &fault.request_class
-        && !scenario.request_classes.iter().any(|known| known.name == *verb)
+    if let Some(class) = &fault.request_class
+        && !scenario.request_classes.iter().any(|known| known.name == *class)
     {
-        return found(key("verb"), format!("there is no verb {verb:?}"));
+        return problem(key("verb"), format!("there is no request class {class:?}"));
     }
-    outside(key("at"), fault.at, 0.0, scenario.seconds)
-        .or_else(|| outside(key("for"), fault.duration, 0.0, SECONDS_MOST))
-        .or_else(|| fault.share.and_then(|share| outside(key("share"), share, 0.0, 1.0)))
-        .or_else(|| needs(scenario, fault, &kind, &key))
+    check_range(key("at"), fault.at, 0.0, scenario.seconds)
+        .or_else(|| check_range(key("for"), fault.duration, 0.0, MAX_SECONDS))
+        .or_else(|| fault.share.and_then(|share| check_range(key("share"), share, 0.0, 1.0)))
+        .or_else(|| check_required_keys(scenario, fault, &label, &key))
 }
 
-fn needs(scenario: &Scenario, fault: &Fault, kind: &str, key: &dyn Fn(&str) -> String) -> Found {
+fn check_required_keys(
+    scenario: &Scenario,
+    fault: &Fault,
+    label: &str,
+    key: &dyn Fn(&str) -> String,
+) -> Problem {
     use FaultKind::*;
-    let figure = |leaf: &str, given: Option<f64>, least: f64, most: f64| match given {
-        Some(figure) => outside(key(leaf), figure, least, most),
-        None => found(key(leaf), format!("{kind} needs it")),
+    let value = |field: &str, given: Option<f64>, min: f64, max: f64| match given {
+        Some(value) => check_range(key(field), value, min, max),
+        None => problem(key(field), format!("{label} needs it")),
     };
     match fault.kind {
-        Slow | SharedSlowness | Heavy | Surge => figure("factor", fault.factor, 0.01, 1000.0),
-        Errors => figure("share", fault.share, 0.0, 1.0),
-        Grow => figure("count", fault.count.map(|count| count as f64), 1.0, SERVERS_MOST as f64),
-        ListLate => figure("seconds", fault.seconds, 0.0, 600.0),
-        ListFlapping => figure("seconds", fault.seconds, 0.05, 600.0),
-        PeerMessagesLost => figure("share", fault.share, 0.0, 1.0),
+        Slow | SharedSlowness | Heavy | Surge => value("factor", fault.factor, 0.01, 1000.0),
+        Errors => value("share", fault.share, 0.0, 1.0),
+        Grow => value("count", fault.count.map(|count| count as f64), 1.0, MAX_SERVERS as f64),
+        ListLate => value("seconds", fault.seconds, 0.0, 600.0),
+        ListFlapping => value("seconds", fault.seconds, 0.05, 600.0),
+        PeerMessagesLost => value("share", fault.share, 0.0, 1.0),
         ReplicasRestarted | ReplicasDown | ReplicasPartitioned => {
-            let most = scenario.front.replicas as f64;
+            let max = scenario.front.replicas as f64;
             let count = fault.count.map(|count| count as f64);
-            figure(
-                "count",
-                count.or(fault.share.map(|_| scenario.affected_replicas(fault) as f64)),
-                1.0,
-                most,
-            )
+            value("count", count.or(fault.share.map(|_| scenario.affected_replicas(fault) as f64)), 1.0, max)
         }
         ZoneCut | ZoneLost => match &fault.zone {
             Some(zone) if scenario.zones.contains(zone) => None,
-            Some(zone) => found(key("zone"), format!("there is no zone {zone:?}")),
-            None => found(key("zone"), format!("{kind} needs it")),
+            Some(zone) => problem(key("zone"), format!("there is no zone {zone:?}")),
+            None => problem(key("zone"), format!("{label} needs it")),
         },
         FalseLoadReports if fault.false_load.is_none() => {
-            found(key("says"), "one of idle, busy, frozen is wanted")
+            problem(key("says"), "expected one of idle, busy, frozen")
         }
         _ => None,
     }
--- a/crates/lab/src/plan/faults.rs
+++ b/crates/lab/src/plan/faults.rs
@@ -1,64 +1,68 @@
-//! What goes wrong, and when. Each fault is one entry of the file's `faults`; several may overlap. It owns what
-//! each kind needs to be told; how the world plays it stands in `world/faults.rs`.
+//! Faults of a scenario: each is one entry of `faults` in its file, and several may overlap. This module owns the keys
+//! of each kind; `world/faults.rs` simulates them.
 
 use serde::{Deserialize, Serialize};
 
+/// The kind of a fault and the keys that it uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Processes end; their connections are reset and new ones refused; they come back cold after `for`.
+    /// The processes of `servers` end; connections are reset and new ones refused. They start again, cold, after `for`.
     Crash,
-    /// Machines fall silent: nothing is refused, nothing answered. They come back cold.
+    /// The machines of `servers` are unreachable: connections are neither accepted nor refused. They start again, cold.
     Vanish,
-    /// Work takes `factor` times as long.
+    /// Work at `servers` takes `factor` times as long.
     Slow,
-    /// A `share` of the commands (of `verb` alone, where given) fails at once.
+    /// A `share` of the requests at `servers` (only of class `verb`, if given) fails at once.
     Errors,
-    /// Nothing is worked on; what comes waits.
+    /// `servers` do no work; arriving requests wait.
     Pause,
-    /// A `share` of the commands (of `verb` alone, where given) is `factor` times as much work.
+    /// A `share` of the requests of a tier (only of class `verb`, if given) is `factor` times as much work.
     Heavy,
-    /// All servers of a tier are slow by `factor`: something they share is.
+    /// All servers of a tier are slower by `factor`, as when a shared dependency is slow.
     SharedSlowness,
-    /// Clients send `factor` times as much.
+    /// Clients send `factor` times as many requests.
     Surge,
-    /// `count` servers join, cold; they stay.
+    /// `count` cold servers join for the rest of the run.
     Grow,
-    /// The servers named drain and are gone for good.
+    /// `servers` drain and are removed for good.
     Shrink,
-    /// Lists come `seconds` later than usual.
+    /// Lists are delivered `seconds` later than usual.
     ListLate,
-    /// The list says what it said when the fault began.
+    /// The list stays as it was at the begin of the fault.
     ListStale,
-    /// The servers named leave and enter the list, turn about, every `seconds`; they are well.
+    /// Every `seconds` the list shows `servers` as draining or as ready, in turn, though they work.
     ListFlapping,
-    /// The list says that there is no server.
+    /// The list is empty.
     ListEmpty,
-    /// The list source answers nobody.
+    /// The list source answers no poll and ends all watches.
     ListDown,
-    /// What crosses the border of `zone` is lost; both sides live.
+    /// Messages into and out of `zone` are lost; both sides keep running.
     ZoneCut,
-    /// All that is in `zone` falls silent, and comes back cold; its copies too.
+    /// All servers and replicas in `zone` are unreachable; they start again cold.
     ZoneLost,
-    /// `count` copies of the front, or a `share` of them, die, one every `seconds`, and start anew 1 s later, knowing an old list.
+    /// `count` replicas of the front, or a `share` of them, end, one every `seconds`, and start again 1 s later with a
+    /// cached list.
     #[serde(rename = "copies_restarted")]
     ReplicasRestarted,
-    /// The first `count` copies of the front, or a `share` of them, end, and start again after `for`.
+    /// The first `count` replicas of the front, or a `share` of them, end and start again after `for`.
     #[serde(rename = "copies_down")]
     ReplicasDown,
-    /// Words pass neither way between the first `count` copies of the front, or a `share` of them, and all others (virtual time only).
+    /// No peer message or datagram passes between the first `count` replicas of the front, or a `share` of them, and all
+    /// other replicas (virtual time only).
     #[serde(rename = "copies_apart")]
     ReplicasPartitioned,
-    /// A `share` of the words between copies is lost (virtual time only).
+    /// A `share` of the peer messages and datagrams between replicas is lost (virtual time only).
     #[serde(rename = "words_lost")]
     PeerMessagesLost,
-    /// Load reports are `says`.
+    /// Load reports of `servers` are false, as `says`.
     #[serde(rename = "reports_lie")]
     FalseLoadReports,
-    /// Connections that one side takes for open and the other has forgotten: on real sockets only.
+    /// Connections are half open: one side holds them for open, the other has no state of them (real sockets only).
     HalfOpen,
 }
 
+/// The load that a server reports falsely: none, full, or the figures at the begin of the fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FalseLoad {
@@ -67,18 +71,19 @@
     Frozen,
 }
 
+/// One fault; `kind` decides which of the optional keys are used.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
     pub kind: FaultKind,
     /// Seconds since the start.
     pub at: f64,
-    /// How long it lasts, in seconds.
+    /// Duration in seconds.
     #[serde(rename = "for", default)]
     pub duration: f64,
     #[serde(default)]
     pub tier: usize,
-    /// Places in the tier, counted from 0.
+    /// Indices of servers in the tier, from 0.
     #[serde(default)]
     pub servers: Vec<usize>,
     pub factor: Option<f64>,
@@ -93,13 +98,13 @@
 }
 
 impl Fault {
-    /// Whether it acts on servers that the file must name.
-    pub fn names_servers(&self) -> bool {
+    /// Whether the fault needs the key `servers`.
+    pub fn needs_servers(&self) -> bool {
         use FaultKind::*;
         matches!(self.kind, Crash | Vanish | Slow | Errors | Pause | Shrink | ListFlapping | FalseLoadReports)
     }
 
-    /// A few words for a report's axis.
+    /// The kind as words, for reports and errors.
     pub fn label(&self) -> String {
         let kind = serde_json::to_value(self.kind).ok();
         kind.as_ref().and_then(|kind| kind.as_str()).unwrap_or("fault").replace('_', " ")
--- a/crates/lab/src/plan/mod.rs
+++ b/crates/lab/src/plan/mod.rs
@@ -1,4 +1,4 @@
-//! Plans: scenarios as files tell them, checked.
+//! Plans: scenarios as TOML files describe them, and their validation.
 
 mod check;
 mod faults;
--- a/crates/lab/src/plan/read.rs
+++ b/crates/lab/src/plan/read.rs
@@ -1,4 +1,4 @@
-//! Files into scenarios that can be played.
+//! Reads and validates scenario files.
 
 use super::check;
 use super::scenario::Scenario;
@@ -11,7 +11,7 @@
     parse(&file, &text)
 }
 
-/// Takes a scenario's text; `file` is what messages call it.
+/// Parses and checks the text of a scenario; `file` is its name in errors.
 pub fn parse(file: &str, text: &str) -> Result<Scenario, FileError> {
     let scenario: Scenario = parse_toml(file, text)?;
     match check::first_error(&scenario) {
--- a/crates/lab/src/plan/scenario.rs
+++ b/crates/lab/src/plan/scenario.rs
@@ -1,26 +1,27 @@
-//! A scenario as its file tells it: the world, its load, what goes wrong and when. It owns every default and the
-//! units (seconds, commands a second, shares of 1); it must never know how the world plays them.
+//! The format of a scenario file: servers, network, load, rules and faults. This module owns the defaults and units
+//! (seconds, requests per second, fractions of 1) and does not depend on the simulation.
 //!
-//! Unknown keys are errors with the nearest known name; `check` says what else can't be played, by key and line.
+//! Unknown keys are errors that suggest the nearest known key; `check` validates the values.
 
 use super::faults::{Fault, FaultKind};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Seconds of a file as a span; what is no span (negative, not a number) is none.
+/// Converts seconds to a duration; negative, too large and non-finite values give zero.
 pub fn to_duration(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds).unwrap_or_default()
 }
 
+/// A scenario: one simulated system with its load and faults.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
     pub name: String,
     #[serde(default)]
     pub about: String,
-    /// How long clients send.
+    /// Time during which clients send, in seconds.
     pub seconds: f64,
-    /// The first part that figures leave out: what starts from nothing says little about a service.
+    /// Time at the start, in seconds, that totals leave out, because a system that has just started is not typical.
     #[serde(default = "two")]
     pub settle: f64,
     pub load: Load,
@@ -35,8 +36,7 @@
     pub tiers: Vec<Tier>,
     #[serde(default)]
     pub network: Network,
-    #[serde(default)]
-    #[serde(rename = "lists")]
+    #[serde(default, rename = "lists")]
     pub discovery: Discovery,
     #[serde(default)]
     pub rules: Rules,
@@ -44,24 +44,24 @@
     pub faults: Vec<Fault>,
 }
 
-/// Open loop: clients send at a rate, whatever becomes of what they sent (Schroeder et al., NSDI 2006).
+/// The load of an open loop: clients send at a rate that does not depend on the answers (Schroeder et al., NSDI 2006).
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// Commands a second of all clients together, but for their retries.
+    /// Requests per second of all clients together, without retries.
     pub rate: f64,
-    /// How often a client tries again what was declined, or what is harmless to repeat and was not answered.
+    /// The most retries of a client, after a rejection or, for idempotent classes, after a failure.
     #[serde(default)]
     pub retries: u32,
-    /// The mean wait before that, in seconds; a come-back time that was told goes before it.
+    /// Mean wait before a retry in seconds, unless the rejection said when to retry.
     #[serde(default = "quarter")]
     pub backoff: f64,
-    /// The share of clients that go away before their time limit.
-    #[serde(default)]
-    #[serde(rename = "quits")]
+    /// Fraction of clients that disconnect before the time limit.
+    #[serde(default, rename = "quits")]
     pub disconnect_fraction: f64,
 }
 
+/// Whether a request may run more than once: always, deduplicated by key within a scope, or never.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RetrySafety {
@@ -78,30 +78,30 @@
     NonIdempotent,
 }
 
+/// The distribution of the work of a request around its mean.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorkDistribution {
     Fixed,
     #[default]
     Exponential,
-    /// Coefficient of variation 1.5.
+    /// Lognormal with coefficient of variation 1.5.
     Lognormal,
     /// Bounded Pareto, shape 1.5, from a third of the mean to thirty times it (Crovella and Bestavros).
     Pareto,
 }
 
+/// A request class with its retry safety, objectives and work.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestClass {
     pub name: String,
     #[serde(default = "one")]
     pub share: f64,
-    #[serde(default)]
-    #[serde(rename = "repeats")]
+    #[serde(default, rename = "repeats")]
     pub retry_safety: RetrySafety,
-    /// How long a server's group drops repeats, in seconds.
-    #[serde(default = "thirty")]
-    #[serde(rename = "memory")]
+    /// Time during which servers of the deduplication scope drop repeats, in seconds.
+    #[serde(default = "thirty", rename = "memory")]
     pub dedup_window: f64,
     #[serde(rename = "goal")]
     pub latency_objective: f64,
@@ -109,17 +109,14 @@
     pub time_limit: f64,
     #[serde(default = "one")]
     pub utility: f64,
-    #[serde(default)]
-    #[serde(rename = "overdue_utility")]
+    #[serde(default, rename = "overdue_utility")]
     pub late_utility: f64,
-    /// Mean seconds of one core at speed 1, for each tier; the last figure goes for the tiers after it.
+    /// Mean work in seconds of one core at speed 1, for each tier; the last value holds for all further tiers.
     pub work: Vec<f64>,
-    #[serde(default)]
-    #[serde(rename = "spread")]
+    #[serde(default, rename = "spread")]
     pub work_distribution: WorkDistribution,
-    /// Calls to the next tier that a server makes for one command, one after another.
-    #[serde(default = "one_call")]
-    #[serde(rename = "calls")]
+    /// Calls to the next tier that a server makes for one request, one after another.
+    #[serde(default = "one_call", rename = "calls")]
     pub downstream_calls: u32,
 }
 
@@ -129,29 +126,31 @@
     }
 }
 
+/// A tenant with its share of the load.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
     pub name: String,
     #[serde(default = "one")]
     pub share: f64,
-    /// Commands a second that it has a right to; no bound where it is not given.
+    /// Quota in requests per second; unlimited if not given.
     pub quota: Option<f64>,
 }
 
-/// The copies that clients speak to.
+/// The replicas that clients connect to.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FrontTier {
     #[serde(rename = "copies")]
     pub replicas: usize,
-    /// How long clients go on coming to a copy that has died, in seconds; they hear at once that it is gone.
+    /// Time for which clients would still connect to a replica that has ended, in seconds. It is checked, but no run
+    /// uses it.
     #[serde(rename = "notice")]
     pub detection_delay: f64,
-    /// Copies' parts of the clients of their zone, dealt out in turn; even where it is empty. In virtual time only.
+    /// Weights of the replicas among those of their zone, assigned in turn; equal if empty. Only in virtual time.
     #[serde(rename = "traffic")]
     pub traffic_shares: Vec<f64>,
-    /// Zones' parts of the clients; even where it is empty.
+    /// Weights of the zones by clients; equal if empty.
     pub zone_shares: Vec<f64>,
 }
 
@@ -161,6 +160,7 @@
     }
 }
 
+/// The figures that servers report with their answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReportedLoad {
@@ -171,37 +171,32 @@
     Both,
 }
 
+/// A tier of equal servers behind the replicas of the tier above.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tier {
     pub servers: usize,
     #[serde(default = "two_cores")]
     pub cores: usize,
-    /// Servers' speeds, dealt out in turn.
+    /// Speeds of the servers, assigned in turn.
     #[serde(default = "unit_speed")]
     pub speeds: Vec<f64>,
-    /// Whether the list tells the speeds as weights.
-    #[serde(default = "yes")]
-    #[serde(rename = "weights_told")]
+    /// Whether the endpoint list carries the speeds as weights.
+    #[serde(default = "yes", rename = "weights_told")]
     pub lists_weights: bool,
-    /// Commands that may wait at a server; past it one is turned away.
-    #[serde(default = "sixty_four")]
-    #[serde(rename = "queue")]
+    /// Requests that may wait at a server; beyond it they are rejected as overload.
+    #[serde(default = "sixty_four", rename = "queue")]
     pub queue_limit: usize,
     #[serde(default = "four_cells")]
     pub cells: u32,
-    #[serde(default)]
-    #[serde(rename = "reports")]
+    #[serde(default, rename = "reports")]
     pub load_reports: ReportedLoad,
-    /// How long a reported figure stands before the server reckons it anew, in seconds.
-    #[serde(default)]
-    #[serde(rename = "report_every")]
+    /// Time for which a load report is reused before the server computes a new one, in seconds.
+    #[serde(default, rename = "report_every")]
     pub report_interval: f64,
-    #[serde(default = "yes")]
-    #[serde(rename = "checks")]
+    #[serde(default = "yes", rename = "checks")]
     pub health_checks: bool,
-    #[serde(default)]
-    #[serde(rename = "cold")]
+    #[serde(default, rename = "cold")]
     pub cold_start: ColdStart,
     #[serde(rename = "jam")]
     pub congestion: Option<Congestion>,
@@ -209,25 +204,26 @@
     pub connections: Connections,
 }
 
-/// A process that has just started has empty caches: it is slow, and what comes faster than it warms pushes it
-/// over (Nishtala et al., NSDI 2013, section 4.3).
+/// Cold start: a process with empty caches is slow and ends if more work arrives than it can do (Nishtala et al.,
+/// NSDI 2013, section 4.3).
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ColdStart {
-    /// Its speed at the start, as a share of its warm one, growing evenly.
+    /// Speed at the start as a fraction of the warm speed; it grows linearly.
     #[serde(rename = "share")]
     pub initial_fraction: f64,
     #[serde(rename = "warm_after")]
     pub warmup: f64,
-    /// It falls when the work brought to it within `window` is more than this many times what it can do by then.
+    /// The server is overloaded, and ends, when the work that arrives within the window is more than this multiple of the
+    /// work that it can do in it at its present speed.
     #[serde(rename = "multiple")]
     pub overload_multiple: f64,
     #[serde(rename = "window")]
     pub overload_window: f64,
-    /// Fewer commands than this within a window push it over only beyond what is put down to chance as well.
+    /// With fewer requests than this in the window, only work beyond the allowance for chance overloads the server.
     #[serde(rename = "least")]
     pub min_requests: u32,
-    /// How long it is away after a fall.
+    /// Time until an overloaded server starts again, in seconds.
     #[serde(rename = "down")]
     pub restart_delay: f64,
 }
@@ -245,29 +241,30 @@
     }
 }
 
-/// What is crowded is slow until it is mostly idle again (metastable states: Bronson et al., HotOS 2021; Huang et
-/// al., OSDI 2022).
+/// Congestion: an overfull server stays slow until it is mostly idle again (metastable failures: Bronson et al., HotOS
+/// 2021; Huang et al., OSDI 2022).
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Congestion {
-    /// Commands in a server for each core, at which it jams.
+    /// Requests per core at which a server becomes congested.
     #[serde(rename = "at")]
     pub onset: f64,
-    /// And at which it is free again.
+    /// Requests per core at which the congestion ends.
     #[serde(rename = "clear")]
     pub recovery: f64,
     pub speed: f64,
 }
 
+/// Connections of replicas to the servers of a tier.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Connections {
-    /// Seconds of a core that a new connection costs its server; it also costs one round trip more.
+    /// Work of a new connection at its server, in seconds of a core. It also costs one round trip more.
     pub work: f64,
-    /// How long an idle one is kept, in seconds.
+    /// Time for which an idle connection is kept, in seconds.
     #[serde(rename = "idle")]
     pub idle_timeout: f64,
-    /// How long is waited for one that does not come up, in seconds.
+    /// Time after which a connection attempt fails, in seconds.
     #[serde(rename = "dial")]
     pub connect_timeout: f64,
 }
@@ -278,7 +275,7 @@
     }
 }
 
-/// One-way delays in seconds; each message adds an exponential part of a fifth of it.
+/// One-way delays in seconds; each message adds an exponential part with a mean of a fifth of the delay.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
@@ -286,7 +283,7 @@
     pub same_zone_delay: f64,
     #[serde(rename = "far")]
     pub cross_zone_delay: f64,
-    /// The shares of the words between copies that are lost, and that come twice.
+    /// Fractions of the messages between replicas that are lost and that are delivered twice.
     #[serde(rename = "words_lost")]
     pub peer_message_loss: f64,
     #[serde(rename = "words_doubled")]
@@ -304,18 +301,18 @@
     }
 }
 
-/// The list source.
+/// The source of endpoint lists.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Discovery {
-    /// From a change to the copies' hearing of it, in seconds, and the random part of that.
+    /// Time from a change to its delivery to the replicas, in seconds, and the random part added to it.
     #[serde(rename = "lag")]
     pub delay: f64,
     pub jitter: f64,
-    /// How long a server that drains goes on before it ends, in seconds.
+    /// Time for which a draining server still works, in seconds.
     #[serde(rename = "drain")]
     pub drain_time: f64,
-    /// How long it takes until the list drops a server that died, in seconds.
+    /// Time until the list drops a server whose process has ended, in seconds.
     #[serde(rename = "notice")]
     pub removal_delay: f64,
 }
@@ -326,7 +323,7 @@
     }
 }
 
-/// What copies may do, and what the referee goes by.
+/// What replicas may do, and the tolerances of the referee.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
@@ -336,28 +333,28 @@
     pub cancellation: bool,
     #[serde(rename = "parallel")]
     pub hedging: bool,
-    /// The longest come-back time that clients heed, in seconds; 0 where they hear none.
+    /// The longest retry-after time that clients follow, in seconds; 0 if they ignore it.
     #[serde(rename = "come_back")]
     pub max_retry_after: f64,
-    /// Rule 3's grace after a copy was told, in seconds.
+    /// Time for which attempts are still allowed after a replica learns that a server drains or is removed, in seconds.
     #[serde(rename = "grace")]
     pub removal_grace: f64,
-    /// How much later than its time limit a final answer still counts as in time, in seconds.
+    /// Time after the time limit within which a final answer still counts as in time, in seconds.
     #[serde(rename = "slack")]
     pub deadline_slack: f64,
     #[serde(rename = "crossing")]
     pub cross_zone_cost: f64,
     #[serde(rename = "beyond_quota")]
     pub over_quota_value: f64,
-    /// Whether copies' decisions tell each other words.
+    /// Whether the decisions of replicas exchange peer messages.
     #[serde(rename = "words")]
     pub peer_messages: bool,
-    /// Whether a server's calls to the next tier carry the time that its own caller has left. Where they do not, each
-    /// has its verb's whole limit, and a server goes on until it sees that its caller waits no longer.
+    /// Whether a server's calls to the next tier carry the time that its own caller has left. Otherwise each call has the
+    /// whole time limit of its class, and a server continues until it learns that its caller has given up.
     #[serde(rename = "passes_deadline")]
     pub propagates_deadline: bool,
-    /// Whether a server's answer says that it failed only as its own call did: such a failure is not sent again above, so
-    /// that only the tier that met it first repeats. A proposal: no published protocol says it.
+    /// Whether a failed answer says that the server failed only because its own call did. Such a failure is not retried
+    /// above, so that only the tier next to the failure retries. No published protocol carries this.
     #[serde(rename = "nearest_repeats")]
     pub nearest_tier_retries: bool,
 }
@@ -381,19 +378,19 @@
 }
 
 impl Scenario {
-    /// How many of the front's copies a fault strikes: the first `count`, or the first `share` of them, one at least.
+    /// Count of the replicas of the front that a fault affects: `count`, or a `share` of them with at least one.
     pub fn affected_replicas(&self, fault: &Fault) -> usize {
         let by_share =
             || fault.share.map_or(0, |share| ((share * self.front.replicas as f64) as usize).max(1));
         fault.count.unwrap_or_else(by_share)
     }
 
-    /// The first fault that only real sockets can play.
+    /// The first fault that needs real sockets.
     pub fn first_socket_only_fault(&self) -> Option<&Fault> {
         self.faults.iter().find(|fault| fault.kind == FaultKind::HalfOpen)
     }
 
-    /// The first fault that only virtual time can play: no packet is lost on loopback.
+    /// The first fault that needs virtual time, because no packet is lost on loopback.
     pub fn first_virtual_time_only_fault(&self) -> Option<&Fault> {
         use FaultKind::{PeerMessagesLost, ReplicasDown, ReplicasPartitioned, ZoneCut};
         let only = |fault: &&Fault| {
--- a/crates/lab/src/report/mod.rs
+++ b/crates/lab/src/report/mod.rs
@@ -1,5 +1,4 @@
-//! A run as a page: one HTML file that needs nothing beside it, with its plots as SVG. It owns how a run looks; it
-//! reckons nothing that the tally has not.
+//! Reports of runs: one self-contained HTML file with plots as SVG. The statistics are computed in `tally`.
 
 mod page;
 mod plots;
--- a/crates/lab/src/report/page.rs
+++ b/crates/lab/src/report/page.rs
@@ -1,4 +1,4 @@
-//! The page itself: figures first, then the plots, then what was broken.
+//! The HTML page: totals, plots, faults and breaches.
 
 use super::plots;
 use super::story::{ReportData, RunReport};
@@ -13,38 +13,38 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-/// The whole page. Errors are those of drawing.
-pub fn page(story: &ReportData) -> Result<String, Box<dyn std::error::Error>> {
+/// Renders the whole page. An error comes from drawing a plot.
+pub fn page(report: &ReportData) -> Result<String, Box<dyn std::error::Error>> {
     let mut html = String::new();
-    let (title, about) = (escaped(&story.title), escaped(&story.about));
+    let (title, about) = (escaped(&report.title), escaped(&report.about));
     write!(html, "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{title}</title>")?;
     write!(html, "<style>{STYLE}</style><h1>{title}</h1><p>{about}</p>")?;
-    let (build, command) = (escaped(&story.build), escaped(&story.command));
+    let (build, command) = (escaped(&report.build), escaped(&report.command));
     write!(html, "<p class=\"meta\">build {build}; made by <code>{command}</code></p>")?;
-    figures(&mut html, &story.runs)?;
-    html += &plots::utility(story)?;
-    html += &plots::latency(story)?;
-    if let Some(first) = story.runs.first() {
-        html += &plots::finals(story, first)?;
-        html += &plots::load(story, first)?;
+    totals_table(&mut html, &report.runs)?;
+    html += &plots::utility(report)?;
+    html += &plots::latency(report)?;
+    if let Some(first) = report.runs.first() {
+        html += &plots::finals(report, first)?;
+        html += &plots::load(report, first)?;
         if !first.ejections.is_empty() {
-            html += &plots::marks(story, first)?;
+            html += &plots::ejections(report, first)?;
         }
     }
-    faults(&mut html, story)?;
-    breaches(&mut html, &story.runs)?;
+    faults_table(&mut html, report)?;
+    breaches(&mut html, &report.runs)?;
     html += "</html>\n";
     Ok(html)
 }
 
-fn figures(html: &mut String, lines: &[RunReport]) -> std::fmt::Result {
+fn totals_table(html: &mut String, runs: &[RunReport]) -> std::fmt::Result {
     html.push_str(
         "<table><tr><th></th><th>utility kept</th><th>commands</th><th>answered</th><th>declined</th>\
          <th>terminated</th><th>left</th><th>lost</th><th>relays each</th><th>p50 ms</th><th>p99 ms</th>\
          <th>rules broken</th></tr>",
     );
-    for RunReport { name, totals, breach_counts: broken, .. } in lines {
-        let total: u64 = broken.iter().sum();
+    for RunReport { name, totals, breach_counts, .. } in runs {
+        let total: u64 = breach_counts.iter().sum();
         let class = if total > 0 { " class=\"bad\"" } else { "" };
         write!(
             html,
@@ -67,12 +67,12 @@
     Ok(())
 }
 
-fn faults(html: &mut String, story: &ReportData) -> std::fmt::Result {
-    if story.faults.is_empty() {
+fn faults_table(html: &mut String, report: &ReportData) -> std::fmt::Result {
+    if report.faults.is_empty() {
         return Ok(());
     }
     html.push_str("<h2>Faults</h2><table><tr><th>fault</th><th>from s</th><th>to s</th></tr>");
-    for span in &story.faults {
+    for span in &report.faults {
         let label = escaped(&span.label);
         write!(html, "<tr><td>{label}</td><td>{:.1}</td><td>{:.1}</td></tr>", span.from, span.to)?;
     }
@@ -80,11 +80,11 @@
     Ok(())
 }
 
-fn breaches(html: &mut String, lines: &[RunReport]) -> std::fmt::Result {
-    const TOLD: usize = 20;
-    for line in lines.iter().filter(|line| !line.breaches.is_empty()) {
-        write!(html, "<h2 class=\"bad\">Rules broken: {}</h2><ul>", escaped(&line.name))?;
-        for breach in line.breaches.iter().take(TOLD) {
+fn breaches(html: &mut String, runs: &[RunReport]) -> std::fmt::Result {
+    const MAX_BREACHES: usize = 20;
+    for run in runs.iter().filter(|run| !run.breaches.is_empty()) {
+        write!(html, "<h2 class=\"bad\">Rules broken: {}</h2><ul>", escaped(&run.name))?;
+        for breach in run.breaches.iter().take(MAX_BREACHES) {
             write!(html, "<li>{}</li>", escaped(breach))?;
         }
         html.push_str("</ul>");
--- a/crates/lab/src/report/story.rs
+++ b/crates/lab/src/report/story.rs
@@ -1,11 +1,11 @@
-//! What a page tells.
+//! The data of a report.
 
 use crate::experiment::build;
 use crate::plan::Scenario;
 use crate::tally::{EjectionNote, Second, Totals};
 use crate::world::Run;
 
-/// A span of the run that is marked in every plot.
+/// The time of a fault, marked in every plot.
 #[derive(Clone, Debug)]
 pub struct FaultSpan {
     pub label: String,
@@ -14,7 +14,7 @@
     pub to: f64,
 }
 
-/// One picker's run under its name.
+/// One run with the name of its load balancer.
 #[derive(Clone, Debug)]
 pub struct RunReport {
     pub name: String,
@@ -25,13 +25,13 @@
     pub breaches: Vec<String>,
 }
 
-/// What a page tells: the first line in full, the others beside it.
+/// The data of a report: the first run in full, the others for comparison.
 #[derive(Clone, Debug)]
 pub struct ReportData {
     pub title: String,
     pub about: String,
     pub build: String,
-    /// How to make it again.
+    /// The command line that makes the report again.
     pub command: String,
     pub runs: Vec<RunReport>,
     pub faults: Vec<FaultSpan>,
@@ -56,9 +56,9 @@
         title: &str,
         about: &str,
         command: String,
-        lines: Vec<RunReport>,
+        runs: Vec<RunReport>,
     ) -> ReportData {
-        let span = |fault: &crate::plan::Fault| FaultSpan {
+        let fault_span = |fault: &crate::plan::Fault| FaultSpan {
             label: fault.label(),
             from: fault.at,
             to: fault.at + fault.duration,
@@ -68,8 +68,8 @@
             about: about.into(),
             build: build(),
             command,
-            runs: lines,
-            faults: scenario.faults.iter().map(span).collect(),
+            runs,
+            faults: scenario.faults.iter().map(fault_span).collect(),
         }
     }
 }
--- a/crates/lab/src/tally.rs
+++ b/crates/lab/src/tally.rs
@@ -93,11 +93,9 @@
     #[serde(rename = "unheard")]
     pub not_accepted: u64,
     /// Attempts at servers that were down or unreachable, and the time of the last one in seconds since the start.
-    #[serde(default)]
-    #[serde(rename = "vain")]
+    #[serde(default, rename = "vain")]
     pub unreachable_attempts: u64,
-    #[serde(default)]
-    #[serde(rename = "vain_last")]
+    #[serde(default, rename = "vain_last")]
     pub last_unreachable_at: f64,
     pub tenants: Vec<f64>,
     /// Attempts at each tier, in order of the tiers.
--- a/crates/lab/tests/callers.rs
+++ b/crates/lab/tests/callers.rs
@@ -1,4 +1,4 @@
-//! The lab's callers before scripted peers: which ends of a connection they report as a command without an answer.
+//! The lab's clients against scripted peers: which closed connections they report as requests without an answer.
 
 use landingspread_lab::plan::RetrySafety;
 use landingspread_lab::referee::FinalOutcome;
@@ -14,8 +14,13 @@
 const ANSWER: &[u8] = b"HTTP/1.1 200 -\r\nContent-Length: 0\r\n\r\n";
 const LIMIT: Duration = Duration::from_secs(10);
 
-/// Effectful commands over one connection, each sent as soon as `next` has told that the peer is ready for it.
-fn ends_of(commands: usize, to: SocketAddr, next: Receiver<()>) -> Vec<(FinalOutcome, Option<&'static str>)> {
+/// Sends non-idempotent requests over one connection, each as soon as `next` signals that the peer is ready, and returns
+/// their outcomes.
+fn outcomes_of(
+    count: usize,
+    to: SocketAddr,
+    next: Receiver<()>,
+) -> Vec<(FinalOutcome, Option<&'static str>)> {
     let plan = CallPlan {
         targets: vec![to],
         verbs: vec![Asking {
@@ -31,71 +36,71 @@
         prefix: "t".into(),
         effects_again: false,
     };
-    let (stop, next, ends) = (AtomicBool::new(false), Mutex::new(next), Mutex::new(Vec::new()));
-    let watch = || -> Box<dyn FnMut(&Done) + '_> {
+    let (stop, next, outcomes) = (AtomicBool::new(false), Mutex::new(next), Mutex::new(Vec::new()));
+    let make_observer = || -> Box<dyn FnMut(&Done) + '_> {
         Box::new(|done: &Done| {
-            let mut ends = ends.lock().unwrap_or_else(PoisonError::into_inner);
-            ends.push((done.word, done.lost));
-            let told = next.lock().unwrap_or_else(PoisonError::into_inner).recv_timeout(LIMIT);
-            if ends.len() == commands || told.is_err() {
+            let mut outcomes = outcomes.lock().unwrap_or_else(PoisonError::into_inner);
+            outcomes.push((done.word, done.lost));
+            let ready = next.lock().unwrap_or_else(PoisonError::into_inner).recv_timeout(LIMIT);
+            if outcomes.len() == count || ready.is_err() {
                 stop.store(true, Ordering::Relaxed);
             }
         })
     };
-    run(&plan, &Pace::new(0.0), &stop, Instant::now(), &watch);
-    ends.into_inner().unwrap_or_else(PoisonError::into_inner)
+    run(&plan, &Pace::new(0.0), &stop, Instant::now(), &make_observer);
+    outcomes.into_inner().unwrap_or_else(PoisonError::into_inner)
 }
 
 fn listener() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("its address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("binding a loopback port");
+    let address = listener.local_addr().expect("the address of the listener");
     (listener, address)
 }
 
-fn accepted(listener: &TcpListener) -> Peer {
-    let (stream, _) = listener.accept().expect("a connection");
+fn accept_peer(listener: &TcpListener) -> Peer {
+    let (stream, _) = listener.accept().expect("accepting a connection");
     let peer = Peer::new(stream);
     peer.patience(Some(LIMIT));
     peer
 }
 
-/// A copy that is killed closes idle connections too: before the mend the next command was written into one of these,
-/// reached nobody, and was reported as one that its copy had lost.
+/// A killed replica also closes its idle connections. A request that was written to one of them reached no process and
+/// was reported as lost by the replica.
 #[test]
-fn a_command_goes_on_a_new_connection_where_the_kept_one_was_closed_while_idle() {
+fn request_after_idle_close_uses_a_new_connection() {
     let (listener, to) = listener();
     let (ready, next): (Sender<()>, Receiver<()>) = channel();
     let peers = thread::spawn(move || {
         for _ in 0..20 {
-            let mut peer = accepted(&listener);
-            peer.command().expect("a whole command").expect("a command");
-            peer.write(ANSWER).expect("it is written");
+            let mut peer = accept_peer(&listener);
+            peer.command().expect("reading a request").expect("a complete request");
+            peer.write(ANSWER).expect("writing the answer");
             drop(peer);
             let _ = ready.send(());
         }
     });
-    assert_eq!(ends_of(20, to, next), vec![(FinalOutcome::Answered, None); 20]);
-    peers.join().expect("no panic");
+    assert_eq!(outcomes_of(20, to, next), vec![(FinalOutcome::Answered, None); 20]);
+    peers.join().expect("the peer thread does not panic");
 }
 
 #[test]
-fn a_command_that_was_taken_and_never_answered_is_reported_on_new_and_on_kept_connections() {
+fn unanswered_request_is_lost_on_new_and_reused_connections() {
     let (listener, to) = listener();
     let (ready, next): (Sender<()>, Receiver<()>) = channel();
     let peers = thread::spawn(move || {
-        let mut fresh = accepted(&listener);
-        fresh.command().expect("a whole command").expect("a command");
-        drop(fresh);
+        let mut new_peer = accept_peer(&listener);
+        new_peer.command().expect("reading a request").expect("a complete request");
+        drop(new_peer);
         let _ = ready.send(());
-        let mut kept = accepted(&listener);
-        kept.command().expect("a whole command").expect("a command");
-        kept.write(ANSWER).expect("it is written");
+        let mut reused_peer = accept_peer(&listener);
+        reused_peer.command().expect("reading a request").expect("a complete request");
+        reused_peer.write(ANSWER).expect("writing the answer");
         let _ = ready.send(());
-        kept.command().expect("a whole command").expect("a command");
-        drop(kept);
+        reused_peer.command().expect("reading a request").expect("a complete request");
+        drop(reused_peer);
         let _ = ready.send(());
     });
     let lost = (FinalOutcome::Lost, Some("its connection ended with no answer"));
-    assert_eq!(ends_of(3, to, next), vec![lost, (FinalOutcome::Answered, None), lost]);
-    peers.join().expect("no panic");
+    assert_eq!(outcomes_of(3, to, next), vec![lost, (FinalOutcome::Answered, None), lost]);
+    peers.join().expect("the peer thread does not panic");
 }
--- a/crates/lab/tests/chain.rs
+++ b/crates/lab/tests/chain.rs
@@ -1,40 +1,41 @@
-//! Calls seventeen deep in virtual time, in a short form of the built-in cases: how many relays come to the last tier for
-//! each call at the first, by who picks.
+//! A chain of seventeen tiers in virtual time, in a short form of the built-in cases: attempts at the last tier for each
+//! request at the first, by load balancer.
 
 use landingspread_lab::experiment::{self, run_one};
 use landingspread_lab::pickers::LoadBalancerKind;
 use landingspread_lab::plan::{FaultKind, Scenario};
 use landingspread_lab::tally::{TierAttempts, Totals};
 
-/// The built-in case with work so short that the copies of the first tiers let all of it in within the settling time.
-fn short(case: &str, passes_deadline: bool) -> Scenario {
-    let ready = experiment::find("chain").expect("built in");
-    let of = |setting: &&experiment::Setting| {
+/// The built-in case with so little work that the replicas of the first tiers admit all of it within the settling time.
+fn short_scenario(case: &str, passes_deadline: bool) -> Scenario {
+    let experiment = experiment::find("chain").expect("a built-in experiment");
+    let matches = |setting: &&experiment::Setting| {
         setting.case == case && setting.scenario.rules.propagates_deadline == passes_deadline
     };
-    let mut scenario = ready.settings.iter().find(of).expect("a case").scenario.clone();
+    let mut scenario =
+        experiment.settings.iter().find(matches).expect("a case of the experiment").scenario.clone();
     (scenario.seconds, scenario.settle) = (7.0, 4.0);
     scenario.request_classes[0].work = vec![0.003];
     for fault in &mut scenario.faults {
         (fault.at, fault.duration) = (3.0, 4.0);
         if fault.kind == FaultKind::SharedSlowness {
-            // As much past what the tier can do as with the long work.
+            // Keeps the overload of the tier as it is with the longer work.
             fault.factor = fault.factor.map(|factor| factor * 5.0);
         }
     }
     scenario
 }
 
-fn played(case: &str, passes_deadline: bool, picker: LoadBalancerKind) -> Totals {
-    let run = run_one(&short(case, passes_deadline), picker, 1);
+fn run_case(case: &str, passes_deadline: bool, picker: LoadBalancerKind) -> Totals {
+    let run = run_one(&short_scenario(case, passes_deadline), picker, 1);
     assert_eq!(run.breach_counts, [0; 4], "{case}: {:?}", run.breaches.first());
-    assert!(run.totals.arrived > 900, "{case}: {} came", run.totals.arrived);
+    assert!(run.totals.arrived > 900, "{case}: {} requests arrived", run.totals.arrived);
     run.totals
 }
 
 #[test]
-fn each_call_comes_to_each_tier_once_where_nothing_is_repeated_or_fails() {
-    let totals = played("calm", true, LoadBalancerKind::NoRetries);
+fn without_retries_or_faults_each_tier_gets_each_request_once() {
+    let totals = run_case("calm", true, LoadBalancerKind::NoRetries);
     assert_eq!(totals.tiers.len(), 17);
     let once = TierAttempts { first: totals.arrived, ..TierAttempts::default() };
     assert!(totals.tiers.iter().all(|tier| *tier == once), "{:?}", totals.tiers);
@@ -42,32 +43,36 @@
 }
 
 #[test]
-fn plain_repeats_multiply_over_the_tiers() {
-    // Of a tier's answers half are failures, so that three tries are 1 + 1/2 + 1/4 relays, and an eighth is left to each
-    // of the sixteen tiers before it.
-    let plain = played("bottom-half-fails", true, LoadBalancerKind::PlainRetries).attempt_amplification();
-    assert!(plain > 1.9 && plain < 2.2, "{plain:.3} relays at the bottom for each call at the top");
-    // Nothing is answered there: each tier tries as often as it may.
-    let down = played("bottom-down", true, LoadBalancerKind::PlainRetries).attempt_amplification();
-    assert!(down > 10.0, "{down:.3} relays at the bottom for each call at the top");
+fn plain_retries_multiply_over_the_tiers() {
+    // Half of the answers of the last tier are failures: up to three attempts make 1 + 1/2 + 1/4 on average, and an eighth
+    // of the failures is left to each of the sixteen tiers above.
+    let plain = run_case("bottom-half-fails", true, LoadBalancerKind::PlainRetries).attempt_amplification();
+    assert!(plain > 1.9 && plain < 2.2, "{plain:.3} attempts at the last tier for each request");
+    // No server of the last tier answers: each tier makes all its attempts.
+    let down = run_case("bottom-down", true, LoadBalancerKind::PlainRetries).attempt_amplification();
+    assert!(down > 10.0, "{down:.3} attempts at the last tier for each request");
 }
 
 #[test]
-fn one_slow_or_crowded_tier_is_no_cause_for_more_calls_below() {
-    assert!(played("calm", true, LoadBalancerKind::Landingspread).utility_fraction > 0.99);
+fn slow_or_overloaded_tier_does_not_amplify_attempts() {
+    assert!(run_case("calm", true, LoadBalancerKind::Landingspread).utility_fraction > 0.99);
     let cases = ["calm", "top-slow", "middle-slow", "bottom-slow", "bottom-errors", "bottom-down"];
-    let crowded = ["top-past-capacity", "middle-past-capacity", "bottom-past-capacity"];
-    for case in cases.into_iter().chain(crowded) {
+    let overloaded = ["top-past-capacity", "middle-past-capacity", "bottom-past-capacity"];
+    for case in cases.into_iter().chain(overloaded) {
         for passes_deadline in [true, false] {
-            let ours = played(case, passes_deadline, LoadBalancerKind::Landingspread).attempt_amplification();
-            assert!(ours <= 1.1, "{case}: {ours:.3} relays at the bottom for each call at the top");
+            let amplification =
+                run_case(case, passes_deadline, LoadBalancerKind::Landingspread).attempt_amplification();
+            assert!(
+                amplification <= 1.1,
+                "{case}: {amplification:.3} attempts at the last tier for each request"
+            );
         }
     }
 }
 
-/// Relays at the bottom over calls at the top where half of the bottom fails.
-fn where_half_fails(passes_deadline: bool, nearest_repeats: bool) -> f64 {
-    let mut scenario = short("bottom-half-fails", passes_deadline);
+/// Attempts at the last tier for each request at the first, where half of the requests at the last tier fail.
+fn amplification_with_half_failing(passes_deadline: bool, nearest_repeats: bool) -> f64 {
+    let mut scenario = short_scenario("bottom-half-fails", passes_deadline);
     scenario.rules.nearest_tier_retries = nearest_repeats;
     run_one(&scenario, LoadBalancerKind::Landingspread, 1).totals.attempt_amplification()
 }
@@ -75,25 +80,25 @@
 #[test]
 fn seventeen_budgets_of_repeats_keep_the_bottom_within_a_tenth_more_than_the_calls_at_the_top() {
     for passes_deadline in [true, false] {
-        let each = where_half_fails(passes_deadline, false);
-        assert!(each <= 1.1, "every tier repeats: {each:.3}");
+        let amplification = amplification_with_half_failing(passes_deadline, false);
+        assert!(amplification <= 1.1, "every tier repeats: {amplification:.3}");
     }
 }
 
 #[test]
-fn where_only_the_nearest_tier_repeats_its_budget_is_the_whole_chains() {
+fn nearest_tier_retries_stay_within_one_budget() {
     for passes_deadline in [true, false] {
-        let nearest = where_half_fails(passes_deadline, true);
-        assert!(nearest <= 1.1, "the nearest one repeats: {nearest:.3}");
+        let amplification = amplification_with_half_failing(passes_deadline, true);
+        assert!(amplification <= 1.1, "only the nearest tier retries: {amplification:.3}");
     }
 }
 
 #[test]
-fn calls_that_do_not_carry_the_time_left_go_on_below_when_nobody_waits_any_more() {
-    let relays = |passes_deadline| {
-        let totals = played("bottom-down", passes_deadline, LoadBalancerKind::PlainRetries);
+fn calls_without_deadline_continue_after_the_caller_gave_up() {
+    let attempts_of = |passes_deadline| {
+        let totals = run_case("bottom-down", passes_deadline, LoadBalancerKind::PlainRetries);
         totals.tiers.iter().map(TierAttempts::total).sum::<u64>()
     };
-    let (carried, not_carried) = (relays(true), relays(false));
-    assert!(not_carried > 3 * carried, "{carried} relays with the time left, {not_carried} without");
+    let (carried, not_carried) = (attempts_of(true), attempts_of(false));
+    assert!(not_carried > 3 * carried, "{carried} attempts with deadlines, {not_carried} without");
 }
--- a/crates/lab/tests/cold.rs
+++ b/crates/lab/tests/cold.rs
@@ -1,5 +1,5 @@
-//! Rule 4 by the sum of what all copies send to a cold server, in each sliding window, against N + 2 root N + 2. Seeds
-//! are fixed: each run is the same each time.
+//! Rule 4: the work that all replicas send to a cold server within a sliding window stays below N + 2 sqrt(N) + 2. The
+//! seeds are fixed, so each run is reproducible.
 
 use landingspread_lab::cold::{ColdPeaks, OfferedWork, OverloadBound, allowance};
 use landingspread_lab::experiment::{self, PreparedExperiment};
@@ -7,14 +7,20 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-fn swept(name: &str, pickers: &[LoadBalancerKind], seeds: RangeInclusive<u64>, copies: &[&str]) -> ColdPeaks {
-    let mut ready: PreparedExperiment = experiment::find(name).expect("it is built in");
-    ready.experiment.load_balancers = pickers.into();
-    ready.reseed(*seeds.end());
-    let settings = ready.settings.clone();
-    let wanted = |setting: usize| settings[setting].point.iter().any(|(_, value)| copies.contains(&&**value));
-    ready.runs.retain(|run| wanted(run.setting) && seeds.contains(&run.seed));
-    let results = experiment::sweep(&ready, 0, &|_, _| {}).expect("it can be played");
+fn sweep_peaks(
+    name: &str,
+    pickers: &[LoadBalancerKind],
+    seeds: RangeInclusive<u64>,
+    replica_counts: &[&str],
+) -> ColdPeaks {
+    let mut experiment: PreparedExperiment = experiment::find(name).expect("a built-in experiment");
+    experiment.experiment.load_balancers = pickers.into();
+    experiment.reseed(*seeds.end());
+    let settings = experiment.settings.clone();
+    let is_selected =
+        |setting: usize| settings[setting].point.iter().any(|(_, value)| replica_counts.contains(&&**value));
+    experiment.runs.retain(|run| is_selected(run.setting) && seeds.contains(&run.seed));
+    let results = experiment::sweep(&experiment, 0, &|_, _| {}).expect("a sweep in virtual time");
     let mut peaks = ColdPeaks::default();
     for row in &results.rows {
         assert_eq!(
@@ -31,62 +37,83 @@
     peaks
 }
 
-/// What was judged was there: servers were cold, and got something.
-fn held(peaks: &ColdPeaks, lives: u64) {
+/// No window exceeds its allowance, and at least `min_process_lives` processes of cold servers received requests.
+fn assert_within_allowance(peaks: &ColdPeaks, min_process_lives: u64) {
     assert_eq!(peaks.over_allowance, 0, "{:?}", peaks.summary());
-    assert!(peaks.process_lives >= lives, "{:?}", peaks.summary());
+    assert!(peaks.process_lives >= min_process_lives, "{:?}", peaks.summary());
 }
 
 #[test]
-fn the_sum_of_all_copies_stays_within_chance_by_the_configured_count() {
-    held(&swept("cold-sum", &[LoadBalancerKind::Landingspread], 1..=10, &["3", "10", "30", "100"]), 200);
-    held(&swept("cold-sum-many", &[LoadBalancerKind::Landingspread], 1..=2, &["400"]), 8);
+fn configured_count_keeps_cold_load_within_allowance() {
+    assert_within_allowance(
+        &sweep_peaks("cold-sum", &[LoadBalancerKind::Landingspread], 1..=10, &["3", "10", "30", "100"]),
+        200,
+    );
+    assert_within_allowance(
+        &sweep_peaks("cold-sum-many", &[LoadBalancerKind::Landingspread], 1..=2, &["400"]),
+        8,
+    );
 }
 
-/// Before the mend each copy took a surge that all have for its own part of the traffic, and its floor of credits for
-/// that of a large copy: 100 copies sent 400 a second where 18 are allowed.
+/// Guards against a replica that takes a surge of the whole fleet for its own share of the traffic, and the minimum
+/// credits of a large replica for its own: 100 replicas sent 400 requests per second where 18 are allowed.
 #[test]
-fn the_sum_of_all_copies_stays_within_chance_where_the_fleet_tells_their_traffic() {
-    held(&swept("cold-sum", &[LoadBalancerKind::LandingspreadFleet], 1..=5, &["3", "10", "30"]), 100);
-    // Without the mend a server falls with the seeds 5 and 18.
-    held(&swept("cold-sum", &[LoadBalancerKind::LandingspreadFleet], 1..=5, &["100"]), 25);
-    held(&swept("cold-sum", &[LoadBalancerKind::LandingspreadFleet], 18..=18, &["100"]), 5);
+fn fleet_traffic_keeps_cold_load_within_allowance() {
+    assert_within_allowance(
+        &sweep_peaks("cold-sum", &[LoadBalancerKind::LandingspreadFleet], 1..=5, &["3", "10", "30"]),
+        100,
+    );
+    // The seeds 5 and 18 overloaded a server with that fault.
+    assert_within_allowance(
+        &sweep_peaks("cold-sum", &[LoadBalancerKind::LandingspreadFleet], 1..=5, &["100"]),
+        25,
+    );
+    assert_within_allowance(
+        &sweep_peaks("cold-sum", &[LoadBalancerKind::LandingspreadFleet], 18..=18, &["100"]),
+        5,
+    );
 }
 
-/// Before the mend a copy that heard nobody for more than 40 s took itself for the only one: each of 30 or 100 copies
-/// went by the credits of a whole fleet.
+/// Guards against a replica that takes itself for the only one after hearing no other for more than 40 s: each of 30 or
+/// 100 replicas used the credits of the whole fleet.
 #[test]
-fn the_sum_of_copies_that_hear_nobody_for_long_goes_by_the_configured_count() {
-    held(&swept("cold-apart", &[LoadBalancerKind::LandingspreadFleet], 1..=2, &["30"]), 10);
+fn isolated_replicas_use_the_configured_count() {
+    assert_within_allowance(
+        &sweep_peaks("cold-apart", &[LoadBalancerKind::LandingspreadFleet], 1..=2, &["30"]),
+        10,
+    );
 }
 
-fn brings(commands: usize, budget: f64, least: usize) -> Option<usize> {
-    let mut brought = OfferedWork::default();
+fn first_overloading_request(count: usize, budget: f64, least: usize) -> Option<usize> {
+    let mut offered = OfferedWork::default();
     let bound = OverloadBound { window: Duration::from_secs(1), budget, min_requests: least };
-    (1..=commands).find(|_| brought.record("s", Duration::from_secs(1), 1.0, bound))
+    (1..=count).find(|_| offered.record("s", Duration::from_secs(1), 1.0, bound))
 }
 
 #[test]
-fn a_cold_server_falls_at_the_first_command_beyond_what_is_put_down_to_chance() {
+fn first_request_beyond_the_allowance_overloads() {
     for budget in [0.5, 1.0, 4.0, 16.0, 100.0] {
         let first = allowance(budget).floor() as usize + 1;
-        assert_eq!(brings(first + 5, budget, usize::MAX), Some(first), "N {budget}");
-        // The lab's own bound never lets more through than that.
-        let own = brings(first + 5, budget, 10).expect("it falls");
-        assert!(own <= first && (own < first || budget < 4.0 || first <= 10), "N {budget}: {own} of {first}");
+        assert_eq!(first_overloading_request(first + 5, budget, usize::MAX), Some(first), "N {budget}");
+        // The lab's own bound is never the weaker one.
+        let own_bound = first_overloading_request(first + 5, budget, 10).expect("an overloading request");
+        assert!(
+            own_bound <= first && (own_bound < first || budget < 4.0 || first <= 10),
+            "N {budget}: {own_bound} of {first}"
+        );
     }
 }
 
 #[test]
-fn what_came_before_the_window_does_not_count() {
-    let mut brought = OfferedWork::default();
+fn requests_before_the_window_do_not_count() {
+    let mut offered = OfferedWork::default();
     let bound = OverloadBound { window: Duration::from_secs(1), budget: 1.0, min_requests: usize::MAX };
     let mut peaks = ColdPeaks::default();
     for at in 0..20 {
-        let falls = brought.record("s", Duration::from_millis(at * 251), 1.0, bound);
-        assert!(!falls, "four in a second, where five are borne");
+        let overloaded = offered.record("s", Duration::from_millis(at * 251), 1.0, bound);
+        assert!(!overloaded, "four requests in a second, where five are allowed");
     }
-    brought.finish_process(&mut peaks);
+    offered.finish_process(&mut peaks);
     assert_eq!((peaks.process_lives, peaks.over_allowance), (1, 0));
     assert_eq!(peaks.highest_ratio.map(|peak| peak.offered), Some(4.0));
 }
--- a/crates/lab/tests/referee.rs
+++ b/crates/lab/tests/referee.rs
@@ -1,4 +1,4 @@
-//! The referee catches pickers that are wrong on purpose, one for each rule, and names what it saw.
+//! The referee detects load balancers that break each rule on purpose, and describes the breach.
 
 use landingspread_decisions::host::{
     AttemptEnd, Host, Id, Lifecycle, ListedServer, LoadReport, Outcome, RequestArrival,
@@ -10,44 +10,44 @@
 use std::time::Duration;
 
 #[derive(Clone, Copy, PartialEq)]
-enum Wrong {
-    /// Never answers what it can't relay (rule 1).
-    Silent,
-    /// Answers twice (rule 1).
-    Twice,
-    /// Relays after its final word (rule 1).
-    RelaysOn,
-    /// Repeats whatever ended (rule 2).
-    Repeats,
-    /// Declines what may have run (rule 2).
-    DeclinesAll,
-    /// Goes on to what drains or is gone (rule 3).
-    Deaf,
-    /// Sends all to the newest server (rule 4).
-    Rushes,
+enum Defect {
+    /// Leaves some requests without a final answer (rule 1).
+    NoFinalAnswer,
+    /// Ends some requests twice (rule 1).
+    TwoFinalAnswers,
+    /// Starts an attempt after the final answer (rule 1).
+    AttemptAfterFinal,
+    /// Retries every failed attempt (rule 2).
+    UnsafeRetry,
+    /// Rejects requests that may have run (rule 2).
+    RejectsAll,
+    /// Sends to servers that drain or are removed (rule 3).
+    IgnoresList,
+    /// Sends all requests to the newest server (rule 4).
+    OverloadsColdServer,
 }
 
-struct Faulty {
+struct FaultyBalancer {
     hand: HostHandle,
-    wrong: Wrong,
+    defect: Defect,
     servers: Vec<(Id, bool)>,
     open: Vec<(Id, Duration)>,
-    turn: usize,
+    choices: usize,
 }
 
-impl Faulty {
-    fn next(&mut self) -> Option<Id> {
-        self.turn += 1;
-        let deaf = self.wrong == Wrong::Deaf;
+impl FaultyBalancer {
+    fn choose_server(&mut self) -> Option<Id> {
+        self.choices += 1;
+        let ignores_list = self.defect == Defect::IgnoresList;
         let ready: Vec<&Id> =
-            self.servers.iter().filter(|(_, ready)| *ready || deaf).map(|(id, _)| id).collect();
-        if self.wrong == Wrong::Rushes {
+            self.servers.iter().filter(|(_, ready)| *ready || ignores_list).map(|(id, _)| id).collect();
+        if self.defect == Defect::OverloadsColdServer {
             return self.servers.iter().find(|(id, ready)| *ready && &**id == "s3").map(|(id, _)| id.clone());
         }
-        (!ready.is_empty()).then(|| ready[self.turn % ready.len()].clone())
+        (!ready.is_empty()).then(|| ready[self.choices % ready.len()].clone())
     }
 
-    fn take(&mut self, entries: &[ListedServer]) {
+    fn update_servers(&mut self, entries: &[ListedServer]) {
         for entry in entries {
             self.servers.retain(|(id, _)| *id != entry.server);
             self.servers.push((entry.server.clone(), entry.lifecycle == Lifecycle::Ready));
@@ -55,40 +55,40 @@
     }
 }
 
-impl LoadBalancer for Faulty {
+impl LoadBalancer for FaultyBalancer {
     fn endpoint_list_cached(&mut self, _: Duration, entries: &[ListedServer]) {
-        self.take(entries);
+        self.update_servers(entries);
     }
 
     fn endpoint_list_received(&mut self, _: Duration, entries: &[ListedServer]) {
-        self.take(entries);
+        self.update_servers(entries);
     }
 
     fn endpoint_list_changed(&mut self, _: Duration, entries: &[ListedServer]) {
-        self.take(entries);
+        self.update_servers(entries);
     }
 
     fn discovery_poll_failed(&mut self, _: Duration) {}
 
     fn request_arrived(&mut self, _: Duration, arrival: RequestArrival) {
         self.open.push((arrival.id.clone(), arrival.deadline));
-        if self.wrong == Wrong::Silent && self.turn % 50 == 49 {
-            self.turn += 1;
+        if self.defect == Defect::NoFinalAnswer && self.choices % 50 == 49 {
+            self.choices += 1;
             return;
         }
-        let to = self.next();
-        if self.wrong == Wrong::Twice && self.turn % 50 == 7 {
+        let server = self.choose_server();
+        if self.defect == Defect::TwoFinalAnswers && self.choices % 50 == 7 {
             self.hand.reject(&arrival.id, None);
             self.hand.fail(&arrival.id);
             return;
         }
-        match to {
-            Some(to) => self.hand.start_attempt(&arrival.id, &to, arrival.deadline),
+        match server {
+            Some(server) => self.hand.start_attempt(&arrival.id, &server, arrival.deadline),
             None => self.hand.reject(&arrival.id, None),
         }
-        if self.wrong == Wrong::RelaysOn && self.turn % 50 == 7 {
+        if self.defect == Defect::AttemptAfterFinal && self.choices % 50 == 7 {
             self.hand.fail(&arrival.id);
-            let other = self.next().expect("a server");
+            let other = self.choose_server().expect("a ready server");
             self.hand.start_attempt(&arrival.id, &other, arrival.deadline);
         }
     }
@@ -99,15 +99,16 @@
         if ended.request_closed || ended.outcome == Outcome::Ok {
             return;
         }
-        match self.wrong {
-            Wrong::Repeats => {
-                let due = self.open.iter().find(|(id, _)| *id == ended.request).map(|(_, due)| *due);
-                let to = self.next();
-                if let (Some(to), Some(due)) = (to, due) {
-                    self.hand.start_attempt(&ended.request, &to, due);
+        match self.defect {
+            Defect::UnsafeRetry => {
+                let deadline =
+                    self.open.iter().find(|(id, _)| *id == ended.request).map(|(_, deadline)| *deadline);
+                let server = self.choose_server();
+                if let (Some(server), Some(deadline)) = (server, deadline) {
+                    self.hand.start_attempt(&ended.request, &server, deadline);
                 }
             }
-            Wrong::DeclinesAll => self.hand.reject(&ended.request, None),
+            Defect::RejectsAll => self.hand.reject(&ended.request, None),
             _ => self.hand.fail(&ended.request),
         }
     }
@@ -127,20 +128,18 @@
 tiers = [{ servers = 4, cores = 1 }]
 ";
 
-fn world(faults: &str) -> Rc<Scenario> {
-    Rc::new(
-        plan::parse("small", &format!("{WORLD}\nfaults = [{faults}]\n")).expect("a plan that can be played"),
-    )
+fn scenario(faults: &str) -> Rc<Scenario> {
+    Rc::new(plan::parse("small", &format!("{WORLD}\nfaults = [{faults}]\n")).expect("a valid scenario"))
 }
 
-fn played(wrong: Wrong, faults: &str) -> Run {
-    simulate(&world(faults), 1, &|hand, _, _, _| {
-        Box::new(Faulty { hand, wrong, servers: Vec::new(), open: Vec::new(), turn: 0 })
+fn run_with(defect: Defect, faults: &str) -> Run {
+    simulate(&scenario(faults), 1, &|hand, _, _, _| {
+        Box::new(FaultyBalancer { hand, defect, servers: Vec::new(), open: Vec::new(), choices: 0 })
     })
 }
 
-/// Breaches of one rule alone, and the first of them as told.
-fn caught(run: &Run, rule: usize) -> String {
+/// Asserts that only one rule is broken, and returns the first breach as text.
+fn only_breach(run: &Run, rule: usize) -> String {
     for (at, count) in run.breach_counts.iter().enumerate() {
         assert_eq!(*count > 0, at + 1 == rule, "{:?}: {:?}", run.breach_counts, run.breaches.first());
     }
@@ -150,47 +149,51 @@
 const ERRORS: &str = "{ kind = \"errors\", at = 2, for = 8, servers = [0, 1], share = 0.5 }";
 
 #[test]
-fn no_final_answer_is_caught() {
-    let told = caught(&played(Wrong::Silent, ""), 1);
-    assert!(told.contains("no final answer in time") && told.contains("command c"), "{told}");
+fn missing_final_answer_breaks_rule_1() {
+    let breach = only_breach(&run_with(Defect::NoFinalAnswer, ""), 1);
+    assert!(breach.contains("no final answer in time") && breach.contains("command c"), "{breach}");
 }
 
 #[test]
-fn a_second_final_answer_is_caught() {
-    assert!(caught(&played(Wrong::Twice, ""), 1).contains("second final answer"));
+fn second_final_answer_breaks_rule_1() {
+    assert!(only_breach(&run_with(Defect::TwoFinalAnswers, ""), 1).contains("second final answer"));
 }
 
 #[test]
-fn a_relay_after_the_final_answer_is_caught() {
-    let run = played(Wrong::RelaysOn, "");
+fn attempt_after_final_answer_breaks_rule_1() {
+    let run = run_with(Defect::AttemptAfterFinal, "");
     assert!(run.breach_counts[0] > 0);
     assert!(run.breaches.iter().any(|breach| breach.description.contains("relay after the final")));
 }
 
 #[test]
-fn a_second_effect_is_caught() {
-    let run = played(Wrong::Repeats, ERRORS);
-    let told = caught(&run, 2);
-    assert!(told.contains("may have run") && told.contains("server s"), "{told}");
+fn unsafe_retry_breaks_rule_2() {
+    let run = run_with(Defect::UnsafeRetry, ERRORS);
+    let breach = only_breach(&run, 2);
+    assert!(breach.contains("may have run") && breach.contains("server s"), "{breach}");
     assert!(
         run.breaches.iter().any(|breach| breach.description == "a second effect"),
-        "the server saw it too"
+        "the server reports it too"
     );
 }
 
 #[test]
-fn a_decline_of_what_may_have_run_is_caught() {
-    assert!(caught(&played(Wrong::DeclinesAll, ERRORS), 2).contains("a decline of what may have run"));
+fn rejection_after_possible_run_breaks_rule_2() {
+    assert!(only_breach(&run_with(Defect::RejectsAll, ERRORS), 2).contains("a decline of what may have run"));
 }
 
 #[test]
-fn a_relay_past_the_grace_is_caught() {
-    let told = caught(&played(Wrong::Deaf, "{ kind = \"shrink\", at = 3, servers = [1] }"), 3);
-    assert!(told.contains("after the copy was told") && told.contains("server s1"), "{told}");
+fn attempt_after_the_grace_breaks_rule_3() {
+    let breach =
+        only_breach(&run_with(Defect::IgnoresList, "{ kind = \"shrink\", at = 3, servers = [1] }"), 3);
+    assert!(breach.contains("after the copy was told") && breach.contains("server s1"), "{breach}");
 }
 
 #[test]
-fn a_cold_server_pushed_over_is_caught() {
-    let told = caught(&played(Wrong::Rushes, "{ kind = \"crash\", at = 3, for = 2, servers = [3] }"), 4);
-    assert!(told.contains("a cold server is brought") && told.contains("server s3"), "{told}");
+fn overload_of_a_cold_server_breaks_rule_4() {
+    let breach = only_breach(
+        &run_with(Defect::OverloadsColdServer, "{ kind = \"crash\", at = 3, for = 2, servers = [3] }"),
+        4,
+    );
+    assert!(breach.contains("a cold server is brought") && breach.contains("server s3"), "{breach}");
 }
--- a/crates/lab/tests/results.rs
+++ b/crates/lab/tests/results.rs
@@ -1,5 +1,5 @@
-//! The lab's results as JSON lines and what its sub-commands print, against fixtures: small runs in virtual time.
-//! `UPDATE_FIXTURES=1` writes the fixtures anew.
+//! Compares the lab's results as JSON lines and the output of its subcommands with fixtures, for small runs in virtual
+//! time. `UPDATE_FIXTURES=1` rewrites the fixtures.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -19,19 +19,22 @@
 faults = [{ kind = "crash", at = 1.5, for = 1, servers = [0] }]
 "#;
 
-fn lab(args: &[&str]) -> String {
-    let output = Command::new(env!("CARGO_BIN_EXE_landingspread-lab")).args(args).output().expect("the lab");
-    String::from_utf8(output.stdout).expect("text")
+fn lab_output(args: &[&str]) -> String {
+    let output =
+        Command::new(env!("CARGO_BIN_EXE_landingspread-lab")).args(args).output().expect("running the lab");
+    String::from_utf8(output.stdout).expect("UTF-8 text")
 }
 
-/// Figures of the build and of real time are left out.
-fn steady(text: &str) -> String {
-    let build = |line: &str| {
+/// Replaces the build and durations of real time with `#`.
+fn normalized(text: &str) -> String {
+    let without_build = |line: &str| {
         let Some(rest) = line.strip_prefix(r#"{"build":""#) else { return line.to_string() };
-        String::from("{\"build\":\"#\",") + rest.split_once(r#"","#).expect("a build").1
+        String::from("{\"build\":\"#\",") + rest.split_once(r#"","#).expect("the build in the header").1
     };
-    let took = |line: String| match line.split_once("played in ") {
-        Some((before, rest)) => format!("{before}played in # s{}", rest.split_once(" s").expect("seconds").1),
+    let without_duration = |line: String| match line.split_once("played in ") {
+        Some((before, rest)) => {
+            format!("{before}played in # s{}", rest.split_once(" s").expect("a duration in seconds").1)
+        }
         None if line.starts_with("held: ") || line.starts_with("broken: verdicts") => {
             match line.rsplit_once(", ") {
                 Some((before, last)) if last.ends_with(" s") => format!("{before}, # s"),
@@ -40,20 +43,20 @@
         }
         None => line,
     };
-    text.lines().map(|line| took(build(line)) + "\n").collect()
+    text.lines().map(|line| without_duration(without_build(line)) + "\n").collect()
 }
 
-fn as_in_fixture(name: &str, text: &str) {
+fn assert_matches_fixture(name: &str, text: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
-    let text = steady(text);
+    let text = normalized(text);
     if std::env::var_os("UPDATE_FIXTURES").is_some() {
-        std::fs::write(&path, &text).expect("a fixture");
+        std::fs::write(&path, &text).expect("access to the fixture");
     }
-    let wanted = std::fs::read_to_string(&path).expect("a fixture");
-    for (number, (line, wanted)) in (1..).zip(text.lines().zip(wanted.lines())) {
-        assert_eq!(line, wanted, "line {number} of {name}");
+    let expected = std::fs::read_to_string(&path).expect("access to the fixture");
+    for (number, (line, expected)) in (1..).zip(text.lines().zip(expected.lines())) {
+        assert_eq!(line, expected, "line {number} of {name}");
     }
-    assert_eq!(text.lines().count(), wanted.lines().count(), "lines of {name}");
+    assert_eq!(text.lines().count(), expected.lines().count(), "lines of {name}");
 }
 
 fn temporary(name: &str) -> PathBuf {
@@ -61,28 +64,29 @@
 }
 
 #[test]
-fn a_sweep_writes_these_lines_and_prints_this_table() {
+fn sweep_output_matches_the_fixtures() {
     let (plan, out) = (temporary("pinned.toml"), temporary("pinned.jsonl"));
-    std::fs::write(&plan, PLAN).expect("a plan");
-    let (plan_at, out_at) = (plan.to_str().expect("text"), out.to_str().expect("text"));
+    std::fs::write(&plan, PLAN).expect("writing the plan");
+    let (plan_at, out_at) = (plan.to_str().expect("UTF-8 text"), out.to_str().expect("UTF-8 text"));
     let pickers = ["--picker", "landingspread", "--picker", "random"];
-    let printed = lab(&[&["sweep", plan_at, "--seeds", "2", "--out", out_at], &pickers[..]].concat());
-    let lines = std::fs::read_to_string(&out).expect("results");
-    let compared = lab(&["compare", out_at]);
-    let run = lab(&["run", plan_at, "--seconds"]);
+    let printed = lab_output(&[&["sweep", plan_at, "--seeds", "2", "--out", out_at], &pickers[..]].concat());
+    let lines = std::fs::read_to_string(&out).expect("reading the results");
+    let compared = lab_output(&["compare", out_at]);
+    let run = lab_output(&["run", plan_at, "--seconds"]);
     let _ = (std::fs::remove_file(&plan), std::fs::remove_file(&out));
-    as_in_fixture("sweep.jsonl", &lines);
-    as_in_fixture("printed.txt", &format!("== sweep\n{printed}== compare\n{compared}== run\n{run}"));
+    assert_matches_fixture("sweep.jsonl", &lines);
+    assert_matches_fixture("printed.txt", &format!("== sweep\n{printed}== compare\n{compared}== run\n{run}"));
 }
 
 #[test]
-fn verdicts_are_printed_in_these_words() {
+fn printed_verdicts_match_the_fixture() {
     let runs: [&[&str]; 4] = [
         &["check", "--copies", "2", "--depth", "3"],
         &["check", "--variant", "counted-often", "--copies", "3", "--depth", "4"],
         &["fleet", "quiet", "--emulated", "1", "--processes", "4"],
         &["list"],
     ];
-    let all: String = runs.iter().map(|args| format!("== {}\n{}", args.join(" "), lab(args))).collect();
-    as_in_fixture("verdicts.txt", &all);
+    let all: String =
+        runs.iter().map(|args| format!("== {}\n{}", args.join(" "), lab_output(args))).collect();
+    assert_matches_fixture("verdicts.txt", &all);
 }
--- a/crates/lab/tests/suite.rs
+++ b/crates/lab/tests/suite.rs
@@ -1,55 +1,58 @@
-//! The built-in cases in virtual time: the program's decisions keep the four rules through every fault, and a
-//! sweep writes the same bytes whatever the threads do.
+//! The built-in cases in virtual time: the decision module keeps the four rules through every fault, and a sweep writes
+//! the same bytes with any count of threads.
 
 use landingspread_lab::experiment::{self, Results, Row};
 
-fn swept(name: &str, seeds: u64, threads: usize) -> Results {
-    let mut ready = experiment::find(name).expect("built in");
-    ready.experiment.load_balancers.truncate(1);
-    ready.reseed(seeds);
-    experiment::sweep(&ready, threads, &|_, _| {}).expect("a pool of threads")
+fn run_sweep(name: &str, seeds: u64, threads: usize) -> Results {
+    let mut experiment = experiment::find(name).expect("a built-in experiment");
+    experiment.experiment.load_balancers.truncate(1);
+    experiment.reseed(seeds);
+    experiment::sweep(&experiment, threads, &|_, _| {}).expect("a sweep in virtual time")
 }
 
-fn keeps_rules(results: &Results) {
-    let told = |row: &Row| format!("{} seed {}: {:?}", row.name(), row.seed, row.breaches);
-    let broken: Vec<String> =
-        results.rows.iter().filter(|row| row.breach_counts != [0; 4]).map(told).collect();
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+fn assert_rules_kept(results: &Results) {
+    let breaches_of = |row: &Row| format!("{} seed {}: {:?}", row.name(), row.seed, row.breaches);
+    let breaches: Vec<String> =
+        results.rows.iter().filter(|row| row.breach_counts != [0; 4]).map(breaches_of).collect();
+    assert!(breaches.is_empty(), "{}", breaches.join("\n"));
 }
 
-/// What the module keeps of a case's utility, the least over the seeds.
-fn least(results: &Results, case: &str) -> f64 {
-    let kept = results.rows.iter().filter(|row| row.case == case).map(|row| row.totals.utility_fraction);
-    kept.fold(f64::MAX, f64::min)
+/// The lowest utility fraction of a case over the seeds.
+fn min_utility(results: &Results, case: &str) -> f64 {
+    let utilities = results.rows.iter().filter(|row| row.case == case).map(|row| row.totals.utility_fraction);
+    utilities.fold(f64::MAX, f64::min)
 }
 
 #[test]
-fn the_four_rules_hold_through_each_fault_and_five_together() {
-    let results = swept("suite", 2, 0);
-    keeps_rules(&results);
+fn rules_hold_through_each_fault_and_five_together() {
+    let results = run_sweep("suite", 2, 0);
+    assert_rules_kept(&results);
     assert!(results.rows.len() >= 2 * 21);
-    // A world in which nothing goes wrong must not be one in which nothing is answered.
-    assert!(least(&results, "calm") > 0.99);
-    assert!(least(&results, "crash") > 0.97, "two of ten servers lost cost no more than they carry");
-    // Metastable states would keep what the surge did long after it: half of the time lies past it.
-    assert!(least(&results, "surge") > 0.7);
+    // Without faults nearly all requests are answered, so that the rules are not kept by rejecting everything.
+    assert!(min_utility(&results, "calm") > 0.99);
+    assert!(
+        min_utility(&results, "crash") > 0.97,
+        "the loss of two of ten servers costs at most their share"
+    );
+    // In a metastable failure the effect of the surge would last; half of the run lies after the surge.
+    assert!(min_utility(&results, "surge") > 0.7);
 }
 
 #[test]
-fn the_four_rules_hold_across_tiers_and_zones() {
-    keeps_rules(&swept("tiers", 1, 0));
-    keeps_rules(&swept("zones", 1, 0));
+fn rules_hold_across_tiers_and_zones() {
+    assert_rules_kept(&run_sweep("tiers", 1, 0));
+    assert_rules_kept(&run_sweep("zones", 1, 0));
 }
 
 #[test]
-fn results_are_the_same_bytes_at_any_number_of_threads() {
+fn results_do_not_depend_on_the_thread_count() {
     let bytes = |threads| {
         let mut written = Vec::new();
-        swept("zones", 2, threads).write(&mut written).expect("memory takes it");
+        run_sweep("zones", 2, threads).write(&mut written).expect("writing to memory");
         written
     };
-    let one = bytes(1);
-    assert!(one == bytes(5), "a sweep on five threads differs from one on one");
-    let read = Results::read(one.as_slice()).expect("what was written can be read");
+    let single_thread = bytes(1);
+    assert!(single_thread == bytes(5), "results with five threads differ from those with one");
+    let read = Results::read(single_thread.as_slice()).expect("reading the written results");
     assert_eq!(read.rows.len(), 10);
 }
--- a/crates/lab/tests/worlds.rs
+++ b/crates/lab/tests/worlds.rs
@@ -1,18 +1,18 @@
-//! The world itself: its queues against theory, its bounds, its chance, and plans that can't be played.
+//! The simulation: queues against theory, bounds on its size, random faults, and errors of invalid plans.
 
 use landingspread_lab::experiment::{self, run_one};
 use landingspread_lab::pickers::LoadBalancerKind;
 use landingspread_lab::plan::{self, Scenario};
 use proptest::prelude::*;
-use proptest::test_runner::{Config as Cases, RngSeed, TestRunner};
+use proptest::test_runner::{Config as TestConfig, RngSeed, TestRunner};
 
-fn parsed(text: &str) -> Scenario {
-    plan::parse("test", text).expect("a plan that can be played")
+fn parse_valid(text: &str) -> Scenario {
+    plan::parse("test", text).expect("a valid plan")
 }
 
-/// One server with one core, no network and no cost of connections.
-fn single(rate: f64) -> Scenario {
-    parsed(&format!(
+/// One server with one core, no network delay and no cost of connections.
+fn single_server(rate: f64) -> Scenario {
+    parse_valid(&format!(
         "name = \"mm1\"\nseconds = 600\nload = {{ rate = {rate} }}\nfront = {{ copies = 1 }}\n\
          network = {{ near = 0, far = 0 }}\n\
          verbs = [{{ name = \"v\", goal = 60, limit = 60, work = [0.01] }}]\n\
@@ -21,52 +21,53 @@
 }
 
 #[test]
-fn a_single_queue_is_as_slow_as_theory_says() {
+fn single_queue_latency_matches_theory() {
     // M/M/1: the time in the system is exponential with mean 1 / (mu - lambda).
     for (rate, mean_ms) in [(50.0, 20.0), (80.0, 50.0)] {
-        let totals = run_one(&single(rate), LoadBalancerKind::Random, 1).totals;
-        for (seen, share) in [(totals.p50, 0.5f64), (totals.p90, 0.9)] {
+        let totals = run_one(&single_server(rate), LoadBalancerKind::Random, 1).totals;
+        for (measured, share) in [(totals.p50, 0.5f64), (totals.p90, 0.9)] {
             let theory = -mean_ms * (1.0 - share).ln();
             assert!(
-                (seen / theory - 1.0).abs() < 0.08,
-                "rate {rate}, {share}: {seen} ms, theory {theory} ms"
+                (measured / theory - 1.0).abs() < 0.08,
+                "rate {rate}, {share}: {measured} ms, theory {theory} ms"
             );
         }
     }
 }
 
 #[test]
-fn what_clients_send_does_not_depend_on_the_picker() {
-    let ready = experiment::find("suite").expect("built in");
-    let surge = ready.settings.iter().find(|setting| setting.case == "surge").expect("a case");
-    let came = |picker| {
-        let run = run_one(&surge.scenario, picker, 3);
+fn arrivals_do_not_depend_on_the_load_balancer() {
+    let experiment = experiment::find("suite").expect("a built-in experiment");
+    let surge =
+        experiment.settings.iter().find(|setting| setting.case == "surge").expect("a case of the experiment");
+    let arrivals = |load_balancer| {
+        let run = run_one(&surge.scenario, load_balancer, 3);
         run.seconds.iter().map(|second| second.arrived).collect::<Vec<_>>()
     };
-    assert_eq!(came(LoadBalancerKind::Landingspread), came(LoadBalancerKind::Random));
+    assert_eq!(arrivals(LoadBalancerKind::Landingspread), arrivals(LoadBalancerKind::Random));
 }
 
 #[test]
-fn a_flood_does_not_make_the_world_grow_without_bound() {
-    let mut flood = experiment::find("one-tier").expect("built in").settings.remove(0).scenario;
+fn overload_keeps_the_event_queue_bounded() {
+    let mut flood = experiment::find("one-tier").expect("a built-in experiment").settings.remove(0).scenario;
     (flood.seconds, flood.settle, flood.load.rate) = (4.0, 0.0, 60_000.0);
     let run = run_one(&flood, LoadBalancerKind::Landingspread, 1);
     assert_eq!(run.breach_counts, [0; 4], "{:?}", run.breaches.first());
-    // Every command is in it with its end, its relay and its time limit, for as long as that lasts.
-    assert!(run.max_queued_events < 60_000 * 2 * 4, "{} things to come", run.max_queued_events);
+    // Each request has a bounded number of pending events until its time limit.
+    assert!(run.max_queued_events < 60_000 * 2 * 4, "{} queued events", run.max_queued_events);
     assert!(run.totals.declined > run.totals.answered);
 }
 
 #[test]
-fn with_no_server_ever_ready_all_is_declined() {
-    let mut plan = single(50.0);
+fn without_servers_all_requests_are_rejected() {
+    let mut plan = single_server(50.0);
     (plan.seconds, plan.tiers[0].servers) = (5.0, 0);
     let run = run_one(&plan, LoadBalancerKind::Landingspread, 1);
     assert_eq!((run.totals.answered, run.breach_counts), (0, [0; 4]));
     assert_eq!(run.totals.declined, run.totals.arrived);
 }
 
-/// A random list of faults for the suite's world.
+/// Random faults for the scenario of the suite.
 fn faults() -> impl Strategy<Value = Vec<String>> {
     let servers = prop::collection::btree_set(0usize..10, 1..4);
     let fault = (0usize..14, 1.0f64..9.0, 0.5f64..6.0, servers, 1.2f64..5.0);
@@ -106,53 +107,69 @@
 
 #[test]
 fn rules_hold_through_random_faults() {
-    let cases =
-        Cases { cases: 24, rng_seed: RngSeed::Fixed(14), failure_persistence: None, ..Cases::default() };
-    let world = experiment::builtin("one-tier").expect("built in").replace("seconds = 30", "seconds = 12");
-    TestRunner::new(cases)
+    let test_config = TestConfig {
+        cases: 24,
+        rng_seed: RngSeed::Fixed(14),
+        failure_persistence: None,
+        ..TestConfig::default()
+    };
+    let scenario = experiment::builtin("one-tier")
+        .expect("a built-in experiment")
+        .replace("seconds = 30", "seconds = 12");
+    TestRunner::new(test_config)
         .run(&(faults(), 1u64..1000), |(faults, seed)| {
-            let plan = parsed(&format!("{world}\n{}", faults.concat()));
+            let plan = parse_valid(&format!("{scenario}\n{}", faults.concat()));
             let run = run_one(&plan, LoadBalancerKind::Landingspread, seed);
             prop_assert_eq!(run.breach_counts, [0; 4], "{:?}", run.breaches.first());
             Ok(())
         })
-        .expect("rules hold");
+        .expect("the rules hold in all cases");
 }
 
 #[test]
-fn what_only_sockets_can_play_is_refused_in_virtual_time() {
-    let mut ready = experiment::find("one-tier").expect("built in");
-    let fault = plan::parse("p", &format!("{GOOD}[[faults]]\nkind = \"half_open\"\nat = 1\nservers = [1]\n"));
-    ready.settings[0].scenario = fault.expect("it can be read");
-    let told = experiment::sweep(&ready, 1, &|_, _| {}).expect_err("a refusal");
-    assert!(told.contains("half open can be played on real sockets only"), "{told}");
+fn socket_only_fault_is_refused_in_virtual_time() {
+    let mut experiment = experiment::find("one-tier").expect("a built-in experiment");
+    let fault =
+        plan::parse("p", &format!("{VALID_PLAN}[[faults]]\nkind = \"half_open\"\nat = 1\nservers = [1]\n"));
+    experiment.settings[0].scenario = fault.expect("a valid plan");
+    let parse_error = experiment::sweep(&experiment, 1, &|_, _| {}).expect_err("a refused setting");
+    assert!(parse_error.contains("half open can be played on real sockets only"), "{parse_error}");
 }
 
-/// What a faulty plan is told as.
-fn told(text: &str) -> String {
-    plan::parse("p.toml", text).expect_err("a fault").to_string()
+/// The error of an invalid plan.
+fn parse_error(text: &str) -> String {
+    plan::parse("p.toml", text).expect_err("an invalid plan").to_string()
 }
 
-const GOOD: &str = "name = \"x\"\nseconds = 5\nload = { rate = 5 }\n\
+const VALID_PLAN: &str = "name = \"x\"\nseconds = 5\nload = { rate = 5 }\n\
     verbs = [{ name = \"v\", goal = 1, limit = 1, work = [0.01] }]\n[[tiers]]\nservers = 2\n";
 
 #[test]
-fn faults_of_files_name_the_key_the_line_and_what_was_expected() {
-    assert!(plan::parse("p.toml", GOOD).is_ok());
-    let unknown = told(&GOOD.replace("servers = 2", "servrs = 2"));
-    assert!(unknown.starts_with("p.toml:6:") && unknown.contains("did you mean `servers`"), "{unknown}");
-    let typed = told(&GOOD.replace("seconds = 5", "seconds = \"five\""));
-    assert!(typed.starts_with("p.toml:2:") && typed.contains("f64"), "{typed}");
-    let bounded = told(&GOOD.replace("seconds = 5", "seconds = -5"));
+fn plan_errors_name_the_key_the_line_and_the_expected_value() {
+    assert!(plan::parse("p.toml", VALID_PLAN).is_ok());
+    let unknown_key = parse_error(&VALID_PLAN.replace("servers = 2", "servrs = 2"));
+    assert!(
+        unknown_key.starts_with("p.toml:6:") && unknown_key.contains("did you mean `servers`"),
+        "{unknown_key}"
+    );
+    let wrong_type = parse_error(&VALID_PLAN.replace("seconds = 5", "seconds = \"five\""));
+    assert!(wrong_type.starts_with("p.toml:2:") && wrong_type.contains("f64"), "{wrong_type}");
+    let out_of_bounds = parse_error(&VALID_PLAN.replace("seconds = 5", "seconds = -5"));
+    assert!(
+        out_of_bounds.starts_with("p.toml:2:") && out_of_bounds.contains("seconds: -5 does not lie from"),
+        "{out_of_bounds}"
+    );
+    let fault = format!("{VALID_PLAN}\n[[faults]]\nkind = \"slow\"\nat = 1\nservers = [7]\nfactor = 2\n");
+    let unknown_server = parse_error(&fault);
+    assert!(
+        unknown_server.starts_with("p.toml:11:") && unknown_server.contains("tier 0 has no server 7"),
+        "{unknown_server}"
+    );
+    let missing_key = parse_error(&fault.replace("[7]", "[1]").replace("factor = 2", ""));
     assert!(
-        bounded.starts_with("p.toml:2:") && bounded.contains("seconds: -5 does not lie from"),
-        "{bounded}"
+        missing_key.starts_with("p.toml:8:") && missing_key.contains("faults.0.factor: slow needs it"),
+        "{missing_key}"
     );
-    let fault = format!("{GOOD}\n[[faults]]\nkind = \"slow\"\nat = 1\nservers = [7]\nfactor = 2\n");
-    let beyond = told(&fault);
-    assert!(beyond.starts_with("p.toml:11:") && beyond.contains("tier 0 has no server 7"), "{beyond}");
-    let needs = told(&fault.replace("[7]", "[1]").replace("factor = 2", ""));
-    assert!(needs.starts_with("p.toml:8:") && needs.contains("faults.0.factor: slow needs it"), "{needs}");
-    assert!(told("name = ").starts_with("p.toml:1:"));
-    assert!(told("").contains("missing field"));
+    assert!(parse_error("name = ").starts_with("p.toml:1:"));
+    assert!(parse_error("").contains("missing field"));
 }
