--- a/crates/lab/src/args.rs
+++ b/crates/lab/src/args.rs
@@ -36,7 +36,7 @@
 #[derive(FromArgs)]
 #[argh(subcommand, name = "soak")]
 pub struct Soak {
-    /// the first seed
+    /// the seed of the first run
     #[argh(option, default = "1")]
     pub seed: u64,
     /// count of seeds, run one after another
@@ -103,7 +103,7 @@
     /// count of replicas
     #[argh(option, default = "3")]
     pub copies: usize,
-    /// count of steps
+    /// count of steps that each order has
     #[argh(option, default = "4")]
     pub depth: usize,
     /// a faulty variant instead of the program's own rule: last-word, counted-often
@@ -136,9 +136,9 @@
     #[argh(option)]
     pub case: Option<String>,
     /// the load balancer
-    #[argh(option, long = "picker", default = "LoadBalancerKind::Landingspread")]
-    pub load_balancer: LoadBalancerKind,
-    /// the seed
+    #[argh(option, default = "LoadBalancerKind::Landingspread")]
+    pub picker: LoadBalancerKind,
+    /// the seed of the run
     #[argh(option, default = "1")]
     pub seed: u64,
     /// a further load balancer to run for comparison in the report; may be given several times
@@ -169,8 +169,8 @@
     #[argh(option)]
     pub seeds: Option<u64>,
     /// a load balancer, instead of the file's; may be given several times
-    #[argh(option, long = "picker")]
-    pub load_balancers: Vec<LoadBalancerKind>,
+    #[argh(option)]
+    pub picker: Vec<LoadBalancerKind>,
 }
 
 /// compare one load balancer with the others, seed by seed, in the results of a sweep
@@ -181,8 +181,8 @@
     #[argh(positional)]
     pub results: PathBuf,
     /// the load balancer that is compared with the others
-    #[argh(option, long = "picker", default = "LoadBalancerKind::Landingspread")]
-    pub load_balancer: LoadBalancerKind,
+    #[argh(option, default = "LoadBalancerKind::Landingspread")]
+    pub picker: LoadBalancerKind,
 }
 
 /// run one case on real sockets with real landingspread processes
@@ -195,7 +195,7 @@
     /// the case; the first one if not given
     #[argh(option)]
     pub case: Option<String>,
-    /// the seed
+    /// the seed of the run
     #[argh(option, default = "1")]
     pub seed: u64,
     /// file for a report with plots
@@ -228,8 +228,8 @@
     #[argh(option, default = "5.0")]
     pub seconds: f64,
     /// the request class, sent as GET
-    #[argh(option, long = "verb", default = "String::from(\"view\")")]
-    pub request_class: String,
+    #[argh(option, default = "String::from(\"view\")")]
+    pub verb: String,
 }
 
 /// measure the throughput of one sidecar by connections and servers, with stand-in servers that answer at once
@@ -287,7 +287,7 @@
     /// a plan of a fleet, built in or a file
     #[argh(positional)]
     pub name: String,
-    /// the seed
+    /// the seed of the run
     #[argh(option, default = "1")]
     pub seed: u64,
     /// count of replicas, instead of the plan's
--- a/crates/lab/src/cold.rs
+++ b/crates/lab/src/cold.rs
@@ -82,6 +82,7 @@
         keep(&mut self.largest_margin, smallest_margin, &|new, kept| new.margin() > kept.margin());
     }
 
+    /// Adds the peaks of other runs.
     pub fn merge(&mut self, other: &ColdPeaks) {
         let (lives, beyond) =
             (self.process_lives + other.process_lives, self.over_allowance + other.over_allowance);
--- a/crates/lab/src/experiment/compare.rs
+++ b/crates/lab/src/experiment/compare.rs
@@ -131,11 +131,14 @@
                 let (low, high) = difference.interval;
                 let _ = write!(text, " ({:+.3}: {low:+.3} to {high:+.3})", difference.mean);
             }
-            let unreachable: u64 =
+            let unreachable_attempts: u64 =
                 rows_of(results, &setting, *kind).map(|row| row.totals.unreachable_attempts).sum();
-            if unreachable > 0 {
-                let _ =
-                    write!(text, ", {:.0} relays in vain", unreachable as f64 / utility.len().max(1) as f64);
+            if unreachable_attempts > 0 {
+                let _ = write!(
+                    text,
+                    ", {:.0} relays in vain",
+                    unreachable_attempts as f64 / utility.len().max(1) as f64
+                );
             }
             text += &breach_summary(rows_of(results, &setting, *kind));
             text += " |";
--- a/crates/lab/src/experiment/ready.rs
+++ b/crates/lab/src/experiment/ready.rs
@@ -12,6 +12,7 @@
 /// Bound on the runs of one experiment, because a larger sweep would hardly end.
 const MAX_RUNS: usize = 100_000;
 
+/// An experiment, as its file describes it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
@@ -30,7 +31,7 @@
     pub axes: Vec<Axis>,
 }
 
-/// A named list of faults, added to those of the scenario.
+/// A named list of faults that is added to the faults of the scenario.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Case {
@@ -41,6 +42,7 @@
     pub faults: Vec<Fault>,
 }
 
+/// A range of consecutive seeds.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Seeds {
@@ -184,7 +186,7 @@
     Ok(PreparedExperiment { runs: list_runs(&experiment, &settings), experiment, settings })
 }
 
-/// Turns the index of a fault of the scenario into that within its case, because the faults of a case follow those of
+/// Converts a key with the index of a fault in the combined list to its index in the case, whose faults follow those of
 /// the scenario.
 fn renumber_fault_key(key: &str, scenario_faults: usize) -> String {
     let mut parts: Vec<String> = key.split('.').map(str::to_string).collect();
@@ -263,7 +265,7 @@
     }
 }
 
-/// Simulates one run.
+/// Simulates a scenario with one load balancer and seed.
 pub fn run_one(scenario: &Scenario, load_balancer: LoadBalancerKind, seed: u64) -> crate::world::Run {
     let plan = Rc::new(scenario.clone());
     crate::world::simulate(&plan, seed, &|host, settings, seed, now| {
--- a/crates/lab/src/experiment/results.rs
+++ b/crates/lab/src/experiment/results.rs
@@ -56,10 +56,11 @@
 }
 
 impl Row {
-    pub fn new(ready: &PreparedExperiment, index: usize, run: &Run) -> Row {
+    /// The row of a run, by the index of the run in the experiment.
+    pub fn new(experiment: &PreparedExperiment, index: usize, run: &Run) -> Row {
         const MAX_BREACHES: usize = 3;
-        let planned = &ready.runs[index];
-        let setting = &ready.settings[planned.setting];
+        let planned = &experiment.runs[index];
+        let setting = &experiment.settings[planned.setting];
         Row {
             setting: planned.setting,
             case: setting.case.clone(),
@@ -89,7 +90,8 @@
 }
 
 impl Results {
-    pub fn header_of(ready: &PreparedExperiment) -> Header {
+    /// The header for the results of an experiment.
+    pub fn header_of(experiment: &PreparedExperiment) -> Header {
         let record = |setting: &Setting| SettingRecord {
             case: setting.case.clone(),
             point: setting.point.clone(),
@@ -97,8 +99,8 @@
         };
         Header {
             build: build(),
-            experiment: ready.experiment.clone(),
-            settings: ready.settings.iter().map(record).collect(),
+            experiment: experiment.experiment.clone(),
+            settings: experiment.settings.iter().map(record).collect(),
         }
     }
 
--- a/crates/lab/src/experiment/sweep.rs
+++ b/crates/lab/src/experiment/sweep.rs
@@ -1,5 +1,5 @@
 //! Runs all runs of an experiment in parallel. Each run is single-threaded with its own simulation, and rows are in the
-//! order of the plan whatever the count of threads.
+//! order of the plan with any count of threads.
 
 use super::ready::{PreparedExperiment, check_virtual_time, run_one};
 use super::results::{Results, Row};
--- a/crates/lab/src/live.rs
+++ b/crates/lab/src/live.rs
@@ -89,6 +89,7 @@
     report.breaches.iter().take(10).for_each(|breach| println!("{breach}"));
 }
 
+/// Runs one case on real sockets and prints its totals.
 pub fn sockets(arguments: &Sockets) -> Result<(), String> {
     let experiment = find(&arguments.name)?;
     let setting = case_of(&experiment, arguments.case.as_deref())?;
@@ -104,6 +105,7 @@
     write_report(setting, &title, command, report, path)
 }
 
+/// Runs the demonstration and writes its report.
 pub fn demo() -> Result<(), String> {
     let experiment = find("demo")?;
     let setting = case_of(&experiment, None)?;
@@ -116,6 +118,7 @@
     Ok(())
 }
 
+/// Sends load to a loopback address and prints the results as JSON.
 pub fn load(arguments: &Load) -> Result<(), String> {
     if !arguments.to.ip().is_loopback() {
         return Err(format!("{} is not on loopback: the lab sends nowhere else", arguments.to));
@@ -129,7 +132,7 @@
     }
     let results = sockets::load(&LoadPlan {
         targets: vec![arguments.to],
-        verb: arguments.request_class.clone(),
+        verb: arguments.verb.clone(),
         connections: arguments.connections,
         rate: arguments.rate,
         limit: Duration::from_secs(2),
@@ -150,6 +153,7 @@
     }
 }
 
+/// Prints the throughput of one sidecar as a Markdown table.
 pub fn bench(arguments: &Bench) -> Result<(), String> {
     let program = program(arguments.program.as_ref())?;
     let dir = sockets::run_dir("bench")?;
@@ -181,6 +185,7 @@
     Ok(())
 }
 
+/// Prints the latency that one sidecar adds, by rate.
 pub fn added(arguments: &Added) -> Result<(), String> {
     let mut programs = vec![program(arguments.program.as_ref())?];
     programs.extend(arguments.against.clone());
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -43,7 +43,7 @@
     let setting = case_of(&experiment, run.case.as_deref())?;
     experiment::check_virtual_time(setting)?;
     let started = std::time::Instant::now();
-    let result = experiment::run_one(&setting.scenario, run.load_balancer, run.seed);
+    let result = experiment::run_one(&setting.scenario, run.picker, run.seed);
     let elapsed_s = started.elapsed().as_secs_f64();
     if let Some(path) = &run.report {
         report(run, setting, &result, path)?;
@@ -71,7 +71,7 @@
 
 fn report(run: &Run, setting: &Setting, result: &SimulatedRun, path: &Path) -> Result<(), String> {
     let (case, scenario) = (&setting.case, &setting.scenario);
-    let mut runs = vec![RunReport::new(run.load_balancer.name(), result.clone())];
+    let mut runs = vec![RunReport::new(run.picker.name(), result.clone())];
     for load_balancer in &run.against {
         runs.push(RunReport::new(
             load_balancer.name(),
@@ -82,7 +82,7 @@
     let command = format!(
         "landingspread-lab run {} --case {case} --picker {} --seed {}",
         run.name,
-        run.load_balancer.name(),
+        run.picker.name(),
         run.seed
     );
     let report_data = ReportData::new(scenario, &title, &setting.about, command, runs);
@@ -92,8 +92,8 @@
 
 fn sweep(sweep: &Sweep) -> Result<(), String> {
     let mut prepared = find(&sweep.name)?;
-    if !sweep.load_balancers.is_empty() {
-        prepared.experiment.load_balancers.clone_from(&sweep.load_balancers);
+    if !sweep.picker.is_empty() {
+        prepared.experiment.load_balancers.clone_from(&sweep.picker);
     }
     prepared.reseed(sweep.seeds.unwrap_or(prepared.experiment.seeds.count));
     let bar = ProgressBar::new(prepared.runs.len() as u64);
@@ -122,7 +122,7 @@
     let with_path = |error: String| format!("{}: {error}", compare.results.display());
     let file = File::open(&compare.results).map_err(|error| with_path(error.to_string()))?;
     let results = Results::read(BufReader::new(file)).map_err(with_path)?;
-    print!("{}", experiment::table(&results, compare.load_balancer));
+    print!("{}", experiment::table(&results, compare.picker));
     experiment::depth_table(&results).iter().for_each(|table| print!("\n{table}"));
     Ok(())
 }
--- a/crates/lab/src/pickers/named.rs
+++ b/crates/lab/src/pickers/named.rs
@@ -35,6 +35,7 @@
 }
 
 impl LoadBalancerKind {
+    /// All kinds, in the order of error messages.
     pub const ALL: [LoadBalancerKind; 11] = [
         LoadBalancerKind::Landingspread,
         LoadBalancerKind::LandingspreadFleet,
--- a/crates/lab/src/pickers/plain.rs
+++ b/crates/lab/src/pickers/plain.rs
@@ -76,6 +76,7 @@
 }
 
 impl BaselineBalancer {
+    /// Creates a baseline with its selection rule and attempt limits; `seed` is for random draws.
     pub fn new(
         host: HostHandle,
         settings: Settings,
--- a/crates/lab/src/pickers/rules.rs
+++ b/crates/lab/src/pickers/rules.rs
@@ -14,6 +14,7 @@
 }
 
 impl SentAttempt {
+    /// Whether the server may have executed the request.
     pub fn may_have_run(&self) -> bool {
         self.outcome.is_none_or(|outcome| !outcome.never_ran())
     }
--- a/crates/lab/src/plan/faults.rs
+++ b/crates/lab/src/plan/faults.rs
@@ -29,9 +29,9 @@
     Shrink,
     /// Lists are delivered `seconds` later than usual.
     ListLate,
-    /// The list stays as it was at the begin of the fault.
+    /// The list stays as it was at the start of the fault.
     ListStale,
-    /// Every `seconds` the list shows `servers` as draining or as ready, in turn, though they work.
+    /// The list shows working `servers` as draining and as ready in turn, changing every `seconds`.
     ListFlapping,
     /// The list is empty.
     ListEmpty,
@@ -62,7 +62,7 @@
     HalfOpen,
 }
 
-/// The load that a server reports falsely: none, full, or the figures at the begin of the fault.
+/// The load that a server reports falsely: none, full, or the last figures before the fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FalseLoad {
--- a/crates/lab/src/plan/scenario.rs
+++ b/crates/lab/src/plan/scenario.rs
@@ -121,6 +121,7 @@
 }
 
 impl RequestClass {
+    /// Mean work in a tier, in seconds of one core at speed 1.
     pub fn mean_work(&self, tier: usize) -> f64 {
         self.work.get(tier).or(self.work.last()).copied().unwrap_or(0.0)
     }
--- a/crates/lab/src/referee.rs
+++ b/crates/lab/src/referee.rs
@@ -50,7 +50,7 @@
     Answered,
     Declined,
     Terminated,
-    /// The client disconnected.
+    /// The client disconnected before a final answer.
     Left,
     /// The process of its replica ended, or it had no final answer by its deadline.
     Lost,
@@ -100,6 +100,7 @@
 }
 
 impl Referee {
+    /// Creates a checker with the tolerances of the rules.
     pub fn new(rules: &Rules) -> Referee {
         let (removal_grace, deadline_slack) =
             (to_duration(rules.removal_grace), to_duration(rules.deadline_slack));
--- a/crates/lab/src/report/story.rs
+++ b/crates/lab/src/report/story.rs
@@ -38,6 +38,7 @@
 }
 
 impl RunReport {
+    /// Takes the data of a run from its simulation.
     pub fn new(name: &str, run: Run) -> RunReport {
         RunReport {
             name: name.into(),
@@ -51,6 +52,7 @@
 }
 
 impl ReportData {
+    /// Collects the data of a report; `command` is the command line that makes it again.
     pub fn new(
         scenario: &Scenario,
         title: &str,
--- a/crates/lab/src/tally.rs
+++ b/crates/lab/src/tally.rs
@@ -135,6 +135,7 @@
 }
 
 impl Statistics {
+    /// Creates empty statistics. Totals leave out what arrives before `settle`.
     pub fn new(settle: Duration, tenants: usize, tiers: usize) -> Statistics {
         Statistics {
             settle,
@@ -209,10 +210,10 @@
         }
     }
 
-    /// Records an attempt; `unreachable` says that the replica can't reach its server.
-    pub fn record_attempt(&mut self, now: Duration, unreachable: bool) {
+    /// Records an attempt; `server_unreachable` says that the replica can't reach its server.
+    pub fn record_attempt(&mut self, now: Duration, server_unreachable: bool) {
         self.totals.attempts += u64::from(now >= self.settle);
-        if unreachable && now >= self.settle {
+        if server_unreachable && now >= self.settle {
             self.totals.unreachable_attempts += 1;
             self.totals.last_unreachable_at = now.as_secs_f64();
         }
@@ -242,7 +243,7 @@
         self.totals.not_accepted += u64::from(now >= self.settle);
     }
 
-    /// Records a log line if it tells of an ejection or a return, up to a bound.
+    /// Records a log line if it reports an ejection or a return, up to a bound.
     pub fn record_note(&mut self, now: Duration, replica: usize, text: &str) {
         if self.ejections.len() < MAX_EJECTION_NOTES
             && (text.starts_with("mark") || text.starts_with("return"))
--- a/crates/lab/src/world/agenda.rs
+++ b/crates/lab/src/world/agenda.rs
@@ -41,15 +41,18 @@
 }
 
 impl EventQueue {
+    /// Adds an event at a point of virtual time.
     pub fn schedule(&mut self, at: Duration, event: SimEvent) {
         self.sequence += 1;
         self.heap.push(Reverse(ScheduledEvent { at, sequence: self.sequence, event }));
     }
 
+    /// Removes and returns the earliest event.
     pub fn next(&mut self) -> Option<(Duration, SimEvent)> {
         self.heap.pop().map(|Reverse(scheduled)| (scheduled.at, scheduled.event))
     }
 
+    /// Count of pending events.
     pub fn len(&self) -> usize {
         self.heap.len()
     }
--- a/crates/lab/src/world/clients.rs
+++ b/crates/lab/src/world/clients.rs
@@ -250,6 +250,7 @@
         self.release_operation(operation);
     }
 
+    /// Drops one reference to an operation and removes it with the last one.
     pub fn release_operation(&mut self, number: u64) {
         let Some(operation) = self.operations.get_mut(number) else { return };
         operation.references -= 1;
@@ -291,7 +292,7 @@
             }
         }
         cancelled.into_iter().for_each(|(attempt_key, delay)| {
-            self.schedule_in(delay, SimEvent::AttemptCancelled(attempt_key))
+            self.schedule_in(delay, SimEvent::AttemptCancelled(attempt_key));
         });
     }
 }
--- a/crates/lab/src/world/dice.rs
+++ b/crates/lab/src/world/dice.rs
@@ -17,6 +17,7 @@
 }
 
 impl RandomStreams {
+    /// Creates all streams from one seed.
     pub fn new(seed: u64) -> RandomStreams {
         let stream = |number| {
             let mut rng = ChaCha8Rng::seed_from_u64(seed);
--- a/crates/lab/src/world/faults.rs
+++ b/crates/lab/src/world/faults.rs
@@ -1,4 +1,4 @@
-//! The begin, the steps and the end of faults. A fault that only changes a factor takes effect by being among the active
+//! The start, the steps and the end of faults. A fault that only changes a factor takes effect by being among the active
 //! faults; the others act on the state here.
 
 use super::ground::{ServerStatus, SimulationState};
@@ -7,6 +7,7 @@
 use std::time::Duration;
 
 impl SimulationState {
+    /// Schedules the start and the end of all faults of the plan.
     pub fn schedule_faults(&mut self) {
         for (fault_index, fault) in self.plan.clone().faults.iter().enumerate() {
             self.schedule(to_duration(fault.at), SimEvent::FaultBegins(fault_index));
@@ -19,6 +20,7 @@
         fault.servers.iter().filter_map(|index| servers_of_tier.get(*index).copied()).collect()
     }
 
+    /// Starts a fault, by its index in the plan.
     pub fn fault_begins(&mut self, fault_index: usize) {
         let plan = self.plan.clone();
         let fault = &plan.faults[fault_index];
@@ -36,12 +38,13 @@
             FaultKind::ZoneLost => self.lose_zone(fault),
             FaultKind::ListFlapping | FaultKind::ReplicasRestarted => self.fault_step(fault_index, 0),
             FaultKind::ReplicasDown => {
-                (0..plan.affected_replicas(fault)).for_each(|replica| self.stop_replica(replica))
+                (0..plan.affected_replicas(fault)).for_each(|replica| self.stop_replica(replica));
             }
             _ => {}
         }
     }
 
+    /// Ends a fault, by its index in the plan.
     pub fn fault_ends(&mut self, fault_index: usize) {
         let plan = self.plan.clone();
         let fault = &plan.faults[fault_index];
@@ -87,6 +90,7 @@
         }
     }
 
+    /// Starts a server that is down, unless its generation has changed since or it was removed.
     pub fn server_starts(&mut self, server: usize, generation: u32) {
         let target = &self.servers[server];
         if target.generation == generation && target.status != ServerStatus::Up && !target.removed {
@@ -115,6 +119,7 @@
         }
     }
 
+    /// Ends a draining server for good.
     pub fn remove_server(&mut self, server: usize) {
         self.servers[server].removed = true;
         self.take_down(server, ServerStatus::Down);
--- a/crates/lab/src/world/ground.rs
+++ b/crates/lab/src/world/ground.rs
@@ -1,6 +1,6 @@
 //! The state of the simulation: servers, replicas, requests, the network and the event queue. It never calls a load
 //! balancer: only the loop in `world/mod.rs` does, while the state is not borrowed, so that a load balancer may call its
-//! host meanwhile.
+//! host during the call.
 
 use super::agenda::EventQueue;
 use super::dice::{RandomStreams, exponential};
@@ -60,6 +60,7 @@
 }
 
 impl Server {
+    /// The location of the server, whose number is `number`.
     pub fn location(&self, number: usize) -> Location {
         Location { server: number, zone: self.zone, cell: self.cell }
     }
@@ -73,7 +74,7 @@
     pub class: usize,
     pub tenant: usize,
     pub operation: u64,
-    /// Time until which the replica waits, if the server is told; otherwise the maximum.
+    /// Deadline of the attempt, if deadlines are propagated; otherwise the maximum.
     pub attempt_deadline: Duration,
     pub work: f64,
     pub calls_left: u32,
@@ -184,6 +185,7 @@
 }
 
 impl SimulationState {
+    /// Creates the servers and replicas of a plan at time zero.
     pub fn new(plan: Rc<Scenario>, seed: u64) -> SimulationState {
         let settle = to_duration(plan.settle);
         let mut state = SimulationState {
@@ -229,6 +231,7 @@
         }
     }
 
+    /// Adds a warm server to a tier and returns its number.
     pub fn add_server(&mut self, tier: usize) -> usize {
         let (number, location) = (self.servers.len(), self.servers_by_tier[tier].len());
         let plan = &self.plan.tiers[tier];
@@ -301,21 +304,25 @@
         id.get(1..)?.parse().ok()
     }
 
+    /// The number of the server with this id, if it exists.
     pub fn server_index(&self, id: &Id) -> Option<usize> {
         SimulationState::id_number(id)
             .map(|number| number as usize)
             .filter(|number| *number < self.servers.len())
     }
 
+    /// Whether this process of a replica still runs.
     pub fn is_running(&self, process: ReplicaProcess) -> bool {
         let origin_zone = &self.replicas[process.replica];
         origin_zone.up && origin_zone.generation == process.generation
     }
 
+    /// The present process of a replica, or the next one while it is down.
     pub fn current_process(&self, replica: usize) -> ReplicaProcess {
         ReplicaProcess { replica, generation: self.replicas[replica].generation }
     }
 
+    /// The faults that act now.
     pub fn faults(&self) -> impl Iterator<Item = &Fault> {
         self.active_faults.iter().map(|number| &self.plan.faults[*number])
     }
@@ -325,6 +332,7 @@
         fault.tier == server.tier && fault.servers.contains(&server.index_in_tier)
     }
 
+    /// The index of a zone by its name.
     pub fn zone_index(&self, name: Option<&String>) -> Option<u32> {
         self.plan.zones.iter().position(|zone| Some(zone) == name).map(|at| at as u32)
     }
@@ -380,6 +388,7 @@
         }
     }
 
+    /// The retry safety of a request class.
     pub fn retry_safety(&self, class: usize) -> RetrySafety {
         self.plan.request_classes[class].retry_safety
     }
--- a/crates/lab/src/world/hand.rs
+++ b/crates/lab/src/world/hand.rs
@@ -91,12 +91,12 @@
         let location = state.servers[to].location(to);
         let unavailable_since = state.replicas[self.process.replica].unavailable_since.get(&to).copied();
         state.check_rules(number, |referee, facts| {
-            referee.attempt_started(now, facts, location, server, unavailable_since)
+            referee.attempt_started(now, facts, location, server, unavailable_since);
         });
         let (zone, server_zone) = (state.replicas[self.process.replica].zone, state.servers[to].zone);
-        let unreachable =
+        let server_unreachable =
             state.servers[to].status != ServerStatus::Up || state.zones_are_cut(zone, server_zone);
-        state.statistics.record_attempt(now, unreachable);
+        state.statistics.record_attempt(now, server_unreachable);
         let tier = state.servers[to].tier;
         if let Some(request) = state.requests.get(number) {
             state.statistics.record_tier_attempt(
@@ -234,14 +234,14 @@
     fn needs_new_connection(&mut self, replica: usize, server: usize) -> bool {
         let target = &self.servers[server];
         let idle = to_duration(self.plan.tiers[target.tier].connections.idle_timeout);
-        let (generation, unreachable, now) =
+        let (generation, server_unreachable, now) =
             (target.generation, target.status == ServerStatus::Unreachable, self.now);
         let Some(idle_connections) = self.replicas[replica].idle_connections.get_mut(&server) else {
             return true;
         };
         // A connection to an earlier process is known to be broken, except to a machine that has become unreachable.
         if idle_connections.count == 0
-            || (idle_connections.generation != generation && !unreachable)
+            || (idle_connections.generation != generation && !server_unreachable)
             || now > idle_connections.last_used + idle
         {
             idle_connections.count = 0;
@@ -280,10 +280,10 @@
         }
         match outcome {
             Outcome::Ok | Outcome::Error | Outcome::Overloaded => {
-                self.return_connection(process.replica, server)
+                self.return_connection(process.replica, server);
             }
             Outcome::Timeout | Outcome::Cancelled => {
-                self.schedule_in(delay, SimEvent::AttemptCancelled(attempt_key))
+                self.schedule_in(delay, SimEvent::AttemptCancelled(attempt_key));
             }
             _ => {}
         }
--- a/crates/lab/src/world/happening.rs
+++ b/crates/lab/src/world/happening.rs
@@ -25,7 +25,7 @@
     pub generation: u32,
 }
 
-/// Numbers stand for operations, requests, servers, faults or replicas, as each variant says.
+/// An event of the simulation. Numbers identify operations, requests, servers, faults or replicas.
 pub enum SimEvent {
     /// A client sends its first try of an operation, unless thinning drops it.
     ClientArrival,
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -121,7 +121,7 @@
         }
         self.load_balancers[replica] = Some(load_balancer);
         if process.generation > 0 {
-            // The cached list may be stale: the replica polls for a new one.
+            // The cached list may be stale, so the replica polls for a new one.
             self.state.borrow_mut().schedule(now, SimEvent::DiscoveryPolled(process));
         }
     }
@@ -147,13 +147,13 @@
             SimEvent::AttemptArrived(attempt_key) => state_mut().attempt_arrives(attempt_key),
             SimEvent::CoreFinished(job) => state_mut().core_finished(job),
             SimEvent::DownstreamCallEnded(job, succeeded) => {
-                state_mut().downstream_call_ended(job, succeeded)
+                state_mut().downstream_call_ended(job, succeeded);
             }
             SimEvent::AttemptEnded(attempt_key, outcome, load) => {
-                self.end_attempt(now, attempt_key, outcome, load)
+                self.end_attempt(now, attempt_key, outcome, load);
             }
             SimEvent::AttemptTimedOut(attempt_key) => {
-                self.end_attempt(now, attempt_key, Outcome::Timeout, LoadReport::default())
+                self.end_attempt(now, attempt_key, Outcome::Timeout, LoadReport::default());
             }
             SimEvent::AttemptCancelled(attempt_key) => state_mut().attempt_cancelled(attempt_key),
             SimEvent::HealthCheckEnded(process, server, outcome) => {
@@ -168,7 +168,7 @@
                 }
             }
             SimEvent::ListDelivered(process, full, entries) => {
-                self.list_delivered(now, process, full, &entries)
+                self.list_delivered(now, process, full, &entries);
             }
             SimEvent::DiscoveryPollFailed(process) => {
                 if let Some(load_balancer) = self.running_balancer(process) {
--- a/crates/lab/src/world/serving.rs
+++ b/crates/lab/src/world/serving.rs
@@ -178,6 +178,7 @@
         self.jobs.get(key.slot).filter(|job| job.serial == key.serial)
     }
 
+    /// Whether a fault pauses the server.
     pub(super) fn is_paused(&self, server: &Server) -> bool {
         self.faults().any(|fault| fault.kind == FaultKind::Pause && self.affects(fault, server))
     }
--- a/crates/lab/src/world/source.rs
+++ b/crates/lab/src/world/source.rs
@@ -61,6 +61,7 @@
         self.publish(number);
     }
 
+    /// Sends the entry of a server to the watching replicas of its tier.
     pub fn publish(&mut self, number: usize) {
         let tier = self.servers[number].tier;
         let Some(mut entry) = self.list_source.latest_entry(number).cloned() else { return };
@@ -113,6 +114,7 @@
         entries.into()
     }
 
+    /// Sends the full list to the watching replicas of a tier.
     pub fn broadcast_full_list(&mut self, tier: usize) {
         let full = self.full_list(tier);
         self.broadcast_list(tier, true, &full);
--- a/crates/lab/src/world/window.rs
+++ b/crates/lab/src/world/window.rs
@@ -17,6 +17,7 @@
 }
 
 impl<T> SequenceMap<T> {
+    /// Adds an item and returns its number.
     pub fn insert(&mut self, item: T) -> u64 {
         self.items.push_back(Some(item));
         self.occupied += 1;
@@ -27,15 +28,18 @@
         usize::try_from(number.checked_sub(self.first)?).ok()
     }
 
+    /// The item of a number, unless it was removed.
     pub fn get(&self, number: u64) -> Option<&T> {
         self.items.get(self.index_of(number)?)?.as_ref()
     }
 
+    /// The item of a number for changes, unless it was removed.
     pub fn get_mut(&mut self, number: u64) -> Option<&mut T> {
         let index_of = self.index_of(number)?;
         self.items.get_mut(index_of)?.as_mut()
     }
 
+    /// Removes and returns the item of a number.
     pub fn remove(&mut self, number: u64) -> Option<T> {
         let index_of = self.index_of(number)?;
         let item = self.items.get_mut(index_of)?.take();
@@ -47,6 +51,7 @@
         item
     }
 
+    /// Count of items that are not removed.
     pub fn len(&self) -> usize {
         self.occupied
     }
--- a/crates/lab/tests/callers.rs
+++ b/crates/lab/tests/callers.rs
@@ -64,8 +64,8 @@
     peer
 }
 
-/// A killed replica also closes its idle connections. A request that was written to one of them reached no process and
-/// was reported as lost by the replica.
+/// Guards against writing a request to an idle connection that a killed replica has closed: the request reached no
+/// process and was reported as lost by the replica.
 #[test]
 fn request_after_idle_close_uses_a_new_connection() {
     let (listener, to) = listener();
--- a/crates/lab/tests/chain.rs
+++ b/crates/lab/tests/chain.rs
@@ -7,10 +7,10 @@
 use landingspread_lab::tally::{TierAttempts, Totals};
 
 /// The built-in case with so little work that the replicas of the first tiers admit all of it within the settling time.
-fn short_scenario(case: &str, passes_deadline: bool) -> Scenario {
+fn short_scenario(case: &str, propagates_deadline: bool) -> Scenario {
     let experiment = experiment::find("chain").expect("a built-in experiment");
     let matches = |setting: &&experiment::Setting| {
-        setting.case == case && setting.scenario.rules.propagates_deadline == passes_deadline
+        setting.case == case && setting.scenario.rules.propagates_deadline == propagates_deadline
     };
     let mut scenario =
         experiment.settings.iter().find(matches).expect("a case of the experiment").scenario.clone();
@@ -26,8 +26,8 @@
     scenario
 }
 
-fn run_case(case: &str, passes_deadline: bool, picker: LoadBalancerKind) -> Totals {
-    let run = run_one(&short_scenario(case, passes_deadline), picker, 1);
+fn run_case(case: &str, propagates_deadline: bool, load_balancer: LoadBalancerKind) -> Totals {
+    let run = run_one(&short_scenario(case, propagates_deadline), load_balancer, 1);
     assert_eq!(run.breach_counts, [0; 4], "{case}: {:?}", run.breaches.first());
     assert!(run.totals.arrived > 900, "{case}: {} requests arrived", run.totals.arrived);
     run.totals
@@ -59,9 +59,9 @@
     let cases = ["calm", "top-slow", "middle-slow", "bottom-slow", "bottom-errors", "bottom-down"];
     let overloaded = ["top-past-capacity", "middle-past-capacity", "bottom-past-capacity"];
     for case in cases.into_iter().chain(overloaded) {
-        for passes_deadline in [true, false] {
+        for propagates_deadline in [true, false] {
             let amplification =
-                run_case(case, passes_deadline, LoadBalancerKind::Landingspread).attempt_amplification();
+                run_case(case, propagates_deadline, LoadBalancerKind::Landingspread).attempt_amplification();
             assert!(
                 amplification <= 1.1,
                 "{case}: {amplification:.3} attempts at the last tier for each request"
@@ -71,32 +71,32 @@
 }
 
 /// Attempts at the last tier for each request at the first, where half of the requests at the last tier fail.
-fn amplification_with_half_failing(passes_deadline: bool, nearest_repeats: bool) -> f64 {
-    let mut scenario = short_scenario("bottom-half-fails", passes_deadline);
-    scenario.rules.nearest_tier_retries = nearest_repeats;
+fn amplification_with_half_failing(propagates_deadline: bool, nearest_tier_retries: bool) -> f64 {
+    let mut scenario = short_scenario("bottom-half-fails", propagates_deadline);
+    scenario.rules.nearest_tier_retries = nearest_tier_retries;
     run_one(&scenario, LoadBalancerKind::Landingspread, 1).totals.attempt_amplification()
 }
 
 #[test]
 fn seventeen_budgets_of_repeats_keep_the_bottom_within_a_tenth_more_than_the_calls_at_the_top() {
-    for passes_deadline in [true, false] {
-        let amplification = amplification_with_half_failing(passes_deadline, false);
+    for propagates_deadline in [true, false] {
+        let amplification = amplification_with_half_failing(propagates_deadline, false);
         assert!(amplification <= 1.1, "every tier repeats: {amplification:.3}");
     }
 }
 
 #[test]
 fn nearest_tier_retries_stay_within_one_budget() {
-    for passes_deadline in [true, false] {
-        let amplification = amplification_with_half_failing(passes_deadline, true);
+    for propagates_deadline in [true, false] {
+        let amplification = amplification_with_half_failing(propagates_deadline, true);
         assert!(amplification <= 1.1, "only the nearest tier retries: {amplification:.3}");
     }
 }
 
 #[test]
 fn calls_without_deadline_continue_after_the_caller_gave_up() {
-    let attempts_of = |passes_deadline| {
-        let totals = run_case("bottom-down", passes_deadline, LoadBalancerKind::PlainRetries);
+    let attempts_of = |propagates_deadline| {
+        let totals = run_case("bottom-down", propagates_deadline, LoadBalancerKind::PlainRetries);
         totals.tiers.iter().map(TierAttempts::total).sum::<u64>()
     };
     let (carried, not_carried) = (attempts_of(true), attempts_of(false));
--- a/crates/lab/tests/cold.rs
+++ b/crates/lab/tests/cold.rs
@@ -9,12 +9,12 @@
 
 fn sweep_peaks(
     name: &str,
-    pickers: &[LoadBalancerKind],
+    load_balancers: &[LoadBalancerKind],
     seeds: RangeInclusive<u64>,
     replica_counts: &[&str],
 ) -> ColdPeaks {
     let mut experiment: PreparedExperiment = experiment::find(name).expect("a built-in experiment");
-    experiment.experiment.load_balancers = pickers.into();
+    experiment.experiment.load_balancers = load_balancers.into();
     experiment.reseed(*seeds.end());
     let settings = experiment.settings.clone();
     let is_selected =
@@ -38,18 +38,18 @@
 }
 
 /// No window exceeds its allowance, and at least `min_process_lives` processes of cold servers received requests.
-fn assert_within_allowance(peaks: &ColdPeaks, min_process_lives: u64) {
+fn check_within_allowance(peaks: &ColdPeaks, min_process_lives: u64) {
     assert_eq!(peaks.over_allowance, 0, "{:?}", peaks.summary());
     assert!(peaks.process_lives >= min_process_lives, "{:?}", peaks.summary());
 }
 
 #[test]
 fn configured_count_keeps_cold_load_within_allowance() {
-    assert_within_allowance(
+    check_within_allowance(
         &sweep_peaks("cold-sum", &[LoadBalancerKind::Landingspread], 1..=10, &["3", "10", "30", "100"]),
         200,
     );
-    assert_within_allowance(
+    check_within_allowance(
         &sweep_peaks("cold-sum-many", &[LoadBalancerKind::Landingspread], 1..=2, &["400"]),
         8,
     );
@@ -59,16 +59,16 @@
 /// credits of a large replica for its own: 100 replicas sent 400 requests per second where 18 are allowed.
 #[test]
 fn fleet_traffic_keeps_cold_load_within_allowance() {
-    assert_within_allowance(
+    check_within_allowance(
         &sweep_peaks("cold-sum", &[LoadBalancerKind::LandingspreadFleet], 1..=5, &["3", "10", "30"]),
         100,
     );
     // The seeds 5 and 18 overloaded a server with that fault.
-    assert_within_allowance(
+    check_within_allowance(
         &sweep_peaks("cold-sum", &[LoadBalancerKind::LandingspreadFleet], 1..=5, &["100"]),
         25,
     );
-    assert_within_allowance(
+    check_within_allowance(
         &sweep_peaks("cold-sum", &[LoadBalancerKind::LandingspreadFleet], 18..=18, &["100"]),
         5,
     );
@@ -78,7 +78,7 @@
 /// 100 replicas used the credits of the whole fleet.
 #[test]
 fn isolated_replicas_use_the_configured_count() {
-    assert_within_allowance(
+    check_within_allowance(
         &sweep_peaks("cold-apart", &[LoadBalancerKind::LandingspreadFleet], 1..=2, &["30"]),
         10,
     );
--- a/crates/lab/tests/results.rs
+++ b/crates/lab/tests/results.rs
@@ -46,7 +46,7 @@
     text.lines().map(|line| without_duration(without_build(line)) + "\n").collect()
 }
 
-fn assert_matches_fixture(name: &str, text: &str) {
+fn compare_with_fixture(name: &str, text: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(name);
     let text = normalized(text);
     if std::env::var_os("UPDATE_FIXTURES").is_some() {
@@ -74,8 +74,8 @@
     let compared = lab_output(&["compare", out_at]);
     let run = lab_output(&["run", plan_at, "--seconds"]);
     let _ = (std::fs::remove_file(&plan), std::fs::remove_file(&out));
-    assert_matches_fixture("sweep.jsonl", &lines);
-    assert_matches_fixture("printed.txt", &format!("== sweep\n{printed}== compare\n{compared}== run\n{run}"));
+    compare_with_fixture("sweep.jsonl", &lines);
+    compare_with_fixture("printed.txt", &format!("== sweep\n{printed}== compare\n{compared}== run\n{run}"));
 }
 
 #[test]
@@ -88,5 +88,5 @@
     ];
     let all: String =
         runs.iter().map(|args| format!("== {}\n{}", args.join(" "), lab_output(args))).collect();
-    assert_matches_fixture("verdicts.txt", &all);
+    compare_with_fixture("verdicts.txt", &all);
 }
--- a/crates/lab/tests/suite.rs
+++ b/crates/lab/tests/suite.rs
@@ -10,7 +10,7 @@
     experiment::sweep(&experiment, threads, &|_, _| {}).expect("a sweep in virtual time")
 }
 
-fn assert_rules_kept(results: &Results) {
+fn check_rules_kept(results: &Results) {
     let breaches_of = |row: &Row| format!("{} seed {}: {:?}", row.name(), row.seed, row.breaches);
     let breaches: Vec<String> =
         results.rows.iter().filter(|row| row.breach_counts != [0; 4]).map(breaches_of).collect();
@@ -26,7 +26,7 @@
 #[test]
 fn rules_hold_through_each_fault_and_five_together() {
     let results = run_sweep("suite", 2, 0);
-    assert_rules_kept(&results);
+    check_rules_kept(&results);
     assert!(results.rows.len() >= 2 * 21);
     // Without faults nearly all requests are answered, so that the rules are not kept by rejecting everything.
     assert!(min_utility(&results, "calm") > 0.99);
@@ -40,8 +40,8 @@
 
 #[test]
 fn rules_hold_across_tiers_and_zones() {
-    assert_rules_kept(&run_sweep("tiers", 1, 0));
-    assert_rules_kept(&run_sweep("zones", 1, 0));
+    check_rules_kept(&run_sweep("tiers", 1, 0));
+    check_rules_kept(&run_sweep("zones", 1, 0));
 }
 
 #[test]
