--- a/crates/lab/src/experiment/ready.rs
+++ b/crates/lab/src/experiment/ready.rs
@@ -20,7 +20,8 @@
     #[serde(default)]
     pub about: String,
     /// Name of a built-in scenario, or path of a file relative to this one.
-    pub world: String,
+    #[serde(rename = "world")]
+    pub scenario: String,
     #[serde(default = "calm_case")]
     pub cases: Vec<Case>,
     #[serde(default = "default_balancers", rename = "pickers")]
@@ -115,7 +116,7 @@
     let scenario = plan::parse(&file, &text)?;
     let (name, about) = (scenario.name.clone(), scenario.about.clone());
     let experiment = Experiment {
-        world: name.clone(),
+        scenario: name.clone(),
         name,
         about,
         cases: calm_case(),
@@ -149,7 +150,7 @@
         let line = text.lines().position(|line| line.trim_start().starts_with(key)).map(|at| at + 1);
         FileError::at_line(file, line, key, message)
     };
-    let (scenario_file, scenario_source) = read_source(&experiment.world, Path::new(file).parent())?;
+    let (scenario_file, scenario_source) = read_source(&experiment.scenario, Path::new(file).parent())?;
     // The scenario is checked before the axes are applied, so that errors show lines of its file.
     plan::parse(&scenario_file, &scenario_source)?;
     let scenario_table: toml::Value = parse_toml(&scenario_file, &scenario_source)?;
@@ -204,9 +205,9 @@
 }
 
 /// The name of a scenario in errors: its file and the values of the axes.
-fn scenario_label(world: &str, point: &[(String, toml::Value)]) -> String {
+fn scenario_label(file: &str, point: &[(String, toml::Value)]) -> String {
     let point: Vec<String> = point.iter().map(|(key, value)| format!("{key} = {value}")).collect();
-    if point.is_empty() { world.to_string() } else { format!("{world} with {}", point.join(", ")) }
+    if point.is_empty() { file.to_string() } else { format!("{file} with {}", point.join(", ")) }
 }
 
 /// All combinations of the values of the axes; the last axis varies fastest.
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -54,44 +54,45 @@
 
 /// Simulates a plan with one seed. After clients stop sending, open requests have until their deadlines to end.
 pub fn simulate(plan: &Rc<Scenario>, seed: u64, create_balancer: &MakeLoadBalancer) -> Run {
-    let mut world = World::new(plan.clone(), seed, create_balancer);
-    let end = to_duration(plan.seconds) + world.max_time_limit() + Duration::from_secs(1);
+    let mut simulation = Simulation::new(plan.clone(), seed, create_balancer);
+    let end = to_duration(plan.seconds) + simulation.max_time_limit() + Duration::from_secs(1);
     let mut max_queued = 0;
     loop {
-        let next_event = world.state.borrow_mut().event_queue.next();
+        let next_event = simulation.state.borrow_mut().event_queue.next();
         let Some((time, event)) = next_event.filter(|(time, _)| *time <= end) else { break };
         {
-            let state = &mut *world.state.borrow_mut();
+            let state = &mut *simulation.state.borrow_mut();
             debug_assert!(time >= state.now, "time goes forward");
             (state.now, state.events) = (time, state.events + 1);
             max_queued = max_queued.max(state.event_queue.len());
         }
-        world.handle_event(time, event);
+        simulation.handle_event(time, event);
     }
-    world.into_run(max_queued)
+    simulation.into_run(max_queued)
 }
 
-struct World<'a> {
+/// The event loop of one run, with its state and the load balancers of all replicas.
+struct Simulation<'a> {
     state: Rc<RefCell<SimulationState>>,
     load_balancers: Vec<Option<Box<dyn LoadBalancer>>>,
     create_balancer: &'a MakeLoadBalancer<'a>,
     seed: u64,
 }
 
-impl<'a> World<'a> {
-    fn new(plan: Rc<Scenario>, seed: u64, create_balancer: &'a MakeLoadBalancer<'a>) -> World<'a> {
+impl<'a> Simulation<'a> {
+    fn new(plan: Rc<Scenario>, seed: u64, create_balancer: &'a MakeLoadBalancer<'a>) -> Simulation<'a> {
         let state = Rc::new(RefCell::new(SimulationState::new(plan, seed)));
-        let mut world = World { state, load_balancers: Vec::new(), create_balancer, seed };
-        let replicas = world.state.borrow().replicas.len();
+        let mut simulation = Simulation { state, load_balancers: Vec::new(), create_balancer, seed };
+        let replicas = simulation.state.borrow().replicas.len();
         for replica in 0..replicas {
-            world.start_replica(replica);
+            simulation.start_replica(replica);
         }
-        let mut state = world.state.borrow_mut();
+        let mut state = simulation.state.borrow_mut();
         state.schedule_faults();
         state.schedule(Duration::ZERO, SimEvent::ClientArrival);
         state.schedule(Duration::from_secs(1), SimEvent::SecondEnded);
         drop(state);
-        world
+        simulation
     }
 
     fn max_time_limit(&self) -> Duration {
