--- a/crates/sidecar/tests/gone.rs
+++ b/crates/sidecar/tests/gone.rs
@@ -91,8 +91,8 @@
     let near = Gate::start_open();
     let mut far = if crosses { Gate::start_open() } else { Gate::start_closed() };
     let ids: Vec<String> = (0..CLIENTS).map(|number| format!("s{number}")).collect();
-    let list = |near_ones: usize, all: usize| {
-        let at = |number: usize| if number < near_ones { near.address } else { far.address };
+    let list = |near_count: usize, all: usize| {
+        let at = |number: usize| if number < near_count { near.address } else { far.address };
         let entries = ids[..all].iter().enumerate();
         entries.map(|(number, id)| (id.as_str(), at(number), "ready")).collect::<Vec<_>>()
     };
--- a/crates/sidecar/tests/streams.rs
+++ b/crates/sidecar/tests/streams.rs
@@ -256,15 +256,15 @@
 
 #[test]
 fn client_leaving_within_a_long_body_ends_the_attempt() {
-    let (begun, whole) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
-    let (begins, wholes) = (begun.clone(), whole.clone());
+    let (open_attempts, whole_bodies) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
+    let (attempts, bodies) = (open_attempts.clone(), whole_bodies.clone());
     let at = scripted_server(move |_, stream| {
         let Some(head) = read_head(stream) else { return };
-        begins.fetch_add(1, Ordering::Relaxed);
+        attempts.fetch_add(1, Ordering::Relaxed);
         if read_body(stream, content_length(&head)) {
-            wholes.fetch_add(1, Ordering::Relaxed);
+            bodies.fetch_add(1, Ordering::Relaxed);
         }
-        begins.fetch_sub(1, Ordering::Relaxed);
+        attempts.fetch_sub(1, Ordering::Relaxed);
     });
     let sidecar = start_sidecar(&[("s1", at)], 16, 80);
     let send_part = |id: &str| {
@@ -276,10 +276,10 @@
         stream
     };
     let client = send_part("w1");
-    wait_until("the attempt has begun", || begun.load(Ordering::Relaxed) == 1);
+    wait_until("the attempt has begun", || open_attempts.load(Ordering::Relaxed) == 1);
     drop(client);
-    wait_until("the attempt ends", || begun.load(Ordering::Relaxed) == 0);
-    assert_eq!(whole.load(Ordering::Relaxed), 0);
+    wait_until("the attempt ends", || open_attempts.load(Ordering::Relaxed) == 0);
+    assert_eq!(whole_bodies.load(Ordering::Relaxed), 0);
 }
 
 #[test]
