--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -147,7 +147,7 @@
         Wanted::Load(wanted) => live::load(wanted),
         Wanted::Bench(wanted) => live::bench(wanted),
         Wanted::Scale(wanted) => scales::scale(wanted),
-        Wanted::FanOut(wanted) => fan_out::play(wanted.followers, wanted.services, wanted.calm),
+        Wanted::FanOut(wanted) => fan_out::run(wanted.followers, wanted.services, wanted.calm),
         Wanted::Capacity(wanted) => capacity::capacity(wanted),
         Wanted::Added(wanted) => live::added(wanted),
         Wanted::Fleet(_) | Wanted::Check(_) | Wanted::Soak(_) => Ok(()),
