--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,11 +1,11 @@
-//! How the control side costs by size: hollow sidecars, many to a process, with a few real ones among them that are
-//! measured, before a stand-in list source. It owns the run and its bounds; what a figure means for a size that was not
-//! run is the capacity crate's.
+//! Measures the cost of the control side by fleet size: sidecars without clients, many per process, and a few
+//! full sidecar processes among them that are measured, all with a stand-in list source. The capacity crate
+//! extrapolates to other sizes.
 
 mod process;
 mod results;
 mod rig;
 
-pub use process::{Spent, memory_mb, spent};
-pub use results::{Figure, Kept, fitted, kept, table};
-pub use rig::{Bounds, Need, Ran, Wanted, need, run};
+pub use process::{ProcessUsage, memory_mb, process_usage};
+pub use results::{Figure, RecordedRun, fit_slopes, read_runs, slope_table};
+pub use rig::{Bounds, Requirements, RunResult, RunSize, requirements, run};
--- a/crates/lab/src/scale/process.rs
+++ b/crates/lab/src/scale/process.rs
@@ -1,43 +1,44 @@
-//! What a process has used, by proc(5). A process that is gone, or of which the system does not tell, has used nothing.
+//! Resource usage of a process, from proc(5). Usage that can't be read counts as zero, for instance that of a
+//! process that has ended.
 
 use std::fs;
 use std::time::Duration;
 
-/// Since the process began.
+/// Usage since the process started.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Spent {
-    /// On a processor, all threads.
+pub struct ProcessUsage {
+    /// Processor time of all threads.
     pub cpu: Duration,
-    /// The same, of the threads of one name.
-    pub named: Duration,
-    /// Ready to run and waiting for a processor.
+    /// Processor time of the threads with the selected name.
+    pub named_threads_cpu: Duration,
+    /// Time in which threads were ready to run and waited for a processor.
     pub queued: Duration,
-    /// How often its threads gave their processor up by themselves: each is a wake-up.
+    /// Number of voluntary context switches; each is followed by a wake-up.
     pub wake_ups: u64,
 }
 
-/// `name` is the threads' that are told apart.
-pub fn spent(pid: u32, name: &str) -> Spent {
-    let mut all = Spent::default();
-    let Ok(tasks) = fs::read_dir(format!("/proc/{pid}/task")) else { return all };
+/// Usage of a process. `name` selects the threads whose time is also counted apart.
+pub fn process_usage(pid: u32, name: &str) -> ProcessUsage {
+    let mut total = ProcessUsage::default();
+    let Ok(tasks) = fs::read_dir(format!("/proc/{pid}/task")) else { return total };
     for task in tasks.flatten().map(|task| task.path()) {
         let text = |file: &str| fs::read_to_string(task.join(file)).unwrap_or_default();
         let times = text("schedstat");
         let mut nanos =
             times.split_whitespace().map(|text| text.parse().map_or(Duration::ZERO, Duration::from_nanos));
-        let (ran, queued) = (nanos.next().unwrap_or_default(), nanos.next().unwrap_or_default());
-        (all.cpu, all.queued) = (all.cpu + ran, all.queued + queued);
+        let (running, queued) = (nanos.next().unwrap_or_default(), nanos.next().unwrap_or_default());
+        (total.cpu, total.queued) = (total.cpu + running, total.queued + queued);
         if text("comm").trim() == name {
-            all.named += ran;
+            total.named_threads_cpu += running;
         }
         let status = text("status");
         let line = status.lines().find_map(|line| line.strip_prefix("voluntary_ctxt_switches:"));
-        all.wake_ups += line.and_then(|rest| rest.trim().parse::<u64>().ok()).unwrap_or(0);
+        total.wake_ups += line.and_then(|rest| rest.trim().parse::<u64>().ok()).unwrap_or(0);
     }
-    all
+    total
 }
 
-/// Memory that it holds, in MB.
+/// Resident memory of a process, in MB; 0 if it can't be read.
 pub fn memory_mb(pid: u32) -> f64 {
     let status = fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
--- a/crates/lab/src/scale/results.rs
+++ b/crates/lab/src/scale/results.rs
@@ -1,11 +1,12 @@
-//! What runs gave, kept as JSON lines, and the slopes that are fitted to them. It owns the form of a line; the fit is the
-//! capacity crate's.
+//! Results of runs, stored as JSON lines, and the slopes that are fitted to them. The capacity crate does the
+//! fit.
 
 use landingspread_capacity::{Point, Role, Slope, Slopes, Source};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
+/// A measured value of one role.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Figure {
     pub role: String,
@@ -14,94 +15,105 @@
     pub value: f64,
 }
 
-/// One run.
+/// Results of one run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Kept {
-    /// What is varied, and its value in this run.
-    pub by: String,
-    pub at: f64,
-    /// The figures of a run that fell behind don't count.
-    pub not_held: Option<String>,
+pub struct RecordedRun {
+    /// Name of the varied parameter, and its value in this run.
+    #[serde(rename = "by")]
+    pub parameter: String,
+    #[serde(rename = "at")]
+    pub value: f64,
+    /// Why the figures are invalid, if they are, for instance because a process fell behind.
+    #[serde(rename = "not_held")]
+    pub invalid: Option<String>,
     pub figures: Vec<Figure>,
     pub command: String,
     pub build: String,
     pub machine: String,
 }
 
-/// Reads lines back.
+/// Parses results from JSON lines.
 ///
 /// # Errors
-/// The number of a line that is none of ours, and what is wrong with it.
-pub fn kept(text: &str) -> Result<Vec<Kept>, String> {
-    let line = |(number, line): (usize, &str)| {
-        serde_json::from_str(line).map_err(|wrong| format!("line {}: {wrong}", number + 1))
+/// The number of a line that can't be parsed, with the parser's error.
+pub fn read_runs(text: &str) -> Result<Vec<RecordedRun>, String> {
+    let parse = |(number, line): (usize, &str)| {
+        serde_json::from_str(line).map_err(|error| format!("line {}: {error}", number + 1))
     };
-    text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty()).map(line).collect()
+    text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty()).map(parse).collect()
 }
 
 fn role(name: &str) -> Option<Role> {
     Role::ALL.into_iter().find(|role| role.name() == name)
 }
 
-/// Whether what is varied moves the figure at all: elsewhere a line would be noise that somebody adds up.
-fn moves(by: &str, role: &str, figure: &str) -> bool {
-    match (by, role, figure) {
-        (_, _, "calls_cpu") => by == "calls_per_s",
+/// Whether the varied parameter affects a figure. For other pairs a slope would only be noise that adds up in a
+/// prediction.
+fn affects(parameter: &str, role: &str, figure: &str) -> bool {
+    match (parameter, role, figure) {
+        (_, _, "calls_cpu") => parameter == "calls_per_s",
         ("calls_per_s", ..) => false,
-        (_, "discovery", "list_bytes") => by == "endpoints",
-        (_, "discovery", "open_watches") => by == "copies",
-        (_, "fleet", _) => by == "copies",
+        (_, "discovery", "list_bytes") => parameter == "endpoints",
+        (_, "discovery", "open_watches") => parameter == "copies",
+        (_, "fleet", _) => parameter == "copies",
         ("endpoints", "sidecar", _) => matches!(figure, "cpu" | "memory" | "wake_ups"),
         _ => true,
     }
 }
 
-/// What discovery's figures go by: its watches, and the lines that it sends, each change on each watch.
-fn of_discovery(run: &Kept) -> (&str, f64) {
-    let open = run.figures.iter().find(|figure| figure.figure == "open_watches");
-    match run.by.as_str() {
-        "copies" => ("watches", run.at),
-        "changes_per_s" => ("lines_per_s", run.at * open.map_or(0.0, |open| open.value)),
-        by => (by, run.at),
+/// Parameter and value that discovery's figures depend on: the number of watches, or the lines sent per second,
+/// since each change is sent on each watch.
+fn discovery_parameter(run: &RecordedRun) -> (&str, f64) {
+    let open_watches = run.figures.iter().find(|figure| figure.figure == "open_watches");
+    match run.parameter.as_str() {
+        "copies" => ("watches", run.value),
+        "changes_per_s" => ("lines_per_s", run.value * open_watches.map_or(0.0, |watches| watches.value)),
+        parameter => (parameter, run.value),
     }
 }
 
-/// A slope for each figure by what was varied, where two sizes or more were held; the sizes left out of the fit are told
-/// beside it.
-pub fn fitted(runs: &[Kept], left_out: &[f64]) -> Slopes {
+/// Fits a slope to each figure that was measured at two or more values of a parameter. Values in `left_out` are
+/// not fitted but kept with the slope, to compare its predictions with.
+pub fn fit_slopes(runs: &[RecordedRun], left_out: &[f64]) -> Slopes {
     type Key = (String, String, String, String);
-    let mut all: BTreeMap<Key, BTreeMap<u64, Vec<f64>>> = BTreeMap::new();
+    let mut measured_values: BTreeMap<Key, BTreeMap<u64, Vec<f64>>> = BTreeMap::new();
     let mut sources: BTreeMap<Key, Source> = BTreeMap::new();
-    for run in runs.iter().filter(|run| run.not_held.is_none()) {
-        let moved = run.figures.iter().filter(|figure| moves(&run.by, &figure.role, &figure.figure));
-        for Figure { role, figure, unit, value } in moved {
-            let (by, at) = if role == "discovery" { of_discovery(run) } else { (run.by.as_str(), run.at) };
-            let key = (role.clone(), by.to_string(), figure.clone(), unit.clone());
-            all.entry(key.clone()).or_default().entry(at.to_bits()).or_default().push(*value);
-            let Kept { command, build, machine, .. } = run.clone();
+    for run in runs.iter().filter(|run| run.invalid.is_none()) {
+        let affected =
+            run.figures.iter().filter(|figure| affects(&run.parameter, &figure.role, &figure.figure));
+        for Figure { role, figure, unit, value } in affected {
+            let (parameter, at) = if role == "discovery" {
+                discovery_parameter(run)
+            } else {
+                (run.parameter.as_str(), run.value)
+            };
+            let key = (role.clone(), parameter.to_string(), figure.clone(), unit.clone());
+            measured_values.entry(key.clone()).or_default().entry(at.to_bits()).or_default().push(*value);
+            let RecordedRun { command, build, machine, .. } = run.clone();
             sources.insert(key, Source { command, build, machine });
         }
     }
     let mut slopes = Vec::new();
-    for (key, points) in all {
-        let (name, by, figure, unit) = &key;
+    for (key, points) in measured_values {
+        let (role_name, parameter, figure, unit) = &key;
         let points = points.into_iter().map(|(at, runs)| Point { by: f64::from_bits(at), runs });
-        let (out, fit): (Vec<Point>, Vec<Point>) = points.partition(|point| left_out.contains(&point.by));
-        let (Some(role), Some(source)) = (role(name), sources.get(&key)) else { continue };
-        if let Ok(slope) = Slope::fitted((role, figure), (unit, by), fit, source) {
-            slopes.push(Slope { left_out: out, ..slope });
+        let (excluded, included): (Vec<Point>, Vec<Point>) =
+            points.partition(|point| left_out.contains(&point.by));
+        let (Some(role), Some(source)) = (role(role_name), sources.get(&key)) else { continue };
+        if let Ok(slope) = Slope::fitted((role, figure), (unit, parameter), included, source) {
+            slopes.push(Slope { left_out: excluded, ..slope });
         }
     }
     Slopes { slopes }
 }
 
-/// The slopes as a table, with what they predict of the sizes left out.
-pub fn table(slopes: &Slopes) -> String {
+/// Formats slopes as a table, with their predictions at the values left out.
+pub fn slope_table(slopes: &Slopes) -> String {
     let mut text = String::from(
         "role       figure            by             at rest       each one  residual  spread  points\n",
     );
     for slope in &slopes.slopes {
-        // Writing to a string can't fail.
+        // Writing to a String cannot fail.
         let _ = writeln!(
             text,
             "{:10} {:17} {:13} {:9.4} {:14.6}  {:7.1}% {:6.1}%  {} of {} runs, {} to {}, {}",
@@ -119,9 +131,9 @@
             slope.unit
         );
         for (at, predicted, measured) in slope.predictions() {
-            let off = 100.0 * (predicted - measured) / if measured == 0.0 { 1.0 } else { measured };
+            let error = 100.0 * (predicted - measured) / if measured == 0.0 { 1.0 } else { measured };
             let _ =
-                writeln!(text, "    at {at}: predicted {predicted:.4}, measured {measured:.4}, {off:+.1}%");
+                writeln!(text, "    at {at}: predicted {predicted:.4}, measured {measured:.4}, {error:+.1}%");
         }
     }
     text
--- a/crates/lab/src/scale/rig.rs
+++ b/crates/lab/src/scale/rig.rs
@@ -1,7 +1,7 @@
-//! One run at one size. It owns the processes, what they are told, and the bounds on both: it says what it would need and
-//! starts nothing past them.
+//! A run at one size: its processes, their configuration, and the bounds on both. A run that would exceed the
+//! bounds starts nothing.
 
-use super::process::{Spent, memory_mb, spent};
+use super::process::{ProcessUsage, memory_mb, process_usage};
 use super::results::Figure;
 use crate::sockets::{Entry, Helper, LoadPlan, Peer, Sidecar, Watches, bench, free, load};
 use serde_json::Value;
@@ -11,139 +11,160 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The zones, in turn: a process of hollow ones stands in one.
+/// Zones that are assigned round-robin; all sidecars of a process without clients are in one zone.
 const ZONES: [&str; 3] = ["a", "b", "c"];
+/// Replicas that each replica contacts to join its fleet.
 const SEEDS: usize = 3;
-const ASK_WITHIN: Duration = Duration::from_millis(500);
-const LOOK: Duration = Duration::from_millis(50);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
+/// Interval between checks of the membership.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Number of stand-in servers.
 const SERVERS: usize = 4;
-/// A hollow process that runs or waits for a processor for more of the time falls behind.
-const BUSY_MOST: f64 = 0.9;
-/// What runs of 30 to 1,000 copies took, rounded up: MB of a process, of a copy, and of a member or an endpoint known.
+/// Fraction of time in which a process of clientless sidecars may run or wait for a processor; beyond it the
+/// process falls behind.
+const MAX_BUSY_FRACTION: f64 = 0.9;
+/// Memory in MB per process, per replica, and per known member or endpoint, rounded up from runs of 30 to 1,000
+/// replicas.
 const MB_PROCESS: f64 = 6.0;
-const MB_COPY: f64 = 0.15;
+const MB_REPLICA: f64 = 0.15;
 const MB_MEMBER: f64 = 0.0005;
+/// Memory of the lab's own process, in MB.
 const MB_LAB: f64 = 16.0;
-/// Numbers of copies give their addresses: labs that run beside each other begin elsewhere.
-const NUMBERS_EACH: u32 = 8_192;
-const LABS: u32 = 31;
-static RUNS: AtomicU32 = AtomicU32::new(0);
+/// A replica's number determines its address; concurrent runs use different ranges of numbers.
+const NUMBERS_PER_RUN: u32 = 8_192;
+const CONCURRENT_RUNS: u32 = 31;
+static RUN_COUNT: AtomicU32 = AtomicU32::new(0);
 
-/// What the command keeps to.
+/// Bounds on the resources of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     pub processes: usize,
     pub memory_mb: f64,
 }
 
+/// Size and parameters of a run.
 #[derive(Clone, Debug)]
-pub struct Wanted {
-    /// All of them, the real ones too.
-    pub copies: usize,
-    /// Copies of one fleet; all of them where it is 0.
+pub struct RunSize {
+    /// Number of replicas, including the measured ones.
+    pub replicas: usize,
+    /// Replicas per fleet; 0 for a single fleet.
     pub fleet_size: usize,
+    /// Entries of the list.
     pub endpoints: usize,
-    /// Changes of the list a second.
+    /// List changes per second.
     pub changes_per_s: f64,
-    /// Real processes among them: the second half of them carries load.
-    pub real: usize,
-    /// Calls a second at each of those.
-    pub rate: f64,
-    /// Hollow ones to a process; 0 lets the size say.
-    pub to_a_process: usize,
-    /// How long after all see all figures begin to count, and for how long.
+    /// Number of full sidecar processes, which are measured; the second half of them carries load.
+    pub measured: usize,
+    /// Requests per second at each sidecar that carries load.
+    pub requests_per_s: f64,
+    /// Clientless sidecars per process; 0 derives it from the size.
+    pub clientless_per_process: usize,
+    /// Time between convergence and the measurement, and the duration of the measurement.
     pub settle: Duration,
-    pub length: Duration,
-    /// How long all may take to see all.
-    pub join_within: Duration,
-    /// Afterwards the hollow ones of a zone are killed, and come back together.
-    pub lose_a_zone: bool,
+    pub duration: Duration,
+    /// Limit for all members to know each other.
+    pub join_timeout: Duration,
+    /// Whether the clientless sidecars of a zone are then killed and started again together.
+    pub lose_zone: bool,
     pub bounds: Bounds,
 }
 
-/// What a run would take.
+/// Resources that a run needs.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Need {
+pub struct Requirements {
     pub processes: usize,
     pub memory_mb: f64,
 }
 
-/// What came of a run.
+/// Results of a run.
 #[derive(Clone, Debug, Default)]
-pub struct Ran {
+pub struct RunResult {
     pub figures: Vec<Figure>,
-    /// Why its figures count for nothing, where they do.
-    pub not_held: Option<String>,
-    /// The most of both that was seen.
+    /// Why the figures are invalid, if they are.
+    pub invalid: Option<String>,
+    /// Highest number of processes, and highest memory in MB.
     pub processes: usize,
     pub memory_mb: f64,
-    /// Milliseconds of the calls that went through real ones, at p50 and p99, and how many were not answered.
+    /// Latency of requests through the measured sidecars in milliseconds, at p50 and p99, and the number of
+    /// requests without an answer.
     pub calls: Option<(f64, f64, u64)>,
-    /// Seconds until the real ones counted all: at the start, after a zone was lost, after its herd came back.
-    pub joined: f64,
-    pub death_known: Option<f64>,
-    pub back_known: Option<f64>,
+    /// Seconds until the measured sidecars knew the full membership: at the start, after the loss of a zone,
+    /// and after its return.
+    pub join_s: f64,
+    pub zone_loss_s: Option<f64>,
+    pub zone_return_s: Option<f64>,
 }
 
-impl Wanted {
-    fn to_a_process(&self) -> usize {
-        let hollow = self.copies.saturating_sub(self.real);
-        if self.to_a_process > 0 { self.to_a_process } else { hollow.div_ceil(9).clamp(10, 100) }
+impl RunSize {
+    fn sidecars_per_process(&self) -> usize {
+        let clientless = self.replicas.saturating_sub(self.measured);
+        if self.clientless_per_process > 0 {
+            self.clientless_per_process
+        } else {
+            clientless.div_ceil(9).clamp(10, 100)
+        }
     }
 
     fn fleet(&self) -> usize {
-        if self.fleet_size == 0 { self.copies } else { self.fleet_size }
+        if self.fleet_size == 0 { self.replicas } else { self.fleet_size }
     }
 }
 
-/// What a run would take; nothing is started.
+/// Computes the resources that a run needs, without starting anything.
 ///
 /// # Errors
-/// Sizes that don't fit each other, and what it would need where that is past the bounds.
-pub fn need(wanted: &Wanted) -> Result<Need, String> {
-    let hollow = wanted.copies.checked_sub(wanted.real).filter(|hollow| *hollow > 0 && wanted.real > 0);
-    let Some(hollow) = hollow else {
-        return Err(format!("{} copies, {} of them real: expected some of each", wanted.copies, wanted.real));
+/// Sizes that contradict each other, or requirements that exceed the bounds.
+pub fn requirements(size: &RunSize) -> Result<Requirements, String> {
+    let clientless = size.replicas.checked_sub(size.measured).filter(|count| *count > 0 && size.measured > 0);
+    let Some(clientless) = clientless else {
+        return Err(format!(
+            "{} copies, {} of them measured: expected at least one of each kind",
+            size.replicas, size.measured
+        ));
     };
-    if wanted.copies as u32 > NUMBERS_EACH || !wanted.copies.is_multiple_of(wanted.fleet()) {
+    if size.replicas as u32 > NUMBERS_PER_RUN || !size.replicas.is_multiple_of(size.fleet()) {
         return Err(format!(
-            "{} copies in fleets of {}: expected whole fleets, of {NUMBERS_EACH} copies at most",
-            wanted.copies,
-            wanted.fleet()
+            "{} copies in fleets of {}: expected whole fleets, of {NUMBERS_PER_RUN} copies at most",
+            size.replicas,
+            size.fleet()
         ));
     }
-    let processes = hollow.div_ceil(wanted.to_a_process()) + wanted.real + 1;
-    let members = wanted.fleet() as f64 * MB_MEMBER + wanted.endpoints as f64 * MB_MEMBER;
-    let copies = wanted.copies as f64 * (MB_COPY + members);
-    let need = Need { processes, memory_mb: MB_LAB + processes as f64 * MB_PROCESS + copies };
-    let Bounds { processes, memory_mb } = wanted.bounds;
-    if need.processes > processes || need.memory_mb > memory_mb {
+    let processes = clientless.div_ceil(size.sidecars_per_process()) + size.measured + 1;
+    let members = size.fleet() as f64 * MB_MEMBER + size.endpoints as f64 * MB_MEMBER;
+    let replicas = size.replicas as f64 * (MB_REPLICA + members);
+    let requirements =
+        Requirements { processes, memory_mb: MB_LAB + processes as f64 * MB_PROCESS + replicas };
+    let Bounds { processes, memory_mb } = size.bounds;
+    if requirements.processes > processes || requirements.memory_mb > memory_mb {
         return Err(format!(
             "{} copies would need {} processes and some {:.0} MB; the bounds are {processes} and {memory_mb:.0} MB",
-            wanted.copies, need.processes, need.memory_mb
+            size.replicas, requirements.processes, requirements.memory_mb
         ));
     }
-    Ok(need)
+    Ok(requirements)
 }
 
+/// One process of clientless sidecars.
 struct Group {
-    words: Vec<String>,
+    /// Arguments of the process.
+    arguments: Vec<String>,
     count: usize,
     log: std::path::PathBuf,
     zone: usize,
     helper: Option<Helper>,
 }
 
-struct Real {
+/// A full sidecar process that is measured.
+struct MeasuredSidecar {
     sidecar: Sidecar,
     console: SocketAddr,
-    with_calls: bool,
+    carries_load: bool,
 }
 
-/// A real one's books at a moment.
+/// Counters of a measured sidecar at one moment.
 #[derive(Clone, Copy, Default)]
-struct Look {
-    spent: Spent,
+struct Counters {
+    usage: ProcessUsage,
     datagrams_out: f64,
     bytes_out: f64,
     datagrams_in: f64,
@@ -151,34 +172,35 @@
     live: usize,
 }
 
-fn ask(console: SocketAddr) -> Option<Value> {
-    let mut peer = Peer::new(TcpStream::connect_timeout(&console, ASK_WITHIN).ok()?);
-    peer.patience(Some(ASK_WITHIN));
+fn fleet_status(console: SocketAddr) -> Option<Value> {
+    let mut peer = Peer::new(TcpStream::connect_timeout(&console, QUERY_TIMEOUT).ok()?);
+    peer.patience(Some(QUERY_TIMEOUT));
     peer.write(b"GET /fleet HTTP/1.1\r\nHost: lab\r\nAccept: application/json\r\n\r\n").ok()?;
-    let heard = peer.answer().ok().filter(|heard| heard.status() == Some(200))?;
-    serde_json::from_slice(&heard.body).ok()
+    let response = peer.answer().ok().filter(|response| response.status() == Some(200))?;
+    serde_json::from_slice(&response.body).ok()
 }
 
-impl Real {
+impl MeasuredSidecar {
     fn live(&self) -> Option<usize> {
-        ask(self.console)?.get("live")?.as_u64().map(|live| live as usize)
+        fleet_status(self.console)?.get("live")?.as_u64().map(|live| live as usize)
     }
 
-    fn look(&self) -> Result<Look, String> {
-        let spent = spent(self.sidecar.pid(), "fleet");
-        let told = ask(self.console).ok_or("a real sidecar's console does not answer")?;
-        let figure = |key: &str| told.get(key).and_then(Value::as_f64).unwrap_or(0.0);
-        Ok(Look {
-            spent,
-            datagrams_out: figure("sent_datagrams"),
-            bytes_out: figure("sent_bytes"),
-            datagrams_in: figure("heard_datagrams"),
-            bytes_in: figure("heard_bytes"),
-            live: figure("live") as usize,
+    fn counters(&self) -> Result<Counters, String> {
+        let usage = process_usage(self.sidecar.pid(), "fleet");
+        let status = fleet_status(self.console).ok_or("the console of a measured sidecar does not answer")?;
+        let counter = |key: &str| status.get(key).and_then(Value::as_f64).unwrap_or(0.0);
+        Ok(Counters {
+            usage,
+            datagrams_out: counter("sent_datagrams"),
+            bytes_out: counter("sent_bytes"),
+            datagrams_in: counter("heard_datagrams"),
+            bytes_in: counter("heard_bytes"),
+            live: counter("live") as usize,
         })
     }
 }
 
+/// Configuration of a sidecar; the program itself fills in what differs between clientless ones.
 const TEMPLATE: &str = "\
 name = \"h{n}\"
 listen = \"{listen}\"
@@ -206,33 +228,34 @@
 }
 
 struct Rig<'a> {
-    wanted: &'a Wanted,
+    size: &'a RunSize,
     program: &'a Path,
     dir: &'a Path,
     base: usize,
     watches: Watches,
     groups: Vec<Group>,
-    reals: Vec<Real>,
-    most: Need,
+    measured: Vec<MeasuredSidecar>,
+    peak: Requirements,
 }
 
-fn told(wrong: std::io::Error) -> String {
-    wrong.to_string()
+fn error_text(error: std::io::Error) -> String {
+    error.to_string()
 }
 
 /// Runs one size once.
 ///
 /// # Errors
-/// Past the bounds, a process that does not start or ends by itself, or copies that never see each other.
-pub fn run(wanted: &Wanted, program: &Path, dir: &Path) -> Result<Ran, String> {
-    need(wanted)?;
+/// Requirements beyond the bounds, a process that does not start or ends by itself, or membership that does not
+/// converge.
+pub fn run(size: &RunSize, program: &Path, dir: &Path) -> Result<RunResult, String> {
+    requirements(size)?;
     let servers = bench::fleet(SERVERS)?;
-    let watches = Watches::start().map_err(told)?;
-    let entries: Vec<Entry> = (0..wanted.endpoints.max(1))
-        .map(|place| Entry {
-            id: format!("s{place:05}"),
-            address: servers.servers[place % SERVERS].address,
-            zone: ZONES[place % ZONES.len()].into(),
+    let watches = Watches::start().map_err(error_text)?;
+    let entries: Vec<Entry> = (0..size.endpoints.max(1))
+        .map(|index| Entry {
+            id: format!("s{index:05}"),
+            address: servers.servers[index % SERVERS].address,
+            zone: ZONES[index % ZONES.len()].into(),
             cell: 0,
             state: "ready",
             weight: 1.0,
@@ -240,244 +263,273 @@
         })
         .collect();
     watches.say_all(&entries);
-    // Two runs of one process may go at once, as tests do.
-    let lab = std::process::id().wrapping_add(RUNS.fetch_add(1, Ordering::Relaxed)) % LABS;
-    let base = (lab * NUMBERS_EACH) as usize;
-    let most = Need { processes: 0, memory_mb: 0.0 };
-    let mut rig = Rig { wanted, program, dir, base, watches, groups: Vec::new(), reals: Vec::new(), most };
-    let began = Instant::now();
-    rig.start_hollow()?;
-    rig.start_real()?;
-    let mut ran = Ran { joined: rig.until_all_count(wanted.fleet(), began)?, ..Ran::default() };
-    thread::sleep(wanted.settle);
-    rig.measure(&entries, &mut ran)?;
-    if wanted.lose_a_zone && ran.not_held.is_none() {
-        rig.lose_a_zone(&mut ran)?;
+    // Two runs of one process may be concurrent, as in tests.
+    let run_number =
+        std::process::id().wrapping_add(RUN_COUNT.fetch_add(1, Ordering::Relaxed)) % CONCURRENT_RUNS;
+    let base = (run_number * NUMBERS_PER_RUN) as usize;
+    let peak = Requirements { processes: 0, memory_mb: 0.0 };
+    let mut rig = Rig { size, program, dir, base, watches, groups: Vec::new(), measured: Vec::new(), peak };
+    let started_at = Instant::now();
+    rig.start_clientless()?;
+    rig.start_measured()?;
+    let mut result =
+        RunResult { join_s: rig.wait_for_members(size.fleet(), started_at)?, ..RunResult::default() };
+    thread::sleep(size.settle);
+    rig.measure(&entries, &mut result)?;
+    if size.lose_zone && result.invalid.is_none() {
+        rig.lose_a_zone(&mut result)?;
     }
-    (ran.processes, ran.memory_mb) = (rig.most.processes, rig.most.memory_mb);
-    Ok(ran)
+    (result.processes, result.memory_mb) = (rig.peak.processes, rig.peak.memory_mb);
+    Ok(result)
 }
 
 impl Rig<'_> {
-    fn text(&self, differs: &[(&str, String)]) -> String {
-        differs.iter().fold(TEMPLATE.to_string(), |text, (place, with)| text.replace(place, with))
+    fn configuration(&self, values: &[(&str, String)]) -> String {
+        values
+            .iter()
+            .fold(TEMPLATE.to_string(), |text, (placeholder, value)| text.replace(placeholder, value))
     }
 
-    fn start_hollow(&mut self) -> Result<(), String> {
-        let wanted = self.wanted;
+    fn start_clientless(&mut self) -> Result<(), String> {
+        let size = self.size;
         let learnt = self.dir.join("h{n}.learnt");
-        let template = self.text(&[
+        let template = self.configuration(&[
             ("{listen}", "127.0.0.1:1".into()),
             ("{console}", String::new()),
             ("{learnt}", format!("learnt = {:?}", learnt.display().to_string())),
             ("{discovery}", self.watches.address.to_string()),
         ]);
         let path = self.dir.join("hollow.toml");
-        std::fs::write(&path, template).map_err(told)?;
-        let (hollow, each) = (wanted.copies - wanted.real, wanted.to_a_process());
-        for (number, first) in (0..hollow).step_by(each).enumerate() {
+        std::fs::write(&path, template).map_err(error_text)?;
+        let (clientless, each) = (size.replicas - size.measured, size.sidecars_per_process());
+        for (number, first) in (0..clientless).step_by(each).enumerate() {
             let zone = number % ZONES.len();
-            let count = each.min(hollow - first);
-            let words: Vec<String> = format!(
+            let count = each.min(clientless - first);
+            let arguments: Vec<String> = format!(
                 "hollow {} --first {} --count {count} --base {} --fleet-size {} --zones {}",
                 path.display(),
                 self.base + first,
                 self.base,
-                wanted.fleet_size,
+                size.fleet_size,
                 ZONES[zone]
             )
             .split(' ')
             .map(str::to_string)
             .collect();
             let log = self.dir.join(format!("hollow{number}.log"));
-            let helper = Helper::start(self.program, &words, &log).map_err(told)?;
-            self.groups.push(Group { words, count, log, zone, helper: Some(helper) });
+            let helper = Helper::start(self.program, &arguments, &log).map_err(error_text)?;
+            self.groups.push(Group { arguments, count, log, zone, helper: Some(helper) });
         }
         Ok(())
     }
 
-    fn start_real(&mut self) -> Result<(), String> {
-        let wanted = self.wanted;
-        for place in 0..wanted.real {
-            let number = wanted.copies - wanted.real + place;
-            let fleet = number / wanted.fleet();
-            let first = self.base + fleet * wanted.fleet();
-            let seeds: Vec<String> = (first..first + wanted.fleet().min(SEEDS))
+    fn start_measured(&mut self) -> Result<(), String> {
+        let size = self.size;
+        for index in 0..size.measured {
+            let number = size.replicas - size.measured + index;
+            let fleet = number / size.fleet();
+            let first = self.base + fleet * size.fleet();
+            let seeds: Vec<String> = (first..first + size.fleet().min(SEEDS))
                 .map(|seed| format!("\"{}:7946\"", address(seed)))
                 .collect();
-            let at = || free().and_then(|listener| listener.local_addr()).map_err(told);
-            let (listen, console) = (at()?, at()?);
-            let text = self.text(&[
+            let free_address = || free().and_then(|listener| listener.local_addr()).map_err(error_text);
+            let (listen, console) = (free_address()?, free_address()?);
+            let text = self.configuration(&[
                 ("{listen}", listen.to_string()),
                 ("{console}", format!("console = \"{console}\"")),
                 ("{learnt}", String::new()),
                 ("{discovery}", self.watches.address.to_string()),
                 ("{n}", number.to_string()),
-                ("{zone}", ZONES[place % ZONES.len()].into()),
+                ("{zone}", ZONES[index % ZONES.len()].into()),
                 ("{fleet}", fleet.to_string()),
                 ("{at}", address(self.base + number).to_string()),
                 ("{seeds}", seeds.join(", ")),
             ]);
-            let name = format!("real{place}.toml");
+            let name = format!("real{index}.toml");
             let sidecar = Sidecar::launch(self.program, self.dir, &name, &text, listen)?;
-            self.reals.push(Real {
+            self.measured.push(MeasuredSidecar {
                 sidecar,
                 console,
-                with_calls: place * 2 >= wanted.real && wanted.rate > 0.0,
+                carries_load: index * 2 >= size.measured && size.requests_per_s > 0.0,
             });
         }
-        self.reals.iter_mut().try_for_each(|real| real.sidecar.wait_ready())
+        self.measured.iter_mut().try_for_each(|measured| measured.sidecar.wait_ready())
     }
 
-    /// All that runs, and what it holds; past the bounds it is an error.
-    fn weigh(&mut self) -> Result<(), String> {
+    /// Records the number of processes and their memory.
+    ///
+    /// # Errors
+    /// A bound is exceeded.
+    fn check_bounds(&mut self) -> Result<(), String> {
         let own = std::process::id();
         let helpers = self.groups.iter().filter_map(|group| group.helper.as_ref()).map(Helper::pid);
         let pids: Vec<u32> =
-            helpers.chain(self.reals.iter().map(|real| real.sidecar.pid())).chain([own]).collect();
+            helpers.chain(self.measured.iter().map(|measured| measured.sidecar.pid())).chain([own]).collect();
         let memory_mb = pids.iter().map(|pid| memory_mb(*pid)).sum::<f64>();
-        self.most.processes = self.most.processes.max(pids.len());
-        self.most.memory_mb = self.most.memory_mb.max(memory_mb);
-        let Bounds { processes, memory_mb: most } = self.wanted.bounds;
-        if pids.len() > processes || memory_mb > most {
+        self.peak.processes = self.peak.processes.max(pids.len());
+        self.peak.memory_mb = self.peak.memory_mb.max(memory_mb);
+        let Bounds { processes, memory_mb: max_memory_mb } = self.size.bounds;
+        if pids.len() > processes || memory_mb > max_memory_mb {
             return Err(format!(
-                "stopped: {} processes hold {memory_mb:.0} MB; the bounds are {processes} and {most:.0} MB",
+                "stopped: {} processes use {memory_mb:.0} MB; the bounds are {processes} and {max_memory_mb:.0} MB",
                 pids.len()
             ));
         }
         Ok(())
     }
 
-    fn all_run(&mut self) -> Result<(), String> {
+    fn check_running(&mut self) -> Result<(), String> {
         for group in &mut self.groups {
             if group.helper.as_mut().is_some_and(Helper::ended) {
                 let log = std::fs::read_to_string(&group.log).unwrap_or_default();
-                return Err(format!("a process of hollow ones has ended\n{log}"));
+                return Err(format!("a process of clientless sidecars has ended\n{log}"));
             }
         }
-        self.reals.iter_mut().try_for_each(|real| real.sidecar.must_run())
+        self.measured.iter_mut().try_for_each(|measured| measured.sidecar.must_run())
     }
 
-    /// Until every real one counts so many; seconds since then.
-    fn until_all_count(&mut self, count: usize, since: Instant) -> Result<f64, String> {
+    /// Waits until every measured sidecar counts `count` members; returns the seconds since `since`.
+    fn wait_for_members(&mut self, count: usize, since: Instant) -> Result<f64, String> {
         loop {
-            self.all_run()?;
-            let live: Vec<Option<usize>> = self.reals.iter().map(Real::live).collect();
+            self.check_running()?;
+            let live: Vec<Option<usize>> = self.measured.iter().map(MeasuredSidecar::live).collect();
             if live.iter().all(|live| *live == Some(count)) {
                 return Ok(since.elapsed().as_secs_f64());
             }
-            if since.elapsed() > self.wanted.join_within {
-                return Err(format!("real ones count {live:?} and not {count} after {:?}", since.elapsed()));
+            if since.elapsed() > self.size.join_timeout {
+                return Err(format!(
+                    "measured sidecars count {live:?} members, expected {count}, after {:?}",
+                    since.elapsed()
+                ));
             }
-            self.weigh()?;
-            thread::sleep(LOOK);
+            self.check_bounds()?;
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    fn measure(&mut self, entries: &[Entry], ran: &mut Ran) -> Result<(), String> {
-        let wanted = self.wanted;
-        let targets: Vec<SocketAddr> =
-            self.reals.iter().filter(|real| real.with_calls).map(|real| real.sidecar.address).collect();
-        let rate = wanted.rate * targets.len() as f64;
+    fn measure(&mut self, entries: &[Entry], result: &mut RunResult) -> Result<(), String> {
+        let size = self.size;
+        let targets: Vec<SocketAddr> = self
+            .measured
+            .iter()
+            .filter(|measured| measured.carries_load)
+            .map(|measured| measured.sidecar.address)
+            .collect();
+        let requests_per_s = size.requests_per_s * targets.len() as f64;
         let connections = 4 * targets.len();
         let plan = LoadPlan {
             targets,
             verb: "view".into(),
             connections,
-            rate,
+            rate: requests_per_s,
             limit: Duration::from_secs(1),
             settle: Duration::from_millis(500),
-            length: wanted.length,
+            length: size.duration,
             seed: 1,
         };
-        self.weigh()?;
-        let over = AtomicBool::new(false);
-        let (watches, length) = (&self.watches, wanted.length);
-        let (reals, groups) = (&self.reals, &self.groups);
+        self.check_bounds()?;
+        let stopped = AtomicBool::new(false);
+        let (watches, duration) = (&self.watches, size.duration);
+        let (measured, groups) = (&self.measured, &self.groups);
         let outcome = thread::scope(|scope| -> Result<_, String> {
-            let calls = (rate > 0.0).then(|| scope.spawn(|| load(&plan)));
-            if wanted.changes_per_s > 0.0 {
-                scope.spawn(|| change(watches, entries, wanted.changes_per_s, &over));
+            let load_thread = (requests_per_s > 0.0).then(|| scope.spawn(|| load(&plan)));
+            if size.changes_per_s > 0.0 {
+                scope.spawn(|| change_weights(watches, entries, size.changes_per_s, &stopped));
             }
             thread::sleep(Duration::from_millis(500));
-            let hollow = |groups: &[Group]| -> Vec<Spent> {
+            let group_usage = |groups: &[Group]| -> Vec<ProcessUsage> {
                 let pids = groups.iter().filter_map(|group| group.helper.as_ref()).map(Helper::pid);
-                pids.map(|pid| spent(pid, "")).collect()
+                pids.map(|pid| process_usage(pid, "")).collect()
             };
-            let look = || reals.iter().map(Real::look).collect::<Result<Vec<Look>, String>>();
-            let looked = (look(), watches.counts(), hollow(groups), Instant::now());
-            thread::sleep(length.saturating_sub(Duration::from_millis(500)));
-            let (first, source, group, began) = looked;
-            let (seconds, second) = (began.elapsed().as_secs_f64(), look());
-            let (source_then, group_then) = (watches.counts(), hollow(groups));
-            over.store(true, Ordering::Relaxed);
-            let calls = calls.and_then(|calls| calls.join().ok());
-            Ok((first?, second?, source, source_then, group, group_then, seconds, calls))
+            let all_counters =
+                || measured.iter().map(MeasuredSidecar::counters).collect::<Result<Vec<Counters>, String>>();
+            let before = (all_counters(), watches.counts(), group_usage(groups), Instant::now());
+            thread::sleep(duration.saturating_sub(Duration::from_millis(500)));
+            let (first, source, group, started_at) = before;
+            let (seconds, second) = (started_at.elapsed().as_secs_f64(), all_counters());
+            let (source_after, group_after) = (watches.counts(), group_usage(groups));
+            stopped.store(true, Ordering::Relaxed);
+            let calls = load_thread.and_then(|thread| thread.join().ok());
+            Ok((first?, second?, source, source_after, group, group_after, seconds, calls))
         })?;
-        let (first, second, source, source_then, group, group_then, seconds, calls) = outcome;
-        self.weigh()?;
-        self.all_run()?;
-        let busy = group.iter().zip(&group_then).map(|(before, after)| {
-            let used = |spent: &Spent| (spent.cpu + spent.queued).as_secs_f64();
-            (used(after) - used(before)) / seconds
+        let (first, second, source, source_after, group, group_after, seconds, calls) = outcome;
+        self.check_bounds()?;
+        self.check_running()?;
+        let busy = group.iter().zip(&group_after).map(|(before, after)| {
+            let occupied = |usage: &ProcessUsage| (usage.cpu + usage.queued).as_secs_f64();
+            (occupied(after) - occupied(before)) / seconds
         });
         let busy = busy.fold(0.0, f64::max);
-        let count = wanted.fleet();
-        if busy > BUSY_MOST {
-            ran.not_held =
-                Some(format!("a process of hollow ones ran or waited for a processor {busy:.2} of the time"));
-        } else if first.iter().chain(&second).any(|look| look.live != count) {
-            ran.not_held = Some("a real one did not count all".into());
+        let count = size.fleet();
+        if busy > MAX_BUSY_FRACTION {
+            result.invalid = Some(format!(
+                "a process of clientless sidecars ran or waited for a processor {busy:.2} of the time"
+            ));
+        } else if first.iter().chain(&second).any(|counters| counters.live != count) {
+            result.invalid = Some("a measured sidecar did not count all members".into());
         }
-        ran.calls = calls.map(|calls| (calls.p50, calls.p99, calls.declined + calls.terminated + calls.lost));
+        result.calls =
+            calls.map(|calls| (calls.p50, calls.p99, calls.declined + calls.terminated + calls.lost));
         let add = &mut |role: &str, figure: &str, unit: &str, value: f64| {
-            ran.figures.push(Figure { role: role.into(), figure: figure.into(), unit: unit.into(), value });
+            result.figures.push(Figure {
+                role: role.into(),
+                figure: figure.into(),
+                unit: unit.into(),
+                value,
+            });
         };
-        let pairs: Vec<(Look, Look, &Real)> =
-            first.into_iter().zip(second).zip(&self.reals).map(|((a, b), real)| (a, b, real)).collect();
-        // Those without calls say what control costs; the others, what calls add.
-        let mean = |with_calls: bool, of: &dyn Fn(&Look, &Look) -> f64| {
-            let all: Vec<f64> = pairs
+        let pairs: Vec<(Counters, Counters, &MeasuredSidecar)> = first
+            .into_iter()
+            .zip(second)
+            .zip(&self.measured)
+            .map(|((a, b), measured)| (a, b, measured))
+            .collect();
+        // Sidecars without load show the cost of the control side, the others what load adds.
+        let mean = |carries_load: bool, figure: &dyn Fn(&Counters, &Counters) -> f64| {
+            let values: Vec<f64> = pairs
                 .iter()
-                .filter(|pair| pair.2.with_calls == with_calls)
-                .map(|(a, b, _)| of(a, b))
+                .filter(|pair| pair.2.carries_load == carries_load)
+                .map(|(a, b, _)| figure(a, b))
                 .collect();
-            (!all.is_empty()).then(|| all.iter().sum::<f64>() / all.len() as f64)
+            (!values.is_empty()).then(|| values.iter().sum::<f64>() / values.len() as f64)
+        };
+        let cpu =
+            |a: &Counters, b: &Counters| (b.usage.cpu.saturating_sub(a.usage.cpu)).as_secs_f64() / seconds;
+        let fleet_cpu = |a: &Counters, b: &Counters| {
+            b.usage.named_threads_cpu.saturating_sub(a.usage.named_threads_cpu).as_secs_f64() / seconds
         };
-        let cpu = |a: &Look, b: &Look| (b.spent.cpu.saturating_sub(a.spent.cpu)).as_secs_f64() / seconds;
-        let of_fleet =
-            |a: &Look, b: &Look| b.spent.named.saturating_sub(a.spent.named).as_secs_f64() / seconds;
-        let wakes = |a: &Look, b: &Look| b.spent.wake_ups.saturating_sub(a.spent.wake_ups) as f64 / seconds;
+        let wake_ups =
+            |a: &Counters, b: &Counters| b.usage.wake_ups.saturating_sub(a.usage.wake_ups) as f64 / seconds;
         let idle = mean(false, &cpu).unwrap_or(0.0);
         add("sidecar", "cpu", "cores", idle);
-        add("sidecar", "wake_ups", "wake-ups/s", mean(false, &wakes).unwrap_or(0.0));
-        let quiet: Vec<f64> = pairs
+        add("sidecar", "wake_ups", "wake-ups/s", mean(false, &wake_ups).unwrap_or(0.0));
+        let idle_memory: Vec<f64> = pairs
             .iter()
-            .filter(|pair| !pair.2.with_calls)
+            .filter(|pair| !pair.2.carries_load)
             .map(|pair| memory_mb(pair.2.sidecar.pid()))
             .collect();
-        let memory = quiet.iter().sum::<f64>() / quiet.len().max(1) as f64;
+        let memory = idle_memory.iter().sum::<f64>() / idle_memory.len().max(1) as f64;
         add("sidecar", "memory", "MB", memory);
-        if let Some(with) = mean(true, &cpu) {
-            add("sidecar", "calls_cpu", "cores", (with - idle).max(0.0));
+        if let Some(with_load) = mean(true, &cpu) {
+            add("sidecar", "calls_cpu", "cores", (with_load - idle).max(0.0));
         }
-        let fleet: [(&str, &str, Of); 5] = [
-            ("cpu", "cores", &of_fleet),
+        let fleet: [(&str, &str, SidecarFigure); 5] = [
+            ("cpu", "cores", &fleet_cpu),
             ("messages_out", "messages/s", &|a, b| (b.datagrams_out - a.datagrams_out) / seconds),
             ("messages_in", "messages/s", &|a, b| (b.datagrams_in - a.datagrams_in) / seconds),
             ("bytes_out", "bytes/s", &|a, b| (b.bytes_out - a.bytes_out) / seconds),
             ("bytes_in", "bytes/s", &|a, b| (b.bytes_in - a.bytes_in) / seconds),
         ];
-        let copies = wanted.copies as f64;
-        let per_s = |then: u64, now: u64| now.saturating_sub(then) as f64 / seconds;
-        let calls = per_s(source.calls, source_then.calls);
-        let answers = per_s(source.answers, source_then.answers);
+        let replicas = size.replicas as f64;
+        let per_s = |before: u64, after: u64| after.saturating_sub(before) as f64 / seconds;
+        let calls = per_s(source.calls, source_after.calls);
+        let answers = per_s(source.answers, source_after.answers);
         let (bytes_in, bytes_out) =
-            (per_s(source.bytes_in, source_then.bytes_in), per_s(source.bytes_out, source_then.bytes_out));
-        // What a sidecar says on its watch is what the source hears of it, and the other way round.
-        let on_watch = [0.0, calls, answers, bytes_in, bytes_out].map(|all| all / copies);
-        for ((figure, unit, of), watch) in fleet.into_iter().zip(on_watch) {
-            let value = mean(false, of).unwrap_or(0.0);
+            (per_s(source.bytes_in, source_after.bytes_in), per_s(source.bytes_out, source_after.bytes_out));
+        // What the list source sends is what sidecars receive, and the other way round.
+        let on_watch = [0.0, calls, answers, bytes_in, bytes_out].map(|all| all / replicas);
+        for ((figure, unit, fleet_figure), watch) in fleet.into_iter().zip(on_watch) {
+            let value = mean(false, fleet_figure).unwrap_or(0.0);
             add("fleet", figure, unit, value);
             if figure != "cpu" {
                 add("sidecar", figure, unit, value + watch);
@@ -485,55 +537,56 @@
         }
         add("discovery", "messages_out", "messages/s", answers);
         add("discovery", "bytes_out", "bytes/s", bytes_out);
-        add("discovery", "cpu", "cores", per_s(source.cpu_ns, source_then.cpu_ns) / 1e9);
-        add("discovery", "open_watches", "watches", source_then.open as f64);
+        add("discovery", "cpu", "cores", per_s(source.cpu_ns, source_after.cpu_ns) / 1e9);
+        add("discovery", "open_watches", "watches", source_after.open as f64);
         add("discovery", "list_bytes", "bytes", self.watches.list_bytes() as f64);
         Ok(())
     }
 
-    /// The hollow ones of a zone are killed, and then start again together.
-    fn lose_a_zone(&mut self, ran: &mut Ran) -> Result<(), String> {
-        let lost = ZONES.len() - 1;
-        if self.wanted.fleet_size != 0 {
-            return Err("a zone is lost in one fleet alone".into());
+    /// Kills the clientless sidecars of a zone and then starts them again together.
+    fn lose_a_zone(&mut self, result: &mut RunResult) -> Result<(), String> {
+        let lost_zone = ZONES.len() - 1;
+        if self.size.fleet_size != 0 {
+            return Err("a zone can be lost only in a run with a single fleet".into());
         }
-        let before = self.wanted.fleet();
-        let mut gone = 0;
-        for group in self.groups.iter_mut().filter(|group| group.zone == lost) {
+        let before = self.size.fleet();
+        let mut killed = 0;
+        for group in self.groups.iter_mut().filter(|group| group.zone == lost_zone) {
             group.helper = None;
-            gone += group.count;
+            killed += group.count;
         }
-        ran.death_known = Some(self.until_all_count(before - gone, Instant::now())?);
-        let (source, began) = (self.watches.counts(), Instant::now());
-        for group in self.groups.iter_mut().filter(|group| group.zone == lost) {
-            group.helper = Some(Helper::start(self.program, &group.words, &group.log).map_err(told)?);
+        result.zone_loss_s = Some(self.wait_for_members(before - killed, Instant::now())?);
+        let (source, started_at) = (self.watches.counts(), Instant::now());
+        for group in self.groups.iter_mut().filter(|group| group.zone == lost_zone) {
+            group.helper =
+                Some(Helper::start(self.program, &group.arguments, &group.log).map_err(error_text)?);
         }
-        ran.back_known = Some(self.until_all_count(before, began)?);
-        let then = self.watches.counts();
+        result.zone_return_s = Some(self.wait_for_members(before, started_at)?);
+        let source_after = self.watches.counts();
         let add = |role: &str, figure: &str, unit: &str, value: f64| Figure {
             role: role.into(),
             figure: figure.into(),
             unit: unit.into(),
             value,
         };
-        let each = |all: u64| all as f64 / gone.max(1) as f64;
-        ran.figures.push(add("fleet", "death_known", "s", ran.death_known.unwrap_or(0.0)));
-        ran.figures.push(add("fleet", "back_known", "s", ran.back_known.unwrap_or(0.0)));
-        let (bytes, cpu) = (then.bytes_out - source.bytes_out, then.cpu_ns - source.cpu_ns);
-        ran.figures.push(add("discovery", "herd_bytes_each", "bytes", each(bytes)));
-        ran.figures.push(add("discovery", "herd_cpu_us_each", "us", each(cpu) / 1e3));
+        let each = |all: u64| all as f64 / killed.max(1) as f64;
+        result.figures.push(add("fleet", "death_known", "s", result.zone_loss_s.unwrap_or(0.0)));
+        result.figures.push(add("fleet", "back_known", "s", result.zone_return_s.unwrap_or(0.0)));
+        let (bytes, cpu) = (source_after.bytes_out - source.bytes_out, source_after.cpu_ns - source.cpu_ns);
+        result.figures.push(add("discovery", "herd_bytes_each", "bytes", each(bytes)));
+        result.figures.push(add("discovery", "herd_cpu_us_each", "us", each(cpu) / 1e3));
         Ok(())
     }
 }
 
-/// A figure of a real one, by its books at two moments.
-type Of<'a> = &'a dyn Fn(&Look, &Look) -> f64;
+/// A figure of a measured sidecar, from its counters at two moments.
+type SidecarFigure<'a> = &'a dyn Fn(&Counters, &Counters) -> f64;
 
-/// Weights go up and down, one entry after another.
-fn change(watches: &Watches, entries: &[Entry], per_s: f64, over: &AtomicBool) {
-    let (began, mut done) = (Instant::now(), 0_usize);
-    while !over.load(Ordering::Relaxed) {
-        let due = (began.elapsed().as_secs_f64() * per_s) as usize;
+/// Changes the weight of one entry after another, up and down, at a given rate.
+fn change_weights(watches: &Watches, entries: &[Entry], per_s: f64, stopped: &AtomicBool) {
+    let (started_at, mut done) = (Instant::now(), 0_usize);
+    while !stopped.load(Ordering::Relaxed) {
+        let due = (started_at.elapsed().as_secs_f64() * per_s) as usize;
         for number in done..due {
             let weight = if (number / entries.len()).is_multiple_of(2) { 2.0 } else { 1.0 };
             watches.say(&Entry { weight, ..entries[number % entries.len()].clone() });
--- a/crates/lab/src/scales.rs
+++ b/crates/lab/src/scales.rs
@@ -1,48 +1,52 @@
-//! The sub-command that measures by size. It owns what is printed and which files are written.
+//! The subcommand `scale`, which measures by size: its output and files.
 
 use crate::args::Scale;
-use landingspread_lab::scale::{Bounds, Kept, Ran, Wanted, fitted, kept, need, run, table};
+use landingspread_lab::scale::{
+    Bounds, RecordedRun, RunResult, RunSize, fit_slopes, read_runs, requirements, run, slope_table,
+};
 use landingspread_lab::sockets;
 use std::io::Write;
 use std::path::Path;
 use std::time::Duration;
 
-/// A run in CI is over within a minute.
-const SHORT: [f64; 2] = [120.0, 240.0];
+/// Sizes of the short run for CI, which takes less than a minute.
+const SHORT_SIZES: [f64; 2] = [120.0, 240.0];
 
-fn span(seconds: f64) -> Duration {
+fn seconds_to_duration(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds.clamp(0.0, 3600.0))
 }
 
-fn at(wanted: &Scale, value: f64) -> Result<Wanted, String> {
-    let mut one = Wanted {
-        copies: wanted.copies,
-        fleet_size: wanted.fleet_size,
-        endpoints: wanted.endpoints,
-        changes_per_s: wanted.changes,
-        real: wanted.real,
-        rate: wanted.rate,
-        to_a_process: wanted.each,
-        settle: span(wanted.settle),
-        length: span(wanted.seconds.max(1.0)),
-        join_within: Duration::from_secs(60),
-        lose_a_zone: wanted.lose_a_zone,
-        bounds: Bounds { processes: wanted.processes, memory_mb: wanted.memory_mb },
+/// The size of a run in which the varied parameter has this value.
+fn run_size(args: &Scale, value: f64) -> Result<RunSize, String> {
+    let mut size = RunSize {
+        replicas: args.copies,
+        fleet_size: args.fleet_size,
+        endpoints: args.endpoints,
+        changes_per_s: args.changes,
+        measured: args.real,
+        requests_per_s: args.rate,
+        clientless_per_process: args.each,
+        settle: seconds_to_duration(args.settle),
+        duration: seconds_to_duration(args.seconds.max(1.0)),
+        join_timeout: Duration::from_secs(60),
+        lose_zone: args.lose_a_zone,
+        bounds: Bounds { processes: args.processes, memory_mb: args.memory_mb },
     };
-    match wanted.by.as_str() {
-        "copies" => one.copies = value as usize,
-        "endpoints" => one.endpoints = value as usize,
-        "changes_per_s" => one.changes_per_s = value,
-        "calls_per_s" => one.rate = value,
+    match args.by.as_str() {
+        "copies" => size.replicas = value as usize,
+        "endpoints" => size.endpoints = value as usize,
+        "changes_per_s" => size.changes_per_s = value,
+        "calls_per_s" => size.requests_per_s = value,
         other => {
             return Err(format!(
-                "{other:?} is not varied: expected copies, endpoints, changes_per_s or calls_per_s"
+                "unknown parameter {other:?}: expected copies, endpoints, changes_per_s or calls_per_s"
             ));
         }
     }
-    Ok(one)
+    Ok(size)
 }
 
+/// Cores and memory of this machine.
 fn machine() -> String {
     let cores = std::thread::available_parallelism().map_or(0, usize::from);
     let memory = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
@@ -51,94 +55,92 @@
     format!("{cores} cores, {:.0} GB, shared", kib.unwrap_or(0.0) / (1024.0 * 1024.0))
 }
 
-fn told(at: f64, ran: &Ran, by: &str) {
+fn print_result(value: f64, result: &RunResult, parameter: &str) {
     println!(
-        "{by} {at}: all counted after {:.1} s; at most {} processes, {:.0} MB",
-        ran.joined, ran.processes, ran.memory_mb
+        "{parameter} {value}: all counted after {:.1} s; at most {} processes, {:.0} MB",
+        result.join_s, result.processes, result.memory_mb
     );
-    if let Some(why) = &ran.not_held {
+    if let Some(why) = &result.invalid {
         println!("  not measured: {why}");
     }
-    for figure in &ran.figures {
+    for figure in &result.figures {
         println!("  {:10} {:17} {:14.4} {}", figure.role, figure.figure, figure.value, figure.unit);
     }
-    if let Some((p50, p99, lost)) = ran.calls {
+    if let Some((p50, p99, lost)) = result.calls {
         println!("  calls: p50 {p50:.2} ms, p99 {p99:.2} ms, {lost} not answered");
     }
-    if let (Some(death), Some(back)) = (ran.death_known, ran.back_known) {
+    if let (Some(death), Some(back)) = (result.zone_loss_s, result.zone_return_s) {
         println!("  a zone lost: known to the real ones after {death:.1} s; its herd back after {back:.1} s");
     }
 }
 
-pub fn scale(wanted: &Scale) -> Result<(), String> {
-    let mut values = wanted.at.clone();
-    if wanted.short {
-        values = SHORT.to_vec();
+/// Runs all sizes, fits slopes to the results, and writes both.
+///
+/// # Errors
+/// Invalid sizes, sizes beyond the bounds, and files that can't be read or written.
+pub fn scale(args: &Scale) -> Result<(), String> {
+    let mut values = args.at.clone();
+    if args.short {
+        values = SHORT_SIZES.to_vec();
     }
-    let sizes: Vec<(f64, Wanted)> =
-        values.iter().map(|value| Ok((*value, at(wanted, *value)?))).collect::<Result<_, String>>()?;
-    // All of them first: a long run must not end at its last size.
+    let sizes: Vec<(f64, RunSize)> =
+        values.iter().map(|value| Ok((*value, run_size(args, *value)?))).collect::<Result<_, String>>()?;
+    // All sizes are checked first, so that a long run does not fail at its last one.
     for (_, size) in &sizes {
-        need(size)?;
+        requirements(size)?;
     }
-    let named = |path: &Path, wrong: std::io::Error| format!("{}: {wrong}", path.display());
-    let mut runs: Vec<Kept> = match &wanted.keep {
+    let file_error = |path: &Path, error: std::io::Error| format!("{}: {error}", path.display());
+    let mut runs: Vec<RecordedRun> = match &args.keep {
         Some(path) if path.is_file() => {
-            let text = std::fs::read_to_string(path).map_err(|wrong| named(path, wrong))?;
-            kept(&text).map_err(|wrong| format!("{}: {wrong}", path.display()))?
+            let text = std::fs::read_to_string(path).map_err(|error| file_error(path, error))?;
+            read_runs(&text).map_err(|error| format!("{}: {error}", path.display()))?
         }
         _ => Vec::new(),
     };
-    let program = wanted.program.clone().map_or_else(sockets::program, Ok)?;
+    let program = args.program.clone().map_or_else(sockets::program, Ok)?;
     let profile = if cfg!(debug_assertions) { "debug" } else { "release" };
-    let seconds = if wanted.short { 4.0 } else { wanted.seconds };
+    let seconds = if args.short { 4.0 } else { args.seconds };
     let command = format!(
         "landingspread-lab scale --by {} --runs {} --seconds {seconds} --copies {} --endpoints {} --changes {} \
          --fleet-size {} --real {}",
-        wanted.by,
-        wanted.runs,
-        wanted.copies,
-        wanted.endpoints,
-        wanted.changes,
-        wanted.fleet_size,
-        wanted.real
+        args.by, args.runs, args.copies, args.endpoints, args.changes, args.fleet_size, args.real
     );
     for (value, mut size) in sizes {
-        size.length = span(seconds);
-        for _ in 0..if wanted.short { 1 } else { wanted.runs } {
+        size.duration = seconds_to_duration(seconds);
+        for _ in 0..if args.short { 1 } else { args.runs } {
             let dir = sockets::run_dir("scale")?;
-            let ran = run(&size, &program, &dir);
+            let result = run(&size, &program, &dir);
             let _ = std::fs::remove_dir_all(&dir);
-            let ran = match ran {
-                Ok(ran) => ran,
-                Err(wrong) => {
-                    println!("{} {value}: not measured: {wrong}", wanted.by);
-                    Ran { not_held: Some(wrong), ..Ran::default() }
+            let result = match result {
+                Ok(result) => result,
+                Err(error) => {
+                    println!("{} {value}: not measured: {error}", args.by);
+                    RunResult { invalid: Some(error), ..RunResult::default() }
                 }
             };
-            told(value, &ran, &wanted.by);
-            let run = Kept {
-                by: wanted.by.clone(),
-                at: value,
-                not_held: ran.not_held,
-                figures: ran.figures,
+            print_result(value, &result, &args.by);
+            let run = RecordedRun {
+                parameter: args.by.clone(),
+                value,
+                invalid: result.invalid,
+                figures: result.figures,
                 command: command.clone(),
-                build: format!("{}, {profile}", wanted.build),
+                build: format!("{}, {profile}", args.build),
                 machine: machine(),
             };
-            if let Some(path) = &wanted.keep {
-                let line = serde_json::to_string(&run).map_err(|wrong| wrong.to_string())?;
+            if let Some(path) = &args.keep {
+                let line = serde_json::to_string(&run).map_err(|error| error.to_string())?;
                 let file = std::fs::File::options().create(true).append(true).open(path);
                 let written = file.and_then(|mut file| writeln!(file, "{line}"));
-                written.map_err(|wrong| named(path, wrong))?;
+                written.map_err(|error| file_error(path, error))?;
             }
             runs.push(run);
         }
     }
-    let slopes = fitted(&runs, &wanted.left_out);
-    print!("{}", table(&slopes));
-    if let Some(path) = &wanted.out {
-        std::fs::write(path, slopes.write()).map_err(|wrong| named(path, wrong))?;
+    let slopes = fit_slopes(&runs, &args.left_out);
+    print!("{}", slope_table(&slopes));
+    if let Some(path) = &args.out {
+        std::fs::write(path, slopes.write()).map_err(|error| file_error(path, error))?;
     }
     Ok(())
 }
--- a/crates/sidecar/tests/scale.rs
+++ b/crates/sidecar/tests/scale.rs
@@ -1,29 +1,29 @@
 //! The short run of size: hollow sidecars and real ones on real sockets. Only figures that don't hang on the machine's speed
 //! are checked: who counts whom, messages and bytes a copy, and what is kept open.
 
-use landingspread_lab::scale::{Bounds, Ran, Wanted, run};
+use landingspread_lab::scale::{Bounds, RunResult, RunSize, run};
 use landingspread_lab::sockets::run_dir;
 use std::path::Path;
 use std::time::Duration;
 
-fn wanted(copies: usize) -> Wanted {
-    Wanted {
-        copies,
+fn wanted(copies: usize) -> RunSize {
+    RunSize {
+        replicas: copies,
         fleet_size: 0,
         endpoints: 12,
         changes_per_s: 2.0,
-        real: 3,
-        rate: 20.0,
-        to_a_process: 40,
+        measured: 3,
+        requests_per_s: 20.0,
+        clientless_per_process: 40,
         settle: Duration::from_secs(2),
-        length: Duration::from_secs(4),
-        join_within: Duration::from_secs(20),
-        lose_a_zone: false,
+        duration: Duration::from_secs(4),
+        join_timeout: Duration::from_secs(20),
+        lose_zone: false,
         bounds: Bounds { processes: 12, memory_mb: 1_000.0 },
     }
 }
 
-fn played(wanted: &Wanted, name: &str) -> Ran {
+fn played(wanted: &RunSize, name: &str) -> RunResult {
     let dir = run_dir(name).expect("a folder");
     let program = Path::new(env!("CARGO_BIN_EXE_landingspread"));
     let ran = run(wanted, program, &dir).unwrap_or_else(|wrong| panic!("{wrong}"));
@@ -31,7 +31,7 @@
     ran
 }
 
-fn figure(ran: &Ran, role: &str, name: &str) -> f64 {
+fn figure(ran: &RunResult, role: &str, name: &str) -> f64 {
     let found = ran.figures.iter().find(|figure| figure.role == role && figure.figure == name);
     found.unwrap_or_else(|| panic!("{role} {name} was measured: {:?}", ran.figures)).value
 }
@@ -61,7 +61,7 @@
 
 #[test]
 fn hollow_ones_in_fleets_of_six_know_of_no_other_fleet() {
-    let wanted = Wanted { fleet_size: 6, changes_per_s: 0.0, rate: 0.0, ..wanted(102) };
+    let wanted = RunSize { fleet_size: 6, changes_per_s: 0.0, requests_per_s: 0.0, ..wanted(102) };
     let ran = played(&wanted, "scale-six");
     println!("{ran:?}");
     // The real ones count six, or it would not have come so far.
