--- a/crates/lab/src/fleet/builtin.rs
+++ b/crates/lab/src/fleet/builtin.rs
@@ -1,4 +1,4 @@
-//! The plans of fleets that come with the lab.
+//! Fleet plans that are built into the lab.
 
 const PLANS: [(&str, &str); 12] = [
     ("members", include_str!("../../plans/fleet/members.toml")),
@@ -15,10 +15,12 @@
     ("starved", include_str!("../../plans/fleet/starved.toml")),
 ];
 
+/// Names and TOML texts of all built-in plans.
 pub fn builtins() -> impl Iterator<Item = (&'static str, &'static str)> {
     PLANS.into_iter()
 }
 
+/// The TOML text of a built-in plan.
 pub fn builtin(name: &str) -> Option<&'static str> {
     PLANS.into_iter().find(|(known, _)| *known == name).map(|(_, text)| text)
 }
--- a/crates/lab/src/fleet/check.rs
+++ b/crates/lab/src/fleet/check.rs
@@ -1,6 +1,6 @@
-//! A check of the zones' verdicts by trying everything: a few copies of one zone, the program's own `ZoneFailover`, and each
-//! way in which words between them can be lost, late or doubled, a zone be lost and found, a copy stand still or operators
-//! speak, up to a depth. It owns the little world and its invariants; it must never draw by chance.
+//! Exhaustive check of the zone verdicts: a small model of replicas in one zone that run the program's own
+//! `ZoneFailover`, explored to a given depth. Each transition can lose, delay or deliver messages selectively,
+//! fail or restore the other zone, pause a replica, or apply an operator command. No transition is random.
 
 use landingspread_localities::{
     FailoverConfig, Host, OperatorCommand, OwnObservation, PeerReport, RecoveryTimings, Verdict,
@@ -11,120 +11,137 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-/// Time passes by so much from one moment to the next.
-const STEP: Duration = Duration::from_millis(300);
+/// Virtual time per transition.
+const STEP_INTERVAL: Duration = Duration::from_millis(300);
+/// The replicas' own zone and the other one.
 const ZONES: [&str; 2] = ["here", "away"];
-const AWAY: usize = 1;
-/// Rounds of words and time in calm after which all have to hold the same.
-const CALM: usize = 3;
-const SETTLES: usize = 8;
-const TOLD_MOST: usize = 5;
-const AT_ONCE: usize = 2_000;
-/// How many times the zone may be lost or found, and operators may speak.
-const TURNS_MOST: u8 = 2;
-const SAID_MOST: u8 = 1;
+const OTHER_ZONE: usize = 1;
+/// Transitions without faults after which all replicas must hold the same verdict.
+const SETTLE_TRANSITIONS: usize = 3;
+/// Transitions before the exploration starts.
+const INITIAL_TRANSITIONS: usize = 8;
+/// Bound on the violations that are described.
+const MAX_VIOLATIONS: usize = 5;
+/// States that are expanded at once.
+const CHUNK_SIZE: usize = 2_000;
+/// Bounds per sequence: how often the zone fails or recovers, and how many operator commands there are.
+const MAX_ZONE_CHANGES: u8 = 2;
+const MAX_OPERATOR_COMMANDS: u8 = 1;
 
-/// What a copy passed since it was asked last.
+/// Verdicts that a replica issued since they were last collected.
 #[derive(Clone, Debug, Default)]
-struct Passed(Vec<Verdict>);
+struct IssuedVerdicts(Vec<Verdict>);
 
-impl Host for Passed {
+impl Host for IssuedVerdicts {
     fn verdict_issued(&mut self, _: &str, verdict: &Verdict, _: &landingspread_localities::Evidence) {
         self.0.push(*verdict);
     }
 }
 
-/// What the model plays in place of the program's own way, to show that the check finds it out.
+/// The protocol under check: the program's own, or a faulty variant that the check must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Variant {
-    AsItIs,
-    /// Whatever verdict comes last is the one that counts: words carry no numbers.
-    LastWordCounts,
-    /// A word that comes four times counts four times.
-    CountedOften,
+    /// The program's own protocol.
+    Production,
+    /// The last verdict received wins, as if verdicts had no numbers.
+    LastMessageWins,
+    /// A message that is received four times counts as four reports.
+    DuplicatesCounted,
 }
 
 #[derive(Clone, Debug)]
-struct Copy {
-    own: ZoneFailover<Passed>,
-    /// How the zone away looks to it: when the last answered was sent, and when the last was lost.
-    answered: Option<Duration>,
-    lost: Option<Duration>,
-    /// Its newest word and the one before, and when each was said.
-    words: [(Vec<u8>, Duration); 2],
-    /// The last that it had from each other.
-    held: Vec<Option<(Vec<u8>, Duration)>>,
-    /// The verdict that it goes by.
+struct Replica {
+    failover: ZoneFailover<IssuedVerdicts>,
+    /// Observations of the other zone: send time of the last answered request, and time of the last lost one.
+    last_answered: Option<Duration>,
+    last_lost: Option<Duration>,
+    /// Latest report and the one before, each with its time.
+    reports: [(Vec<u8>, Duration); 2],
+    /// Latest report received from each other replica.
+    received: Vec<Option<(Vec<u8>, Duration)>>,
+    /// Number of the verdict in force.
     number: u32,
 }
 
 #[derive(Clone, Debug)]
 struct State {
     now: Duration,
-    copies: Vec<Copy>,
-    lost: bool,
-    turns: u8,
-    said: u8,
-    /// Copies that ever saw it silent.
-    saw: u8,
+    replicas: Vec<Replica>,
+    zone_is_down: bool,
+    zone_changes: u8,
+    operator_commands: u8,
+    /// Bitmap of the replicas that ever observed a failure of the zone.
+    observers: u8,
 }
 
-/// What the world does between two moments.
+/// What happens between two moments of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Move {
-    turn: bool,
-    /// Words of this copy reach nobody, and none reaches it.
-    alone: Option<usize>,
-    /// This one's do not reach that one.
-    deaf: Option<(usize, usize)>,
-    /// Everybody hears the words of a moment ago.
+struct Transition {
+    /// The zone fails, or recovers.
+    zone_change: bool,
+    /// Messages to and from this replica are lost.
+    isolated: Option<usize>,
+    /// Messages of the first replica to the second are lost.
+    lost_path: Option<(usize, usize)>,
+    /// All replicas receive the previous reports.
     late: bool,
-    /// It stands still meanwhile.
-    still: Option<usize>,
-    /// Nobody but this one has anything to send.
-    sends: Option<usize>,
-    operators: Option<bool>,
+    /// This replica is paused.
+    paused: Option<usize>,
+    /// Only this replica has requests to send.
+    only_sender: Option<usize>,
+    /// An operator command: true to evacuate the zone, false to return it to service.
+    operator_command: Option<bool>,
 }
 
-const PLAIN: Move =
-    Move { turn: false, alone: None, deaf: None, late: false, still: None, sends: None, operators: None };
+const NO_FAULT: Transition = Transition {
+    zone_change: false,
+    isolated: None,
+    lost_path: None,
+    late: false,
+    paused: None,
+    only_sender: None,
+    operator_command: None,
+};
 
-fn moves(copies: usize) -> Vec<Move> {
-    let mut moves = vec![PLAIN, Move { late: true, ..PLAIN }];
-    moves.extend((0..copies).map(|copy| Move { alone: Some(copy), ..PLAIN }));
-    moves.extend((0..copies).map(|copy| Move { still: Some(copy), ..PLAIN }));
-    moves.extend((0..copies).map(|copy| Move { sends: Some(copy), ..PLAIN }));
-    for one in 0..copies {
-        moves.extend(
-            (0..copies).filter(|o| *o != one).map(|other| Move { deaf: Some((one, other)), ..PLAIN }),
+fn transitions(replicas: usize) -> Vec<Transition> {
+    let mut transitions = vec![NO_FAULT, Transition { late: true, ..NO_FAULT }];
+    transitions.extend((0..replicas).map(|replica| Transition { isolated: Some(replica), ..NO_FAULT }));
+    transitions.extend((0..replicas).map(|replica| Transition { paused: Some(replica), ..NO_FAULT }));
+    transitions.extend((0..replicas).map(|replica| Transition { only_sender: Some(replica), ..NO_FAULT }));
+    for from in 0..replicas {
+        transitions.extend(
+            (0..replicas)
+                .filter(|to| *to != from)
+                .map(|to| Transition { lost_path: Some((from, to)), ..NO_FAULT }),
         );
     }
-    let turned: Vec<Move> = moves.iter().map(|plain| Move { turn: true, ..*plain }).collect();
-    moves.extend(turned);
-    moves.extend([true, false].map(|leave| Move { operators: Some(leave), ..PLAIN }));
-    moves
+    let with_zone_change: Vec<Transition> =
+        transitions.iter().map(|transition| Transition { zone_change: true, ..*transition }).collect();
+    transitions.extend(with_zone_change);
+    transitions.extend([true, false].map(|leave| Transition { operator_command: Some(leave), ..NO_FAULT }));
+    transitions
 }
 
-impl Copy {
-    fn start(id: usize, copies: usize) -> Copy {
-        let about = FailoverConfig {
+impl Replica {
+    fn start(id: usize, replicas: usize) -> Replica {
+        let config = FailoverConfig {
             id: id as u64,
             zone: ZONES[0].into(),
             zones: ZONES.map(String::from).into(),
-            timings: RecoveryTimings { min_evacuation: STEP, min_ramp_step: STEP },
+            timings: RecoveryTimings { min_evacuation: STEP_INTERVAL, min_ramp_step: STEP_INTERVAL },
         };
-        Copy {
-            own: ZoneFailover::start(Passed::default(), about),
-            answered: None,
-            lost: None,
-            words: Default::default(),
-            held: vec![None; copies],
+        Replica {
+            failover: ZoneFailover::start(IssuedVerdicts::default(), config),
+            last_answered: None,
+            last_lost: None,
+            reports: Default::default(),
+            received: vec![None; replicas],
             number: 0,
         }
     }
 
-    fn looks(&self, now: Duration) -> ZoneHealth {
-        match (self.lost, self.answered) {
+    fn observed_health(&self, now: Duration) -> ZoneHealth {
+        match (self.last_lost, self.last_answered) {
             (Some(lost), answered) if answered.is_none_or(|at| at < lost) => {
                 ZoneHealth::Silent { since: now - lost }
             }
@@ -134,145 +151,151 @@
     }
 
     fn stage(&self) -> ZoneStage {
-        self.own.statuses().nth(AWAY).map_or(ZoneStage::InService, |standing| standing.stage)
+        self.failover.statuses().nth(OTHER_ZONE).map_or(ZoneStage::InService, |status| status.stage)
     }
 
-    /// Sends something to the zone away, if it may, and tells how that ended.
-    fn send(&mut self, now: Duration, lost: bool) {
-        let share = self.own.traffic()[AWAY];
+    /// Sends a request to the other zone if the verdict allows, and records its result.
+    fn send(&mut self, now: Duration, zone_is_down: bool) {
+        let share = self.failover.traffic()[OTHER_ZONE];
         if share.traffic_fraction > 0.0 || share.trial.is_some() {
-            if lost { self.lost = Some(now) } else { self.answered = Some(now) }
+            if zone_is_down { self.last_lost = Some(now) } else { self.last_answered = Some(now) }
         }
     }
 }
 
 impl State {
-    fn start(copies: usize) -> State {
+    fn start(replicas: usize) -> State {
         let now = Duration::from_secs(100);
         let mut state = State {
             now,
-            copies: (0..copies).map(|id| Copy::start(id, copies)).collect(),
-            lost: false,
-            turns: 0,
-            said: 0,
-            saw: 0,
+            replicas: (0..replicas).map(|id| Replica::start(id, replicas)).collect(),
+            zone_is_down: false,
+            zone_changes: 0,
+            operator_commands: 0,
+            observers: 0,
         };
-        // In their first seconds copies pass no verdict.
-        (0..SETTLES).for_each(|_| drop(state.pass(PLAIN, Variant::AsItIs)));
+        // Replicas issue no verdict in their first seconds.
+        (0..INITIAL_TRANSITIONS).for_each(|_| drop(state.apply(NO_FAULT, Variant::Production)));
         state
     }
 
-    fn may(&self, next: &Move) -> bool {
-        (!next.turn || self.turns < TURNS_MOST) && (next.operators.is_none() || self.said < SAID_MOST)
+    fn allows(&self, next: &Transition) -> bool {
+        (!next.zone_change || self.zone_changes < MAX_ZONE_CHANGES)
+            && (next.operator_command.is_none() || self.operator_commands < MAX_OPERATOR_COMMANDS)
     }
 
-    /// A moment passes. What was wrong in it.
-    fn pass(&mut self, next: Move, variant: Variant) -> Vec<String> {
-        self.now += STEP;
-        self.lost ^= next.turn;
-        (self.turns, self.said) =
-            (self.turns + u8::from(next.turn), self.said + u8::from(next.operators.is_some()));
-        self.carry(next);
-        if let Some(leave) = next.operators {
+    /// Applies a transition and returns the violations.
+    fn apply(&mut self, next: Transition, variant: Variant) -> Vec<String> {
+        self.now += STEP_INTERVAL;
+        self.zone_is_down ^= next.zone_change;
+        (self.zone_changes, self.operator_commands) = (
+            self.zone_changes + u8::from(next.zone_change),
+            self.operator_commands + u8::from(next.operator_command.is_some()),
+        );
+        self.deliver_reports(next);
+        if let Some(leave) = next.operator_command {
             let command = if leave { OperatorCommand::Evacuate } else { OperatorCommand::Return };
-            self.copies[0].own.operator_command(self.now, ZONES[AWAY], command);
+            self.replicas[0].failover.operator_command(self.now, ZONES[OTHER_ZONE], command);
         }
-        let mut wrong = Vec::new();
-        for number in 0..self.copies.len() {
-            if next.still == Some(number) {
+        let mut violations = Vec::new();
+        for number in 0..self.replicas.len() {
+            if next.paused == Some(number) {
                 continue;
             }
-            if next.sends.is_none_or(|only| only == number) {
-                self.copies[number].send(self.now, self.lost);
-                self.saw |= u8::from(self.lost) << number;
+            if next.only_sender.is_none_or(|only| only == number) {
+                self.replicas[number].send(self.now, self.zone_is_down);
+                self.observers |= u8::from(self.zone_is_down) << number;
             }
-            self.tick(number, variant, &mut wrong);
+            self.tick(number, variant, &mut violations);
         }
-        wrong
+        violations
     }
 
-    fn carry(&mut self, next: Move) {
-        let count = self.copies.len();
+    fn deliver_reports(&mut self, next: Transition) {
+        let count = self.replicas.len();
         for from in 0..count {
             for to in (0..count).filter(|to| *to != from) {
-                let away = next.alone == Some(from) || next.alone == Some(to) || next.still == Some(to);
-                if !away && next.deaf != Some((from, to)) {
-                    let word = self.copies[from].words[usize::from(next.late)].clone();
-                    // An older word than one that came before is passed over by the membership.
-                    let newer = |held: &(Vec<u8>, Duration)| held.1 < word.1;
-                    if !word.0.is_empty() && self.copies[to].held[from].as_ref().is_none_or(newer) {
-                        self.copies[to].held[from] = Some(word);
+                let is_cut_off =
+                    next.isolated == Some(from) || next.isolated == Some(to) || next.paused == Some(to);
+                if !is_cut_off && next.lost_path != Some((from, to)) {
+                    let report = self.replicas[from].reports[usize::from(next.late)].clone();
+                    // The membership drops a report that is older than one received before.
+                    let is_newer = |held: &(Vec<u8>, Duration)| held.1 < report.1;
+                    if !report.0.is_empty() && self.replicas[to].received[from].as_ref().is_none_or(is_newer)
+                    {
+                        self.replicas[to].received[from] = Some(report);
                     }
                 }
             }
         }
     }
 
-    fn tick(&mut self, number: usize, variant: Variant, wrong: &mut Vec<String>) {
+    fn tick(&mut self, number: usize, variant: Variant, violations: &mut Vec<String>) {
         let now = self.now;
-        let copy = &mut self.copies[number];
-        let known: Vec<(usize, Vec<u8>, Duration)> = copy
-            .held
+        let replica = &mut self.replicas[number];
+        let reports: Vec<(usize, Vec<u8>, Duration)> = replica
+            .received
             .iter()
             .enumerate()
-            .filter_map(|(from, held)| held.clone().map(|(word, at)| (from, word, now - at)))
-            .map(|(from, word, age)| match variant {
-                Variant::LastWordCounts => (from, without_numbers(&word, copy.number), age),
-                _ => (from, word, age),
+            .filter_map(|(from, report)| report.clone().map(|(bytes, at)| (from, bytes, now - at)))
+            .map(|(from, bytes, age)| match variant {
+                Variant::LastMessageWins => (from, without_numbers(&bytes, replica.number), age),
+                _ => (from, bytes, age),
             })
             .collect();
-        let times = if variant == Variant::CountedOften { 4 } else { 1 };
-        let peers = known.iter().flat_map(|(from, word, age)| {
-            (0..times).map(move |time| PeerReport {
-                id: (from + time * 100) as u64,
+        let repetitions = if variant == Variant::DuplicatesCounted { 4 } else { 1 };
+        let peers = reports.iter().flat_map(|(from, bytes, age)| {
+            (0..repetitions).map(move |repetition| PeerReport {
+                id: (from + repetition * 100) as u64,
                 name: "peer",
                 zone: ZONES[0],
-                report: Some(word.as_slice()),
+                report: Some(bytes.as_slice()),
                 age: *age,
             })
         });
-        let own = [
+        let observations = [
             OwnObservation {
                 zone: 0,
                 ready: 3,
                 health: ZoneHealth::Answering { sent_ago: Duration::ZERO, slow: false },
             },
-            OwnObservation { zone: AWAY, ready: 3, health: copy.looks(now) },
+            OwnObservation { zone: OTHER_ZONE, ready: 3, health: replica.observed_health(now) },
         ];
-        let before = (copy.number, copy.stage());
-        copy.own.tick(now, &own, peers);
-        let stage = copy.stage();
-        copy.words = [(copy.own.report_bytes().to_vec(), now), copy.words[0].clone()];
-        copy.number = copy.own.statuses().nth(AWAY).map_or(0, |standing| standing.number);
-        let passed = std::mem::take(&mut copy.own.host().0);
-        let operators = self.said > 0;
-        if copy.number < before.0 && !operators {
-            wrong.push(format!("c{number} went back from verdict {} to {}", before.0, copy.number));
+        let previous = (replica.number, replica.stage());
+        replica.failover.tick(now, &observations, peers);
+        let stage = replica.stage();
+        replica.reports = [(replica.failover.report_bytes().to_vec(), now), replica.reports[0].clone()];
+        replica.number = replica.failover.statuses().nth(OTHER_ZONE).map_or(0, |status| status.number);
+        let verdicts = std::mem::take(&mut replica.failover.host().0);
+        let commanded = self.operator_commands > 0;
+        if replica.number < previous.0 && !commanded {
+            violations.push(format!("c{number} went back from verdict {} to {}", previous.0, replica.number));
         }
-        for verdict in passed.iter().filter(|verdict| !verdict.by_operator) {
-            let (saw, all) = (self.saw.count_ones() as usize, self.copies.len());
-            if verdict.stage == ZoneStage::Evacuated && saw < 3.min(all).max(all.div_ceil(2)) {
-                wrong.push(format!("c{number} left the zone, which {saw} copies ever found silent"));
+        for verdict in verdicts.iter().filter(|verdict| !verdict.by_operator) {
+            let (observers, all) = (self.observers.count_ones() as usize, self.replicas.len());
+            if verdict.stage == ZoneStage::Evacuated && observers < 3.min(all).max(all.div_ceil(2)) {
+                violations
+                    .push(format!("c{number} left the zone, which {observers} copies ever found silent"));
             }
         }
-        let whole = passed.iter().any(|verdict| verdict.stage == ZoneStage::InService);
-        if before.1 == ZoneStage::Evacuated && stage == ZoneStage::InService && whole && !operators {
-            wrong.push(format!("c{number} took the zone back at one go"));
+        let in_service = verdicts.iter().any(|verdict| verdict.stage == ZoneStage::InService);
+        if previous.1 == ZoneStage::Evacuated && stage == ZoneStage::InService && in_service && !commanded {
+            violations.push(format!("c{number} took the zone back at one go"));
         }
     }
 
-    /// In calm all come to hold one verdict.
-    fn meets(&self, variant: Variant) -> Option<String> {
-        let mut calm = self.clone();
-        for _ in 0..CALM {
-            calm.pass(PLAIN, variant);
+    /// Returns a violation if the replicas don't agree on a verdict after some transitions without faults.
+    fn disagreement(&self, variant: Variant) -> Option<String> {
+        let mut settled = self.clone();
+        for _ in 0..SETTLE_TRANSITIONS {
+            settled.apply(NO_FAULT, variant);
         }
         let verdicts: Vec<(ZoneStage, u32)> =
-            calm.copies.iter().map(|copy| (copy.stage(), copy.number)).collect();
-        // While steps follow each other one may be a moment ahead of the others.
-        let far = |one: &(ZoneStage, u32), other: &(ZoneStage, u32)| one.1.abs_diff(other.1) > 1;
-        let odd = verdicts.iter().any(|one| verdicts.iter().any(|other| far(one, other)));
-        odd.then(|| format!("after calm they hold {verdicts:?}"))
+            settled.replicas.iter().map(|replica| (replica.stage(), replica.number)).collect();
+        // During a sequence of verdicts a replica may be one transition ahead of the others.
+        let is_ahead = |one: &(ZoneStage, u32), other: &(ZoneStage, u32)| one.1.abs_diff(other.1) > 1;
+        let disagrees = verdicts.iter().any(|one| verdicts.iter().any(|other| is_ahead(one, other)));
+        disagrees.then(|| format!("after calm they hold {verdicts:?}"))
     }
 
     fn digest(&self) -> u64 {
@@ -282,86 +305,92 @@
     }
 }
 
-/// What a check came to.
+/// Outcome of a check.
 #[derive(Clone, Debug, Default)]
-pub struct Checked {
+pub struct CheckResults {
+    /// Distinct states that were reached.
     pub states: usize,
-    pub moves: usize,
-    /// Moves after which some copy had left the zone.
-    pub left: usize,
-    /// What was wrong, with the moves that lead to it.
-    pub broken: Vec<String>,
+    /// Transitions that were applied.
+    pub transitions: usize,
+    /// Transitions after which at least one replica has evacuated the zone.
+    pub evacuated: usize,
+    /// The first violations, each with the transitions that lead to it.
+    pub violations: Vec<String>,
 }
 
-/// Plays every sequence of so many moves round so many copies; states that were met before are not played on.
-pub fn check(copies: usize, depth: usize, variant: Variant) -> Checked {
-    let moves = moves(copies);
-    let mut checked = Checked { states: 1, ..Checked::default() };
-    let mut met = HashSet::new();
-    let mut layer: Vec<(State, Vec<usize>)> = vec![(State::start(copies), Vec::new())];
+/// Explores every sequence of `depth` transitions; a state that was reached before is not explored again.
+pub fn check(replicas: usize, depth: usize, variant: Variant) -> CheckResults {
+    let transitions = transitions(replicas);
+    let mut results = CheckResults { states: 1, ..CheckResults::default() };
+    let mut known_states = HashSet::new();
+    let mut frontier: Vec<(State, Vec<usize>)> = vec![(State::start(replicas), Vec::new())];
     for moment in 1..=depth {
-        let next = |(state, path): &(State, Vec<usize>)| {
-            let mut all = Vec::new();
-            for (number, one) in moves.iter().enumerate().filter(|(_, one)| state.may(one)) {
+        let expand = |(state, path): &(State, Vec<usize>)| {
+            let mut successors = Vec::new();
+            for (number, transition) in
+                transitions.iter().enumerate().filter(|(_, transition)| state.allows(transition))
+            {
                 let mut after = state.clone();
-                let mut wrong = after.pass(*one, variant);
-                wrong.extend(after.meets(variant));
+                let mut violations = after.apply(*transition, variant);
+                violations.extend(after.disagreement(variant));
                 let mut path = path.clone();
                 path.push(number);
-                all.push((after.digest(), after, path, wrong));
+                successors.push((after.digest(), after, path, violations));
             }
-            all
+            successors
         };
-        let mut following = Vec::new();
-        // A part at a time: what is played needs much more room than what is kept.
-        for part in layer.chunks(AT_ONCE) {
-            let played: Vec<_> = part.par_iter().flat_map_iter(next).collect();
-            checked.moves += played.len();
-            for (digest, state, path, wrong) in played {
-                checked.left +=
-                    usize::from(state.copies.iter().any(|copy| copy.stage() == ZoneStage::Evacuated));
-                for wrong in wrong {
-                    if checked.broken.len() < TOLD_MOST {
-                        let told: Vec<String> = path.iter().map(|number| moves[*number].told()).collect();
-                        checked.broken.push(format!("{wrong}, after: {}", told.join("; ")));
+        let mut next_frontier = Vec::new();
+        // In chunks, because the states reached need much more memory than those that are kept.
+        for chunk in frontier.chunks(CHUNK_SIZE) {
+            let reached: Vec<_> = chunk.par_iter().flat_map_iter(expand).collect();
+            results.transitions += reached.len();
+            for (digest, state, path, violations) in reached {
+                results.evacuated +=
+                    usize::from(state.replicas.iter().any(|replica| replica.stage() == ZoneStage::Evacuated));
+                for violation in violations {
+                    if results.violations.len() < MAX_VIOLATIONS {
+                        let steps: Vec<String> =
+                            path.iter().map(|number| transitions[*number].describe()).collect();
+                        results.violations.push(format!("{violation}, after: {}", steps.join("; ")));
                     }
                 }
-                if met.insert(digest) && moment < depth {
-                    following.push((state, path));
+                if known_states.insert(digest) && moment < depth {
+                    next_frontier.push((state, path));
                 }
             }
         }
-        layer = following;
-        checked.states = met.len() + 1;
-        if !checked.broken.is_empty() {
-            return checked;
+        frontier = next_frontier;
+        results.states = known_states.len() + 1;
+        if !results.violations.is_empty() {
+            return results;
         }
     }
-    checked
+    results
 }
 
-impl Move {
-    fn told(&self) -> String {
-        let mut told = Vec::new();
-        self.turn.then(|| told.push("the zone is lost or found".to_string()));
-        self.late.then(|| told.push("all words are late".into()));
-        self.alone.into_iter().for_each(|copy| told.push(format!("c{copy} hears nobody")));
-        self.sends.into_iter().for_each(|copy| told.push(format!("only c{copy} sends")));
-        self.still.into_iter().for_each(|copy| told.push(format!("c{copy} stands still")));
-        self.deaf.into_iter().for_each(|(from, to)| told.push(format!("c{to} does not hear c{from}")));
-        let said = |leave| told.push(format!("operators say {}", if leave { "leave" } else { "return" }));
-        self.operators.into_iter().for_each(said);
-        if told.is_empty() { "time passes".into() } else { told.join(", ") }
+impl Transition {
+    fn describe(&self) -> String {
+        let mut parts = Vec::new();
+        self.zone_change.then(|| parts.push("the zone is lost or found".to_string()));
+        self.late.then(|| parts.push("all words are late".into()));
+        self.isolated.into_iter().for_each(|replica| parts.push(format!("c{replica} hears nobody")));
+        self.only_sender.into_iter().for_each(|replica| parts.push(format!("only c{replica} sends")));
+        self.paused.into_iter().for_each(|replica| parts.push(format!("c{replica} stands still")));
+        self.lost_path.into_iter().for_each(|(from, to)| parts.push(format!("c{to} does not hear c{from}")));
+        let describe_command =
+            |leave| parts.push(format!("operators say {}", if leave { "leave" } else { "return" }));
+        self.operator_command.into_iter().for_each(describe_command);
+        if parts.is_empty() { "time passes".into() } else { parts.join(", ") }
     }
 }
 
-/// A word as it would be if whichever verdict is heard last counted: each has the number after the reader's own.
-fn without_numbers(word: &[u8], own: u32) -> Vec<u8> {
-    let Some(mut said) = decode(word) else { return word.to_vec() };
-    for (verdict, _) in &mut said.verdicts {
-        verdict.number = own + 1;
+/// A report as the variant `LastMessageWins` reads it: each verdict gets the number after the reader's own.
+fn without_numbers(bytes: &[u8], own_number: u32) -> Vec<u8> {
+    let Some(mut report) = decode(bytes) else { return bytes.to_vec() };
+    for (verdict, _) in &mut report.verdicts {
+        verdict.number = own_number + 1;
     }
-    encode(&said)
+    encode(&report)
 }
 
 #[cfg(test)]
@@ -369,16 +398,16 @@
     use super::*;
 
     #[test]
-    fn three_copies_keep_the_rules_whatever_comes_between_them() {
-        let checked = check(3, 4, Variant::AsItIs);
-        assert!(checked.broken.is_empty(), "{:#?}", checked.broken);
-        assert!(checked.states > 1000 && checked.left > 100, "{} {}", checked.states, checked.left);
+    fn three_replicas_keep_all_invariants_to_depth_four() {
+        let results = check(3, 4, Variant::Production);
+        assert!(results.violations.is_empty(), "{:#?}", results.violations);
+        assert!(results.states > 1000 && results.evacuated > 100, "{} {}", results.states, results.evacuated);
     }
 
     #[test]
-    fn ways_that_are_wrong_are_found_out() {
-        for variant in [Variant::LastWordCounts, Variant::CountedOften] {
-            assert!(!check(3, 4, variant).broken.is_empty(), "{variant:?}");
+    fn faulty_variants_are_detected() {
+        for variant in [Variant::LastMessageWins, Variant::DuplicatesCounted] {
+            assert!(!check(3, 4, variant).violations.is_empty(), "{variant:?}");
         }
     }
 }
--- a/crates/lab/src/fleet/emulated.rs
+++ b/crates/lab/src/fleet/emulated.rs
@@ -1,10 +1,11 @@
-//! A fleet's membership in virtual time: the program's own protocol, with the plan's faults on every path. It owns the
-//! order of what happens; the same plan and seed give the same run. What stands on a copy's clock, its processor time and
-//! its sockets is reckoned here: a copy that stands still hears what came meanwhile, up to a socket's room, when it wakes.
-
-use super::plan::{Fault, FleetPlan, Kind};
-use super::views::{Allowed, Figures, Judge, Look, Set, Truth};
-use super::weather::{Party, Weather};
+//! Event-driven emulation of a fleet's membership in virtual time: the program's own protocol, with the plan's
+//! faults on every path. The same plan and seed give the same run. Clocks, processor time and sockets are
+//! emulated too: a paused replica receives the datagrams of the meantime, up to its socket's capacity, when it
+//! resumes.
+
+use super::plan::{Fault, FaultKind, FleetPlan};
+use super::views::{ProcessState, ReplicaSet, ViewChecker, ViewDeadlines, ViewResults, ViewSnapshot};
+use super::weather::{NetworkFaults, Node};
 use landingspread_membership::{Address, Budget, FleetSize, Host, Member, MemberConfig, Membership};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -14,29 +15,29 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The way from copy to copy: the least, and as much again by chance.
-const WAY: Duration = Duration::from_micros(250);
-/// What a socket holds for a copy that does not read.
-const SOCKET_MOST: u32 = 400;
-const TICK: Duration = Duration::from_millis(50);
-/// A starved copy runs for the first part of each turn.
-const STARVED_RUNS: Duration = Duration::from_millis(10);
-const STARVED_TURN: Duration = Duration::from_millis(100);
-/// The time of day at the start, in milliseconds.
-const BEGAN: u64 = 1_800_000_000_000;
+/// Minimum latency between replicas; up to as much again is added at random.
+const MIN_LATENCY: Duration = Duration::from_micros(250);
+/// Datagrams that a socket buffers for a replica that does not read.
+const SOCKET_CAPACITY: u32 = 400;
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Time in each period in which a starved replica runs.
+const STARVED_RUN_TIME: Duration = Duration::from_millis(10);
+const STARVED_PERIOD: Duration = Duration::from_millis(100);
+/// Unix time at the start of a run, in milliseconds.
+const START_UNIX_MS: u64 = 1_800_000_000_000;
 const PORT: u16 = 7000;
 
-/// What a copy's membership sends, and what it told.
+/// Records what a replica's membership sends and reports.
 #[derive(Default)]
-struct Post {
-    out: Vec<(Address, Vec<u8>)>,
+struct RecordingHost {
+    outgoing: Vec<(Address, Vec<u8>)>,
     died: u64,
     suspected: u64,
 }
 
-impl Host for Post {
+impl Host for RecordingHost {
     fn send(&mut self, to: Address, bytes: &[u8]) {
-        self.out.push((to, bytes.to_vec()));
+        self.outgoing.push((to, bytes.to_vec()));
     }
 
     fn died(&mut self, _: &Member, _: bool) {
@@ -48,271 +49,302 @@
     }
 }
 
-enum What {
+enum Event {
+    /// Timer of a replica's process, by replica and process number.
     Tick(usize, u32),
-    Came(usize, Rc<[u8]>),
-    Begin(usize),
-    End(usize),
-    Start(usize),
-    Look,
+    /// Arrival of a datagram at a replica.
+    Datagram(usize, Rc<[u8]>),
+    FaultBegin(usize),
+    FaultEnd(usize),
+    ProcessStart(usize),
+    Snapshot,
 }
 
-struct Entry {
+/// An event in the queue; events at the same time are handled in the order of their insertion.
+struct ScheduledEvent {
     at: Duration,
     number: u64,
-    what: What,
+    event: Event,
 }
 
-impl PartialEq for Entry {
-    fn eq(&self, other: &Entry) -> bool {
+impl PartialEq for ScheduledEvent {
+    fn eq(&self, other: &ScheduledEvent) -> bool {
         self.number == other.number
     }
 }
 
-impl Eq for Entry {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Entry {
-    fn partial_cmp(&self, other: &Entry) -> Option<std::cmp::Ordering> {
+impl PartialOrd for ScheduledEvent {
+    fn partial_cmp(&self, other: &ScheduledEvent) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Entry {
-    fn cmp(&self, other: &Entry) -> std::cmp::Ordering {
+impl Ord for ScheduledEvent {
+    fn cmp(&self, other: &ScheduledEvent) -> std::cmp::Ordering {
         (self.at, self.number).cmp(&(other.at, other.number))
     }
 }
 
-struct Copy {
-    membership: Option<Membership<Post>>,
-    /// Which of its processes runs: what was meant for one before is lost.
-    life: u32,
-    still_until: Duration,
+/// State of an emulated replica.
+struct Replica {
+    membership: Option<Membership<RecordingHost>>,
+    /// Number of the replica's current process; ticks for an earlier one are dropped.
+    process_number: u32,
+    paused_until: Duration,
     starved: bool,
-    waiting: u32,
+    /// Datagrams in the socket's buffer.
+    queued_datagrams: u32,
 }
 
-/// What a run came to.
+/// Outcome of an emulated run.
 #[derive(Clone, Debug, Default)]
-pub struct Played {
-    pub figures: Figures,
-    /// Datagrams and bytes that a copy sent, a second, on average over the run and over its busiest second.
-    pub datagrams: f64,
-    pub bytes: f64,
-    pub datagrams_most: f64,
-    pub bytes_most: f64,
+pub struct EmulationResults {
+    pub views: ViewResults,
+    /// Datagrams and bytes that a replica sends per second: mean over the run, and the mean over replicas in
+    /// the busiest second.
+    pub datagrams_per_s: f64,
+    pub bytes_per_s: f64,
+    pub max_datagrams_per_s: f64,
+    pub max_bytes_per_s: f64,
+    /// Suspicions raised by all replicas.
     pub suspicions: u64,
-    /// What each copy hands to its decisions at the end.
-    pub counted: Vec<Option<FleetSize>>,
+    /// Fleet size that each replica reports to its decisions at the end; none if its process is down.
+    pub fleet_sizes: Vec<Option<FleetSize>>,
+    /// Events that were handled.
     pub steps: u64,
 }
 
-/// How a run departs from the plan.
+/// Parameters of a run that are not part of the plan.
 #[derive(Clone, Copy, Debug)]
-pub struct Ways {
+pub struct EmulationOptions {
+    /// Seed of latencies, losses and the group of each fault.
     pub seed: u64,
-    /// Copies start within so many seconds.
+    /// Time within which the replicas start, in seconds.
     pub start_within: f64,
-    /// How often views are looked at, in seconds.
-    pub look_every: f64,
-    /// Processes that start again have a clock that stands before their first start.
-    pub clock_back: bool,
+    /// Interval between snapshots, in seconds.
+    pub snapshot_interval: f64,
+    /// Whether a restarted process finds its clock set back to before its first start.
+    pub clock_set_back: bool,
 }
 
-impl Default for Ways {
-    fn default() -> Ways {
-        Ways { seed: 1, start_within: 1.0, look_every: 0.1, clock_back: false }
+impl Default for EmulationOptions {
+    fn default() -> EmulationOptions {
+        EmulationOptions { seed: 1, start_within: 1.0, snapshot_interval: 0.1, clock_set_back: false }
     }
 }
 
 struct Emulated<'a> {
     plan: &'a FleetPlan,
-    ways: Ways,
-    weather: Weather,
-    copies: Vec<Copy>,
-    agenda: BinaryHeap<Reverse<Entry>>,
+    options: EmulationOptions,
+    network: NetworkFaults,
+    replicas: Vec<Replica>,
+    events: BinaryHeap<Reverse<ScheduledEvent>>,
     number: u64,
     now: Duration,
     rng: ChaCha8Rng,
-    judge: Judge,
-    parts: Vec<usize>,
+    checker: ViewChecker,
+    partitions: Vec<usize>,
     by_address: BTreeMap<Address, usize>,
-    played: Played,
-    /// Sent in all up to the last look, and the look's time.
-    sent: (u64, u64, f64),
-    all_sent: (u64, u64),
+    results: EmulationResults,
+    /// Datagrams and bytes sent by all replicas up to the last rate sample, and its time in seconds.
+    last_sample: (u64, u64, f64),
+    total_sent: (u64, u64),
 }
 
-pub fn address_of(copy: usize) -> Address {
-    Address::new(Ipv4Addr::from(0x0a00_0001 + copy as u32), PORT)
+/// Address of the replica with this index.
+pub fn address_of(replica: usize) -> Address {
+    Address::new(Ipv4Addr::from(0x0a00_0001 + replica as u32), PORT)
 }
 
-/// The copy that has this address.
-pub fn copy_of(address: Address) -> Option<usize> {
+/// Index of the replica with this address.
+pub fn replica_of(address: Address) -> Option<usize> {
     let number = address.ip().to_bits().checked_sub(0x0a00_0001)?;
     (address.port() == PORT).then_some(number as usize)
 }
 
-fn span(seconds: f64) -> Duration {
+fn seconds_to_duration(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds.max(0.0))
 }
 
-/// Plays a plan's faults round as many copies.
-pub fn play(plan: &FleetPlan, ways: Ways) -> Played {
-    let allowed = Allowed {
-        death: span(plan.death_within),
-        agree: span(plan.agree_within),
-        cut: span(plan.cut_within),
+/// Runs a plan in virtual time.
+pub fn run(plan: &FleetPlan, options: EmulationOptions) -> EmulationResults {
+    let deadlines = ViewDeadlines {
+        death: seconds_to_duration(plan.death_within),
+        other_change: seconds_to_duration(plan.agree_within),
+        partition: seconds_to_duration(plan.cut_within),
+    };
+    let replica = || Replica {
+        membership: None,
+        process_number: 0,
+        paused_until: Duration::ZERO,
+        starved: false,
+        queued_datagrams: 0,
     };
-    let copy = || Copy { membership: None, life: 0, still_until: Duration::ZERO, starved: false, waiting: 0 };
     let mut emulated = Emulated {
         plan,
-        ways,
-        weather: Weather::new(plan, ways.seed),
-        copies: (0..plan.processes).map(|_| copy()).collect(),
-        agenda: BinaryHeap::new(),
+        options,
+        network: NetworkFaults::new(plan, options.seed),
+        replicas: (0..plan.processes).map(|_| replica()).collect(),
+        events: BinaryHeap::new(),
         number: 0,
         now: Duration::ZERO,
-        rng: ChaCha8Rng::seed_from_u64(ways.seed),
-        judge: Judge::new(allowed),
-        parts: vec![0; plan.processes],
-        by_address: (0..plan.processes).map(|copy| (address_of(copy), copy)).collect(),
-        played: Played::default(),
-        sent: (0, 0, 0.0),
-        all_sent: (0, 0),
+        rng: ChaCha8Rng::seed_from_u64(options.seed),
+        checker: ViewChecker::new(deadlines),
+        partitions: vec![0; plan.processes],
+        by_address: (0..plan.processes).map(|replica| (address_of(replica), replica)).collect(),
+        results: EmulationResults::default(),
+        last_sample: (0, 0, 0.0),
+        total_sent: (0, 0),
     };
-    emulated.set_up();
+    emulated.schedule_initial_events();
     emulated.run()
 }
 
 impl Emulated<'_> {
-    fn put(&mut self, at: Duration, what: What) {
+    fn schedule(&mut self, at: Duration, event: Event) {
         self.number += 1;
-        self.agenda.push(Reverse(Entry { at, number: self.number, what }));
+        self.events.push(Reverse(ScheduledEvent { at, number: self.number, event }));
     }
 
-    fn set_up(&mut self) {
-        for copy in 0..self.copies.len() {
-            let at = span(self.rng.random::<f64>() * self.ways.start_within);
-            // The first is there before the others, as their seed.
-            self.put(if copy == 0 { Duration::ZERO } else { at }, What::Start(copy));
+    fn schedule_initial_events(&mut self) {
+        for replica in 0..self.replicas.len() {
+            let at = seconds_to_duration(self.rng.random::<f64>() * self.options.start_within);
+            // The first replica is a seed of the others and starts before them.
+            self.schedule(if replica == 0 { Duration::ZERO } else { at }, Event::ProcessStart(replica));
         }
         for (number, fault) in self.plan.faults.iter().enumerate() {
-            self.put(span(fault.at), What::Begin(number));
-            self.put(span(fault.at + fault.lasts), What::End(number));
+            self.schedule(seconds_to_duration(fault.at), Event::FaultBegin(number));
+            self.schedule(seconds_to_duration(fault.at + fault.duration), Event::FaultEnd(number));
         }
-        self.put(span(self.ways.start_within.max(self.ways.look_every)), What::Look);
+        self.schedule(
+            seconds_to_duration(self.options.start_within.max(self.options.snapshot_interval)),
+            Event::Snapshot,
+        );
     }
 
-    fn run(mut self) -> Played {
-        let end = span(self.plan.seconds);
-        while let Some(Reverse(Entry { at, what, .. })) = self.agenda.pop() {
+    fn run(mut self) -> EmulationResults {
+        let end = seconds_to_duration(self.plan.seconds);
+        while let Some(Reverse(ScheduledEvent { at, event, .. })) = self.events.pop() {
             if at > end {
                 break;
             }
             self.now = at;
-            self.played.steps += 1;
-            self.happen(what);
+            self.results.steps += 1;
+            self.handle(event);
         }
-        let seconds = self.plan.seconds.max(1e-3) * self.copies.len() as f64;
-        self.played.datagrams = self.all_sent.0 as f64 / seconds;
-        self.played.bytes = self.all_sent.1 as f64 / seconds;
-        let counted = |copy: &Copy| copy.membership.as_ref().map(Membership::fleet_size);
-        self.played.counted = self.copies.iter().map(counted).collect();
-        self.played.figures = self.judge.close();
-        self.played
+        let seconds = self.plan.seconds.max(1e-3) * self.replicas.len() as f64;
+        self.results.datagrams_per_s = self.total_sent.0 as f64 / seconds;
+        self.results.bytes_per_s = self.total_sent.1 as f64 / seconds;
+        let fleet_sizes = |replica: &Replica| replica.membership.as_ref().map(Membership::fleet_size);
+        self.results.fleet_sizes = self.replicas.iter().map(fleet_sizes).collect();
+        self.results.views = self.checker.finish();
+        self.results
     }
 
-    fn happen(&mut self, what: What) {
-        match what {
-            What::Start(copy) => self.start(copy),
-            What::Tick(copy, life) => {
-                let awake = self.awake_at(copy);
-                if self.copies[copy].life != life || self.copies[copy].membership.is_none() {
+    fn handle(&mut self, event: Event) {
+        match event {
+            Event::ProcessStart(replica) => self.start_process(replica),
+            Event::Tick(replica, process_number) => {
+                let next_run = self.next_run_time(replica);
+                if self.replicas[replica].process_number != process_number
+                    || self.replicas[replica].membership.is_none()
+                {
                     return;
                 }
-                if awake > self.now {
-                    return self.put(awake, What::Tick(copy, life));
+                if next_run > self.now {
+                    return self.schedule(next_run, Event::Tick(replica, process_number));
                 }
-                self.with(copy, |membership, now| membership.tick(now));
-                let next = self.now + TICK;
-                self.put(next, What::Tick(copy, life));
+                self.with_membership(replica, |membership, now| membership.tick(now));
+                let next = self.now + TICK_INTERVAL;
+                self.schedule(next, Event::Tick(replica, process_number));
             }
-            What::Came(copy, bytes) => {
-                let awake = self.awake_at(copy);
-                if awake > self.now {
-                    let room = self.copies[copy].waiting < SOCKET_MOST;
-                    self.copies[copy].waiting += u32::from(room);
-                    return if room {
-                        self.put(awake, What::Came(copy, bytes));
+            Event::Datagram(replica, bytes) => {
+                let next_run = self.next_run_time(replica);
+                if next_run > self.now {
+                    let has_room = self.replicas[replica].queued_datagrams < SOCKET_CAPACITY;
+                    self.replicas[replica].queued_datagrams += u32::from(has_room);
+                    return if has_room {
+                        self.schedule(next_run, Event::Datagram(replica, bytes));
                     };
                 }
-                self.copies[copy].waiting = self.copies[copy].waiting.saturating_sub(1);
-                self.with(copy, |membership, now| membership.receive(now, &bytes));
+                self.replicas[replica].queued_datagrams =
+                    self.replicas[replica].queued_datagrams.saturating_sub(1);
+                self.with_membership(replica, |membership, now| membership.receive(now, &bytes));
             }
-            What::Begin(fault) => self.begin(fault),
-            What::End(fault) => self.end(fault),
-            What::Look => self.look(),
+            Event::FaultBegin(fault) => self.begin_fault(fault),
+            Event::FaultEnd(fault) => self.end_fault(fault),
+            Event::Snapshot => self.take_snapshot(),
         }
     }
 
-    /// When the copy next has processor time.
-    fn awake_at(&self, copy: usize) -> Duration {
-        let Copy { still_until, starved, .. } = &self.copies[copy];
-        if *still_until > self.now {
-            return *still_until;
+    /// Time from which the replica has processor time.
+    fn next_run_time(&self, replica: usize) -> Duration {
+        let Replica { paused_until, starved, .. } = &self.replicas[replica];
+        if *paused_until > self.now {
+            return *paused_until;
         }
-        let turn = self.now.as_micros() as u64 % STARVED_TURN.as_micros() as u64;
-        if *starved && turn >= STARVED_RUNS.as_micros() as u64 {
-            return self.now + STARVED_TURN - Duration::from_micros(turn);
+        let period_position = self.now.as_micros() as u64 % STARVED_PERIOD.as_micros() as u64;
+        if *starved && period_position >= STARVED_RUN_TIME.as_micros() as u64 {
+            return self.now + STARVED_PERIOD - Duration::from_micros(period_position);
         }
         self.now
     }
 
-    fn start(&mut self, copy: usize) {
-        let here = &mut self.copies[copy];
-        if here.membership.is_some() {
+    fn start_process(&mut self, replica: usize) {
+        let target = &mut self.replicas[replica];
+        if target.membership.is_some() {
             return;
         }
-        here.life += 1;
-        let life = here.life;
+        target.process_number += 1;
+        let process_number = target.process_number;
         let started = self.now.as_millis() as u64;
         let zones = &self.plan.zones;
         let config = MemberConfig {
-            address: address_of(copy),
-            name: format!("c{copy}"),
-            zone: zones[copy % zones.len()].clone(),
+            address: address_of(replica),
+            name: format!("c{replica}"),
+            zone: zones[replica % zones.len()].clone(),
             fleet: self.plan.name.clone(),
-            incarnation: if self.ways.clock_back && life > 1 { BEGAN - started } else { BEGAN + started },
-            seeds: (0..3).map(|seed| address_of(seed % self.copies.len())).collect(),
+            incarnation: if self.options.clock_set_back && process_number > 1 {
+                START_UNIX_MS - started
+            } else {
+                START_UNIX_MS + started
+            },
+            seeds: (0..3).map(|seed| address_of(seed % self.replicas.len())).collect(),
             budget: Budget::default(),
-            configured_members: self.copies.len() as f64,
+            configured_members: self.replicas.len() as f64,
         };
-        let seed = self.ways.seed ^ (copy as u64) << 24 ^ u64::from(life) << 56;
-        self.copies[copy].membership = Some(Membership::start(Post::default(), config, seed, self.now));
-        self.put(self.now, What::Tick(copy, life));
+        let seed = self.options.seed ^ (replica as u64) << 24 ^ u64::from(process_number) << 56;
+        self.replicas[replica].membership =
+            Some(Membership::start(RecordingHost::default(), config, seed, self.now));
+        self.schedule(self.now, Event::Tick(replica, process_number));
     }
 
-    /// Lets a copy's membership do something, and carries off what it sends.
-    fn with(&mut self, copy: usize, what: impl FnOnce(&mut Membership<Post>, Duration)) {
+    /// Calls a replica's membership and delivers the datagrams that it sends.
+    fn with_membership(
+        &mut self,
+        replica: usize,
+        call: impl FnOnce(&mut Membership<RecordingHost>, Duration),
+    ) {
         let now = self.now;
-        let Some(membership) = &mut self.copies[copy].membership else { return };
-        what(membership, now);
-        let out = std::mem::take(&mut membership.host().out);
-        for (to, bytes) in out {
-            self.all_sent = (self.all_sent.0 + 1, self.all_sent.1 + bytes.len() as u64);
+        let Some(membership) = &mut self.replicas[replica].membership else { return };
+        call(membership, now);
+        let outgoing = std::mem::take(&mut membership.host().outgoing);
+        for (to, bytes) in outgoing {
+            self.total_sent = (self.total_sent.0 + 1, self.total_sent.1 + bytes.len() as u64);
             if let Some(to) = self.by_address.get(&to).copied() {
-                self.carry(copy, to, bytes);
+                self.transmit(replica, to, bytes);
             }
         }
     }
 
-    fn carry(&mut self, from: usize, to: usize, mut bytes: Vec<u8>) {
-        let fate = self.weather.fate(Party::Copy(from), Party::Copy(to));
-        if fate.cut || self.rng.random::<f64>() < fate.loss {
+    fn transmit(&mut self, from: usize, to: usize, mut bytes: Vec<u8>) {
+        let effects = self.network.path_effects(Node::Replica(from), Node::Replica(to));
+        if effects.cut || self.rng.random::<f64>() < effects.loss {
             return;
         }
-        if self.rng.random::<f64>() < fate.garble {
+        if self.rng.random::<f64>() < effects.corruption {
             let at = self.rng.random_range(0..bytes.len());
             match self.rng.random_range(0..3) {
                 0 => bytes.truncate(at),
@@ -320,93 +352,98 @@
                 _ => bytes.extend_from_within(at..),
             }
         }
-        let times = if self.rng.random::<f64>() < fate.double { 2 } else { 1 };
+        let deliveries = if self.rng.random::<f64>() < effects.duplication { 2 } else { 1 };
         let bytes: Rc<[u8]> = bytes.into();
-        for _ in 0..times {
-            let way = (WAY + fate.delay).mul_f64(1.0 + self.rng.random::<f64>());
-            self.put(self.now + way, What::Came(to, bytes.clone()));
+        for _ in 0..deliveries {
+            let latency = (MIN_LATENCY + effects.delay).mul_f64(1.0 + self.rng.random::<f64>());
+            self.schedule(self.now + latency, Event::Datagram(to, bytes.clone()));
         }
     }
 
-    fn end_process(&mut self, copy: usize) {
-        self.copies[copy].membership = None;
-        self.copies[copy].life += 1;
+    fn stop_process(&mut self, replica: usize) {
+        self.replicas[replica].membership = None;
+        self.replicas[replica].process_number += 1;
     }
 
-    fn begin(&mut self, number: usize) {
-        self.weather.begin(number);
+    fn begin_fault(&mut self, number: usize) {
+        self.network.begin(number);
         let fault: &Fault = &self.plan.faults[number];
-        let until = span(fault.at + fault.lasts);
-        for copy in self.weather.struck(number) {
+        let until = seconds_to_duration(fault.at + fault.duration);
+        for replica in self.network.affected_replicas(number) {
             match fault.kind {
-                Kind::Kill => self.end_process(copy),
-                Kind::Term => {
-                    self.with(copy, |membership, now| membership.leave(now));
-                    self.end_process(copy);
+                FaultKind::Kill => self.stop_process(replica),
+                FaultKind::Term => {
+                    self.with_membership(replica, |membership, now| membership.leave(now));
+                    self.stop_process(replica);
                 }
-                Kind::Stop => {
-                    let here = &mut self.copies[copy];
-                    here.still_until = here.still_until.max(until);
+                FaultKind::Stop => {
+                    let target = &mut self.replicas[replica];
+                    target.paused_until = target.paused_until.max(until);
                 }
-                Kind::Starve => self.copies[copy].starved = true,
+                FaultKind::Starve => self.replicas[replica].starved = true,
                 _ => break,
             }
         }
-        self.parts = self.weather.parts();
+        self.partitions = self.network.partitions();
     }
 
-    fn end(&mut self, number: usize) {
-        self.weather.end(number);
+    fn end_fault(&mut self, number: usize) {
+        self.network.end(number);
         let fault = &self.plan.faults[number];
-        for copy in self.weather.struck(number) {
+        for replica in self.network.affected_replicas(number) {
             match fault.kind {
-                Kind::Kill | Kind::Term => self.start(copy),
-                Kind::Starve => self.copies[copy].starved = false,
+                FaultKind::Kill | FaultKind::Term => self.start_process(replica),
+                FaultKind::Starve => self.replicas[replica].starved = false,
                 _ => break,
             }
         }
-        self.parts = self.weather.parts();
+        self.partitions = self.network.partitions();
     }
 
-    fn look(&mut self) {
-        let truth = |copy: &Copy| match &copy.membership {
-            None => Truth::Down,
-            Some(_) if copy.still_until > self.now => Truth::Still,
-            Some(_) => Truth::Runs,
+    fn take_snapshot(&mut self) {
+        let state = |replica: &Replica| match &replica.membership {
+            None => ProcessState::Down,
+            Some(_) if replica.paused_until > self.now => ProcessState::Still,
+            Some(_) => ProcessState::Runs,
         };
-        let view = |(number, copy): (usize, &Copy)| {
-            let membership = copy.membership.as_ref()?;
+        let view = |(number, replica): (usize, &Replica)| {
+            let membership = replica.membership.as_ref()?;
             let live = membership.members().filter(|member| member.state().is_live());
             let others = live.filter_map(|member| self.by_address.get(&member.address()).copied());
-            Some(Set::of(others.chain([number])))
+            Some(ReplicaSet::new(others.chain([number])))
         };
-        let look = Look {
+        let snapshot = ViewSnapshot {
             at: self.now.as_secs_f64(),
-            truth: self.copies.iter().map(truth).collect(),
-            parts: self.parts.clone(),
-            views: self.copies.iter().enumerate().map(view).collect(),
-            rough: self.weather.rough(),
-            spoilt: self.weather.spoilt(),
-            one_way: self.weather.one_way(),
+            states: self.replicas.iter().map(state).collect(),
+            partitions: self.partitions.clone(),
+            views: self.replicas.iter().enumerate().map(view).collect(),
+            is_too_lossy: self.network.is_too_lossy(),
+            is_degraded: self.network.is_degraded(),
+            has_one_way_cut: self.network.has_one_way_cut(),
         };
-        self.judge.look(&look);
-        self.note_sent(look.at);
-        let next = self.now + span(self.ways.look_every);
-        self.put(next, What::Look);
+        self.checker.observe(&snapshot);
+        self.sample_send_rate(snapshot.at);
+        let next = self.now + seconds_to_duration(self.options.snapshot_interval);
+        self.schedule(next, Event::Snapshot);
     }
 
-    fn note_sent(&mut self, at: f64) {
-        let (datagrams, bytes, since) = self.sent;
+    fn sample_send_rate(&mut self, at: f64) {
+        let (datagrams, bytes, since) = self.last_sample;
         if at - since < 1.0 {
             return;
         }
-        let each = (at - since) * self.copies.len() as f64;
-        let (more, more_bytes) = (self.all_sent.0 - datagrams, self.all_sent.1 - bytes);
-        self.played.datagrams_most = self.played.datagrams_most.max(more as f64 / each);
-        self.played.bytes_most = self.played.bytes_most.max(more_bytes as f64 / each);
-        self.sent = (self.all_sent.0, self.all_sent.1, at);
-        let suspected =
-            |copy: &mut Copy| copy.membership.as_mut().map_or(0, |m| std::mem::take(&mut m.host().suspected));
-        self.played.suspicions += self.copies.iter_mut().map(suspected).sum::<u64>();
+        let replica_seconds = (at - since) * self.replicas.len() as f64;
+        let (more, more_bytes) = (self.total_sent.0 - datagrams, self.total_sent.1 - bytes);
+        self.results.max_datagrams_per_s =
+            self.results.max_datagrams_per_s.max(more as f64 / replica_seconds);
+        self.results.max_bytes_per_s = self.results.max_bytes_per_s.max(more_bytes as f64 / replica_seconds);
+        self.last_sample = (self.total_sent.0, self.total_sent.1, at);
+        let suspected = |replica: &mut Replica| {
+            replica
+                .membership
+                .as_mut()
+                .map_or(0, |membership| std::mem::take(&mut membership.host().suspected))
+        };
+        self.results.suspicions += self.replicas.iter_mut().map(suspected).sum::<u64>();
     }
 }
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -1,5 +1,6 @@
-//! Fleets of copies and what lies between them. One plan of faults is played in virtual time round the membership alone
-//! (`emulated`), or round real processes whose every path leads through the lab (`rig`); views are judged alike.
+//! Fault tests of a fleet of sidecars. One fault plan runs in virtual time against the membership protocol
+//! alone (`emulated`) or against real processes whose network paths all lead through proxies of the lab
+//! (`rig`). Both check membership views with the same code.
 
 mod builtin;
 pub mod check;
--- a/crates/lab/src/fleet/plan.rs
+++ b/crates/lab/src/fleet/plan.rs
@@ -1,157 +1,174 @@
-//! A plan of faults round a fleet, as a TOML file says it. It owns this form's names, its defaults and its checks.
+//! Fault plans for a fleet, read from TOML: their keys, defaults and validation.
 
 use landingspread_files::{FileError, parse_toml};
 use serde::{Deserialize, Serialize};
 
-pub const PROCESSES_MOST: usize = 5_000;
-const UNEVEN_MOST: usize = 100;
+/// Bound on the number of replicas in a plan.
+pub const MAX_PROCESSES: usize = 5_000;
+/// Upper bound of `hot_replica_factor` in a plan.
+const MAX_HOT_REPLICA_FACTOR: usize = 100;
 
-/// A fleet, its load, and what befalls it. Times are seconds since the start.
+/// A fleet, its load and its faults. Times are seconds since the start of the run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetPlan {
     pub name: String,
+    /// One-line description for lists and reports.
     #[serde(default)]
     pub about: String,
+    /// Length of the run, in seconds.
     #[serde(default = "plan_seconds")]
     pub seconds: f64,
+    /// Number of replicas.
     #[serde(default = "processes")]
     pub processes: usize,
-    /// Copies and servers stand in them in turn.
+    /// Zones to which replicas and servers are assigned round-robin.
     #[serde(default = "zones")]
     pub zones: Vec<String>,
-    /// Stand-in servers, on processes.
+    /// Number of stand-in servers (real processes only).
     #[serde(default = "servers")]
     pub servers: usize,
-    /// Commands a second that come to each copy, on processes.
-    #[serde(default = "rate")]
-    pub rate_each: f64,
-    /// Each fourth copy gets so many times what the others get, on processes; `rate_each` is the mean.
-    #[serde(default = "even", skip_serializing_if = "is_even")]
-    pub uneven: usize,
-    /// Mean time that a server takes for one.
+    /// Requests a second that arrive at each replica (real processes only).
+    #[serde(rename = "rate_each", default = "rate")]
+    pub rate_per_replica: f64,
+    /// Load of every fourth replica as a multiple of the others' load, with `rate_each` as the mean (real
+    /// processes only).
+    #[serde(rename = "uneven", default = "even", skip_serializing_if = "is_even")]
+    pub hot_replica_factor: usize,
+    /// Mean service time of a request, in seconds.
     #[serde(default = "work")]
     pub work: f64,
-    /// Cores of each server.
+    /// Number of cores of each server.
     #[serde(default = "cores")]
     pub cores: usize,
-    /// How long all copies together may take to agree on a death, and on all else.
+    /// Time until all replicas agree on a death, and on any other change.
     #[serde(default = "death_within")]
     pub death_within: f64,
     #[serde(default = "agree_within")]
     pub agree_within: f64,
-    /// How long the parts of a cut may take to see that they are alone.
+    /// Time until each side of a partition has removed the other side.
     #[serde(default = "cut_within")]
     pub cut_within: f64,
-    /// Whether copies leave zones and take them back as a fleet.
+    /// Whether the replicas evacuate and restore zones as a fleet.
     #[serde(default)]
     pub localities: bool,
-    /// How long copies that can't reach a zone may go on sending commands there.
+    /// How long replicas that can't reach a zone may still send requests to it.
     #[serde(default = "left_within")]
     pub left_within: f64,
-    /// How long after a loss all have to use the zone as ever.
+    /// Time after the end of a zone loss until all replicas send the zone its normal traffic.
     #[serde(default = "back_within")]
     pub back_within: f64,
-    /// Trials of a lost zone by all copies together, a second.
-    #[serde(default = "trials_most")]
-    pub trials_most: f64,
-    /// How many times a copy may leave one zone; any number where it is not said.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub departures_most: Option<u32>,
+    /// Bound on trials of a lost zone, per second over all replicas.
+    #[serde(rename = "trials_most", default = "trials_most")]
+    pub max_trials_per_s: f64,
+    /// How often one replica may evacuate one zone; unbounded if absent.
+    #[serde(rename = "departures_most", default, skip_serializing_if = "Option::is_none")]
+    pub max_departures: Option<u32>,
     #[serde(default)]
     pub faults: Vec<Fault>,
 }
 
+/// What a fault does to processes, paths, servers or load.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
-    /// Processes end at once (SIGKILL), and start again after `for`.
+pub enum FaultKind {
+    /// Processes are killed (SIGKILL) and start again after `for`.
     Kill,
-    /// They are told to end (SIGTERM), and start again after `for`.
+    /// Processes are terminated gracefully (SIGTERM) and start again after `for`.
     Term,
-    /// They stand still (SIGSTOP) and go on.
+    /// Processes are paused (SIGSTOP) and resume after `for`.
     Stop,
-    /// They get a tenth of their time.
+    /// Processes get a tenth of the processor time.
     Starve,
-    /// Nothing passes between the group and the others.
+    /// No message passes between the group and the others.
     Cut,
-    /// So many datagrams are lost, doubled or garbled, by `share`.
+    /// A fraction `share` of the datagrams is lost, duplicated or corrupted.
     Loss,
     Double,
     Garble,
-    /// All takes so much longer, by `delay`; datagrams overtake each other.
+    /// Messages are delayed by `delay`; datagrams may be reordered.
     Delay,
-    /// Connections through the group's paths are reset.
+    /// Connections on the group's paths are reset.
     Reset,
-    /// The servers named, or those of a zone, end, and start again cold (on processes).
+    /// Processes of the named servers, or of a zone's servers, end and restart cold (real processes only).
     Crash,
-    /// The servers named are new: no list names them before, and they start cold then (on processes).
+    /// The named servers are new: they appear on no list before the fault begins and then start cold (real
+    /// processes only).
     Start,
-    /// Nothing comes through to or from them.
+    /// No message reaches the servers or leaves them.
     Silent,
-    /// They take `factor` times as long (on processes).
+    /// The servers take `factor` times as long (real processes only).
     Slow,
-    /// Callers send `factor` times as much (on processes).
+    /// Clients send `factor` times as many requests (real processes only).
     Surge,
-    /// Operators say at the first of `copies` that the fleet leaves the zone, and after `for` that it takes it back (on
-    /// processes).
+    /// An operator evacuates the zone through the first running replica of `copies`, and returns it to service
+    /// after `for` (real processes only).
     Leave,
 }
 
+/// Direction of the messages that a fault affects.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum Way {
+pub enum Direction {
     #[default]
     Both,
-    /// What the group sends.
+    /// Only messages that the group sends.
     Out,
-    /// What is sent to it.
+    /// Only messages that are sent to the group.
     In,
 }
 
+/// Paths that a fault affects.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum Paths {
+pub enum PathScope {
     #[default]
     All,
-    /// Those between copies alone.
-    Copies,
-    /// Those between copies and servers alone.
+    /// Only paths between replicas.
+    #[serde(rename = "copies")]
+    Replicas,
+    /// Only paths between replicas and servers.
     Servers,
 }
 
+/// One fault of a plan: its kind, its time, and what it affects.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    pub kind: Kind,
+    pub kind: FaultKind,
+    /// Start of the fault, in seconds since the start of the run.
     pub at: f64,
+    /// Duration of the fault, in seconds.
     #[serde(rename = "for")]
-    pub lasts: f64,
-    /// The group: these copies, or all of a zone (its servers too), or so many of the copies by the seed.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub copies: Vec<usize>,
+    pub duration: f64,
+    /// The group: these replicas, all replicas of `zone` (and its servers), or a fraction `part` of the
+    /// replicas, selected by the seed. All replicas if none of the three is given.
+    #[serde(rename = "copies", default, skip_serializing_if = "Vec::is_empty")]
+    pub replicas: Vec<usize>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub part: Option<f64>,
-    /// Servers by their numbers, for those that end.
+    #[serde(rename = "part", default, skip_serializing_if = "Option::is_none")]
+    pub fraction: Option<f64>,
+    /// Indices of the affected servers.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub servers: Vec<usize>,
-    /// The other side of the paths, where it is not all others.
+    /// Replicas on the other side of the affected paths; all others if empty.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub to: Vec<usize>,
+    #[serde(rename = "way", default, skip_serializing_if = "is_default")]
+    pub direction: Direction,
     #[serde(default, skip_serializing_if = "is_default")]
-    pub way: Way,
-    #[serde(default, skip_serializing_if = "is_default")]
-    pub paths: Paths,
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub share: Option<f64>,
-    /// Seconds.
+    pub paths: PathScope,
+    /// Probability that a datagram is lost, duplicated or corrupted.
+    #[serde(rename = "share", default, skip_serializing_if = "Option::is_none")]
+    pub probability: Option<f64>,
+    /// Added latency of `delay` faults, in seconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub delay: Option<f64>,
+    /// Multiple of the service time or of the request rate.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub factor: Option<f64>,
-    /// They start again in the build that was named as the old one.
+    /// Whether killed or terminated processes restart in the old build.
     #[serde(default, skip_serializing_if = "is_default")]
     pub old_build: bool,
 }
@@ -184,8 +201,8 @@
     1
 }
 
-fn is_even(times: &usize) -> bool {
-    *times == 1
+fn is_even(factor: &usize) -> bool {
+    *factor == 1
 }
 
 fn work() -> f64 {
@@ -221,140 +238,147 @@
 }
 
 impl Fault {
-    /// One of which nothing but these is said.
-    pub fn new(kind: Kind, at: f64, lasts: f64) -> Fault {
+    /// A fault on all replicas and paths, without parameters.
+    pub fn new(kind: FaultKind, at: f64, duration: f64) -> Fault {
         Fault {
             kind,
             at,
-            lasts,
-            copies: Vec::new(),
+            duration,
+            replicas: Vec::new(),
             zone: None,
-            part: None,
+            fraction: None,
             to: Vec::new(),
             servers: Vec::new(),
-            way: Way::Both,
-            paths: Paths::All,
-            share: None,
+            direction: Direction::Both,
+            paths: PathScope::All,
+            probability: None,
             delay: None,
             factor: None,
             old_build: false,
         }
     }
 
-    pub fn of(self, copies: &[usize]) -> Fault {
-        Fault { copies: copies.to_vec(), ..self }
+    /// Restricts the fault to these replicas.
+    pub fn on_replicas(self, replicas: &[usize]) -> Fault {
+        Fault { replicas: replicas.to_vec(), ..self }
     }
 
-    /// Whether it befalls servers, and not paths or copies.
-    pub fn of_servers(&self) -> bool {
-        matches!(self.kind, Kind::Crash | Kind::Start | Kind::Silent | Kind::Slow)
+    /// Whether the fault affects servers rather than paths or replicas.
+    pub fn affects_servers(&self) -> bool {
+        matches!(self.kind, FaultKind::Crash | FaultKind::Start | FaultKind::Silent | FaultKind::Slow)
     }
 
-    /// Whether it befalls this server.
-    pub fn has_server(&self, server: usize, zones: &[String]) -> bool {
-        let of_zone = |zone: &String| zones.get(server % zones.len()) == Some(zone);
-        self.of_servers() && (self.servers.contains(&server) || self.zone.as_ref().is_some_and(of_zone))
+    /// Whether the fault affects the server with this index.
+    pub fn affects_server(&self, server: usize, zones: &[String]) -> bool {
+        let is_in_zone = |zone: &String| zones.get(server % zones.len()) == Some(zone);
+        self.affects_servers()
+            && (self.servers.contains(&server) || self.zone.as_ref().is_some_and(is_in_zone))
     }
 
+    /// A short description of the fault for progress lines and reports.
     pub fn label(&self) -> String {
         let kind = format!("{:?}", self.kind).to_lowercase();
-        let whom = match (&self.zone, self.part) {
+        let group = match (&self.zone, self.fraction) {
             _ if !self.servers.is_empty() => format!("servers {:?}", self.servers),
             (Some(zone), _) => format!("zone {zone}"),
-            (None, Some(part)) => format!("{:.0}% of copies", part * 100.0),
-            (None, None) if self.copies.is_empty() => "all".into(),
-            (None, None) => format!("copies {:?}", self.copies),
+            (None, Some(fraction)) => format!("{:.0}% of copies", fraction * 100.0),
+            (None, None) if self.replicas.is_empty() => "all".into(),
+            (None, None) => format!("copies {:?}", self.replicas),
         };
-        let share = self.share.map(|share| format!(" {:.0}%", share * 100.0)).unwrap_or_default();
-        let way = match self.way {
-            Way::Both => "",
-            Way::Out => ", their words to others",
-            Way::In => ", others' words to them",
+        let probability =
+            self.probability.map(|probability| format!(" {:.0}%", probability * 100.0)).unwrap_or_default();
+        let direction = match self.direction {
+            Direction::Both => "",
+            Direction::Out => ", their messages to others",
+            Direction::In => ", others' messages to them",
         };
-        format!("{kind}{share} {whom}{way}")
+        format!("{kind}{probability} {group}{direction}")
     }
 
-    /// Whether it befalls copies' processes, and neither paths nor servers.
-    pub fn of_processes(&self) -> bool {
-        matches!(self.kind, Kind::Kill | Kind::Term | Kind::Stop | Kind::Starve)
+    /// Whether the fault affects the replicas' processes rather than paths or servers.
+    pub fn affects_processes(&self) -> bool {
+        matches!(self.kind, FaultKind::Kill | FaultKind::Term | FaultKind::Stop | FaultKind::Starve)
     }
 }
 
-/// Reads and checks a plan. `processes` goes before what it says of their number.
+/// Parses and validates a plan. `processes` overrides the plan's own number.
 pub fn read(file: &str, text: &str, processes: Option<usize>) -> Result<FleetPlan, FileError> {
     let mut plan: FleetPlan = parse_toml(file, text)?;
     plan.processes = processes.unwrap_or(plan.processes);
-    match first_fault(&plan) {
-        Some((key, what)) => Err(FileError::at_key(file, text, &key, what)),
+    match first_error(&plan) {
+        Some((key, message)) => Err(FileError::at_key(file, text, &key, message)),
         None => Ok(plan),
     }
 }
 
-fn first_fault(plan: &FleetPlan) -> Option<(String, String)> {
-    let found = |key: &str, what: &str| Some((key.to_string(), what.to_string()));
-    let positive = |figure: f64| figure.is_finite() && figure > 0.0;
-    if !(1..=PROCESSES_MOST).contains(&plan.processes) {
-        return found("processes", &format!("{} does not lie from 1 to {PROCESSES_MOST}", plan.processes));
+fn first_error(plan: &FleetPlan) -> Option<(String, String)> {
+    let error = |key: &str, message: &str| Some((key.to_string(), message.to_string()));
+    let positive = |value: f64| value.is_finite() && value > 0.0;
+    if !(1..=MAX_PROCESSES).contains(&plan.processes) {
+        return error("processes", &format!("{} is outside 1 to {MAX_PROCESSES}", plan.processes));
     }
     if plan.zones.is_empty() {
-        return found("zones", "at least one is wanted");
+        return error("zones", "expected at least one zone");
     }
-    for (key, figure) in [
+    for (key, value) in [
         ("seconds", plan.seconds),
-        ("rate_each", plan.rate_each),
+        ("rate_each", plan.rate_per_replica),
         ("work", plan.work),
         ("death_within", plan.death_within),
         ("agree_within", plan.agree_within),
         ("cut_within", plan.cut_within),
         ("left_within", plan.left_within),
         ("back_within", plan.back_within),
-        ("trials_most", plan.trials_most),
+        ("trials_most", plan.max_trials_per_s),
     ] {
-        if !positive(figure) {
-            return found(key, &format!("{figure} is no figure above 0"));
+        if !positive(value) {
+            return error(key, &format!("{value} is not a finite number above 0"));
         }
     }
-    if !(1..=UNEVEN_MOST).contains(&plan.uneven) {
-        return found("uneven", &format!("{} does not lie from 1 to {UNEVEN_MOST}", plan.uneven));
+    if !(1..=MAX_HOT_REPLICA_FACTOR).contains(&plan.hot_replica_factor) {
+        return error(
+            "uneven",
+            &format!("{} is outside 1 to {MAX_HOT_REPLICA_FACTOR}", plan.hot_replica_factor),
+        );
     }
     plan.faults.iter().enumerate().find_map(|(at, fault)| {
         let key = |leaf: &str| format!("faults.{at}.{leaf}");
         if !fault.at.is_finite() || fault.at < 0.0 {
-            return found(&key("at"), "it is no time since the start");
+            return error(&key("at"), "expected seconds since the start, 0 or more");
         }
-        if !positive(fault.lasts) {
-            return found(&key("for"), "it is no time above 0");
+        if !positive(fault.duration) {
+            return error(&key("for"), "expected seconds above 0");
         }
         if fault.zone.as_ref().is_some_and(|zone| !plan.zones.contains(zone)) {
-            return found(&key("zone"), "it is none of the plan's zones");
+            return error(&key("zone"), "the zone is not among the plan's zones");
         }
-        let beyond = |server: &usize| *server >= plan.servers;
+        let out_of_range = |server: &usize| *server >= plan.servers;
         let named = !fault.servers.is_empty();
-        if fault.servers.iter().any(beyond) || (named && !fault.of_servers()) {
-            return found(
+        if fault.servers.iter().any(out_of_range) || (named && !fault.affects_servers()) {
+            return error(
                 &key("servers"),
-                "what befalls servers names such of the plan, and nothing else does",
+                "expected indices of the plan's servers, and only for a fault that affects servers",
             );
         }
-        if fault.of_servers() && !named && fault.zone.is_none() {
-            return found(&key("servers"), "servers or a zone are wanted");
+        if fault.affects_servers() && !named && fault.zone.is_none() {
+            return error(&key("servers"), "expected servers or a zone");
         }
-        if fault.kind == Kind::Leave && fault.zone.is_none() {
-            return found(&key("zone"), "operators leave a zone");
+        if fault.kind == FaultKind::Leave && fault.zone.is_none() {
+            return error(&key("zone"), "expected the zone that operators evacuate");
         }
-        if matches!(fault.kind, Kind::Slow | Kind::Surge) && !fault.factor.is_some_and(positive) {
-            return found(&key("factor"), "it is no figure above 0, or is missing");
+        if matches!(fault.kind, FaultKind::Slow | FaultKind::Surge) && !fault.factor.is_some_and(positive) {
+            return error(&key("factor"), "expected a finite number above 0");
         }
-        let share = |figure: f64| (0.0..=1.0).contains(&figure);
-        if fault.part.is_some_and(|part| !share(part)) {
-            return found(&key("part"), "it does not lie from 0 to 1");
+        let is_fraction = |value: f64| (0.0..=1.0).contains(&value);
+        if fault.fraction.is_some_and(|fraction| !is_fraction(fraction)) {
+            return error(&key("part"), "expected a number from 0 to 1");
         }
-        let wants_share = matches!(fault.kind, Kind::Loss | Kind::Double | Kind::Garble);
-        if wants_share && !fault.share.is_some_and(share) {
-            return found(&key("share"), "it does not lie from 0 to 1, or is missing");
+        let needs_probability = matches!(fault.kind, FaultKind::Loss | FaultKind::Double | FaultKind::Garble);
+        if needs_probability && !fault.probability.is_some_and(is_fraction) {
+            return error(&key("share"), "expected a number from 0 to 1");
         }
-        if fault.kind == Kind::Delay && !fault.delay.is_some_and(|delay| (0.0..=10.0).contains(&delay)) {
-            return found(&key("delay"), "it does not lie from 0 to 10 s, or is missing");
+        if fault.kind == FaultKind::Delay && !fault.delay.is_some_and(|delay| (0.0..=10.0).contains(&delay)) {
+            return error(&key("delay"), "expected a delay from 0 to 10 s");
         }
         None
     })
@@ -365,17 +389,19 @@
     use super::*;
 
     #[test]
-    fn what_is_wrong_with_a_plan_is_told_by_line_and_key() {
-        let told = |text: &str| read("p.toml", text, None).expect_err("a fault").to_string();
-        assert!(told("name = \"x\"\nzone = 3\n").starts_with("p.toml:2: unknown field `zone`"));
-        assert!(told("name = \"x\"\nprocesses = 0\n").contains("p.toml:2: processes: 0"));
-        let of = |rest: &str| told(&format!("name = \"x\"\n[[faults]]\nat = 1\nfor = 1\n{rest}\n"));
-        assert!(of("kind = \"loss\"").contains("faults.0.share: "));
-        assert!(of("kind = \"loss\"\nshare = nan").contains("faults.0.share: "));
-        assert!(of("kind = \"cut\"\nzone = \"q\"").contains("p.toml:6: faults.0.zone: "));
-        assert!(of("kind = \"crash\"\nservers = [6]").contains("faults.0.servers: "));
-        assert!(of("kind = \"delay\"\ndelay = 11.0").contains("faults.0.delay: "));
-        let plan = read("p.toml", "name = \"x\"\n", Some(7)).expect("a plan");
+    fn plan_errors_name_line_and_key() {
+        let error_text =
+            |text: &str| read("p.toml", text, None).expect_err("the plan is invalid").to_string();
+        assert!(error_text("name = \"x\"\nzone = 3\n").starts_with("p.toml:2: unknown field `zone`"));
+        assert!(error_text("name = \"x\"\nprocesses = 0\n").contains("p.toml:2: processes: 0"));
+        let fault_error =
+            |rest: &str| error_text(&format!("name = \"x\"\n[[faults]]\nat = 1\nfor = 1\n{rest}\n"));
+        assert!(fault_error("kind = \"loss\"").contains("faults.0.share: "));
+        assert!(fault_error("kind = \"loss\"\nshare = nan").contains("faults.0.share: "));
+        assert!(fault_error("kind = \"cut\"\nzone = \"q\"").contains("p.toml:6: faults.0.zone: "));
+        assert!(fault_error("kind = \"crash\"\nservers = [6]").contains("faults.0.servers: "));
+        assert!(fault_error("kind = \"delay\"\ndelay = 11.0").contains("faults.0.delay: "));
+        let plan = read("p.toml", "name = \"x\"\n", Some(7)).expect("the plan is valid");
         assert_eq!((plan.processes, plan.servers, plan.zones.len()), (7, 6, 3));
     }
 }
--- a/crates/lab/src/fleet/rig/conns.rs
+++ b/crates/lab/src/fleet/rig/conns.rs
@@ -1,9 +1,9 @@
-//! The paths of connections from copies to servers: a listener for each pair, so that who calls whom is known. What a cut
-//! holds up goes on when it is over; a new connection through a cut is taken by the lab and led nowhere until then.
+//! Proxies for the connections from replicas to servers: one listener per pair, which identifies both ends. A
+//! cut holds data back until it ends; a new connection during a cut is accepted but not forwarded until then.
 
-use super::Sky;
-use crate::fleet::weather::Party;
-use crate::fleet::zones::Hit;
+use super::SharedFaults;
+use crate::fleet::weather::Node;
+use crate::fleet::zones::SentMessage;
 use crate::sockets::{free, read};
 use rustix::net::sockopt::set_socket_linger;
 use std::io::{self, Write};
@@ -13,153 +13,170 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const STACK: usize = 128 << 10;
-const CHUNK: usize = 16 << 10;
-const LOOK: Duration = Duration::from_millis(20);
-const DIAL: Duration = Duration::from_millis(200);
+/// Stack of a proxy thread, in bytes.
+const STACK_BYTES: usize = 128 << 10;
+/// Most bytes that are forwarded at once.
+const CHUNK_BYTES: usize = 16 << 10;
+/// Interval at which a blocked path is checked again.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const DIAL_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What copies sent to servers, and when.
+/// Log of the messages that replicas sent to servers.
 #[derive(Clone, Default)]
-pub struct Sent(Arc<Mutex<Vec<(Instant, Hit)>>>);
-
-/// So much is remembered of a run.
-const HITS_MOST: usize = 4_000_000;
-
-impl Sent {
-    fn note(&self, from: Party, to: Party, bytes: &[u8]) {
-        let (Party::Copy(copy), Party::Server(server)) = (from, to) else { return };
-        let check = bytes.starts_with(b"GET /ping") || bytes.starts_with(b"GET /_load");
-        let mut hits = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        if hits.len() < HITS_MOST {
-            hits.push((Instant::now(), Hit { at: 0.0, copy, server, check }));
+pub struct SentLog(Arc<Mutex<Vec<(Instant, SentMessage)>>>);
+
+/// Bound on the messages logged in a run.
+const MAX_LOGGED_MESSAGES: usize = 4_000_000;
+
+impl SentLog {
+    fn record(&self, from: Node, to: Node, bytes: &[u8]) {
+        let (Node::Replica(replica), Node::Server(server)) = (from, to) else { return };
+        let is_check = bytes.starts_with(b"GET /ping") || bytes.starts_with(b"GET /_load");
+        let mut messages = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        if messages.len() < MAX_LOGGED_MESSAGES {
+            messages.push((Instant::now(), SentMessage { at: 0.0, replica, server, is_check }));
         }
     }
 
-    /// All of it, by the seconds since a moment.
-    pub fn since(&self, began: Instant) -> Vec<Hit> {
-        let hits = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let at = |at: &Instant| at.saturating_duration_since(began).as_secs_f64();
-        hits.iter().map(|(when, hit)| Hit { at: at(when), ..*hit }).collect()
+    /// All logged messages, with times relative to `began`.
+    pub fn since(&self, began: Instant) -> Vec<SentMessage> {
+        let messages = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let elapsed = |at: &Instant| at.saturating_duration_since(began).as_secs_f64();
+        messages.iter().map(|(sent_at, message)| SentMessage { at: elapsed(sent_at), ..*message }).collect()
     }
 }
 
-/// One way between a copy and a server, for as long as the run goes.
+/// Forwards connections between one replica and one server during a run.
 #[derive(Clone)]
-struct Way {
-    from: Party,
-    to: Party,
-    sky: Sky,
-    over: Arc<AtomicBool>,
-    sent: Sent,
+struct ConnectionProxy {
+    from: Node,
+    to: Node,
+    faults: SharedFaults,
+    stopped: Arc<AtomicBool>,
+    sent_log: SentLog,
 }
 
-/// The address by which a copy reaches a server.
-pub fn path(
-    copy: usize,
+/// Starts the proxy of a pair and returns its address, which the replica uses for the server.
+pub fn start_proxy(
+    replica: usize,
     server: usize,
-    behind: SocketAddr,
-    sky: &Sky,
-    over: &Arc<AtomicBool>,
-    sent: &Sent,
+    server_address: SocketAddr,
+    faults: &SharedFaults,
+    stopped: &Arc<AtomicBool>,
+    sent_log: &SentLog,
 ) -> io::Result<SocketAddr> {
     let listener = free()?;
     let address = listener.local_addr()?;
-    let (from, to) = (Party::Copy(copy), Party::Server(server));
-    let way = Way { from, to, sky: sky.clone(), over: over.clone(), sent: sent.clone() };
-    thread::Builder::new().stack_size(STACK).spawn(move || way.listen(&listener, behind))?;
+    let (from, to) = (Node::Replica(replica), Node::Server(server));
+    let proxy = ConnectionProxy {
+        from,
+        to,
+        faults: faults.clone(),
+        stopped: stopped.clone(),
+        sent_log: sent_log.clone(),
+    };
+    thread::Builder::new().stack_size(STACK_BYTES).spawn(move || proxy.listen(&listener, server_address))?;
     Ok(address)
 }
 
-/// Ends whoever waits for a connection at the address.
-pub fn wake(address: SocketAddr) {
-    let _ = TcpStream::connect_timeout(&address, DIAL);
+/// Connects to the address once, so that its listener sees that the run is over.
+pub fn unblock_listener(address: SocketAddr) {
+    let _ = TcpStream::connect_timeout(&address, DIAL_TIMEOUT);
 }
 
-impl Way {
-    fn over(&self) -> bool {
-        self.over.load(Ordering::Relaxed)
+impl ConnectionProxy {
+    fn is_stopped(&self) -> bool {
+        self.stopped.load(Ordering::Relaxed)
     }
 
-    fn listen(&self, listener: &TcpListener, behind: SocketAddr) {
-        while let Ok((near, _)) = listener.accept() {
-            if self.over() {
+    fn listen(&self, listener: &TcpListener, server_address: SocketAddr) {
+        while let Ok((replica_stream, _)) = listener.accept() {
+            if self.is_stopped() {
                 return;
             }
-            let way = self.clone();
-            let lead = move || way.lead(near, behind);
-            // Without memory for a thread the connection ends.
-            let _ = thread::Builder::new().stack_size(STACK).spawn(lead);
+            let proxy = self.clone();
+            let forward = move || proxy.forward_connection(replica_stream, server_address);
+            // Without memory for a thread the connection is closed.
+            let _ = thread::Builder::new().stack_size(STACK_BYTES).spawn(forward);
         }
     }
 
-    fn lead(&self, near: TcpStream, behind: SocketAddr) {
-        // What a copy writes into a new connection is sent when it is written, though nobody reads it yet.
-        let noted = self.sky.fate(self.from, self.to).cut && self.note_first(&near);
-        if !self.passes(self.from, self.to, &near) {
+    fn forward_connection(&self, replica_stream: TcpStream, server_address: SocketAddr) {
+        // Data that a replica writes to a new connection is logged when it is written, though the cut holds it
+        // back.
+        let recorded = self.faults.path_effects(self.from, self.to).cut && self.record_first(&replica_stream);
+        if !self.wait_until_open(self.from, self.to, &replica_stream) {
             return;
         }
-        let Ok(far) = TcpStream::connect_timeout(&behind, DIAL) else { return reset(&near) };
-        let (Ok(near_too), Ok(far_too)) = (near.try_clone(), far.try_clone()) else { return };
-        let _ = (near.set_nodelay(true), far.set_nodelay(true));
-        let way = self.clone();
-        let back = move || way.pump(far_too, near_too, (way.to, way.from), true);
-        if thread::Builder::new().stack_size(STACK).spawn(back).is_ok() {
-            self.pump(near, far, (self.from, self.to), noted);
+        let Ok(server_stream) = TcpStream::connect_timeout(&server_address, DIAL_TIMEOUT) else {
+            return reset(&replica_stream);
+        };
+        let (Ok(replica_clone), Ok(server_clone)) = (replica_stream.try_clone(), server_stream.try_clone())
+        else {
+            return;
+        };
+        let _ = (replica_stream.set_nodelay(true), server_stream.set_nodelay(true));
+        let proxy = self.clone();
+        let backward = move || proxy.forward_bytes(server_clone, replica_clone, (proxy.to, proxy.from), true);
+        if thread::Builder::new().stack_size(STACK_BYTES).spawn(backward).is_ok() {
+            self.forward_bytes(replica_stream, server_stream, (self.from, self.to), recorded);
         }
     }
 
-    /// Whether anything was written soon after the connection began.
-    fn note_first(&self, near: &TcpStream) -> bool {
+    /// Logs data that arrives soon after the connection opened, and returns whether there was any.
+    fn record_first(&self, replica_stream: &TcpStream) -> bool {
         let mut first = [0; 16];
-        let _ = near.set_read_timeout(Some(LOOK * 5));
-        match near.peek(&mut first) {
+        let _ = replica_stream.set_read_timeout(Some(POLL_INTERVAL * 5));
+        match replica_stream.peek(&mut first) {
             Ok(length) if length > 0 => {
-                self.sent.note(self.from, self.to, &first[..length]);
+                self.sent_log.record(self.from, self.to, &first[..length]);
                 true
             }
             _ => false,
         }
     }
 
-    /// Waits out a cut and a delay; false where the connection is over meanwhile.
-    fn passes(&self, from: Party, to: Party, stream: &TcpStream) -> bool {
+    /// Waits until no cut blocks the path, and then for its delay. Returns false if the connection was reset
+    /// instead.
+    fn wait_until_open(&self, from: Node, to: Node, stream: &TcpStream) -> bool {
         loop {
-            let fate = self.sky.fate(from, to);
-            if fate.reset || self.over() {
+            let effects = self.faults.path_effects(from, to);
+            if effects.reset || self.is_stopped() {
                 reset(stream);
                 return false;
             }
-            if !fate.cut {
-                thread::sleep(fate.delay);
+            if !effects.cut {
+                thread::sleep(effects.delay);
                 return true;
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// `noted`: the first that comes has been noted.
-    fn pump(
+    /// Forwards data in one direction. `recorded` tells whether the first chunk has been logged.
+    fn forward_bytes(
         &self,
         mut source: TcpStream,
         mut target: TcpStream,
-        (from, to): (Party, Party),
-        mut noted: bool,
+        (from, to): (Node, Node),
+        mut recorded: bool,
     ) {
-        let mut bytes = vec![0; CHUNK];
-        let _ = source.set_read_timeout(Some(LOOK * 5));
+        let mut bytes = vec![0; CHUNK_BYTES];
+        let _ = source.set_read_timeout(Some(POLL_INTERVAL * 5));
         loop {
             match read(&mut source, &mut bytes) {
                 Ok(0) => break,
                 Ok(length) => {
-                    if !std::mem::take(&mut noted) {
-                        self.sent.note(from, to, &bytes[..length]);
+                    if !std::mem::take(&mut recorded) {
+                        self.sent_log.record(from, to, &bytes[..length]);
                     }
-                    if !self.passes(from, to, &target) || target.write_all(&bytes[..length]).is_err() {
+                    if !self.wait_until_open(from, to, &target) || target.write_all(&bytes[..length]).is_err()
+                    {
                         break;
                     }
                 }
-                Err(wrong) if wrong.kind() == io::ErrorKind::WouldBlock => {
-                    if self.over() || self.sky.fate(from, to).reset {
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
+                    if self.is_stopped() || self.faults.path_effects(from, to).reset {
                         reset(&target);
                         break;
                     }
@@ -170,15 +187,15 @@
                 }
             }
         }
-        // An end is a word like any other, and crosses no cut.
-        if self.passes(from, to, &target) {
+        // A cut blocks the end of a stream like any data.
+        if self.wait_until_open(from, to, &target) {
             let _ = target.shutdown(Shutdown::Write);
         }
         let _ = source.shutdown(Shutdown::Read);
     }
 }
 
-/// The other side sees a reset and no orderly end.
+/// Closes with a reset, so that the peer sees no orderly end.
 fn reset(stream: &TcpStream) {
     let _ = set_socket_linger(stream, Some(Duration::ZERO));
     let _ = stream.shutdown(Shutdown::Both);
--- a/crates/lab/src/fleet/rig/copy.rs
+++ b/crates/lab/src/fleet/rig/copy.rs
@@ -1,10 +1,10 @@
-//! One copy: its process, its list source, and what it says of its members. It owns its configuration.
+//! One replica of the rig: its sidecar process and configuration, its list source, and queries to its console.
 
-use super::Ways;
-use super::words::Words;
-use crate::fleet::plan::{Fault, FleetPlan, Kind};
-use crate::fleet::views::Truth;
-use crate::fleet::zones::Held;
+use super::RunOptions;
+use super::words::DatagramProxies;
+use crate::fleet::plan::{Fault, FaultKind, FleetPlan};
+use crate::fleet::views::ProcessState;
+use crate::fleet::zones::ZoneView;
 use crate::sockets::{Discovery, Entry, Peer, Sidecar, unused};
 use rustix::process::Signal;
 use serde_json::Value;
@@ -14,172 +14,187 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
 
+/// Response-time goal of all request classes.
 pub const GOAL: Duration = Duration::from_millis(400);
+/// Time limit of all request classes.
 pub const LIMIT: Duration = Duration::from_millis(1000);
+/// Time after which a cold server is warm.
 pub const WARM_AFTER: Duration = Duration::from_secs(8);
+/// Replicas that each replica contacts to join the fleet.
 const SEEDS: usize = 3;
-const ASK_WITHIN: Duration = Duration::from_millis(250);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(250);
 
-pub struct Copy {
+/// A running or stopped replica.
+pub struct ReplicaProcess {
     pub sidecar: Sidecar,
-    pub truth: Truth,
+    pub state: ProcessState,
     discovery: Arc<Discovery>,
-    /// Of all servers, also such as no list names yet.
+    /// Entries of all servers, including those that no list contains yet.
     entries: Vec<Entry>,
     console: SocketAddr,
     with_fleet: bool,
     zones: Vec<String>,
 }
 
-fn told(wrong: std::io::Error) -> String {
-    wrong.to_string()
+fn error_text(error: std::io::Error) -> String {
+    error.to_string()
 }
 
-impl Copy {
-    /// Starts it and does not wait until it is ready. `servers` are the addresses by which it reaches each of them.
+impl ReplicaProcess {
+    /// Starts the process without waiting until it is ready. `servers` are the proxy addresses of the servers.
     pub fn start(
         plan: &FleetPlan,
-        ways: &Ways,
+        options: &RunOptions,
         number: usize,
         servers: &[SocketAddr],
-        words: &Words,
-    ) -> Result<Copy, String> {
-        let discovery = Discovery::start().map_err(told)?;
+        proxies: &DatagramProxies,
+    ) -> Result<ReplicaProcess, String> {
+        let discovery = Discovery::start().map_err(error_text)?;
         let entries: Vec<Entry> = servers.iter().enumerate().map(|at| entry(plan, at)).collect();
-        let new = |server: usize| {
-            let starts = |fault: &Fault| fault.kind == Kind::Start && fault.has_server(server, &plan.zones);
+        let starts_later = |server: usize| {
+            let starts =
+                |fault: &Fault| fault.kind == FaultKind::Start && fault.affects_server(server, &plan.zones);
             plan.faults.iter().any(starts)
         };
-        let listed = entries.iter().enumerate().filter(|(server, _)| !new(*server));
+        let listed = entries.iter().enumerate().filter(|(server, _)| !starts_later(*server));
         listed.for_each(|(_, entry)| discovery.say(entry.clone()));
         let (listen, console) = (unused().into(), unused().into());
-        let text = config(plan, ways, number, (listen, console, discovery.address), words);
+        let text = config(plan, options, number, (listen, console, discovery.address), proxies);
         let file = format!("c{number}.toml");
-        let sidecar = Sidecar::launch(ways.program, ways.dir, &file, &text, listen)?;
-        Ok(Copy {
+        let sidecar = Sidecar::launch(options.program, options.dir, &file, &text, listen)?;
+        Ok(ReplicaProcess {
             sidecar,
-            truth: Truth::Runs,
+            state: ProcessState::Runs,
             discovery,
             entries,
             console,
-            with_fleet: ways.with_fleet,
+            with_fleet: options.with_fleet,
             zones: plan.zones.clone(),
         })
     }
 
-    pub fn must_run(&mut self) -> Result<(), String> {
-        if self.truth == Truth::Down { Ok(()) } else { self.sidecar.must_run() }
+    /// Returns an error if the process has ended by itself.
+    pub fn check_running(&mut self) -> Result<(), String> {
+        if self.state == ProcessState::Down { Ok(()) } else { self.sidecar.must_run() }
     }
 
+    /// Kills the process (SIGKILL).
     pub fn kill(&mut self) {
         self.sidecar.kill();
-        self.truth = Truth::Down;
+        self.state = ProcessState::Down;
     }
 
-    /// Told to end: for the others it is gone from that moment on.
-    pub fn term(&mut self) {
+    /// Sends SIGTERM. The other replicas should regard the process as gone from then on.
+    pub fn terminate(&mut self) {
         self.sidecar.signal(Signal::TERM);
-        self.truth = Truth::Down;
+        self.state = ProcessState::Down;
     }
 
-    pub fn stop(&mut self) {
-        if self.truth == Truth::Runs {
+    /// Pauses the process (SIGSTOP).
+    pub fn pause(&mut self) {
+        if self.state == ProcessState::Runs {
             self.sidecar.signal(Signal::STOP);
-            self.truth = Truth::Still;
+            self.state = ProcessState::Still;
         }
     }
 
-    pub fn go_on(&mut self) {
-        if self.truth == Truth::Still {
+    /// Resumes a paused process (SIGCONT).
+    pub fn resume(&mut self) {
+        if self.state == ProcessState::Still {
             self.sidecar.signal(Signal::CONT);
-            self.truth = Truth::Runs;
+            self.state = ProcessState::Runs;
         }
     }
 
-    /// A process that is still ending is ended first: both would have one address.
-    pub fn start_again(&mut self, build: Option<&Path>) -> Result<(), String> {
-        if self.truth != Truth::Down {
+    /// Restarts the process. One that is still shutting down is killed first, since both would use the same
+    /// addresses.
+    pub fn restart(&mut self, build: Option<&Path>) -> Result<(), String> {
+        if self.state != ProcessState::Down {
             return Ok(());
         }
         if !self.sidecar.ended() {
             self.sidecar.kill();
         }
         self.sidecar.relaunch(build)?;
-        self.truth = Truth::Runs;
+        self.state = ProcessState::Runs;
         Ok(())
     }
 
-    /// Its list says that a server has started just now.
-    pub fn say_started(&self, server: usize) {
+    /// Updates the list: the server has just started.
+    pub fn announce_started(&self, server: usize) {
         if let Some(entry) = self.entries.get(server) {
             self.discovery.say(Entry { started: Some(SystemTime::now()), ..entry.clone() });
         }
     }
 
-    /// The addresses of those that it counts, but for itself; none where it can't be asked.
-    pub fn counts(&self) -> Option<Vec<String>> {
-        if self.truth != Truth::Runs || !self.with_fleet {
+    /// Addresses of the live members in the replica's view, itself excluded; none if it can't be queried.
+    pub fn live_members(&self) -> Option<Vec<String>> {
+        if self.state != ProcessState::Runs || !self.with_fleet {
             return None;
         }
-        let fleet = self.ask("/fleet")?;
+        let fleet = self.get_json("/fleet")?;
         let members = fleet.get("members")?.as_array()?;
-        let counts = |member: &&Value| matches!(member["standing"].as_str(), Some("alive" | "suspect"));
+        let is_live = |member: &&Value| matches!(member["standing"].as_str(), Some("alive" | "suspect"));
         Some(
-            members.iter().filter(counts).filter_map(|m| m["address"].as_str().map(str::to_string)).collect(),
+            members
+                .iter()
+                .filter(is_live)
+                .filter_map(|member| member["address"].as_str().map(str::to_string))
+                .collect(),
         )
     }
 
-    /// What it holds of each zone; none where it can't be asked.
-    pub fn holds(&self) -> Option<Vec<Held>> {
-        if self.truth != Truth::Runs {
+    /// The replica's view of each zone; none if it can't be queried.
+    pub fn zone_views(&self) -> Option<Vec<ZoneView>> {
+        if self.state != ProcessState::Runs {
             return None;
         }
-        let told = self.ask("/zones")?;
-        let rows = told.get("zones")?.as_array()?;
-        let row = |zone: &String| {
+        let zones = self.get_json("/zones")?;
+        let rows = zones.get("zones")?.as_array()?;
+        let view = |zone: &String| {
             let row = rows.iter().find(|row| row["zone"].as_str() == Some(zone))?;
-            Some(Held { share: row["share"].as_f64()?, operators: row["operators"].as_bool()? })
+            Some(ZoneView { share: row["share"].as_f64()?, by_operator: row["operators"].as_bool()? })
         };
-        self.zones.iter().map(row).collect()
+        self.zones.iter().map(view).collect()
     }
 
-    /// Operators say at its console that the fleet leaves a zone, or takes it back. Whether it says yes.
-    pub fn say_zone(&self, zone: &str, leave: bool) -> bool {
+    /// Sends an operator's command to evacuate a zone or to return it, and returns whether it was accepted.
+    pub fn send_zone_command(&self, zone: &str, leave: bool) -> bool {
         let path = if leave { "/zones/leave" } else { "/zones/return" };
         let length = zone.len();
-        let said = format!("PUT {path} HTTP/1.1\r\nHost: lab\r\nContent-Length: {length}\r\n\r\n{zone}");
-        let call = || {
-            let mut peer = Peer::new(TcpStream::connect_timeout(&self.console, ASK_WITHIN).ok()?);
-            peer.patience(Some(ASK_WITHIN));
-            peer.write(said.as_bytes()).ok()?;
+        let request = format!("PUT {path} HTTP/1.1\r\nHost: lab\r\nContent-Length: {length}\r\n\r\n{zone}");
+        let send = || {
+            let mut peer = Peer::new(TcpStream::connect_timeout(&self.console, QUERY_TIMEOUT).ok()?);
+            peer.patience(Some(QUERY_TIMEOUT));
+            peer.write(request.as_bytes()).ok()?;
             peer.answer().ok()?.status()
         };
-        call() == Some(200)
+        send() == Some(200)
     }
 
-    fn ask(&self, path: &str) -> Option<Value> {
-        let stream = TcpStream::connect_timeout(&self.console, ASK_WITHIN).ok()?;
+    fn get_json(&self, path: &str) -> Option<Value> {
+        let stream = TcpStream::connect_timeout(&self.console, QUERY_TIMEOUT).ok()?;
         let mut peer = Peer::new(stream);
-        peer.patience(Some(ASK_WITHIN));
-        let ask = format!("GET {path} HTTP/1.1\r\nHost: lab\r\nAccept: application/json\r\n\r\n");
-        peer.write(ask.as_bytes()).ok()?;
-        let heard = peer.answer().ok().filter(|heard| heard.status() == Some(200))?;
-        serde_json::from_slice(&heard.body).ok()
+        peer.patience(Some(QUERY_TIMEOUT));
+        let request = format!("GET {path} HTTP/1.1\r\nHost: lab\r\nAccept: application/json\r\n\r\n");
+        peer.write(request.as_bytes()).ok()?;
+        let response = peer.answer().ok().filter(|response| response.status() == Some(200))?;
+        serde_json::from_slice(&response.body).ok()
     }
 }
 
-impl Drop for Copy {
+impl Drop for ReplicaProcess {
     fn drop(&mut self) {
         self.sidecar.kill();
         self.discovery.end();
     }
 }
 
-fn entry(plan: &FleetPlan, (place, address): (usize, &SocketAddr)) -> Entry {
+fn entry(plan: &FleetPlan, (index, address): (usize, &SocketAddr)) -> Entry {
     Entry {
-        id: format!("s{place}"),
+        id: format!("s{index}"),
         address: *address,
-        zone: plan.zones[place % plan.zones.len()].clone(),
+        zone: plan.zones[index % plan.zones.len()].clone(),
         cell: 0,
         state: "ready",
         weight: 1.0,
@@ -189,20 +204,20 @@
 
 fn config(
     plan: &FleetPlan,
-    ways: &Ways,
+    options: &RunOptions,
     number: usize,
     (listen, console, discovery): (SocketAddr, SocketAddr, SocketAddr),
-    words: &Words,
+    proxies: &DatagramProxies,
 ) -> String {
     let zones: Vec<String> = plan.zones.iter().map(|zone| format!("{zone:?}")).collect();
     let (zones, zone) = (zones.join(", "), &plan.zones[number % plan.zones.len()]);
-    let (copies, seed) = (plan.processes, ways.seed + number as u64);
+    let (replicas, seed) = (plan.processes, options.seed + number as u64);
     let mut text = format!(
         "name = \"c{number}\"\nlisten = \"{listen}\"\nseed = {seed}\nzones = [{zones}]\nzone = {zone:?}\n\
-         copies = {copies}\nordinal = {number}\nconsole = \"{console}\"\n\n[discovery]\naddress = \"{discovery}\"\n\n"
+         copies = {replicas}\nordinal = {number}\nconsole = \"{console}\"\n\n[discovery]\naddress = \"{discovery}\"\n\n"
     );
     let (goal, limit) = (GOAL.as_millis(), LIMIT.as_millis());
-    for (name, repeats, more) in [
+    for (name, retry_safety, extra_keys) in [
         ("view", "pure", ""),
         ("hold", "receipted", "group = \"all\"\nmemory = \"30s\"\n"),
         ("confirm", "effectful", ""),
@@ -210,21 +225,23 @@
         // Writing to a String cannot fail.
         let _ = write!(
             text,
-            "[[verbs]]\nname = \"{name}\"\nrepeats = \"{repeats}\"\n{more}goal = \"{goal}ms\"\nlimit = \"{limit}ms\"\n\n"
+            "[[verbs]]\nname = \"{name}\"\nrepeats = \"{retry_safety}\"\n{extra_keys}goal = \"{goal}ms\"\nlimit = \"{limit}ms\"\n\n"
         );
     }
     text += "[[tenants]]\nname = \"acme\"\n\n[limits]\nsockets = 512\nmemory_mb = 32\n\n";
     let _ = write!(text, "[rules]\ncold_share = 0.3\nwarm_after = \"{}s\"\n\n", WARM_AFTER.as_secs());
-    if ways.with_fleet {
-        let (own, front) = (words.own[number], words.fronts[number]);
-        let seeds: Vec<String> = words.fronts.iter().take(SEEDS).map(|seed| format!("\"{seed}\"")).collect();
+    if options.with_fleet {
+        let (listen_address, advertised_address) =
+            (proxies.listen_addresses[number], proxies.advertised_addresses[number]);
+        let seeds: Vec<String> =
+            proxies.advertised_addresses.iter().take(SEEDS).map(|seed| format!("\"{seed}\"")).collect();
         let _ = write!(
             text,
-            "[fleet]\nname = \"lab\"\nlisten = \"{own}\"\nadvertise = \"{front}\"\nseeds = [{}]\n",
+            "[fleet]\nname = \"lab\"\nlisten = \"{listen_address}\"\nadvertise = \"{advertised_address}\"\nseeds = [{}]\n",
             seeds.join(", ")
         );
     }
-    if ways.with_fleet && plan.localities && ways.with_localities {
+    if options.with_fleet && plan.localities && options.with_localities {
         text += "\n[localities]\n";
     }
     text
--- a/crates/lab/src/fleet/rig/mod.rs
+++ b/crates/lab/src/fleet/rig/mod.rs
@@ -1,22 +1,23 @@
-//! A plan of faults round real processes. Every path between two copies, and between a copy and a server, leads through
-//! the lab; callers and list sources stand beside each copy. It owns the processes, the order of the run, and what was seen.
+//! Runs a fault plan on real processes. Every path between two replicas, and between a replica and a server,
+//! leads through a proxy of the lab; clients and list sources are local to each replica.
 //!
-//! Threads and blocking calls, as in `sockets`: what is measured must not share its run-time with what measures.
+//! Uses threads and blocking calls, as `sockets` does, so that the measured processes and the lab share no
+//! runtime.
 
 mod conns;
 mod copy;
 mod words;
 
-use super::plan::{Fault, FleetPlan, Kind};
-use super::views::{Allowed, Figures, Judge, Look, Set, Truth};
-use super::weather::{Fate, Party, Weather};
-use super::zones::{self, Lost};
+use super::plan::{Fault, FaultKind, FleetPlan};
+use super::views::{ProcessState, ReplicaSet, ViewChecker, ViewDeadlines, ViewResults, ViewSnapshot};
+use super::weather::{NetworkFaults, Node, PathEffects};
+use super::zones::{ZoneChecker, ZoneLoss, ZoneResults, ZoneSnapshot, ZoneView};
 use crate::cold::ColdPeaks;
 use crate::plan::{RetrySafety, WorkDistribution};
 use crate::referee::{Breach, FinalOutcome};
 use crate::sockets::callers::{Asking, CallPlan, Done, Pace, run as run_callers};
 use crate::sockets::{ColdMost, Doing, Fleet as Servers, Ledger, Make, Verbs};
-use copy::Copy;
+use copy::ReplicaProcess;
 use rustix::process::Signal;
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -26,158 +27,183 @@
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
 use std::thread;
 use std::time::{Duration, Instant};
-use words::Words;
-
-const TICK: Duration = Duration::from_millis(10);
-/// How often views are asked for, where nothing else is wanted.
-pub const LOOK_EVERY: Duration = Duration::from_millis(100);
-const CONNECTIONS_MOST: f64 = 512.0;
-/// A starved copy runs for the first part of each turn.
-const STARVED_RUNS: Duration = Duration::from_millis(10);
-const STARVED_WAITS: Duration = Duration::from_millis(90);
-/// For so long after a copy was disturbed, what it loses is not its decisions' fault.
-const DISTURBED: f64 = 0.5;
-
-/// What lies between any two parties now.
+use words::DatagramProxies;
+
+/// Interval of the control loop.
+const CONTROL_INTERVAL: Duration = Duration::from_millis(10);
+/// Default interval between snapshots of all views.
+pub const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(100);
+/// Bound on client connections.
+const MAX_CONNECTIONS: f64 = 512.0;
+/// Time in each period in which a starved replica runs.
+const STARVED_RUN_TIME: Duration = Duration::from_millis(10);
+const STARVED_PAUSE: Duration = Duration::from_millis(90);
+/// Seconds after a disturbance of a replica's process in which its lost requests are not held against its
+/// decisions.
+const DISTURBANCE_S: f64 = 0.5;
+
+/// Network faults of the run, shared by all proxies.
 #[derive(Clone)]
-pub struct Sky(Arc<RwLock<Weather>>);
+pub struct SharedFaults(Arc<RwLock<NetworkFaults>>);
 
-impl Sky {
-    fn with<T>(&self, what: impl FnOnce(&mut Weather) -> T) -> T {
-        what(&mut self.0.write().unwrap_or_else(PoisonError::into_inner))
+impl SharedFaults {
+    fn with<T>(&self, apply: impl FnOnce(&mut NetworkFaults) -> T) -> T {
+        apply(&mut self.0.write().unwrap_or_else(PoisonError::into_inner))
     }
 
-    pub fn fate(&self, from: Party, to: Party) -> Fate {
-        self.0.read().unwrap_or_else(PoisonError::into_inner).fate(from, to)
+    /// Combined effect of the active faults on the path between two nodes.
+    pub fn path_effects(&self, from: Node, to: Node) -> PathEffects {
+        self.0.read().unwrap_or_else(PoisonError::into_inner).path_effects(from, to)
     }
 }
 
-/// What a run needs beside its plan.
-pub struct Ways<'a> {
+/// Parameters of a run that are not part of the plan.
+pub struct RunOptions<'a> {
+    /// Seed of network faults, clients and servers.
     pub seed: u64,
+    /// Sidecar program under test.
     pub program: &'a Path,
-    /// The build that faults with `old_build` start; the same where none is given.
-    pub old: Option<&'a Path>,
+    /// Program that faults with `old_build` start; if none, the program that ran before.
+    pub old_program: Option<&'a Path>,
+    /// Directory for configuration and log files.
     pub dir: &'a Path,
-    /// Whether copies have the `[fleet]` part at all.
+    /// Whether the replicas' configuration has a `[fleet]` table.
     pub with_fleet: bool,
-    /// Whether they leave zones as a fleet, where the plan says so.
+    /// Whether replicas evacuate zones as a fleet, if the plan enables it.
     pub with_localities: bool,
-    /// How often all views are asked for: each asking costs the copies some time.
-    pub look_every: Duration,
+    /// Interval between snapshots of all views; each query costs the replicas processor time.
+    pub snapshot_interval: Duration,
 }
 
-/// One second of the service.
+/// Requests that were due in one second, by outcome.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Second {
-    pub came: u32,
+pub struct SecondCounts {
+    /// All requests that were due.
+    #[serde(rename = "came")]
+    pub offered: u32,
     pub answered: u32,
     pub declined: u32,
     pub terminated: u32,
     pub lost: u32,
 }
 
-/// How a copy was at one look, for its lane on the page.
+/// State of all replicas at one snapshot, for the report's lanes.
 #[derive(Clone, Debug, Serialize)]
-pub struct Seen {
+pub struct ViewSample {
     pub at: f64,
-    pub truth: Vec<Truth>,
-    /// How many each counts, and in how many it errs; none where it could not be asked.
+    #[serde(rename = "truth")]
+    pub states: Vec<ProcessState>,
+    /// Number of members that each replica counts and number of errors in its view; none if it could not be
+    /// queried.
     pub counts: Vec<Option<(usize, usize)>>,
 }
 
+/// Outcome of a run.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Played {
-    pub figures: Figures,
-    pub zones: zones::Figures,
-    /// At each look, by zone: its share as the copies that could be asked hold it, on average.
-    pub shares: Vec<(f64, Vec<f64>)>,
-    pub seconds: Vec<Second>,
-    pub seen: Vec<Seen>,
-    pub broken_rules: [u64; 4],
-    /// What cold servers were brought by all copies together.
-    pub cold: ColdPeaks,
+pub struct RunResults {
+    #[serde(rename = "figures")]
+    pub views: ViewResults,
+    pub zones: ZoneResults,
+    /// At each snapshot, by zone: the zone's share, averaged over the replicas that could be queried.
+    #[serde(rename = "shares")]
+    pub zone_shares: Vec<(f64, Vec<f64>)>,
+    pub seconds: Vec<SecondCounts>,
+    #[serde(rename = "seen")]
+    pub samples: Vec<ViewSample>,
+    /// Number of violations of each rule.
+    #[serde(rename = "broken_rules")]
+    pub rule_violations: [u64; 4],
+    /// Peaks of the work offered to cold servers by all replicas together.
+    #[serde(rename = "cold")]
+    pub cold_peaks: ColdPeaks,
+    /// Descriptions of rule violations.
     pub breaches: Vec<String>,
-    /// The share of the commands that were answered within their goal.
-    pub kept: f64,
-    /// Datagrams that copies sent each other, a copy and second.
-    pub datagrams: f64,
-    /// Processor time of the copies' processes as they are at the end, in microseconds for each command that came; as
-    /// /proc tells it, by the hundredth of a second. It says something where none was restarted.
-    pub cpu_us: f64,
+    /// Fraction of the requests that were answered within their goal.
+    #[serde(rename = "kept")]
+    pub within_goal: f64,
+    /// Datagrams between replicas, per replica and second.
+    #[serde(rename = "datagrams")]
+    pub datagrams_per_s: f64,
+    /// Processor time of the replicas' current processes, in microseconds per request, from /proc with a
+    /// resolution of 10 ms. Meaningful only if no process was restarted.
+    #[serde(rename = "cpu_us")]
+    pub cpu_us_per_request: f64,
 }
 
+/// A run in progress.
 struct Rig<'a> {
     plan: &'a FleetPlan,
-    ways: &'a Ways<'a>,
-    sky: Sky,
-    words: Words,
-    sent: conns::Sent,
-    zones: zones::Judge<'a>,
+    options: &'a RunOptions<'a>,
+    network: SharedFaults,
+    datagram_proxies: DatagramProxies,
+    sent_log: conns::SentLog,
+    zone_checker: ZoneChecker<'a>,
     pace: Arc<Pace>,
-    /// Zones that operators took out of use, and the copy that they told.
-    said: Vec<(usize, usize)>,
-    copies: Vec<Copy>,
+    /// Zones that operators evacuated, each with the replica that received the command.
+    operator_evacuations: Vec<(usize, usize)>,
+    replicas: Vec<ReplicaProcess>,
     servers: Servers,
     ledger: Arc<Ledger>,
-    over: Arc<AtomicBool>,
-    paths: Vec<SocketAddr>,
-    began: Instant,
-    judge: Judge,
+    stopped: Arc<AtomicBool>,
+    proxy_addresses: Vec<SocketAddr>,
+    started_at: Instant,
+    view_checker: ViewChecker,
     starved: Arc<Mutex<Vec<usize>>>,
     pids: Arc<Mutex<Vec<u32>>>,
-    parts: Vec<usize>,
-    started: Vec<usize>,
-    ended: Vec<usize>,
-    seen: Vec<Seen>,
-    shares: Vec<(f64, Vec<f64>)>,
-    /// Until when each copy counts as disturbed.
+    partitions: Vec<usize>,
+    begun_faults: Vec<usize>,
+    ended_faults: Vec<usize>,
+    samples: Vec<ViewSample>,
+    zone_shares: Vec<(f64, Vec<f64>)>,
+    /// Time until which each replica counts as disturbed, in seconds.
     disturbed: Arc<Mutex<BTreeMap<SocketAddr, f64>>>,
 }
 
-fn told(wrong: std::io::Error) -> String {
-    wrong.to_string()
+fn error_text(error: std::io::Error) -> String {
+    error.to_string()
 }
 
+/// Locks a mutex even if a thread that held it has panicked.
 fn locked<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Plays the plan; `show` hears a line a second.
-pub fn play(plan: &FleetPlan, ways: &Ways, show: &mut dyn FnMut(&str)) -> Result<Played, String> {
-    let mut rig = Rig::build(plan, ways)?;
-    let played = rig.run(show);
-    rig.end();
-    played
+/// Runs the plan. `show` is called with a progress line each second.
+pub fn run(plan: &FleetPlan, options: &RunOptions, show: &mut dyn FnMut(&str)) -> Result<RunResults, String> {
+    let mut rig = Rig::build(plan, options)?;
+    let results = rig.run(show);
+    rig.shut_down();
+    results
 }
 
-fn verbs(plan: &FleetPlan) -> Verbs {
-    let one = |name: &str, repeats: RetrySafety| Doing {
+fn request_classes(plan: &FleetPlan) -> Verbs {
+    let request_class = |name: &str, repeats: RetrySafety| Doing {
         name: name.into(),
         repeats,
         work: plan.work,
         spread: WorkDistribution::Exponential,
         calls: 0,
     };
-    let all = [
-        one("view", RetrySafety::Idempotent),
-        one("hold", RetrySafety::KeyedEverywhere),
-        one("confirm", RetrySafety::NonIdempotent),
+    let classes = [
+        request_class("view", RetrySafety::Idempotent),
+        request_class("hold", RetrySafety::KeyedEverywhere),
+        request_class("confirm", RetrySafety::NonIdempotent),
     ];
-    Arc::new(all.into())
+    Arc::new(classes.into())
 }
 
 impl<'a> Rig<'a> {
-    fn build(plan: &'a FleetPlan, ways: &'a Ways<'a>) -> Result<Rig<'a>, String> {
-        let began = Instant::now();
-        let sky = Sky(Arc::new(RwLock::new(Weather::new(plan, ways.seed))));
-        let ledger = Arc::new(Ledger::new(began));
-        let over = Arc::new(AtomicBool::new(false));
-        let words = Words::start(plan.processes, &sky, ways.seed).map_err(told)?;
+    fn build(plan: &'a FleetPlan, options: &'a RunOptions<'a>) -> Result<Rig<'a>, String> {
+        let started_at = Instant::now();
+        let network = SharedFaults(Arc::new(RwLock::new(NetworkFaults::new(plan, options.seed))));
+        let ledger = Arc::new(Ledger::new(started_at));
+        let stopped = Arc::new(AtomicBool::new(false));
+        let datagram_proxies =
+            DatagramProxies::start(plan.processes, &network, options.seed).map_err(error_text)?;
         let mut servers = Servers::empty();
-        for place in 0..plan.servers {
+        for index in 0..plan.servers {
             let make = Make {
-                name: format!("s{place}"),
+                name: format!("s{index}"),
                 cores: plan.cores,
                 queue: 64,
                 speed: 1.0,
@@ -187,53 +213,57 @@
                 grace: Duration::from_secs(3),
                 reports: false,
                 behind: None,
-                seed: ways.seed,
+                seed: options.seed,
             };
-            servers.add(make, verbs(plan), ledger.clone()).map_err(told)?;
+            servers.add(make, request_classes(plan), ledger.clone()).map_err(error_text)?;
         }
-        let behind: Vec<SocketAddr> = servers.servers.iter().map(|server| server.address).collect();
-        let sent = conns::Sent::default();
-        let mut paths = Vec::new();
-        let mut copies = Vec::new();
+        let server_addresses: Vec<SocketAddr> = servers.servers.iter().map(|server| server.address).collect();
+        let sent_log = conns::SentLog::default();
+        let mut proxy_addresses = Vec::new();
+        let mut replicas = Vec::new();
         for number in 0..plan.processes {
-            let led = |(server, behind): (usize, &SocketAddr)| {
-                conns::path(number, server, *behind, &sky, &over, &sent)
+            let proxy = |(server, address): (usize, &SocketAddr)| {
+                conns::start_proxy(number, server, *address, &network, &stopped, &sent_log)
             };
-            let own: Vec<SocketAddr> =
-                behind.iter().enumerate().map(led).collect::<std::io::Result<_>>().map_err(told)?;
-            copies.push(Copy::start(plan, ways, number, &own, &words)?);
-            paths.extend(own);
+            let own_proxies: Vec<SocketAddr> = server_addresses
+                .iter()
+                .enumerate()
+                .map(proxy)
+                .collect::<std::io::Result<_>>()
+                .map_err(error_text)?;
+            replicas.push(ReplicaProcess::start(plan, options, number, &own_proxies, &datagram_proxies)?);
+            proxy_addresses.extend(own_proxies);
         }
-        copies.iter_mut().try_for_each(|copy| copy.sidecar.wait_ready())?;
-        let allowed = Allowed {
+        replicas.iter_mut().try_for_each(|replica| replica.sidecar.wait_ready())?;
+        let deadlines = ViewDeadlines {
             death: Duration::from_secs_f64(plan.death_within),
-            agree: Duration::from_secs_f64(plan.agree_within),
-            cut: Duration::from_secs_f64(plan.cut_within),
+            other_change: Duration::from_secs_f64(plan.agree_within),
+            partition: Duration::from_secs_f64(plan.cut_within),
         };
         let (starved, pids) = (Arc::<Mutex<Vec<usize>>>::default(), Arc::<Mutex<Vec<u32>>>::default());
         Ok(Rig {
             plan,
-            ways,
-            sky,
-            words,
-            sent,
-            zones: zones::Judge::new(plan),
-            pace: Arc::new(Pace::new(plan.rate_each * plan.processes as f64)),
-            said: Vec::new(),
-            copies,
+            options,
+            network,
+            datagram_proxies,
+            sent_log,
+            zone_checker: ZoneChecker::new(plan),
+            pace: Arc::new(Pace::new(plan.rate_per_replica * plan.processes as f64)),
+            operator_evacuations: Vec::new(),
+            replicas,
             servers,
             ledger,
-            over,
-            paths,
-            began,
-            judge: Judge::new(allowed),
+            stopped,
+            proxy_addresses,
+            started_at,
+            view_checker: ViewChecker::new(deadlines),
             starved,
             pids,
-            parts: vec![0; plan.processes],
-            started: Vec::new(),
-            ended: Vec::new(),
-            seen: Vec::new(),
-            shares: Vec::new(),
+            partitions: vec![0; plan.processes],
+            begun_faults: Vec::new(),
+            ended_faults: Vec::new(),
+            samples: Vec::new(),
+            zone_shares: Vec::new(),
             disturbed: Arc::default(),
         })
     }
@@ -245,306 +275,338 @@
             share: if doing.repeats == RetrySafety::Idempotent { 0.5 } else { 0.25 },
             limit: copy::LIMIT,
         };
-        let rate = self.plan.rate_each * self.plan.processes as f64;
-        let least = 2.0 * self.plan.processes as f64;
-        let times = |number: usize| if number.is_multiple_of(4) { self.plan.uneven } else { 1 };
-        let addresses = self.copies.iter().map(|copy| copy.sidecar.address).enumerate();
+        let rate = self.plan.rate_per_replica * self.plan.processes as f64;
+        let min_connections = 2.0 * self.plan.processes as f64;
+        let load_factor =
+            |number: usize| if number.is_multiple_of(4) { self.plan.hot_replica_factor } else { 1 };
+        let addresses = self.replicas.iter().map(|replica| replica.sidecar.address).enumerate();
         let targets: Vec<SocketAddr> =
-            addresses.flat_map(|(number, address)| vec![address; times(number)]).collect();
-        // Each connection begins at the next target: as many of them as there are, or a multiple.
-        let least = least.max(2.0 * targets.len() as f64);
+            addresses.flat_map(|(number, address)| vec![address; load_factor(number)]).collect();
+        // Each connection starts with the next target, so there are at least twice as many as targets.
+        let min_connections = min_connections.max(2.0 * targets.len() as f64);
         CallPlan {
             targets,
-            verbs: verbs(self.plan).iter().map(asking).collect(),
+            verbs: request_classes(self.plan).iter().map(asking).collect(),
             tenants: vec![("acme".into(), 1.0)],
-            connections: (rate * copy::LIMIT.as_secs_f64()).clamp(least, CONNECTIONS_MOST) as usize,
+            connections: (rate * copy::LIMIT.as_secs_f64()).clamp(min_connections, MAX_CONNECTIONS) as usize,
             length: Duration::from_secs_f64(self.plan.seconds),
-            seed: self.ways.seed,
+            seed: self.options.seed,
             prefix: "c".into(),
             effects_again: false,
         }
     }
 
-    fn run(&mut self, show: &mut dyn FnMut(&str)) -> Result<Played, String> {
-        let calls = self.call_plan();
+    fn run(&mut self, show: &mut dyn FnMut(&str)) -> Result<RunResults, String> {
+        let call_plan = self.call_plan();
         let pace = self.pace.clone();
         let stop = AtomicBool::new(false);
-        let seconds = Mutex::new(Vec::<Second>::new());
-        let kept = Mutex::new((0u64, 0u64));
+        let seconds = Mutex::new(Vec::<SecondCounts>::new());
+        let within_goal = Mutex::new((0u64, 0u64));
         let (ledger, disturbed) = (self.ledger.clone(), self.disturbed.clone());
-        let repeats: Vec<RetrySafety> = verbs(self.plan).iter().map(|doing| doing.repeats).collect();
-        self.began = Instant::now();
-        let began = self.began;
-        let watch = || -> Box<dyn FnMut(&Done) + '_> {
-            let (seconds, ledger, disturbed, repeats, kept) =
-                (&seconds, &ledger, &disturbed, &repeats, &kept);
-            Box::new(move |done: &Done| note(seconds, ledger, disturbed, repeats, kept, done))
+        let repeats: Vec<RetrySafety> =
+            request_classes(self.plan).iter().map(|doing| doing.repeats).collect();
+        self.started_at = Instant::now();
+        let started_at = self.started_at;
+        let record = || -> Box<dyn FnMut(&Done) + '_> {
+            let (seconds, ledger, disturbed, repeats, within_goal) =
+                (&seconds, &ledger, &disturbed, &repeats, &within_goal);
+            Box::new(move |done: &Done| {
+                record_outcome(seconds, ledger, disturbed, repeats, within_goal, done);
+            })
         };
-        let starver = self.starve_turns();
-        let cpu_before = self.cpu();
-        let driven = thread::scope(|scope| {
-            let callers = scope.spawn(|| run_callers(&calls, &pace, &stop, began, &watch));
+        let starver = self.start_starver();
+        let cpu_before = self.cpu_seconds();
+        let outcome = thread::scope(|scope| {
+            let callers = scope.spawn(|| run_callers(&call_plan, &pace, &stop, started_at, &record));
             let driven = self.drive(show, &seconds);
             stop.store(true, Ordering::Relaxed);
-            let joined = callers.join().map_err(|_| "a caller's thread has panicked".to_string());
+            let joined = callers.join().map_err(|_| "a client thread panicked".to_string());
             driven.and(joined)
         });
-        self.over.store(true, Ordering::Relaxed);
+        self.stopped.store(true, Ordering::Relaxed);
         let _ = starver.join();
-        driven?;
-        let (breaches, broken_rules) = self.ledger.close();
-        let judge =
-            std::mem::replace(&mut self.judge, Judge::new(Allowed { death: TICK, agree: TICK, cut: TICK }));
-        let (answered, came) = *locked(&kept);
-        let cpu = (self.cpu() - cpu_before).max(0.0);
-        let zones_judge = std::mem::replace(&mut self.zones, zones::Judge::new(self.plan));
-        let sent = self.words.carried.load(Ordering::Relaxed) as f64;
-        Ok(Played {
-            figures: judge.close(),
-            zones: zones_judge.close(&self.sent.since(self.began)),
-            shares: std::mem::take(&mut self.shares),
+        outcome?;
+        let (breaches, rule_violations) = self.ledger.close();
+        let view_checker = std::mem::replace(
+            &mut self.view_checker,
+            ViewChecker::new(ViewDeadlines {
+                death: CONTROL_INTERVAL,
+                other_change: CONTROL_INTERVAL,
+                partition: CONTROL_INTERVAL,
+            }),
+        );
+        let (answered, offered) = *locked(&within_goal);
+        let cpu = (self.cpu_seconds() - cpu_before).max(0.0);
+        let zone_checker = std::mem::replace(&mut self.zone_checker, ZoneChecker::new(self.plan));
+        let datagrams = self.datagram_proxies.received.load(Ordering::Relaxed) as f64;
+        Ok(RunResults {
+            views: view_checker.finish(),
+            zones: zone_checker.finish(&self.sent_log.since(self.started_at)),
+            zone_shares: std::mem::take(&mut self.zone_shares),
             seconds: locked(&seconds).clone(),
-            seen: std::mem::take(&mut self.seen),
-            broken_rules,
-            cold: self.cold_peaks(),
+            samples: std::mem::take(&mut self.samples),
+            rule_violations,
+            cold_peaks: self.cold_peaks(),
             breaches: breaches.iter().map(Breach::to_string).collect(),
-            kept: answered as f64 / came.max(1) as f64,
-            datagrams: sent / self.plan.seconds / self.plan.processes as f64,
-            cpu_us: cpu * 1e6 / came.max(1) as f64,
+            within_goal: answered as f64 / offered.max(1) as f64,
+            datagrams_per_s: datagrams / self.plan.seconds / self.plan.processes as f64,
+            cpu_us_per_request: cpu * 1e6 / offered.max(1) as f64,
         })
     }
 
-    /// Seconds of processor time that the copies' processes have taken.
-    fn cpu(&self) -> f64 {
-        self.copies.iter().filter_map(|copy| cpu_of(copy.sidecar.pid())).sum()
+    /// Processor time of the replicas' current processes, in seconds.
+    fn cpu_seconds(&self) -> f64 {
+        self.replicas.iter().filter_map(|replica| process_cpu_seconds(replica.sidecar.pid())).sum()
     }
 
     fn cold_peaks(&self) -> ColdPeaks {
-        let mut all = ColdPeaks::default();
-        self.servers.servers.iter().for_each(|server| all.merge(&server.cold_peaks()));
-        all
+        let mut peaks = ColdPeaks::default();
+        self.servers.servers.iter().for_each(|server| peaks.merge(&server.cold_peaks()));
+        peaks
     }
 
-    fn drive(&mut self, show: &mut dyn FnMut(&str), seconds: &Mutex<Vec<Second>>) -> Result<(), String> {
+    /// The control loop: starts and ends faults, takes snapshots, and shows progress.
+    fn drive(
+        &mut self,
+        show: &mut dyn FnMut(&str),
+        seconds: &Mutex<Vec<SecondCounts>>,
+    ) -> Result<(), String> {
         let length = self.plan.seconds;
-        let (mut look_at, mut second) = (Duration::ZERO, 1);
+        let (mut snapshot_at, mut second) = (Duration::ZERO, 1);
         loop {
-            let now = self.began.elapsed();
+            let now = self.started_at.elapsed();
             if now.as_secs_f64() >= length {
                 return Ok(());
             }
-            self.faults(now.as_secs_f64())?;
-            if look_at <= now {
-                look_at = now + self.ways.look_every;
-                self.look(now.as_secs_f64());
+            self.update_faults(now.as_secs_f64())?;
+            if snapshot_at <= now {
+                snapshot_at = now + self.options.snapshot_interval;
+                self.snapshot_views(now.as_secs_f64());
                 if self.plan.localities {
-                    self.look_at_zones(now.as_secs_f64());
+                    self.snapshot_zones(now.as_secs_f64());
                 }
             }
             if now.as_secs() >= second {
                 second = now.as_secs() + 1;
-                show(&self.line(now.as_secs() as usize, seconds));
-                self.copies.iter_mut().try_for_each(Copy::must_run)?;
+                show(&self.progress_line(now.as_secs() as usize, seconds));
+                self.replicas.iter_mut().try_for_each(ReplicaProcess::check_running)?;
             }
-            thread::sleep(TICK);
+            thread::sleep(CONTROL_INTERVAL);
         }
     }
 
-    fn line(&self, second: usize, seconds: &Mutex<Vec<Second>>) -> String {
+    fn progress_line(&self, second: usize, seconds: &Mutex<Vec<SecondCounts>>) -> String {
         let seconds = locked(seconds);
-        let Second { came, answered, declined, lost, .. } =
+        let SecondCounts { offered, answered, declined, lost, .. } =
             seconds.get(second.saturating_sub(1)).cloned().unwrap_or_default();
-        let errs = self.seen.last().map_or(0, |seen| {
-            seen.counts.iter().filter(|count| count.is_some_and(|(_, errors)| errors > 0)).count()
+        let wrong_views = self.samples.last().map_or(0, |sample| {
+            sample.counts.iter().filter(|count| count.is_some_and(|(_, errors)| errors > 0)).count()
         });
-        let active = self.sky.with(|sky| sky.active().to_vec());
+        let active = self.network.with(|network| network.active().to_vec());
         let labels: Vec<String> = active.iter().map(|fault| self.plan.faults[*fault].label()).collect();
         format!(
-            "{second:3} s  came {came:4}  answered {answered:4}  declined {declined:3}  lost {lost:2}  \
-             views that err {errs:2}  {}",
+            "{second:3} s  came {offered:4}  answered {answered:4}  declined {declined:3}  lost {lost:2}  \
+             views that err {wrong_views:2}  {}",
             labels.join("; ")
         )
     }
 
-    fn faults(&mut self, now: f64) -> Result<(), String> {
+    fn update_faults(&mut self, now: f64) -> Result<(), String> {
         let plan = self.plan;
         for (number, fault) in plan.faults.iter().enumerate() {
-            if !self.started.contains(&number) && now >= fault.at {
-                self.started.push(number);
-                self.begin(number, fault)?;
+            if !self.begun_faults.contains(&number) && now >= fault.at {
+                self.begun_faults.push(number);
+                self.begin_fault(number, fault)?;
             }
-            let over = now >= fault.at + fault.lasts;
-            if self.started.contains(&number) && !self.ended.contains(&number) && over {
-                self.ended.push(number);
-                self.finish(number, fault)?;
+            let has_ended = now >= fault.at + fault.duration;
+            if self.begun_faults.contains(&number) && !self.ended_faults.contains(&number) && has_ended {
+                self.ended_faults.push(number);
+                self.end_fault(number, fault)?;
             }
         }
         Ok(())
     }
 
-    fn struck(&self, number: usize) -> Vec<usize> {
-        self.sky.with(|sky| sky.struck(number))
+    fn affected_replicas(&self, number: usize) -> Vec<usize> {
+        self.network.with(|network| network.affected_replicas(number))
     }
 
-    fn disturb(&self, copy: usize, until: f64) {
+    /// Marks a replica as disturbed until a time in seconds.
+    fn disturb(&self, replica: usize, until: f64) {
         let mut disturbed = locked(&self.disturbed);
-        let known = disturbed.entry(self.copies[copy].sidecar.address).or_default();
+        let known = disturbed.entry(self.replicas[replica].sidecar.address).or_default();
         *known = known.max(until);
     }
 
-    fn begin(&mut self, number: usize, fault: &Fault) -> Result<(), String> {
-        let until = fault.at + fault.lasts + DISTURBED;
-        self.parts = self.sky.with(|sky| {
-            sky.begin(number);
-            sky.parts()
+    fn begin_fault(&mut self, number: usize, fault: &Fault) -> Result<(), String> {
+        let until = fault.at + fault.duration + DISTURBANCE_S;
+        self.partitions = self.network.with(|network| {
+            network.begin(number);
+            network.partitions()
         });
-        self.strike_servers(fault, true);
-        self.surge(fault, fault.factor.unwrap_or(1.0));
-        if fault.kind == Kind::Leave {
-            return self.say_zone(fault, true);
+        self.update_servers(fault, true);
+        self.set_surge(fault, fault.factor.unwrap_or(1.0));
+        if fault.kind == FaultKind::Leave {
+            return self.send_zone_command(fault, true);
         }
-        if !fault.of_processes() {
+        if !fault.affects_processes() {
             return Ok(());
         }
-        for copy in self.struck(number) {
-            self.disturb(copy, until);
-            let here = &mut self.copies[copy];
+        for replica in self.affected_replicas(number) {
+            self.disturb(replica, until);
+            let process = &mut self.replicas[replica];
             match fault.kind {
-                Kind::Kill => here.kill(),
-                Kind::Term => here.term(),
-                Kind::Stop => here.stop(),
-                _ => locked(&self.starved).push(copy),
+                FaultKind::Kill => process.kill(),
+                FaultKind::Term => process.terminate(),
+                FaultKind::Stop => process.pause(),
+                _ => locked(&self.starved).push(replica),
             }
         }
-        self.note_pids();
+        self.update_starved_pids();
         Ok(())
     }
 
-    fn finish(&mut self, number: usize, fault: &Fault) -> Result<(), String> {
-        self.parts = self.sky.with(|sky| {
-            sky.end(number);
-            sky.parts()
+    fn end_fault(&mut self, number: usize, fault: &Fault) -> Result<(), String> {
+        self.partitions = self.network.with(|network| {
+            network.end(number);
+            network.partitions()
         });
-        self.strike_servers(fault, false);
-        self.surge(fault, 1.0);
-        if fault.kind == Kind::Leave {
-            return self.say_zone(fault, false);
+        self.update_servers(fault, false);
+        self.set_surge(fault, 1.0);
+        if fault.kind == FaultKind::Leave {
+            return self.send_zone_command(fault, false);
         }
-        if !fault.of_processes() {
+        if !fault.affects_processes() {
             return Ok(());
         }
-        let build = if fault.old_build { self.ways.old } else { Some(self.ways.program) };
-        for copy in self.struck(number) {
-            let here = &mut self.copies[copy];
+        let build = if fault.old_build { self.options.old_program } else { Some(self.options.program) };
+        for replica in self.affected_replicas(number) {
+            let process = &mut self.replicas[replica];
             match fault.kind {
-                Kind::Kill | Kind::Term => here.start_again(build)?,
-                Kind::Stop => here.go_on(),
+                FaultKind::Kill | FaultKind::Term => process.restart(build)?,
+                FaultKind::Stop => process.resume(),
                 _ => {
                     let mut starved = locked(&self.starved);
-                    if let Some(at) = starved.iter().position(|known| *known == copy) {
+                    if let Some(at) = starved.iter().position(|known| *known == replica) {
                         starved.swap_remove(at);
                     }
-                    here.sidecar.signal(Signal::CONT);
+                    process.sidecar.signal(Signal::CONT);
                 }
             }
         }
-        self.note_pids();
+        self.update_starved_pids();
         Ok(())
     }
 
-    fn surge(&self, fault: &Fault, factor: f64) {
-        if fault.kind == Kind::Surge {
-            self.pace.set(self.plan.rate_each * self.plan.processes as f64 * factor);
+    /// Sets the clients' rate for a surge.
+    fn set_surge(&self, fault: &Fault, factor: f64) {
+        if fault.kind == FaultKind::Surge {
+            self.pace.set(self.plan.rate_per_replica * self.plan.processes as f64 * factor);
         }
     }
 
-    fn strike_servers(&self, fault: &Fault, begins: bool) {
-        for server in (0..self.plan.servers).filter(|server| fault.has_server(*server, &self.plan.zones)) {
+    /// Applies a fault on servers, or ends it.
+    fn update_servers(&self, fault: &Fault, begins: bool) {
+        for server in (0..self.plan.servers).filter(|server| fault.affects_server(*server, &self.plan.zones))
+        {
             match (fault.kind, begins) {
-                (Kind::Crash, true) => self.end_server(server),
-                (Kind::Crash, false) | (Kind::Start, true) => self.start_server(server),
-                (Kind::Slow, _) => {
-                    let slow = fault.factor.filter(|_| begins).unwrap_or(1.0);
-                    self.servers.servers[server].change(|serving| serving.slow = slow);
+                (FaultKind::Crash, true) => self.stop_server(server),
+                (FaultKind::Crash, false) | (FaultKind::Start, true) => self.start_server(server),
+                (FaultKind::Slow, _) => {
+                    let slowdown = fault.factor.filter(|_| begins).unwrap_or(1.0);
+                    self.servers.servers[server].change(|serving| serving.slow = slowdown);
                 }
                 _ => {}
             }
         }
     }
 
-    /// The first of the fault's copies that runs is told.
-    fn say_zone(&mut self, fault: &Fault, leave: bool) -> Result<(), String> {
+    /// Sends the command to the first running replica of the fault's group, or of all replicas.
+    fn send_zone_command(&mut self, fault: &Fault, leave: bool) -> Result<(), String> {
         let zone = self.plan.zones.iter().position(|zone| Some(zone) == fault.zone.as_ref()).unwrap_or(0);
-        let runs = |copy: &usize| self.copies.get(*copy).is_some_and(|copy| copy.truth == Truth::Runs);
-        let named = fault.copies.iter().copied().find(runs);
-        let copy = named.or_else(|| (0..self.copies.len()).find(runs)).unwrap_or(0);
-        if !self.copies[copy].say_zone(&self.plan.zones[zone], leave) {
-            return Err(format!("c{copy} says no to operators' word on zone {}", self.plan.zones[zone]));
+        let is_running = |replica: &usize| {
+            self.replicas.get(*replica).is_some_and(|replica| replica.state == ProcessState::Runs)
+        };
+        let named = fault.replicas.iter().copied().find(is_running);
+        let replica = named.or_else(|| (0..self.replicas.len()).find(is_running)).unwrap_or(0);
+        if !self.replicas[replica].send_zone_command(&self.plan.zones[zone], leave) {
+            return Err(format!(
+                "c{replica} rejected the operator command on zone {}",
+                self.plan.zones[zone]
+            ));
         }
-        self.said.retain(|(known, _)| *known != zone);
+        self.operator_evacuations.retain(|(known, _)| *known != zone);
         if leave {
-            self.said.push((zone, copy));
+            self.operator_evacuations.push((zone, replica));
         }
         Ok(())
     }
 
-    /// Whether a zone is lost to each copy, by copy and zone.
-    fn lost(&self) -> Vec<Vec<Lost>> {
+    /// Whether and why each replica must not use each zone, by replica and zone.
+    fn zone_losses(&self) -> Vec<Vec<ZoneLoss>> {
         let zones = self.plan.zones.len();
         let down: Vec<bool> = self.servers.servers.iter().map(|server| server.serving().down).collect();
-        let cut = |copy: usize, server: usize| {
-            let (copy, server) = (Party::Copy(copy), Party::Server(server));
-            self.sky.fate(copy, server).cut || self.sky.fate(server, copy).cut
+        let cut = |replica: usize, server: usize| {
+            let (replica, server) = (Node::Replica(replica), Node::Server(server));
+            self.network.path_effects(replica, server).cut || self.network.path_effects(server, replica).cut
         };
-        let lost = |copy: usize, zone: usize| {
+        let loss = |replica: usize, zone: usize| {
             let mut servers = (0..self.plan.servers).filter(|server| server % zones == zone).peekable();
-            let any = servers.peek().is_some();
-            let said = self.said.iter().find(|(known, _)| *known == zone);
+            let has_servers = servers.peek().is_some();
+            let command = self.operator_evacuations.iter().find(|(known, _)| *known == zone);
             match () {
-                () if any && servers.all(|server| down[server] || cut(copy, server)) => Lost::Away,
-                () if said.is_some_and(|(_, told)| self.parts[*told] == self.parts[copy]) => Lost::Said,
-                () => Lost::No,
+                () if has_servers && servers.all(|server| down[server] || cut(replica, server)) => {
+                    ZoneLoss::Unreachable
+                }
+                () if command
+                    .is_some_and(|(_, receiver)| self.partitions[*receiver] == self.partitions[replica]) =>
+                {
+                    ZoneLoss::Evacuated
+                }
+                () => ZoneLoss::Usable,
             }
         };
-        (0..self.copies.len()).map(|copy| (0..zones).map(|zone| lost(copy, zone)).collect()).collect()
+        (0..self.replicas.len()).map(|replica| (0..zones).map(|zone| loss(replica, zone)).collect()).collect()
     }
 
-    fn look_at_zones(&mut self, now: f64) {
-        let held: Vec<Option<Vec<zones::Held>>> = self.copies.iter().map(Copy::holds).collect();
-        let asked: Vec<&Vec<zones::Held>> = held.iter().flatten().collect();
-        let mean =
-            |zone: usize| asked.iter().map(|held| held[zone].share).sum::<f64>() / asked.len().max(1) as f64;
-        self.shares.push((now, (0..self.plan.zones.len()).map(mean).collect()));
-        let runs = self.copies.iter().map(|copy| copy.truth == Truth::Runs).collect();
-        let look = zones::Look { at: now, runs, lost: self.lost(), held };
-        self.zones.look(&look);
+    fn snapshot_zones(&mut self, now: f64) {
+        let views: Vec<Option<Vec<ZoneView>>> =
+            self.replicas.iter().map(ReplicaProcess::zone_views).collect();
+        let reported: Vec<&Vec<ZoneView>> = views.iter().flatten().collect();
+        let mean_share = |zone: usize| {
+            reported.iter().map(|view| view[zone].share).sum::<f64>() / reported.len().max(1) as f64
+        };
+        self.zone_shares.push((now, (0..self.plan.zones.len()).map(mean_share).collect()));
+        let runs = self.replicas.iter().map(|replica| replica.state == ProcessState::Runs).collect();
+        let snapshot = ZoneSnapshot { at: now, runs, losses: self.zone_losses(), views };
+        self.zone_checker.observe(&snapshot);
     }
 
-    fn end_server(&self, server: usize) {
+    fn stop_server(&self, server: usize) {
         self.servers.servers[server].change(|serving| serving.down = true);
     }
 
-    /// It starts with nothing in its caches, and every list says so.
+    /// Starts a server with cold caches and updates every list.
     fn start_server(&self, server: usize) {
         self.servers.servers[server].change(|serving| {
             (serving.down, serving.cold_from) = (false, Some(Instant::now()));
         });
-        self.copies.iter().for_each(|copy| copy.say_started(server));
+        self.replicas.iter().for_each(|replica| replica.announce_started(server));
     }
 
-    fn note_pids(&self) {
+    fn update_starved_pids(&self) {
         let starved = locked(&self.starved);
         *locked(&self.pids) = starved
             .iter()
-            .filter(|copy| self.copies[**copy].truth == Truth::Runs)
-            .map(|copy| self.copies[*copy].sidecar.pid())
+            .filter(|replica| self.replicas[**replica].state == ProcessState::Runs)
+            .map(|replica| self.replicas[*replica].sidecar.pid())
             .collect();
     }
 
-    /// Gives starved copies a tenth of their time, until the run is over.
-    fn starve_turns(&self) -> thread::JoinHandle<()> {
-        let (pids, over) = (self.pids.clone(), self.over.clone());
-        let all = move |signal: Signal| {
+    /// Starts a thread that gives starved replicas a tenth of the processor time until the run is over.
+    fn start_starver(&self) -> thread::JoinHandle<()> {
+        let (pids, stopped) = (self.pids.clone(), self.stopped.clone());
+        let signal_all = move |signal: Signal| {
             for pid in locked(&pids).iter() {
                 if let Some(pid) = rustix::process::Pid::from_raw(*pid as i32) {
                     let _ = rustix::process::kill_process(pid, signal);
@@ -552,62 +614,75 @@
             }
         };
         thread::spawn(move || {
-            while !over.load(Ordering::Relaxed) {
-                all(Signal::STOP);
-                thread::sleep(STARVED_WAITS);
-                all(Signal::CONT);
-                thread::sleep(STARVED_RUNS);
+            while !stopped.load(Ordering::Relaxed) {
+                signal_all(Signal::STOP);
+                thread::sleep(STARVED_PAUSE);
+                signal_all(Signal::CONT);
+                thread::sleep(STARVED_RUN_TIME);
             }
         })
     }
 
-    fn look(&mut self, now: f64) {
-        let fronts = &self.words.fronts;
-        let by_front: BTreeMap<String, usize> =
-            fronts.iter().enumerate().map(|(copy, front)| (front.to_string(), copy)).collect();
-        let views: Vec<Option<Set>> = self
-            .copies
+    fn snapshot_views(&mut self, now: f64) {
+        let addresses = &self.datagram_proxies.advertised_addresses;
+        let replica_of: BTreeMap<String, usize> =
+            addresses.iter().enumerate().map(|(replica, address)| (address.to_string(), replica)).collect();
+        let views: Vec<Option<ReplicaSet>> = self
+            .replicas
             .iter()
             .enumerate()
-            .map(|(number, copy)| {
-                let names = copy.counts()?;
-                Some(Set::of(names.iter().filter_map(|name| by_front.get(name).copied()).chain([number])))
+            .map(|(number, replica)| {
+                let addresses = replica.live_members()?;
+                Some(ReplicaSet::new(
+                    addresses.iter().filter_map(|address| replica_of.get(address).copied()).chain([number]),
+                ))
             })
             .collect();
-        let (rough, spoilt, one_way) = self.sky.with(|sky| (sky.rough(), sky.spoilt(), sky.one_way()));
-        let truth: Vec<Truth> = self.copies.iter().map(|copy| copy.truth).collect();
-        let parts = self.parts.clone();
-        let look = Look { at: now, truth: truth.clone(), parts, views, rough, spoilt, one_way };
-        let errors = self.judge.look(&look);
-        let counts = look.views.iter().zip(errors);
+        let (is_too_lossy, is_degraded, has_one_way_cut) = self
+            .network
+            .with(|network| (network.is_too_lossy(), network.is_degraded(), network.has_one_way_cut()));
+        let states: Vec<ProcessState> = self.replicas.iter().map(|replica| replica.state).collect();
+        let partitions = self.partitions.clone();
+        let snapshot = ViewSnapshot {
+            at: now,
+            states: states.clone(),
+            partitions,
+            views,
+            is_too_lossy,
+            is_degraded,
+            has_one_way_cut,
+        };
+        let errors = self.view_checker.observe(&snapshot);
+        let counts = snapshot.views.iter().zip(errors);
         let counts = counts.map(|(view, errors)| view.as_ref().map(|view| (view.len(), errors))).collect();
-        self.seen.push(Seen { at: now, truth, counts });
+        self.samples.push(ViewSample { at: now, states, counts });
     }
 
-    fn end(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
-        self.copies.clear();
-        self.paths.iter().for_each(|path| conns::wake(*path));
+    fn shut_down(&mut self) {
+        self.stopped.store(true, Ordering::Relaxed);
+        self.replicas.clear();
+        self.proxy_addresses.iter().for_each(|address| conns::unblock_listener(*address));
     }
 }
 
-fn note(
-    seconds: &Mutex<Vec<Second>>,
+/// Counts a finished request and reports it to the ledger.
+fn record_outcome(
+    seconds: &Mutex<Vec<SecondCounts>>,
     ledger: &Ledger,
     disturbed: &Mutex<BTreeMap<SocketAddr, f64>>,
     repeats: &[RetrySafety],
-    kept: &Mutex<(u64, u64)>,
+    within_goal: &Mutex<(u64, u64)>,
     done: &Done,
 ) {
-    let took = done.ended.saturating_sub(done.intended);
+    let latency = done.ended.saturating_sub(done.intended);
     {
         let mut seconds = locked(seconds);
         let at = done.intended.as_secs() as usize;
         if seconds.len() <= at {
-            seconds.resize(at + 1, Second::default());
+            seconds.resize(at + 1, SecondCounts::default());
         }
         let second = &mut seconds[at];
-        second.came += 1;
+        second.offered += 1;
         match done.word {
             FinalOutcome::Answered => second.answered += 1,
             FinalOutcome::Declined => second.declined += 1,
@@ -616,9 +691,9 @@
         }
     }
     {
-        let mut kept = locked(kept);
-        kept.1 += 1;
-        kept.0 += u64::from(done.word == FinalOutcome::Answered && took <= copy::GOAL);
+        let mut within_goal = locked(within_goal);
+        within_goal.1 += 1;
+        within_goal.0 += u64::from(done.word == FinalOutcome::Answered && latency <= copy::GOAL);
     }
     if done.word == FinalOutcome::Declined {
         ledger.declined(done.cmd, repeats[done.verb]);
@@ -629,18 +704,18 @@
     }
 }
 
-fn cpu_of(pid: u32) -> Option<f64> {
-    /// What Linux tells times in here, on every machine.
+fn process_cpu_seconds(pid: u32) -> Option<f64> {
+    /// Linux reports processor time in /proc in hundredths of a second on every machine.
     const TICKS_PER_S: f64 = 100.0;
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    // The name before may hold anything, blanks too.
+    // The process name before the parenthesis may contain blanks.
     let (_, rest) = text.rsplit_once(')')?;
-    let figures: Vec<&str> = rest.split_whitespace().collect();
-    let ticks = |at: usize| figures.get(at)?.parse::<f64>().ok();
+    let fields: Vec<&str> = rest.split_whitespace().collect();
+    let ticks = |at: usize| fields.get(at)?.parse::<f64>().ok();
     Some((ticks(11)? + ticks(12)?) / TICKS_PER_S)
 }
 
-/// A folder for a run's files, made anew.
+/// Creates an empty directory for a run's files.
 pub fn run_dir(name: &str) -> Result<PathBuf, String> {
     crate::sockets::run_dir(&format!("fleet-{name}"))
 }
--- a/crates/lab/src/fleet/rig/words.rs
+++ b/crates/lab/src/fleet/rig/words.rs
@@ -1,8 +1,8 @@
-//! The paths of datagrams between copies. Each copy is known to the others by an address of the lab's, where a thread
-//! reads for it; who sent is told by the address that it came from. It owns what happens to a datagram on its way.
+//! Proxies for the datagrams between replicas. Each replica advertises the address of its proxy, where a thread
+//! receives its datagrams and applies the faults on the path; the source address identifies the sender.
 
-use super::Sky;
-use crate::fleet::weather::{Fate, Party};
+use super::SharedFaults;
+use crate::fleet::weather::{Node, PathEffects};
 use crate::sockets::{free_datagrams, unused};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -15,96 +15,105 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const DATAGRAM_MOST: usize = 2048;
-/// What is late waits in this number at most; more are lost.
-const LATE_MOST: usize = 20_000;
-const LOOK: Duration = Duration::from_millis(50);
+/// Longest datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 2048;
+/// Bound on delayed datagrams; more are lost.
+const MAX_DELAYED: usize = 20_000;
+/// Longest wait before a thread checks whether the run is over.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-type Later = Reverse<(Instant, u64, usize, Vec<u8>)>;
+/// Due time, a random tie-breaker, the receiver and the bytes, earliest first.
+type DelayedDatagram = Reverse<(Instant, u64, usize, Vec<u8>)>;
 
-/// What is still on its way.
+/// Datagrams that wait for their delay to pass.
 #[derive(Default)]
-struct Late {
-    heap: Mutex<BinaryHeap<Later>>,
+struct DelayedDatagrams {
+    queue: Mutex<BinaryHeap<DelayedDatagram>>,
     changed: Condvar,
 }
 
-pub struct Words {
-    /// Where each copy is reached by the others, and where it hears.
-    pub fronts: Vec<SocketAddrV4>,
-    pub own: Vec<SocketAddrV4>,
-    over: Arc<AtomicBool>,
-    pub carried: Arc<AtomicU64>,
+/// The proxies of all replicas; their threads end when it is dropped.
+pub struct DatagramProxies {
+    /// Address that each replica advertises, and the one that it listens on.
+    pub advertised_addresses: Vec<SocketAddrV4>,
+    pub listen_addresses: Vec<SocketAddrV4>,
+    stopped: Arc<AtomicBool>,
+    /// Number of datagrams received by the proxies.
+    pub received: Arc<AtomicU64>,
 }
 
-struct Front {
+/// Receives the datagrams for one replica.
+struct DatagramProxy {
     to: usize,
     socket: UdpSocket,
-    own: Arc<Vec<SocketAddrV4>>,
+    targets: Arc<Vec<SocketAddrV4>>,
     senders: Arc<BTreeMap<SocketAddr, usize>>,
-    sky: Sky,
-    late: Arc<Late>,
-    over: Arc<AtomicBool>,
-    carried: Arc<AtomicU64>,
+    faults: SharedFaults,
+    delayed: Arc<DelayedDatagrams>,
+    stopped: Arc<AtomicBool>,
+    received: Arc<AtomicU64>,
 }
 
-impl Words {
-    pub fn start(copies: usize, sky: &Sky, seed: u64) -> io::Result<Words> {
-        let own: Vec<SocketAddrV4> = (0..copies).map(|_| unused()).collect();
-        let fronts: Vec<(UdpSocket, SocketAddrV4)> =
-            (0..copies).map(|_| free_datagrams()).collect::<io::Result<_>>()?;
-        let senders = own.iter().enumerate().map(|(copy, address)| (SocketAddr::V4(*address), copy));
+impl DatagramProxies {
+    /// Starts a proxy per replica, and a thread that sends delayed datagrams.
+    pub fn start(replicas: usize, faults: &SharedFaults, seed: u64) -> io::Result<DatagramProxies> {
+        let listen_addresses: Vec<SocketAddrV4> = (0..replicas).map(|_| unused()).collect();
+        let advertised_addresses: Vec<(UdpSocket, SocketAddrV4)> =
+            (0..replicas).map(|_| free_datagrams()).collect::<io::Result<_>>()?;
+        let senders =
+            listen_addresses.iter().enumerate().map(|(replica, address)| (SocketAddr::V4(*address), replica));
         let senders = Arc::new(senders.collect::<BTreeMap<_, _>>());
-        let shared_own = Arc::new(own.clone());
-        let (over, carried, late) =
-            (Arc::new(AtomicBool::new(false)), Arc::default(), Arc::<Late>::default());
-        let addresses = fronts.iter().map(|(_, address)| *address).collect();
+        let targets = Arc::new(listen_addresses.clone());
+        let (stopped, received, delayed) =
+            (Arc::new(AtomicBool::new(false)), Arc::default(), Arc::<DelayedDatagrams>::default());
+        let addresses = advertised_addresses.iter().map(|(_, address)| *address).collect();
         let (sender, _) = free_datagrams()?;
-        let (carry_late, carry_own, carry_over) = (late.clone(), shared_own.clone(), over.clone());
-        thread::spawn(move || carry(&carry_late, &sender, &carry_own, &carry_over));
-        for (to, (socket, _)) in fronts.into_iter().enumerate() {
-            socket.set_read_timeout(Some(LOOK))?;
-            let front = Front {
+        let (delayed_clone, targets_clone, stopped_clone) =
+            (delayed.clone(), targets.clone(), stopped.clone());
+        thread::spawn(move || send_delayed(&delayed_clone, &sender, &targets_clone, &stopped_clone));
+        for (to, (socket, _)) in advertised_addresses.into_iter().enumerate() {
+            socket.set_read_timeout(Some(POLL_INTERVAL))?;
+            let proxy = DatagramProxy {
                 to,
                 socket,
-                own: shared_own.clone(),
+                targets: targets.clone(),
                 senders: senders.clone(),
-                sky: sky.clone(),
-                late: late.clone(),
-                over: over.clone(),
-                carried: Arc::clone(&carried),
+                faults: faults.clone(),
+                delayed: delayed.clone(),
+                stopped: stopped.clone(),
+                received: Arc::clone(&received),
             };
             let rng = ChaCha8Rng::seed_from_u64(seed ^ (to as u64) << 32);
-            thread::spawn(move || front.read(rng));
+            thread::spawn(move || proxy.receive(rng));
         }
-        Ok(Words { fronts: addresses, own, over, carried })
+        Ok(DatagramProxies { advertised_addresses: addresses, listen_addresses, stopped, received })
     }
 }
 
-impl Drop for Words {
+impl Drop for DatagramProxies {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopped.store(true, Ordering::Relaxed);
     }
 }
 
-impl Front {
-    fn read(self, mut rng: ChaCha8Rng) {
-        let mut bytes = [0; DATAGRAM_MOST];
-        while !self.over.load(Ordering::Relaxed) {
+impl DatagramProxy {
+    fn receive(self, mut rng: ChaCha8Rng) {
+        let mut bytes = [0; MAX_DATAGRAM_BYTES];
+        while !self.stopped.load(Ordering::Relaxed) {
             let Ok((length, from)) = self.socket.recv_from(&mut bytes) else { continue };
             let Some(from) = self.senders.get(&from).copied() else { continue };
-            self.carried.fetch_add(1, Ordering::Relaxed);
-            let fate = self.sky.fate(Party::Copy(from), Party::Copy(self.to));
-            self.pass(&bytes[..length], fate, &mut rng);
+            self.received.fetch_add(1, Ordering::Relaxed);
+            let effects = self.faults.path_effects(Node::Replica(from), Node::Replica(self.to));
+            self.forward(&bytes[..length], effects, &mut rng);
         }
     }
 
-    fn pass(&self, bytes: &[u8], fate: Fate, rng: &mut ChaCha8Rng) {
-        if fate.cut || rng.random::<f64>() < fate.loss {
+    fn forward(&self, bytes: &[u8], effects: PathEffects, rng: &mut ChaCha8Rng) {
+        if effects.cut || rng.random::<f64>() < effects.loss {
             return;
         }
         let mut bytes = bytes.to_vec();
-        if rng.random::<f64>() < fate.garble && !bytes.is_empty() {
+        if rng.random::<f64>() < effects.corruption && !bytes.is_empty() {
             let at = rng.random_range(0..bytes.len());
             match rng.random_range(0..3) {
                 0 => bytes.truncate(at),
@@ -112,36 +121,46 @@
                 _ => bytes.extend_from_within(at..),
             }
         }
-        let twice = rng.random::<f64>() < fate.double;
-        if fate.delay.is_zero() {
+        let twice = rng.random::<f64>() < effects.duplication;
+        if effects.delay.is_zero() {
             for _ in 0..if twice { 2 } else { 1 } {
-                let _ = self.socket.send_to(&bytes, self.own[self.to]);
+                let _ = self.socket.send_to(&bytes, self.targets[self.to]);
             }
             return;
         }
         for _ in 0..if twice { 2 } else { 1 } {
-            // Between once and twice the delay: some overtake others.
-            let at = Instant::now() + fate.delay.mul_f64(1.0 + rng.random::<f64>());
-            let mut heap = self.late.heap.lock().unwrap_or_else(PoisonError::into_inner);
-            if heap.len() < LATE_MOST {
-                heap.push(Reverse((at, rng.random(), self.to, bytes.clone())));
-                self.late.changed.notify_one();
+            // Between once and twice the delay, so that some datagrams overtake others.
+            let at = Instant::now() + effects.delay.mul_f64(1.0 + rng.random::<f64>());
+            let mut queue = self.delayed.queue.lock().unwrap_or_else(PoisonError::into_inner);
+            if queue.len() < MAX_DELAYED {
+                queue.push(Reverse((at, rng.random(), self.to, bytes.clone())));
+                self.delayed.changed.notify_one();
             }
         }
     }
 }
 
-/// Sends what was held up when its time has come.
-fn carry(late: &Late, socket: &UdpSocket, own: &[SocketAddrV4], over: &AtomicBool) {
-    let mut heap = late.heap.lock().unwrap_or_else(PoisonError::into_inner);
-    while !over.load(Ordering::Relaxed) {
+/// Sends each delayed datagram when its time has come.
+fn send_delayed(
+    delayed: &DelayedDatagrams,
+    socket: &UdpSocket,
+    targets: &[SocketAddrV4],
+    stopped: &AtomicBool,
+) {
+    let mut queue = delayed.queue.lock().unwrap_or_else(PoisonError::into_inner);
+    while !stopped.load(Ordering::Relaxed) {
         let now = Instant::now();
-        while heap.peek().is_some_and(|Reverse((at, _, _, _))| *at <= now) {
-            if let Some(Reverse((_, _, to, bytes))) = heap.pop() {
-                let _ = socket.send_to(&bytes, own[to]);
+        while queue.peek().is_some_and(|Reverse((at, _, _, _))| *at <= now) {
+            if let Some(Reverse((_, _, to, bytes))) = queue.pop() {
+                let _ = socket.send_to(&bytes, targets[to]);
             }
         }
-        let next = heap.peek().map_or(LOOK, |Reverse((at, _, _, _))| at.saturating_duration_since(now));
-        heap = late.changed.wait_timeout(heap, next.min(LOOK)).unwrap_or_else(PoisonError::into_inner).0;
+        let next =
+            queue.peek().map_or(POLL_INTERVAL, |Reverse((at, _, _, _))| at.saturating_duration_since(now));
+        queue = delayed
+            .changed
+            .wait_timeout(queue, next.min(POLL_INTERVAL))
+            .unwrap_or_else(PoisonError::into_inner)
+            .0;
     }
 }
--- a/crates/lab/src/fleet/views.rs
+++ b/crates/lab/src/fleet/views.rs
@@ -1,34 +1,35 @@
-//! What every copy holds of the others, over time, against what is true. It owns the invariants of a view: a copy that has
-//! ended, stands still or is cut off is gone from every view within the plan's time, and all who run and reach each other
-//! count each other within the plan's time of the last change, and go on doing so.
+//! Checks the membership views of all replicas over time. A replica that has ended, is paused or is cut off
+//! must leave every view within the plan's limits, and running replicas that reach each other must count each
+//! other within the plan's limit after the last change, and keep doing so.
 
 use serde::Serialize;
 use std::time::Duration;
 
-const TOLD_MOST: usize = 20;
-/// Looks are this far apart at most, and each takes its time.
-const SLACK: f64 = 0.15;
+/// Bound on the violations that are described.
+const MAX_VIOLATIONS: usize = 20;
+/// Tolerance in seconds: the interval between snapshots and the time that taking one needs.
+const TOLERANCE_S: f64 = 0.15;
 
-/// A set of copies.
+/// A set of replicas, as a bitmap of their indices.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Set(Vec<u64>);
+pub struct ReplicaSet(Vec<u64>);
 
-impl Set {
-    pub fn of(copies: impl IntoIterator<Item = usize>) -> Set {
-        let mut set = Set::default();
-        copies.into_iter().for_each(|copy| set.add(copy));
+impl ReplicaSet {
+    pub fn new(replicas: impl IntoIterator<Item = usize>) -> ReplicaSet {
+        let mut set = ReplicaSet::default();
+        replicas.into_iter().for_each(|replica| set.insert(replica));
         set
     }
 
-    pub fn add(&mut self, copy: usize) {
-        if self.0.len() <= copy / 64 {
-            self.0.resize(copy / 64 + 1, 0);
+    pub fn insert(&mut self, replica: usize) {
+        if self.0.len() <= replica / 64 {
+            self.0.resize(replica / 64 + 1, 0);
         }
-        self.0[copy / 64] |= 1 << (copy % 64);
+        self.0[replica / 64] |= 1 << (replica % 64);
     }
 
-    pub fn has(&self, copy: usize) -> bool {
-        self.0.get(copy / 64).is_some_and(|bits| bits >> (copy % 64) & 1 == 1)
+    pub fn contains(&self, replica: usize) -> bool {
+        self.0.get(replica / 64).is_some_and(|bits| bits >> (replica % 64) & 1 == 1)
     }
 
     pub fn len(&self) -> usize {
@@ -39,297 +40,330 @@
         self.len() == 0
     }
 
-    /// Who is in one of the two sets and not in the other.
-    pub fn differing<'a>(&'a self, other: &'a Set) -> impl Iterator<Item = usize> + 'a {
-        let bits = |set: &Set, at: usize| set.0.get(at).copied().unwrap_or(0);
+    /// Replicas that are in exactly one of the two sets.
+    pub fn symmetric_difference<'a>(&'a self, other: &'a ReplicaSet) -> impl Iterator<Item = usize> + 'a {
+        let bits = |set: &ReplicaSet, at: usize| set.0.get(at).copied().unwrap_or(0);
         (0..self.0.len().max(other.0.len())).flat_map(move |at| {
-            let odd = bits(self, at) ^ bits(other, at);
-            (0..64).filter(move |bit| odd >> bit & 1 == 1).map(move |bit| at * 64 + bit)
+            let difference = bits(self, at) ^ bits(other, at);
+            (0..64).filter(move |bit| difference >> bit & 1 == 1).map(move |bit| at * 64 + bit)
         })
     }
 }
 
-/// How a copy is, in truth.
+/// Actual state of a replica's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub enum Truth {
+pub enum ProcessState {
+    /// The process has ended or was told to end.
     Down,
+    /// The process is paused.
     Still,
+    /// The process runs.
     Runs,
 }
 
-/// One look at all copies.
-pub struct Look {
-    /// Seconds since the start.
+/// The state of all replicas and their views at one moment.
+pub struct ViewSnapshot {
+    /// Seconds since the start of the run.
     pub at: f64,
-    pub truth: Vec<Truth>,
-    /// Which part of the fleet a copy is in, as cuts have it now; copies of one part reach each other.
-    pub parts: Vec<usize>,
-    /// Whom each counts, itself among them; none where it could not be asked.
-    pub views: Vec<Option<Set>>,
-    /// Whether paths are so bad that no view can be asked for.
-    pub rough: bool,
-    /// Whether words are lost, garbled or late at all: a death may then take as long as all else.
-    pub spoilt: bool,
-    /// Whether some parts hear others that don't hear them: those may go on counting them, as they do live.
-    pub one_way: bool,
+    /// Actual state of each replica.
+    pub states: Vec<ProcessState>,
+    /// Partition of each replica under the active cuts; replicas of one partition reach each other.
+    pub partitions: Vec<usize>,
+    /// Replicas that each replica counts as members, itself included; none if it could not be queried.
+    pub views: Vec<Option<ReplicaSet>>,
+    /// Whether paths are so bad that views are not checked.
+    pub is_too_lossy: bool,
+    /// Whether messages are lost, corrupted or delayed; the limit for deaths is then that for other changes.
+    pub is_degraded: bool,
+    /// Whether an active cut is one-way. Replicas may go on counting members that they still receive messages
+    /// from, though those don't receive theirs.
+    pub has_one_way_cut: bool,
 }
 
-/// What came of it. Spans are seconds.
+/// Outcome of a run. Durations are in seconds.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Figures {
-    /// From each change until the last copy saw it; changes that another overtook are left out.
-    pub agreed_after: Vec<(String, f64)>,
-    /// Over the changes in which copies only ended or stood still.
-    pub death_median: f64,
-    pub death_most: f64,
-    /// Over all others, but for the start.
-    pub agree_most: f64,
-    /// Times that a copy held one for dead that ran and could be reached.
+pub struct ViewResults {
+    /// Time from each change until the last replica's view was right; a change followed by another one before
+    /// that is left out.
+    #[serde(rename = "agreed_after")]
+    pub convergence_times: Vec<(String, f64)>,
+    /// Median and maximum over changes in which replicas only ended or were paused.
+    #[serde(rename = "death_median")]
+    pub median_death_s: f64,
+    #[serde(rename = "death_most")]
+    pub max_death_s: f64,
+    /// Maximum over all other changes except the start.
+    #[serde(rename = "agree_most")]
+    pub max_convergence_s: f64,
+    /// Number of times that a replica's view lacked a running, reachable replica past the limit.
     pub false_deaths: usize,
-    pub broken: Vec<String>,
+    /// Descriptions of the first violations.
+    #[serde(rename = "broken")]
+    pub violations: Vec<String>,
 }
 
+/// Time after a change within which views must be right.
 #[derive(Clone, Copy, Debug)]
-pub struct Allowed {
+pub struct ViewDeadlines {
+    /// Limit for a death.
     pub death: Duration,
-    pub agree: Duration,
-    /// For each part of a cut to see that the other is gone.
-    pub cut: Duration,
+    /// Limit for any other change.
+    pub other_change: Duration,
+    /// Limit for each side of a partition to remove the other side.
+    pub partition: Duration,
 }
 
+/// A change that not all views reflect yet.
 struct Change {
     at: f64,
-    what: String,
+    description: String,
     only_deaths: bool,
 }
 
-/// Takes looks in, in order of time.
-pub struct Judge {
-    allowed: Allowed,
-    figures: Figures,
-    deaths: Vec<f64>,
-    /// When each copy's truth changed last, and its part.
-    changed: Vec<f64>,
-    parted: f64,
-    rough: f64,
-    truth: Vec<Truth>,
-    parts: Vec<usize>,
-    open: Option<Change>,
-    /// Pairs whose error has been told, until they are right again.
-    told: Vec<(usize, usize)>,
+/// Checks snapshots, which must come in order of time.
+pub struct ViewChecker {
+    deadlines: ViewDeadlines,
+    results: ViewResults,
+    death_times: Vec<f64>,
+    /// Time of each replica's last state change; a replica that is alone in its partition counts as changing
+    /// until it is not.
+    state_changed_at: Vec<f64>,
+    partitions_changed_at: f64,
+    last_too_lossy_at: f64,
+    states: Vec<ProcessState>,
+    partitions: Vec<usize>,
+    pending_change: Option<Change>,
+    /// Pairs of observer and subject whose error is reported, until the view is right again.
+    reported: Vec<(usize, usize)>,
 }
 
-/// Whom each copy should count: those that run and are in its part. By part, as all of one have the same.
-fn wanted(look: &Look) -> Vec<(usize, Set)> {
-    let mut wanted: Vec<(usize, Set)> = Vec::new();
-    for (copy, part) in look.parts.iter().enumerate() {
-        if look.truth[copy] != Truth::Runs {
+/// Expected view of each partition: its running replicas.
+fn expected_views(snapshot: &ViewSnapshot) -> Vec<(usize, ReplicaSet)> {
+    let mut expected_views: Vec<(usize, ReplicaSet)> = Vec::new();
+    for (replica, partition) in snapshot.partitions.iter().enumerate() {
+        if snapshot.states[replica] != ProcessState::Runs {
             continue;
         }
-        match wanted.iter_mut().find(|(known, _)| known == part) {
-            Some((_, set)) => set.add(copy),
-            None => wanted.push((*part, Set::of([copy]))),
+        match expected_views.iter_mut().find(|(current, _)| current == partition) {
+            Some((_, set)) => set.insert(replica),
+            None => expected_views.push((*partition, ReplicaSet::new([replica]))),
         }
     }
-    wanted
+    expected_views
 }
 
-impl Judge {
-    pub fn new(allowed: Allowed) -> Judge {
-        Judge {
-            allowed,
-            figures: Figures::default(),
-            deaths: Vec::new(),
-            changed: Vec::new(),
-            parted: 0.0,
-            rough: f64::NEG_INFINITY,
-            truth: Vec::new(),
-            parts: Vec::new(),
-            open: Some(Change { at: 0.0, what: "start".into(), only_deaths: false }),
-            told: Vec::new(),
+impl ViewChecker {
+    pub fn new(deadlines: ViewDeadlines) -> ViewChecker {
+        ViewChecker {
+            deadlines,
+            results: ViewResults::default(),
+            death_times: Vec::new(),
+            state_changed_at: Vec::new(),
+            partitions_changed_at: 0.0,
+            last_too_lossy_at: f64::NEG_INFINITY,
+            states: Vec::new(),
+            partitions: Vec::new(),
+            pending_change: Some(Change { at: 0.0, description: "start".into(), only_deaths: false }),
+            reported: Vec::new(),
         }
     }
 
-    /// Takes a look in; for each copy, how many it errs in.
-    pub fn look(&mut self, look: &Look) -> Vec<usize> {
-        self.note_changes(look);
-        let wanted = wanted(look);
-        let mut errors = vec![0; look.truth.len()];
-        let mut all_right = true;
-        for (copy, view) in look.views.iter().enumerate() {
-            if look.truth[copy] != Truth::Runs {
+    /// Checks a snapshot and returns the number of errors in each replica's view.
+    pub fn observe(&mut self, snapshot: &ViewSnapshot) -> Vec<usize> {
+        self.note_changes(snapshot);
+        let expected_views = expected_views(snapshot);
+        let mut errors = vec![0; snapshot.states.len()];
+        let mut all_agree = true;
+        for (replica, view) in snapshot.views.iter().enumerate() {
+            if snapshot.states[replica] != ProcessState::Runs {
                 continue;
             }
-            let Some((_, wanted_here)) = wanted.iter().find(|(part, _)| *part == look.parts[copy]) else {
+            let Some((_, expected)) =
+                expected_views.iter().find(|(partition, _)| *partition == snapshot.partitions[replica])
+            else {
                 continue;
             };
-            // One that is alone in its part can agree with nobody.
-            let alone = wanted_here.len() == 1 && look.truth.len() > 1;
+            // A replica that is alone in its partition has no other replica to agree with.
+            let alone = expected.len() == 1 && snapshot.states.len() > 1;
             if alone {
-                self.changed[copy] = look.at;
+                self.state_changed_at[replica] = snapshot.at;
             }
             let Some(view) = view else {
-                all_right &= alone;
+                all_agree &= alone;
                 continue;
             };
-            let heard = |other: &usize| {
-                let runs = look.truth[*other] == Truth::Runs;
-                look.one_way && runs && view.has(*other) && look.parts[*other] != look.parts[copy]
+            let is_heard_one_way = |other: &usize| {
+                let runs = snapshot.states[*other] == ProcessState::Runs;
+                snapshot.has_one_way_cut
+                    && runs
+                    && view.contains(*other)
+                    && snapshot.partitions[*other] != snapshot.partitions[replica]
             };
-            let odd: Vec<usize> = view.differing(wanted_here).filter(|other| !heard(other)).collect();
-            errors[copy] = odd.len();
-            all_right &= alone || odd.is_empty();
-            if !self.told.is_empty() {
-                self.told.retain(|(by, whom)| *by != copy || odd.contains(whom));
+            let mismatched: Vec<usize> =
+                view.symmetric_difference(expected).filter(|other| !is_heard_one_way(other)).collect();
+            errors[replica] = mismatched.len();
+            all_agree &= alone || mismatched.is_empty();
+            if !self.reported.is_empty() {
+                self.reported
+                    .retain(|(observer, subject)| *observer != replica || mismatched.contains(subject));
             }
-            for other in odd {
-                if !alone && !look.rough {
-                    self.err(look, copy, other, view.has(other));
+            for other in mismatched {
+                if !alone && !snapshot.is_too_lossy {
+                    self.record_error(snapshot, replica, other, view.contains(other));
                 }
             }
         }
-        if all_right {
-            self.agree(look.at);
+        if all_agree {
+            self.record_agreement(snapshot.at);
         }
         errors
     }
 
-    fn note_changes(&mut self, look: &Look) {
-        if self.truth.is_empty() {
-            (self.truth, self.parts) = (look.truth.clone(), look.parts.clone());
-            self.changed = vec![0.0; look.truth.len()];
+    /// Records what has changed since the last snapshot.
+    fn note_changes(&mut self, snapshot: &ViewSnapshot) {
+        if self.states.is_empty() {
+            (self.states, self.partitions) = (snapshot.states.clone(), snapshot.partitions.clone());
+            self.state_changed_at = vec![0.0; snapshot.states.len()];
         }
-        let mut what = Vec::new();
+        let mut changes = Vec::new();
         let mut only_deaths = true;
-        for copy in 0..look.truth.len() {
-            if look.truth[copy] != self.truth[copy] {
-                self.changed[copy] = look.at;
-                only_deaths &= look.truth[copy] != Truth::Runs;
-                what.push(format!("c{copy} {:?}", look.truth[copy]).to_lowercase());
+        for replica in 0..snapshot.states.len() {
+            if snapshot.states[replica] != self.states[replica] {
+                self.state_changed_at[replica] = snapshot.at;
+                only_deaths &= snapshot.states[replica] != ProcessState::Runs;
+                changes.push(format!("c{replica} {:?}", snapshot.states[replica]).to_lowercase());
             }
         }
-        if look.parts != self.parts {
-            (self.parted, only_deaths) = (look.at, false);
-            what.push("parts".into());
+        if snapshot.partitions != self.partitions {
+            (self.partitions_changed_at, only_deaths) = (snapshot.at, false);
+            changes.push("parts".into());
         }
-        if look.rough {
-            (self.rough, self.open) = (look.at, None);
+        if snapshot.is_too_lossy {
+            (self.last_too_lossy_at, self.pending_change) = (snapshot.at, None);
         }
-        if !what.is_empty() && !look.rough {
-            let more = what.len().saturating_sub(3);
-            what.truncate(3);
+        if !changes.is_empty() && !snapshot.is_too_lossy {
+            let more = changes.len().saturating_sub(3);
+            changes.truncate(3);
             let more = if more > 0 { format!(" and {more} more") } else { String::new() };
-            self.open = Some(Change { at: look.at, what: what.join(", ") + &more, only_deaths });
+            self.pending_change =
+                Some(Change { at: snapshot.at, description: changes.join(", ") + &more, only_deaths });
         }
-        (self.truth, self.parts) = (look.truth.clone(), look.parts.clone());
+        (self.states, self.partitions) = (snapshot.states.clone(), snapshot.partitions.clone());
     }
 
-    fn err(&mut self, look: &Look, copy: usize, other: usize, has: bool) {
-        let (own, its) = (self.changed[copy], self.changed[other]);
-        let others = own.max(self.parted).max(self.rough);
-        let allowed = match () {
-            () if has && look.truth[other] == Truth::Runs => self.allowed.cut,
-            () if has && self.parted >= its.max(own) => self.allowed.cut,
-            () if has && its >= others && !look.spoilt => self.allowed.death,
-            () => self.allowed.agree,
+    fn record_error(&mut self, snapshot: &ViewSnapshot, replica: usize, other: usize, counted: bool) {
+        let (own_change, other_change) = (self.state_changed_at[replica], self.state_changed_at[other]);
+        let disrupted = own_change.max(self.partitions_changed_at).max(self.last_too_lossy_at);
+        let limit = match () {
+            () if counted && snapshot.states[other] == ProcessState::Runs => self.deadlines.partition,
+            () if counted && self.partitions_changed_at >= other_change.max(own_change) => {
+                self.deadlines.partition
+            }
+            () if counted && other_change >= disrupted && !snapshot.is_degraded => self.deadlines.death,
+            () => self.deadlines.other_change,
         };
-        let since = look.at - its.max(others);
-        if since <= allowed.as_secs_f64() + SLACK || self.told.contains(&(copy, other)) {
+        let since = snapshot.at - other_change.max(disrupted);
+        if since <= limit.as_secs_f64() + TOLERANCE_S || self.reported.contains(&(replica, other)) {
             return;
         }
-        self.told.push((copy, other));
-        self.figures.false_deaths += usize::from(!has);
-        if self.figures.broken.len() < TOLD_MOST {
-            let holds = if has { "counts" } else { "does not count" };
-            let is = format!("{:?}", look.truth[other]).to_lowercase();
+        self.reported.push((replica, other));
+        self.results.false_deaths += usize::from(!counted);
+        if self.results.violations.len() < MAX_VIOLATIONS {
+            let verb = if counted { "counts" } else { "does not count" };
+            let state = format!("{:?}", snapshot.states[other]).to_lowercase();
             let text = format!(
-                "{:.1} s: c{copy} {holds} c{other}, which is {is}, {since:.1} s after the last change",
-                look.at
+                "{:.1} s: c{replica} {verb} c{other}, which is {state}, {since:.1} s after the last change",
+                snapshot.at
             );
-            self.figures.broken.push(text);
+            self.results.violations.push(text);
         }
     }
 
-    fn agree(&mut self, at: f64) {
-        let Some(change) = self.open.take() else { return };
-        let took = at - change.at;
+    fn record_agreement(&mut self, at: f64) {
+        let Some(change) = self.pending_change.take() else { return };
+        let elapsed = at - change.at;
         if change.only_deaths {
-            self.deaths.push(took);
-        } else if change.what != "start" {
-            self.figures.agree_most = self.figures.agree_most.max(took);
+            self.death_times.push(elapsed);
+        } else if change.description != "start" {
+            self.results.max_convergence_s = self.results.max_convergence_s.max(elapsed);
         }
-        self.figures.agreed_after.push((change.what, took));
+        self.results.convergence_times.push((change.description, elapsed));
     }
 
-    pub fn close(mut self) -> Figures {
-        self.deaths.sort_by(f64::total_cmp);
-        self.figures.death_most = self.deaths.last().copied().unwrap_or(0.0);
-        self.figures.death_median = self.deaths.get(self.deaths.len() / 2).copied().unwrap_or(0.0);
-        self.figures
+    /// Ends the checks and computes the median and maximum.
+    pub fn finish(mut self) -> ViewResults {
+        self.death_times.sort_by(f64::total_cmp);
+        self.results.max_death_s = self.death_times.last().copied().unwrap_or(0.0);
+        self.results.median_death_s =
+            self.death_times.get(self.death_times.len() / 2).copied().unwrap_or(0.0);
+        self.results
     }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use Truth::{Down, Runs};
+    use ProcessState::{Down, Runs};
 
-    const ALLOWED: Allowed =
-        Allowed { death: Duration::from_secs(2), agree: Duration::from_secs(3), cut: Duration::from_secs(4) };
+    const DEADLINES: ViewDeadlines = ViewDeadlines {
+        death: Duration::from_secs(2),
+        other_change: Duration::from_secs(3),
+        partition: Duration::from_secs(4),
+    };
 
-    fn look(at: u32, truth: [Truth; 3], views: [&[usize]; 3]) -> Look {
-        let views = views.iter().map(|view| Some(Set::of(view.iter().copied()))).collect();
-        Look {
+    fn snapshot(at: u32, states: [ProcessState; 3], views: [&[usize]; 3]) -> ViewSnapshot {
+        let views = views.iter().map(|view| Some(ReplicaSet::new(view.iter().copied()))).collect();
+        ViewSnapshot {
             at: f64::from(at) * 0.1,
-            truth: truth.to_vec(),
-            parts: vec![0; 3],
+            states: states.to_vec(),
+            partitions: vec![0; 3],
             views,
-            rough: false,
-            spoilt: false,
-            one_way: false,
+            is_too_lossy: false,
+            is_degraded: false,
+            has_one_way_cut: false,
         }
     }
 
-    fn after_a_death(sees_it: u32) -> Figures {
-        let mut judge = Judge::new(ALLOWED);
-        (0..100).for_each(|at| drop(judge.look(&look(at, [Runs; 3], [&[0, 1, 2]; 3]))));
+    fn results_of_a_death(noticed_after: u32) -> ViewResults {
+        let mut checker = ViewChecker::new(DEADLINES);
+        (0..100).for_each(|at| drop(checker.observe(&snapshot(at, [Runs; 3], [&[0, 1, 2]; 3]))));
         for at in 100..180 {
-            let last: &[usize] = if at < 100 + sees_it { &[0, 1, 2] } else { &[0, 1] };
-            judge.look(&look(at, [Runs, Runs, Down], [last, &[0, 1], &[]]));
+            let last: &[usize] = if at < 100 + noticed_after { &[0, 1, 2] } else { &[0, 1] };
+            checker.observe(&snapshot(at, [Runs, Runs, Down], [last, &[0, 1], &[]]));
         }
-        judge.close()
+        checker.finish()
     }
 
     #[test]
-    fn a_death_has_to_be_seen_by_all_in_time() {
-        let held = after_a_death(15);
-        assert!(held.broken.is_empty(), "{:?}", held.broken);
-        assert!((held.death_most - 1.5).abs() < 0.01);
-        assert_eq!(after_a_death(40).broken.len(), 1);
-        assert_eq!(after_a_death(1000).broken.len(), 1);
+    fn a_death_missed_by_a_view_past_the_limit_is_a_violation() {
+        let in_time = results_of_a_death(15);
+        assert!(in_time.violations.is_empty(), "{:?}", in_time.violations);
+        assert!((in_time.max_death_s - 1.5).abs() < 0.01);
+        assert_eq!(results_of_a_death(40).violations.len(), 1);
+        assert_eq!(results_of_a_death(1000).violations.len(), 1);
     }
 
     #[test]
-    fn one_who_runs_may_be_missing_only_while_all_is_new() {
-        let mut judge = Judge::new(ALLOWED);
+    fn a_missing_running_replica_is_an_error_except_after_a_change() {
+        let mut checker = ViewChecker::new(DEADLINES);
         for at in 0..100 {
             let first: &[usize] = if at == 60 || at == 61 { &[0, 1] } else { &[0, 1, 2] };
-            judge.look(&look(at, [Runs; 3], [first, &[0, 1, 2], &[0, 1, 2]]));
+            checker.observe(&snapshot(at, [Runs; 3], [first, &[0, 1, 2], &[0, 1, 2]]));
         }
-        let figures = judge.close();
-        assert_eq!((figures.false_deaths, figures.broken.len()), (1, 1));
-        // After a cut it may, for so long.
-        let mut judge = Judge::new(ALLOWED);
+        let results = checker.finish();
+        assert_eq!((results.false_deaths, results.violations.len()), (1, 1));
+        // After a partition it may be missing until the limit.
+        let mut checker = ViewChecker::new(DEADLINES);
         for at in 0..100 {
-            let cut = (20..60).contains(&at);
+            let partition = (20..60).contains(&at);
             let first: &[usize] = if (30..80).contains(&at) { &[0, 1] } else { &[0, 1, 2] };
             let last: &[usize] = if (30..80).contains(&at) { &[2] } else { &[0, 1, 2] };
-            let mut seen = look(at, [Runs; 3], [first, first, last]);
-            seen.parts = if cut { vec![0, 0, 1] } else { vec![0; 3] };
-            judge.look(&seen);
+            let mut snapshot = snapshot(at, [Runs; 3], [first, first, last]);
+            snapshot.partitions = if partition { vec![0, 0, 1] } else { vec![0; 3] };
+            checker.observe(&snapshot);
         }
-        let figures = judge.close();
-        assert!(figures.broken.is_empty(), "{:?}", figures.broken);
-        assert!((figures.agree_most - 2.0).abs() < 0.01, "{}", figures.agree_most);
+        let results = checker.finish();
+        assert!(results.violations.is_empty(), "{:?}", results.violations);
+        assert!((results.max_convergence_s - 2.0).abs() < 0.01, "{}", results.max_convergence_s);
     }
 }
