--- a/crates/lab/src/fleet/weather.rs
+++ b/crates/lab/src/fleet/weather.rs
@@ -1,213 +1,233 @@
-//! What lies between any two parties at a moment: the faults that are active, as the fate of one path. It owns who
-//! belongs to a fault's group; it must never draw anything itself.
+//! Network fault model: which of the active faults affect the path between two nodes, and which replicas belong
+//! to a fault's group. Apart from the groups, which are drawn from the seed once, nothing here is random.
 
-use super::plan::{Fault, FleetPlan, Kind, Paths, Way};
+use super::plan::{Direction, Fault, FaultKind, FleetPlan, PathScope};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-/// Whoever sends or is sent to.
+/// A sender or receiver of messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Party {
-    Copy(usize),
+pub enum Node {
+    Replica(usize),
     Server(usize),
-    /// The list source and the callers: they stand beside every copy.
-    Outside,
+    /// The list source and the clients, which are local to each replica.
+    Local,
 }
 
-/// What befalls one message, or one connection, on its way.
+/// Combined effect of all active faults on a message or connection.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Fate {
+pub struct PathEffects {
+    /// Whether no message passes.
     pub cut: bool,
+    /// Whether connections are reset.
     pub reset: bool,
+    /// Probability that a datagram is lost.
     pub loss: f64,
-    pub double: f64,
-    pub garble: f64,
+    /// Probability that a datagram is duplicated.
+    pub duplication: f64,
+    /// Probability that a datagram is corrupted.
+    pub corruption: f64,
+    /// Latency that the faults add.
     pub delay: Duration,
 }
 
+/// Replicas and servers that a fault affects.
 struct Group {
-    copies: Vec<bool>,
-    /// The zone, where the fault strikes one whole.
+    replicas: Vec<bool>,
+    /// Index of the zone, for a fault on a whole zone.
     zone: Option<usize>,
     all: bool,
 }
 
-pub struct Weather {
+/// The plan's faults and which of them are active.
+pub struct NetworkFaults {
     faults: Vec<Fault>,
     groups: Vec<Group>,
-    zones: usize,
-    names: Vec<String>,
+    zone_count: usize,
+    zone_names: Vec<String>,
     active: Vec<usize>,
 }
 
-impl Weather {
-    pub fn new(plan: &FleetPlan, seed: u64) -> Weather {
-        let group = |(number, fault): (usize, &Fault)| {
+impl NetworkFaults {
+    /// Resolves the group of each fault; `seed` selects the replicas of a fraction.
+    pub fn new(plan: &FleetPlan, seed: u64) -> NetworkFaults {
+        let fault_group = |(fault_index, fault): (usize, &Fault)| {
             let zone = plan.zones.iter().position(|zone| Some(zone) == fault.zone.as_ref());
-            let mut copies = vec![false; plan.processes];
-            let mut rng = ChaCha8Rng::seed_from_u64(seed.wrapping_mul(31) + number as u64);
-            for (copy, chosen) in copies.iter_mut().enumerate() {
-                *chosen = fault.copies.contains(&copy) || zone == Some(copy % plan.zones.len());
+            let mut replicas = vec![false; plan.processes];
+            let mut rng = ChaCha8Rng::seed_from_u64(seed.wrapping_mul(31) + fault_index as u64);
+            for (replica, in_group) in replicas.iter_mut().enumerate() {
+                *in_group = fault.replicas.contains(&replica) || zone == Some(replica % plan.zones.len());
             }
-            if let Some(part) = fault.part {
+            if let Some(fraction) = fault.fraction {
                 for at in rand::seq::index::sample(
                     &mut rng,
                     plan.processes,
-                    (part * plan.processes as f64).round() as usize,
+                    (fraction * plan.processes as f64).round() as usize,
                 ) {
-                    copies[at] = true;
+                    replicas[at] = true;
                 }
             }
-            let all = fault.copies.is_empty() && fault.zone.is_none() && fault.part.is_none();
-            Group { copies, zone, all }
+            let all = fault.replicas.is_empty() && fault.zone.is_none() && fault.fraction.is_none();
+            Group { replicas, zone, all }
         };
-        Weather {
-            groups: plan.faults.iter().enumerate().map(group).collect(),
+        NetworkFaults {
+            groups: plan.faults.iter().enumerate().map(fault_group).collect(),
             faults: plan.faults.clone(),
-            zones: plan.zones.len(),
-            names: plan.zones.clone(),
+            zone_count: plan.zones.len(),
+            zone_names: plan.zones.clone(),
             active: Vec::new(),
         }
     }
 
+    /// Activates the fault with this index in the plan.
     pub fn begin(&mut self, fault: usize) {
         self.active.push(fault);
     }
 
+    /// Deactivates the fault with this index in the plan.
     pub fn end(&mut self, fault: usize) {
         self.active.retain(|active| *active != fault);
     }
 
+    /// Indices of the active faults.
     pub fn active(&self) -> &[usize] {
         &self.active
     }
 
-    /// The copies that a fault strikes.
-    pub fn struck(&self, fault: usize) -> Vec<usize> {
+    /// Indices of the replicas that a fault affects.
+    pub fn affected_replicas(&self, fault: usize) -> Vec<usize> {
         let group = &self.groups[fault];
-        let count = group.copies.len();
-        (0..count).filter(|copy| group.all || group.copies[*copy]).collect()
+        let count = group.replicas.len();
+        (0..count).filter(|replica| group.all || group.replicas[*replica]).collect()
     }
 
-    fn within(&self, fault: usize, party: Party) -> bool {
+    fn in_group(&self, fault: usize, node: Node) -> bool {
         let group = &self.groups[fault];
-        match party {
+        match node {
             _ if group.all => true,
-            Party::Copy(copy) => group.copies.get(copy).copied().unwrap_or(false),
-            Party::Server(server) => group.zone == Some(server % self.zones),
-            Party::Outside => false,
+            Node::Replica(replica) => group.replicas.get(replica).copied().unwrap_or(false),
+            Node::Server(server) => group.zone == Some(server % self.zone_count),
+            Node::Local => false,
         }
     }
 
-    /// The path from one party to another, by all that is active.
-    pub fn fate(&self, from: Party, to: Party) -> Fate {
-        let mut fate = Fate::default();
-        for number in &self.active {
-            let fault = &self.faults[*number];
-            if fault.of_processes() || !self.strikes(*number, fault, from, to) {
+    /// Combined effect of all active faults on the path from one node to another.
+    pub fn path_effects(&self, from: Node, to: Node) -> PathEffects {
+        let mut effects = PathEffects::default();
+        for fault_index in &self.active {
+            let fault = &self.faults[*fault_index];
+            if fault.affects_processes() || !self.affects_path(*fault_index, fault, from, to) {
                 continue;
             }
-            let share = fault.share.unwrap_or(0.0);
-            let either = |known: f64| 1.0 - (1.0 - known) * (1.0 - share);
+            let probability = fault.probability.unwrap_or(0.0);
+            let combined = |current: f64| 1.0 - (1.0 - current) * (1.0 - probability);
             match fault.kind {
-                Kind::Cut | Kind::Silent => fate.cut = true,
-                Kind::Reset => fate.reset = true,
-                Kind::Loss => fate.loss = either(fate.loss),
-                Kind::Double => fate.double = either(fate.double),
-                Kind::Garble => fate.garble = either(fate.garble),
-                Kind::Delay => fate.delay += Duration::from_secs_f64(fault.delay.unwrap_or(0.0)),
-                Kind::Kill | Kind::Term | Kind::Stop | Kind::Starve => {}
-                Kind::Crash | Kind::Start | Kind::Slow | Kind::Surge | Kind::Leave => {}
+                FaultKind::Cut | FaultKind::Silent => effects.cut = true,
+                FaultKind::Reset => effects.reset = true,
+                FaultKind::Loss => effects.loss = combined(effects.loss),
+                FaultKind::Double => effects.duplication = combined(effects.duplication),
+                FaultKind::Garble => effects.corruption = combined(effects.corruption),
+                FaultKind::Delay => effects.delay += Duration::from_secs_f64(fault.delay.unwrap_or(0.0)),
+                FaultKind::Kill | FaultKind::Term | FaultKind::Stop | FaultKind::Starve => {}
+                FaultKind::Crash
+                | FaultKind::Start
+                | FaultKind::Slow
+                | FaultKind::Surge
+                | FaultKind::Leave => {}
             }
         }
-        fate
+        effects
     }
 
-    fn strikes(&self, number: usize, fault: &Fault, from: Party, to: Party) -> bool {
-        if fault.of_servers() {
-            let struck = |party| matches!(party, Party::Server(at) if fault.has_server(at, &self.names));
-            return struck(from) || struck(to);
+    fn affects_path(&self, fault_index: usize, fault: &Fault, from: Node, to: Node) -> bool {
+        if fault.affects_servers() {
+            let is_affected =
+                |node| matches!(node, Node::Server(at) if fault.affects_server(at, &self.zone_names));
+            return is_affected(from) || is_affected(to);
         }
-        let copies = matches!((from, to), (Party::Copy(_), Party::Copy(_)));
+        let between_replicas = matches!((from, to), (Node::Replica(_), Node::Replica(_)));
         match fault.paths {
-            Paths::Copies if !copies => return false,
-            Paths::Servers if copies => return false,
+            PathScope::Replicas if !between_replicas => return false,
+            PathScope::Servers if between_replicas => return false,
             _ => {}
         }
-        // Callers and the list source stand on the copy's side of every cut.
-        if fault.kind == Kind::Cut && (from == Party::Outside || to == Party::Outside) {
+        // Clients and the list source are local to a replica, so a cut never separates them from it.
+        if fault.kind == FaultKind::Cut && (from == Node::Local || to == Node::Local) {
             return false;
         }
-        let (out, into) = (self.within(number, from), self.within(number, to));
-        let all = self.groups[number].all;
-        let way = |out: bool, into: bool| match fault.way {
-            Way::Both => out || into,
-            Way::Out => out,
-            Way::In => into,
+        let (out, into) = (self.in_group(fault_index, from), self.in_group(fault_index, to));
+        let all = self.groups[fault_index].all;
+        let matches_direction = |out: bool, into: bool| match fault.direction {
+            Direction::Both => out || into,
+            Direction::Out => out,
+            Direction::In => into,
         };
         if !fault.to.is_empty() {
-            let named = |party| matches!(party, Party::Copy(copy) if fault.to.contains(&copy));
-            return (named(to) && way(out, false)) || (named(from) && way(false, into));
+            let is_peer = |node| matches!(node, Node::Replica(replica) if fault.to.contains(&replica));
+            return (is_peer(to) && matches_direction(out, false))
+                || (is_peer(from) && matches_direction(false, into));
         }
         match fault.kind {
-            // Within the group all goes on; a cut of all leaves nobody with anybody.
-            Kind::Cut if !all => out != into && way(out, into),
-            _ => way(out, into),
+            // A cut leaves paths within the group intact; a cut of all replicas isolates each of them.
+            FaultKind::Cut if !all => out != into && matches_direction(out, into),
+            _ => matches_direction(out, into),
         }
     }
 
-    /// Which part of the fleet each copy is in: those of one part reach each other both ways, some perhaps through others.
-    pub fn parts(&self) -> Vec<usize> {
-        let count = self.groups.first().map_or(0, |group| group.copies.len());
-        if !self.active.iter().any(|number| self.faults[*number].kind == Kind::Cut) {
+    /// Partition of each replica under the active cuts. Members of a partition reach each other both ways,
+    /// directly or through other members.
+    pub fn partitions(&self) -> Vec<usize> {
+        let count = self.groups.first().map_or(0, |group| group.replicas.len());
+        if !self.active.iter().any(|fault_index| self.faults[*fault_index].kind == FaultKind::Cut) {
             return vec![0; count];
         }
         let reach = |one: usize, other: usize| {
-            let (one, other) = (Party::Copy(one), Party::Copy(other));
-            !self.fate(one, other).cut && !self.fate(other, one).cut
+            let (one, other) = (Node::Replica(one), Node::Replica(other));
+            !self.path_effects(one, other).cut && !self.path_effects(other, one).cut
         };
-        let mut parts = vec![usize::MAX; count];
-        let mut unseen: Vec<usize> = (0..count).collect();
-        while let Some(first) = unseen.pop() {
+        let mut partitions = vec![usize::MAX; count];
+        let mut unassigned: Vec<usize> = (0..count).collect();
+        while let Some(first) = unassigned.pop() {
             let mut next = vec![first];
-            let mut part = vec![first];
-            while let Some(copy) = next.pop() {
-                part.push(copy);
-                let (near, far) = unseen.into_iter().partition(|other| reach(copy, *other));
-                unseen = far;
-                let near: Vec<usize> = near;
-                next.extend(near);
+            let mut partition = vec![first];
+            while let Some(replica) = next.pop() {
+                partition.push(replica);
+                let (reachable, remaining) = unassigned.into_iter().partition(|other| reach(replica, *other));
+                unassigned = remaining;
+                let reachable: Vec<usize> = reachable;
+                next.extend(reachable);
             }
-            // Called by its first copy: what stays together keeps its name.
-            let name = part.iter().copied().min().unwrap_or(first);
-            part.into_iter().for_each(|copy| parts[copy] = name);
+            // The smallest member names the partition, so that the name is stable while the partition is.
+            let name = partition.iter().copied().min().unwrap_or(first);
+            partition.into_iter().for_each(|replica| partitions[replica] = name);
         }
-        parts
+        partitions
     }
 
-    /// Whether anybody hears some who don't hear it.
-    pub fn one_way(&self) -> bool {
-        let active = self.active.iter().map(|number| &self.faults[*number]);
-        active.into_iter().any(|fault| fault.kind == Kind::Cut && fault.way != Way::Both)
+    /// Whether an active cut lets messages through in one direction only.
+    pub fn has_one_way_cut(&self) -> bool {
+        let active = self.active.iter().map(|fault_index| &self.faults[*fault_index]);
+        active.into_iter().any(|fault| fault.kind == FaultKind::Cut && fault.direction != Direction::Both)
     }
 
-    /// Whether words are lost, garbled or late at all.
-    pub fn spoilt(&self) -> bool {
-        let spoils = |kind: Kind| matches!(kind, Kind::Loss | Kind::Garble | Kind::Delay);
-        self.active.iter().any(|number| spoils(self.faults[*number].kind))
+    /// Whether messages are lost, corrupted or delayed by any fault.
+    pub fn is_degraded(&self) -> bool {
+        let degrades =
+            |kind: FaultKind| matches!(kind, FaultKind::Loss | FaultKind::Garble | FaultKind::Delay);
+        self.active.iter().any(|fault_index| degrades(self.faults[*fault_index].kind))
     }
 
-    /// Whether paths are worse than probes bear: no view can be asked for.
-    pub fn rough(&self) -> bool {
-        let active = self.active.iter().map(|number| &self.faults[*number]);
-        let spoils = |kind: Kind| matches!(kind, Kind::Loss | Kind::Garble);
-        let pass: f64 = active
+    /// Whether loss or delay exceeds what membership probes tolerate, so that views are not checked.
+    pub fn is_too_lossy(&self) -> bool {
+        let active = self.active.iter().map(|fault_index| &self.faults[*fault_index]);
+        let degrades = |kind: FaultKind| matches!(kind, FaultKind::Loss | FaultKind::Garble);
+        let delivered: f64 = active
             .clone()
-            .filter(|fault| spoils(fault.kind))
-            .map(|fault| 1.0 - fault.share.unwrap_or(0.0))
+            .filter(|fault| degrades(fault.kind))
+            .map(|fault| 1.0 - fault.probability.unwrap_or(0.0))
             .product();
-        let late: f64 = active.filter_map(|fault| fault.delay).sum();
-        pass < 0.7 || late > 0.04
+        let delay: f64 = active.filter_map(|fault| fault.delay).sum();
+        delivered < 0.7 || delay > 0.04
     }
 }
--- a/crates/lab/src/fleets.rs
+++ b/crates/lab/src/fleets.rs
@@ -1,12 +1,12 @@
-//! The sub-command that plays fleets. It owns what is printed: the last line is `held` or `broken: WHICH`, with figures,
-//! and the exit code says the same (0 or 1; 2 where the plan can't be read).
+//! The subcommands `fleet` and `check`. The last line of output is `held` or `broken: WHICH` with figures, and
+//! the exit code says the same: 0, 1, or 2 if the plan can't be read.
 
 use crate::args::{Check, Fleet};
 use landingspread_files::read_text;
-use landingspread_lab::fleet::check::{Variant, check as checked};
-use landingspread_lab::fleet::emulated::{Played, Ways, play};
+use landingspread_lab::fleet::check::{Variant, check as explore};
+use landingspread_lab::fleet::emulated::{EmulationOptions, EmulationResults, run as run_emulated};
 use landingspread_lab::fleet::plan::{FleetPlan, read};
-use landingspread_lab::fleet::zones::Figures as ZoneFigures;
+use landingspread_lab::fleet::zones::ZoneResults;
 use landingspread_lab::fleet::{builtin, builtins, nemesis, page, rig};
 use landingspread_lab::sockets;
 use rayon::iter::{IntoParallelIterator, ParallelIterator};
@@ -14,106 +14,107 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-fn plan(wanted: &Fleet) -> Result<FleetPlan, String> {
-    if let Some(text) = builtin(&wanted.name) {
-        return read(&wanted.name, text, wanted.processes).map_err(|wrong| wrong.to_string());
+fn read_plan(args: &Fleet) -> Result<FleetPlan, String> {
+    if let Some(text) = builtin(&args.name) {
+        return read(&args.name, text, args.processes).map_err(|error| error.to_string());
     }
-    if !Path::new(&wanted.name).is_file() {
+    if !Path::new(&args.name).is_file() {
         let known: Vec<&str> = builtins().map(|(name, _)| name).collect();
-        return Err(format!("{:?} is neither built in ({}) nor a file", wanted.name, known.join(", ")));
+        return Err(format!("{:?} is neither a built-in plan ({}) nor a file", args.name, known.join(", ")));
     }
-    let (file, text) = read_text(Path::new(&wanted.name)).map_err(|wrong| wrong.to_string())?;
-    read(&file, &text, wanted.processes).map_err(|wrong| wrong.to_string())
+    let (file, text) = read_text(Path::new(&args.name)).map_err(|error| error.to_string())?;
+    read(&file, &text, args.processes).map_err(|error| error.to_string())
 }
 
-pub fn fleet(wanted: &Fleet) -> ExitCode {
-    let plan = match plan(wanted) {
+/// Runs a fleet plan, in virtual time or on real processes.
+pub fn fleet(args: &Fleet) -> ExitCode {
+    let plan = match read_plan(args) {
         Ok(plan) => plan,
-        Err(wrong) => {
-            eprintln!("landingspread-lab: {wrong}");
+        Err(error) => {
+            eprintln!("landingspread-lab: {error}");
             return ExitCode::from(2);
         }
     };
-    match wanted.emulated {
-        Some(seeds) => emulated(wanted, &plan, seeds.max(1)),
-        None => match processes(wanted, &plan) {
+    match args.emulated {
+        Some(seeds) => check_emulated(args, &plan, seeds.max(1)),
+        None => match check_processes(args, &plan) {
             Ok(code) => code,
-            Err(wrong) => {
-                println!("broken: the run, {wrong}");
+            Err(error) => {
+                println!("broken: the run, {error}");
                 ExitCode::from(1)
             }
         },
     }
 }
 
-fn processes(wanted: &Fleet, plan: &FleetPlan) -> Result<ExitCode, String> {
-    let plan = of_seed(wanted, plan, wanted.seed);
+fn check_processes(args: &Fleet, plan: &FleetPlan) -> Result<ExitCode, String> {
+    let plan = plan_for_seed(args, plan, args.seed);
     let dir = rig::run_dir(&plan.name)?;
-    if wanted.nemesis {
-        let text = toml::to_string(&plan).map_err(|wrong| wrong.to_string())?;
+    if args.nemesis {
+        let text = toml::to_string(&plan).map_err(|error| error.to_string())?;
         let path = dir.join("plan.toml");
-        std::fs::write(&path, text).map_err(|wrong| format!("{}: {wrong}", path.display()))?;
+        std::fs::write(&path, text).map_err(|error| format!("{}: {error}", path.display()))?;
         println!("the plan: {}", path.display());
     }
-    let program = wanted.program.clone().map_or_else(sockets::program, Ok)?;
-    let ways = rig::Ways {
-        seed: wanted.seed,
+    let program = args.program.clone().map_or_else(sockets::program, Ok)?;
+    let options = rig::RunOptions {
+        seed: args.seed,
         program: &program,
-        old: wanted.old.as_deref(),
+        old_program: args.old.as_deref(),
         dir: &dir,
-        with_fleet: !wanted.alone,
-        with_localities: !wanted.no_localities && !wanted.alone,
-        look_every: Duration::from_secs_f64(wanted.look_every.clamp(0.01, 60.0)),
+        with_fleet: !args.alone,
+        with_localities: !args.no_localities && !args.alone,
+        snapshot_interval: Duration::from_secs_f64(args.look_every.clamp(0.01, 60.0)),
     };
-    let played = rig::play(&plan, &ways, &mut |line| println!("{line}"))?;
+    let results = rig::run(&plan, &options, &mut |line| println!("{line}"))?;
     println!("logs: {}", dir.display());
-    if let Some(path) = &wanted.report {
+    if let Some(path) = &args.report {
         let command = format!(
             "landingspread-lab fleet {} --seed {} --processes {}",
-            wanted.name, wanted.seed, plan.processes
+            args.name, args.seed, plan.processes
         );
-        let page = page::page(&plan, &played, &command).map_err(|wrong| wrong.to_string())?;
-        std::fs::write(path, page).map_err(|wrong| format!("{}: {wrong}", path.display()))?;
+        let page = page::page(&plan, &results, &command).map_err(|error| error.to_string())?;
+        std::fs::write(path, page).map_err(|error| format!("{}: {error}", path.display()))?;
         println!("report: {}", path.display());
     }
-    Ok(told(&plan, &played, wanted))
+    Ok(print_results(&plan, &results, args))
 }
 
-/// Prints what came of a run on processes; its last line is the verdict.
-fn told(plan: &FleetPlan, played: &rig::Played, wanted: &Fleet) -> ExitCode {
-    let figures = &played.figures;
-    figures.agreed_after.iter().for_each(|(what, took)| println!("{took:5.1} s  {what}"));
-    played.cold.summary().iter().for_each(|line| println!("{line}"));
-    let zones = &played.zones;
-    let all = figures.broken.iter().chain(&zones.broken).chain(&played.breaches);
-    all.for_each(|text| println!("  {text}"));
-    let sum = |what: fn(&rig::Second) -> u32| played.seconds.iter().map(what).sum::<u32>();
+/// Prints the outcome of a run on real processes; the last line is the verdict.
+fn print_results(plan: &FleetPlan, results: &rig::RunResults, args: &Fleet) -> ExitCode {
+    let views = &results.views;
+    views.convergence_times.iter().for_each(|(change, elapsed)| println!("{elapsed:5.1} s  {change}"));
+    results.cold_peaks.summary().iter().for_each(|line| println!("{line}"));
+    let zones = &results.zones;
+    let violations = views.violations.iter().chain(&zones.violations).chain(&results.breaches);
+    violations.for_each(|text| println!("  {text}"));
+    let sum = |count: fn(&rig::SecondCounts) -> u32| results.seconds.iter().map(count).sum::<u32>();
     let text = format!(
         "{} processes, {:.0} s; deaths seen by all after {:.1} s (median) and {:.1} s at most, all else after {:.1} s; \
          {} false deaths; {} commands came, {:.3} answered within their goals, {} declined, {} lost; rules broken \
          {:?}; {:.1} datagrams a copy and second, {:.0} us of processor time a command",
         plan.processes,
         plan.seconds,
-        figures.death_median,
-        figures.death_most,
-        figures.agree_most,
-        figures.false_deaths,
-        sum(|second| second.came),
-        played.kept,
+        views.median_death_s,
+        views.max_death_s,
+        views.max_convergence_s,
+        views.false_deaths,
+        sum(|second| second.offered),
+        results.within_goal,
         sum(|second| second.declined),
         sum(|second| second.lost),
-        played.broken_rules,
-        played.datagrams,
-        played.cpu_us,
+        results.rule_violations,
+        results.datagrams_per_s,
+        results.cpu_us_per_request,
     );
-    let text = if plan.localities { format!("{text}; {}", zones_told(zones)) } else { text };
-    let rules = played.broken_rules.iter().any(|count| *count > 0);
-    let views = !figures.broken.is_empty() && !wanted.alone;
-    let lost = plan.localities && !zones.broken.is_empty() && !wanted.alone && !wanted.no_localities;
+    let text = if plan.localities { format!("{text}; {}", zone_summary(zones)) } else { text };
+    let rules_violated = results.rule_violations.iter().any(|count| *count > 0);
+    let views_wrong = !views.violations.is_empty() && !args.alone;
+    let zones_wrong = plan.localities && !zones.violations.is_empty() && !args.alone && !args.no_localities;
     let which = match () {
-        () if rules => "rules",
-        () if views => "views",
-        () if lost => "zones",
+        () if rules_violated => "rules",
+        () if views_wrong => "views",
+        () if zones_wrong => "zones",
         () => {
             println!("held: {text}");
             return ExitCode::SUCCESS;
@@ -123,26 +124,30 @@
     ExitCode::from(1)
 }
 
-pub fn check(wanted: &Check) -> ExitCode {
-    let variant = match wanted.variant.as_deref() {
-        None => Variant::AsItIs,
-        Some("last-word") => Variant::LastWordCounts,
-        Some("counted-often") => Variant::CountedOften,
+/// Checks the zone verdicts exhaustively.
+pub fn check(args: &Check) -> ExitCode {
+    let variant = match args.variant.as_deref() {
+        None => Variant::Production,
+        Some("last-word") => Variant::LastMessageWins,
+        Some("counted-often") => Variant::DuplicatesCounted,
         Some(other) => {
-            eprintln!("landingspread-lab: {other:?} is no variant; there are last-word and counted-often");
+            eprintln!("landingspread-lab: unknown variant {other:?}; expected last-word or counted-often");
             return ExitCode::from(2);
         }
     };
-    let (copies, depth) = (wanted.copies.clamp(1, 8), wanted.depth.min(12));
-    let began = std::time::Instant::now();
-    let found = checked(copies, depth, variant);
-    found.broken.iter().for_each(|text| println!("  {text}"));
-    let (figures, took) = (
-        format!("{} states, {} moves, {} with the zone left", found.states, found.moves, found.left),
-        began.elapsed(),
+    let (copies, depth) = (args.copies.clamp(1, 8), args.depth.min(12));
+    let started_at = std::time::Instant::now();
+    let results = explore(copies, depth, variant);
+    results.violations.iter().for_each(|text| println!("  {text}"));
+    let (figures, elapsed) = (
+        format!(
+            "{} states, {} moves, {} with the zone left",
+            results.states, results.transitions, results.evacuated
+        ),
+        started_at.elapsed(),
     );
-    let text = format!("{copies} copies, depth {depth}: {figures}, {:.1} s", took.as_secs_f64());
-    if found.broken.is_empty() {
+    let text = format!("{copies} copies, depth {depth}: {figures}, {:.1} s", elapsed.as_secs_f64());
+    if results.violations.is_empty() {
         println!("held: {text}");
         return ExitCode::SUCCESS;
     }
@@ -150,84 +155,91 @@
     ExitCode::from(1)
 }
 
-fn zones_told(zones: &ZoneFigures) -> String {
+fn zone_summary(zones: &ZoneResults) -> String {
     format!(
         "zones: nothing sent but trials {:.2} s after a loss (median of the copies) and {:.2} s at most, {} commands sent \
          there in vain; {:.1} trials a second at most; as ever {:.1} s after at most; {} departures at most, {} false",
-        zones.left_median,
-        zones.left_most,
-        zones.relays_in_vain,
-        zones.trials_most,
-        zones.back_most,
-        zones.departures_most,
+        zones.median_leave_s,
+        zones.max_leave_s,
+        zones.unreachable_requests,
+        zones.max_trials_per_s,
+        zones.max_return_s,
+        zones.max_departures,
         zones.false_verdicts
     )
 }
 
-fn of_seed(wanted: &Fleet, plan: &FleetPlan, seed: u64) -> FleetPlan {
-    if wanted.nemesis { nemesis::drawn(plan, seed) } else { plan.clone() }
+/// The plan itself, or with generated faults if asked for.
+fn plan_for_seed(args: &Fleet, plan: &FleetPlan, seed: u64) -> FleetPlan {
+    if args.nemesis { nemesis::generate(plan, seed) } else { plan.clone() }
 }
 
-fn emulated(wanted: &Fleet, plan: &FleetPlan, seeds: u64) -> ExitCode {
-    let began = std::time::Instant::now();
-    let one = |seed: u64| {
-        let plan = of_seed(wanted, plan, seed);
-        let (look_every, start_within) = (wanted.look_every.max(0.01), wanted.start_within.clamp(0.0, 600.0));
-        let ways = Ways { seed, look_every, start_within, ..Ways::default() };
-        (seed, play(&plan, ways), plan)
+fn check_emulated(args: &Fleet, plan: &FleetPlan, seeds: u64) -> ExitCode {
+    let started_at = std::time::Instant::now();
+    let run_seed = |seed: u64| {
+        let plan = plan_for_seed(args, plan, seed);
+        let (snapshot_interval, start_within) =
+            (args.look_every.max(0.01), args.start_within.clamp(0.0, 600.0));
+        let options =
+            EmulationOptions { seed, snapshot_interval, start_within, ..EmulationOptions::default() };
+        (seed, run_emulated(&plan, options), plan)
     };
-    let all: Vec<(u64, Played, FleetPlan)> =
-        (wanted.seed..wanted.seed + seeds).into_par_iter().map(one).collect();
+    let runs: Vec<(u64, EmulationResults, FleetPlan)> =
+        (args.seed..args.seed + seeds).into_par_iter().map(run_seed).collect();
     let mut deaths: Vec<f64> = Vec::new();
-    let (mut agree, mut false_deaths, mut broken) = (0.0_f64, 0, Vec::new());
-    let mut most = Played::default();
-    for (seed, played, plan) in &all {
-        let figures = &played.figures;
-        deaths.push(figures.death_most);
-        agree = agree.max(figures.agree_most);
-        false_deaths += figures.false_deaths;
-        most.datagrams = most.datagrams.max(played.datagrams);
-        most.bytes = most.bytes.max(played.bytes);
-        most.datagrams_most = most.datagrams_most.max(played.datagrams_most);
-        most.bytes_most = most.bytes_most.max(played.bytes_most);
-        most.suspicions += played.suspicions;
-        if !figures.broken.is_empty() {
-            broken.push(*seed);
+    let (mut max_convergence, mut false_deaths, mut failed_seeds) = (0.0_f64, 0, Vec::new());
+    let mut highest = EmulationResults::default();
+    for (seed, results, plan) in &runs {
+        let views = &results.views;
+        deaths.push(views.max_death_s);
+        max_convergence = max_convergence.max(views.max_convergence_s);
+        false_deaths += views.false_deaths;
+        highest.datagrams_per_s = highest.datagrams_per_s.max(results.datagrams_per_s);
+        highest.bytes_per_s = highest.bytes_per_s.max(results.bytes_per_s);
+        highest.max_datagrams_per_s = highest.max_datagrams_per_s.max(results.max_datagrams_per_s);
+        highest.max_bytes_per_s = highest.max_bytes_per_s.max(results.max_bytes_per_s);
+        highest.suspicions += results.suspicions;
+        if !views.violations.is_empty() {
+            failed_seeds.push(*seed);
             println!("seed {seed}:");
-            figures.broken.iter().for_each(|text| println!("  {text}"));
-            plan.faults
-                .iter()
-                .for_each(|fault| println!("  {:6.1} s, {:4.1} s: {}", fault.at, fault.lasts, fault.label()));
+            views.violations.iter().for_each(|text| println!("  {text}"));
+            plan.faults.iter().for_each(|fault| {
+                println!("  {:6.1} s, {:4.1} s: {}", fault.at, fault.duration, fault.label());
+            });
         }
     }
     deaths.sort_by(f64::total_cmp);
-    if let [(_, played, _)] = all.as_slice() {
-        played.figures.agreed_after.iter().for_each(|(what, took)| println!("{took:5.1} s  {what}"));
+    if let [(_, results, _)] = runs.as_slice() {
+        results
+            .views
+            .convergence_times
+            .iter()
+            .for_each(|(change, elapsed)| println!("{elapsed:5.1} s  {change}"));
     }
     println!(
         "{} copies, {} seeds, {:.0} s each, played in {:.1} s; a copy sends {:.1} datagrams and {:.0} bytes a second, at \
          most {:.1} and {:.0}; {} suspicions",
         plan.processes,
-        all.len(),
+        runs.len(),
         plan.seconds,
-        began.elapsed().as_secs_f64(),
-        most.datagrams,
-        most.bytes,
-        most.datagrams_most,
-        most.bytes_most,
-        most.suspicions
+        started_at.elapsed().as_secs_f64(),
+        highest.datagrams_per_s,
+        highest.bytes_per_s,
+        highest.max_datagrams_per_s,
+        highest.max_bytes_per_s,
+        highest.suspicions
     );
     let figures = format!(
-        "deaths seen by all after {:.1} s (median of the seeds' longest) and {:.1} s at most, all else after {agree:.1} s; \
+        "deaths seen by all after {:.1} s (median of the seeds' longest) and {:.1} s at most, all else after {max_convergence:.1} s; \
          {false_deaths} false deaths",
         deaths.get(deaths.len() / 2).copied().unwrap_or(0.0),
         deaths.last().copied().unwrap_or(0.0),
     );
-    if broken.is_empty() {
+    if failed_seeds.is_empty() {
         println!("held: {figures}");
         ExitCode::SUCCESS
     } else {
-        println!("broken: views with seeds {broken:?}; {figures}");
+        println!("broken: views with seeds {failed_seeds:?}; {figures}");
         ExitCode::from(1)
     }
 }
--- a/crates/lab/src/pickers/fleeted.rs
+++ b/crates/lab/src/pickers/fleeted.rs
@@ -1,7 +1,7 @@
 //! The decisions with the fleet's membership beside them, as the program has them where `[fleet]` is configured. It owns
 //! only what joins the two: the program's own thread does the same.
 
-use crate::fleet::emulated::{address_of, copy_of};
+use crate::fleet::emulated::{address_of, replica_of};
 use crate::picker::LoadBalancer;
 use crate::world::HostHandle;
 use landingspread_decisions::host::{
@@ -25,7 +25,7 @@
 
 impl Host for Mail {
     fn send(&mut self, to: Address, bytes: &[u8]) {
-        copy_of(to).into_iter().for_each(|copy| self.0.send_datagram(copy, bytes));
+        replica_of(to).into_iter().for_each(|copy| self.0.send_datagram(copy, bytes));
     }
 }
 
@@ -56,7 +56,7 @@
 }
 
 fn id_of(address: Address) -> u64 {
-    copy_of(address).unwrap_or(0) as u64
+    replica_of(address).unwrap_or(0) as u64
 }
 
 impl Fleeted {
--- a/crates/sidecar/tests/fleet.rs
+++ b/crates/sidecar/tests/fleet.rs
@@ -2,7 +2,7 @@
 //! whether every view followed and every rule was kept. The tests take turns, as each needs all cores.
 
 use landingspread_lab::fleet::plan::read;
-use landingspread_lab::fleet::rig::{LOOK_EVERY, Played, Ways, play, run_dir};
+use landingspread_lab::fleet::rig::{RunOptions, RunResults, SNAPSHOT_INTERVAL, run, run_dir};
 use landingspread_lab::sockets::{Peer, Sidecar, free_datagrams, unused};
 use landingspread_membership::{Address, Budget, Host, MemberConfig, Membership, as_newer_version};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
@@ -18,28 +18,28 @@
     Path::new(env!("CARGO_BIN_EXE_landingspread"))
 }
 
-fn played(name: &str, processes: usize, seconds: f64, faults: &str) -> Played {
+fn played(name: &str, processes: usize, seconds: f64, faults: &str) -> RunResults {
     // A test that failed holds nothing that another one needs.
     let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
     let text = format!("name = \"{name}\"\nseconds = {seconds}\nservers = 3\nrate_each = 6.0\n{faults}");
     let plan = read(name, &text, Some(processes)).expect("a plan");
     let dir = run_dir(name).expect("a folder");
-    let ways = Ways {
+    let options = RunOptions {
         seed: 30,
         program: program(),
-        old: Some(program()),
+        old_program: Some(program()),
         dir: &dir,
         with_fleet: true,
         with_localities: true,
-        look_every: LOOK_EVERY,
+        snapshot_interval: SNAPSHOT_INTERVAL,
     };
-    let played = play(&plan, &ways, &mut |_| ()).expect("a run");
-    let figures = &played.figures;
-    assert!(figures.broken.is_empty(), "{name}: {:#?}", figures.broken);
-    assert_eq!(played.broken_rules, [0; 4], "{name}: {:#?}", played.breaches);
+    let played = run(&plan, &options, &mut |_| ()).expect("a run");
+    let figures = &played.views;
+    assert!(figures.violations.is_empty(), "{name}: {:#?}", figures.violations);
+    assert_eq!(played.rule_violations, [0; 4], "{name}: {:#?}", played.breaches);
     assert!(played.seconds.iter().map(|second| second.answered).sum::<u32>() > 50, "{name} served");
     // The judge had something to observe.
-    assert!(figures.agreed_after.len() > 1, "{name}: {:?}", figures.agreed_after);
+    assert!(figures.convergence_times.len() > 1, "{name}: {:?}", figures.convergence_times);
     played
 }
 
@@ -50,7 +50,7 @@
 #[test]
 fn a_killed_process_is_gone_from_every_view_and_returns() {
     let killed = played("kill", 6, 11.0, &fault("kill", 3.5, 3.0, "copies = [4]"));
-    assert!(killed.figures.death_most > 0.0, "{:?}", killed.figures.agreed_after);
+    assert!(killed.views.max_death_s > 0.0, "{:?}", killed.views.convergence_times);
 }
 
 #[test]
@@ -64,14 +64,14 @@
         + &fault("cut", 5.0, 4.0, "copies = [1]\nto = [3]\nway = \"out\"")
         + &fault("loss", 5.5, 3.0, "share = 0.2\npaths = \"copies\"");
     let text = played("one-way", 6, 10.0, &faults);
-    assert_eq!(text.figures.false_deaths, 0);
+    assert_eq!(text.views.false_deaths, 0);
 }
 
 #[test]
 fn halves_of_a_partition_detect_it_and_merge_again() {
     let faults = fault("cut", 3.5, 5.5, "copies = [0, 1, 2]\npaths = \"copies\"");
     let met = played("halves", 6, 13.0, &faults);
-    assert!(met.figures.agreed_after.iter().filter(|(what, _)| what.contains("parts")).count() >= 2);
+    assert!(met.views.convergence_times.iter().filter(|(what, _)| what.contains("parts")).count() >= 2);
 }
 
 #[test]
--- a/crates/sidecar/tests/zones.rs
+++ b/crates/sidecar/tests/zones.rs
@@ -2,13 +2,13 @@
 //! evacuated a lost zone, none evacuated another one, and all returned. The tests take turns, as each needs all cores.
 
 use landingspread_lab::fleet::plan::read;
-use landingspread_lab::fleet::rig::{LOOK_EVERY, Played, Ways, play, run_dir};
+use landingspread_lab::fleet::rig::{RunOptions, RunResults, SNAPSHOT_INTERVAL, run, run_dir};
 use std::path::Path;
 use std::sync::{Mutex, PoisonError};
 
 static TURN: Mutex<()> = Mutex::new(());
 
-fn played(name: &str, seconds: f64, more: &str) -> Played {
+fn played(name: &str, seconds: f64, more: &str) -> RunResults {
     // A test that failed holds nothing that another one needs.
     let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
     let text = format!(
@@ -17,22 +17,22 @@
     );
     let plan = read(name, &text, Some(9)).expect("a plan");
     let dir = run_dir(name).expect("a folder");
-    let ways = Ways {
+    let options = RunOptions {
         seed: 31,
         program: Path::new(env!("CARGO_BIN_EXE_landingspread")),
-        old: None,
+        old_program: None,
         dir: &dir,
         with_fleet: true,
         with_localities: true,
-        look_every: LOOK_EVERY,
+        snapshot_interval: SNAPSHOT_INTERVAL,
     };
-    let played = play(&plan, &ways, &mut |_| ()).expect("a run");
+    let played = run(&plan, &options, &mut |_| ()).expect("a run");
     let zones = &played.zones;
-    assert!(zones.broken.is_empty() && zones.false_verdicts == 0, "{name}: {zones:#?}");
-    assert!(played.figures.broken.is_empty(), "{name}: {:#?}", played.figures.broken);
-    assert_eq!(played.broken_rules, [0; 4], "{name}: {:#?}", played.breaches);
+    assert!(zones.violations.is_empty() && zones.false_verdicts == 0, "{name}: {zones:#?}");
+    assert!(played.views.violations.is_empty(), "{name}: {:#?}", played.views.violations);
+    assert_eq!(played.rule_violations, [0; 4], "{name}: {:#?}", played.breaches);
     // The judge had something to observe.
-    assert!(zones.departures_most >= 1, "{name}: {zones:#?}");
+    assert!(zones.max_departures >= 1, "{name}: {zones:#?}");
     played
 }
 
@@ -45,7 +45,10 @@
     let silent = fault("silent", 4.0, 6.0, "zone = \"b\"");
     let played = played("silent", 17.0, &("departures_most = 1\nback_within = 6.0\n".to_string() + &silent));
     let zones = &played.zones;
-    assert!(zones.relays_in_vain > 0 && zones.trials_most > 1.0 && zones.back_most > 0.0, "{zones:#?}");
+    assert!(
+        zones.unreachable_requests > 0 && zones.max_trials_per_s > 1.0 && zones.max_return_s > 0.0,
+        "{zones:#?}"
+    );
 }
 
 #[test]
