--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -153,7 +153,7 @@
         Subcommand::Bench(arguments) => live::bench(arguments),
         Subcommand::Scale(arguments) => scales::scale(arguments),
         Subcommand::FanOut(arguments) => {
-            fan_out::play(arguments.followers, arguments.services, arguments.calm)
+            fan_out::run(arguments.followers, arguments.services, arguments.calm)
         }
         Subcommand::Capacity(arguments) => capacity::capacity(arguments),
         Subcommand::Added(arguments) => live::added(arguments),
--- a/crates/lab/src/pickers/fleeted.rs
+++ b/crates/lab/src/pickers/fleeted.rs
@@ -1,7 +1,7 @@
 //! The decision module together with fleet membership, as the sidecar runs them where `[fleet]` is configured. This
 //! module only connects the two, as the fleet thread of the sidecar does.
 
-use crate::fleet::emulated::{address_of, copy_of};
+use crate::fleet::emulated::{address_of, replica_of};
 use crate::picker::LoadBalancer;
 use crate::world::HostHandle;
 use landingspread_decisions::host::{
@@ -28,7 +28,7 @@
 
 impl Host for DatagramSender {
     fn send(&mut self, to: Address, bytes: &[u8]) {
-        copy_of(to).into_iter().for_each(|replica| self.0.send_datagram(replica, bytes));
+        replica_of(to).into_iter().for_each(|replica| self.0.send_datagram(replica, bytes));
     }
 }
 
@@ -60,7 +60,7 @@
 }
 
 fn replica_id(address: Address) -> u64 {
-    copy_of(address).unwrap_or(0) as u64
+    replica_of(address).unwrap_or(0) as u64
 }
 
 impl FleetBalancer {
--- a/crates/sidecar/tests/fleet.rs
+++ b/crates/sidecar/tests/fleet.rs
@@ -2,7 +2,7 @@
 //! followed the faults and that every rule was kept. The tests run one at a time, as each needs all cores.
 
 use landingspread_lab::fleet::plan::read;
-use landingspread_lab::fleet::rig::{LOOK_EVERY, Played, Ways, play, run_dir};
+use landingspread_lab::fleet::rig::{RunOptions, RunResults, SNAPSHOT_INTERVAL, run, run_dir};
 use landingspread_lab::sockets::{Peer, Sidecar, bind_loopback_udp, unused_address_v4};
 use landingspread_membership::{Address, Budget, Host, MemberConfig, Membership, as_newer_version};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
@@ -18,31 +18,31 @@
     Path::new(env!("CARGO_BIN_EXE_landingspread"))
 }
 
-fn run_plan(name: &str, processes: usize, seconds: f64, faults: &str) -> Played {
+fn run_plan(name: &str, processes: usize, seconds: f64, faults: &str) -> RunResults {
     // A failed test poisons the lock, but leaves nothing behind that affects the next one.
     let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
     let text = format!("name = \"{name}\"\nseconds = {seconds}\nservers = 3\nrate_each = 6.0\n{faults}");
     let plan = read(name, &text, Some(processes)).expect("plan is valid");
     let dir = run_dir(name).expect("failed to create the run directory");
-    let ways = Ways {
+    let ways = RunOptions {
         seed: 30,
         program: program(),
-        old: Some(program()),
+        old_program: Some(program()),
         dir: &dir,
         with_fleet: true,
         with_localities: true,
-        look_every: LOOK_EVERY,
+        snapshot_interval: SNAPSHOT_INTERVAL,
     };
-    let played = play(&plan, &ways, &mut |_| ()).expect("plan run failed");
+    let played = run(&plan, &ways, &mut |_| ()).expect("plan run failed");
     let figures = &played.figures;
-    assert!(figures.broken.is_empty(), "{name}: {:#?}", figures.broken);
-    assert_eq!(played.broken_rules, [0; 4], "{name}: {:#?}", played.breaches);
+    assert!(figures.violations.is_empty(), "{name}: {:#?}", figures.violations);
+    assert_eq!(played.rule_violations, [0; 4], "{name}: {:#?}", played.breaches);
     assert!(
         played.seconds.iter().map(|second| second.answered).sum::<u32>() > 50,
         "{name}: too few requests were answered"
     );
     // The checks above mean nothing unless membership changed.
-    assert!(figures.agreed_after.len() > 1, "{name}: {:?}", figures.agreed_after);
+    assert!(figures.convergence_times.len() > 1, "{name}: {:?}", figures.convergence_times);
     played
 }
 
@@ -53,7 +53,7 @@
 #[test]
 fn killed_process_leaves_every_view_and_rejoins() {
     let killed = run_plan("kill", 6, 11.0, &fault("kill", 3.5, 3.0, "copies = [4]"));
-    assert!(killed.figures.death_most > 0.0, "{:?}", killed.figures.agreed_after);
+    assert!(killed.figures.max_death_s > 0.0, "{:?}", killed.figures.convergence_times);
 }
 
 #[test]
@@ -74,7 +74,9 @@
 fn halves_of_a_partition_detect_it_and_merge_after_it() {
     let faults = fault("cut", 3.5, 5.5, "copies = [0, 1, 2]\npaths = \"copies\"");
     let played = run_plan("halves", 6, 13.0, &faults);
-    assert!(played.figures.agreed_after.iter().filter(|(event, _)| event.contains("parts")).count() >= 2);
+    assert!(
+        played.figures.convergence_times.iter().filter(|(event, _)| event.contains("parts")).count() >= 2
+    );
 }
 
 #[test]
--- a/crates/sidecar/tests/scale.rs
+++ b/crates/sidecar/tests/scale.rs
@@ -1,29 +1,29 @@
 //! A short scale run with hollow and real sidecars on real sockets. It checks only figures that do not depend on the speed
 //! of the machine: fleet sizes, messages and bytes per replica, and open watches.
 
-use landingspread_lab::scale::{Bounds, Ran, Wanted, run};
+use landingspread_lab::scale::{Bounds, RunResult, RunSize, run};
 use landingspread_lab::sockets::run_dir;
 use std::path::Path;
 use std::time::Duration;
 
-fn scale_plan(copies: usize) -> Wanted {
-    Wanted {
+fn scale_plan(copies: usize) -> RunSize {
+    RunSize {
         copies,
         fleet_size: 0,
         endpoints: 12,
         changes_per_s: 2.0,
-        real: 3,
-        rate: 20.0,
-        to_a_process: 40,
+        measured: 3,
+        requests_per_s: 20.0,
+        clientless_per_process: 40,
         settle: Duration::from_secs(2),
-        length: Duration::from_secs(4),
-        join_within: Duration::from_secs(20),
-        lose_a_zone: false,
+        duration: Duration::from_secs(4),
+        join_timeout: Duration::from_secs(20),
+        lose_zone: false,
         bounds: Bounds { processes: 12, memory_mb: 1_000.0 },
     }
 }
 
-fn run_plan(plan: &Wanted, name: &str) -> Ran {
+fn run_plan(plan: &RunSize, name: &str) -> RunResult {
     let dir = run_dir(name).expect("failed to create the run directory");
     let program = Path::new(env!("CARGO_BIN_EXE_landingspread"));
     let ran = run(plan, program, &dir).unwrap_or_else(|error| panic!("scale run {name}: {error}"));
@@ -31,7 +31,7 @@
     ran
 }
 
-fn figure(ran: &Ran, role: &str, name: &str) -> f64 {
+fn figure(ran: &RunResult, role: &str, name: &str) -> f64 {
     let found = ran.figures.iter().find(|figure| figure.role == role && figure.figure == name);
     found.unwrap_or_else(|| panic!("figure {name} of role {role} is missing: {:?}", ran.figures)).value
 }
@@ -72,7 +72,7 @@
 
 #[test]
 fn replicas_in_fleets_of_six_count_only_their_own_fleet() {
-    let plan = Wanted { fleet_size: 6, changes_per_s: 0.0, rate: 0.0, ..scale_plan(102) };
+    let plan = RunSize { fleet_size: 6, changes_per_s: 0.0, requests_per_s: 0.0, ..scale_plan(102) };
     let ran = run_plan(&plan, "scale-six");
     println!("{ran:?}");
     // The run fails earlier unless the real sidecars count six members.
--- a/crates/sidecar/tests/zones.rs
+++ b/crates/sidecar/tests/zones.rs
@@ -2,13 +2,13 @@
 //! zone, none evacuated another one, and all returned. The tests run one at a time, as each needs all cores.
 
 use landingspread_lab::fleet::plan::read;
-use landingspread_lab::fleet::rig::{LOOK_EVERY, Played, Ways, play, run_dir};
+use landingspread_lab::fleet::rig::{RunOptions, RunResults, SNAPSHOT_INTERVAL, run, run_dir};
 use std::path::Path;
 use std::sync::{Mutex, PoisonError};
 
 static TURN: Mutex<()> = Mutex::new(());
 
-fn run_plan(name: &str, seconds: f64, more: &str) -> Played {
+fn run_plan(name: &str, seconds: f64, more: &str) -> RunResults {
     // A failed test poisons the lock, but leaves nothing behind that affects the next one.
     let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
     let text = format!(
@@ -17,22 +17,22 @@
     );
     let plan = read(name, &text, Some(9)).expect("plan is valid");
     let dir = run_dir(name).expect("failed to create the run directory");
-    let ways = Ways {
+    let ways = RunOptions {
         seed: 31,
         program: Path::new(env!("CARGO_BIN_EXE_landingspread")),
-        old: None,
+        old_program: None,
         dir: &dir,
         with_fleet: true,
         with_localities: true,
-        look_every: LOOK_EVERY,
+        snapshot_interval: SNAPSHOT_INTERVAL,
     };
-    let played = play(&plan, &ways, &mut |_| ()).expect("plan run failed");
+    let played = run(&plan, &ways, &mut |_| ()).expect("plan run failed");
     let zones = &played.zones;
-    assert!(zones.broken.is_empty() && zones.false_verdicts == 0, "{name}: {zones:#?}");
-    assert!(played.figures.broken.is_empty(), "{name}: {:#?}", played.figures.broken);
-    assert_eq!(played.broken_rules, [0; 4], "{name}: {:#?}", played.breaches);
+    assert!(zones.violations.is_empty() && zones.false_verdicts == 0, "{name}: {zones:#?}");
+    assert!(played.figures.violations.is_empty(), "{name}: {:#?}", played.figures.violations);
+    assert_eq!(played.rule_violations, [0; 4], "{name}: {:#?}", played.breaches);
     // The checks above mean nothing unless a zone was evacuated.
-    assert!(zones.departures_most >= 1, "{name}: {zones:#?}");
+    assert!(zones.max_departures >= 1, "{name}: {zones:#?}");
     played
 }
 
@@ -46,7 +46,10 @@
     let played =
         run_plan("silent", 17.0, &("departures_most = 1\nback_within = 6.0\n".to_string() + &silent));
     let zones = &played.zones;
-    assert!(zones.relays_in_vain > 0 && zones.trials_most > 1.0 && zones.back_most > 0.0, "{zones:#?}");
+    assert!(
+        zones.unreachable_requests > 0 && zones.max_trials_per_s > 1.0 && zones.max_return_s > 0.0,
+        "{zones:#?}"
+    );
 }
 
 #[test]
