--- a/crates/sidecar/tests/fleet.rs
+++ b/crates/sidecar/tests/fleet.rs
@@ -34,7 +34,7 @@
         snapshot_interval: SNAPSHOT_INTERVAL,
     };
     let played = run(&plan, &ways, &mut |_| ()).expect("plan run failed");
-    let figures = &played.figures;
+    let figures = &played.views;
     assert!(figures.violations.is_empty(), "{name}: {:#?}", figures.violations);
     assert_eq!(played.rule_violations, [0; 4], "{name}: {:#?}", played.breaches);
     assert!(
@@ -53,7 +53,7 @@
 #[test]
 fn killed_process_leaves_every_view_and_rejoins() {
     let killed = run_plan("kill", 6, 11.0, &fault("kill", 3.5, 3.0, "copies = [4]"));
-    assert!(killed.figures.max_death_s > 0.0, "{:?}", killed.figures.convergence_times);
+    assert!(killed.views.max_death_s > 0.0, "{:?}", killed.views.convergence_times);
 }
 
 #[test]
@@ -67,16 +67,14 @@
         + &fault("cut", 5.0, 4.0, "copies = [1]\nto = [3]\nway = \"out\"")
         + &fault("loss", 5.5, 3.0, "share = 0.2\npaths = \"copies\"");
     let played = run_plan("one-way", 6, 10.0, &faults);
-    assert_eq!(played.figures.false_deaths, 0);
+    assert_eq!(played.views.false_deaths, 0);
 }
 
 #[test]
 fn halves_of_a_partition_detect_it_and_merge_after_it() {
     let faults = fault("cut", 3.5, 5.5, "copies = [0, 1, 2]\npaths = \"copies\"");
     let played = run_plan("halves", 6, 13.0, &faults);
-    assert!(
-        played.figures.convergence_times.iter().filter(|(event, _)| event.contains("parts")).count() >= 2
-    );
+    assert!(played.views.convergence_times.iter().filter(|(event, _)| event.contains("parts")).count() >= 2);
 }
 
 #[test]
--- a/crates/sidecar/tests/zones.rs
+++ b/crates/sidecar/tests/zones.rs
@@ -17,7 +17,7 @@
     );
     let plan = read(name, &text, Some(9)).expect("plan is valid");
     let dir = run_dir(name).expect("failed to create the run directory");
-    let ways = RunOptions {
+    let options = RunOptions {
         seed: 31,
         program: Path::new(env!("CARGO_BIN_EXE_landingspread")),
         old_program: None,
@@ -26,10 +26,10 @@
         with_localities: true,
         snapshot_interval: SNAPSHOT_INTERVAL,
     };
-    let played = run(&plan, &ways, &mut |_| ()).expect("plan run failed");
+    let played = run(&plan, &options, &mut |_| ()).expect("plan run failed");
     let zones = &played.zones;
     assert!(zones.violations.is_empty() && zones.false_verdicts == 0, "{name}: {zones:#?}");
-    assert!(played.figures.violations.is_empty(), "{name}: {:#?}", played.figures.violations);
+    assert!(played.views.violations.is_empty(), "{name}: {:#?}", played.views.violations);
     assert_eq!(played.rule_violations, [0; 4], "{name}: {:#?}", played.breaches);
     // The checks above mean nothing unless a zone was evacuated.
     assert!(zones.max_departures >= 1, "{name}: {zones:#?}");
