--- a/crates/lab/src/soak/judge.rs
+++ b/crates/lab/src/soak/judge.rs
@@ -1,331 +1,376 @@
-//! Judges a run by what was seen in it: the rules that sidecars keep whatever happens, as the operators' pages give them,
-//! with a little more time for the rig's own threads.
+//! Checks the observations of a run against the rules that sidecars must keep under any fault, as the operators' pages
+//! state them, with some additional time for delays of the test's own threads.
 
 use super::plan::Plan;
-use super::processes::terms;
-use super::record::{Asked, Attempt, Effect, End, ListChange, Seen, Signal};
+use super::processes::rule_settings;
+use super::record::{Attempt, Effect, ListChange, Observations, ProcessEvent, RequestOutcome, RequestRecord};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::Duration;
 
-/// What the rig's own threads may be late by.
-const RIG: Duration = Duration::from_millis(150);
-/// An answer may come so long past its time.
-const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// No attempt begins so long after its client left.
-const LEFT_SLACK: Duration = Duration::from_millis(100);
-/// The deadline passed on may be so much more than is left.
+/// Allowance for delays of the test's own threads.
+const TEST_DELAY: Duration = Duration::from_millis(150);
+/// A response may arrive this long past the time limit of the request.
+const RESPONSE_GRACE: Duration = Duration::from_millis(500);
+/// An attempt may begin this long after its client has left.
+const LEFT_GRACE: Duration = Duration::from_millis(100);
+/// The remaining time that a sidecar passes on may exceed the real one by this much.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
-/// A client that stops is owed a word by then.
-const STALLED: Duration = Duration::from_secs(3);
-/// A change counts as told by then.
-const TOLD: Duration = Duration::from_secs(6);
-/// A request that crosses the end of a kept connection is sent again: the end of a process takes so long at most.
-const ENDING: Duration = Duration::from_secs(5);
-/// New connections go on coming so long after SIGTERM, and are owed their answers.
-const COMING: Duration = Duration::from_millis(400);
+/// A client that stops in the middle of a request must get a response or a close within this time.
+const STALLED_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Sidecars must know of a change at discovery within this time.
+const DISCOVERY_DELAY: Duration = Duration::from_secs(6);
+/// Longest exit of a process. A request on a reused connection that ends during the exit may remain unread, as clients
+/// send it again.
+const MAX_EXIT_TIME: Duration = Duration::from_secs(5);
+/// Requests on connections opened within this time after SIGTERM must get a response.
+const CONNECTS_AFTER_TERM: Duration = Duration::from_millis(400);
 
 /// A rule of the soak.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Each request that was read has its answer, in time.
+    /// Each request that was read gets a response in time.
     Answer,
-    /// An answer was made for its request.
+    /// A response belongs to its request.
     OwnAnswer,
-    /// No effect twice, nor one after a refusal.
+    /// No effect happens twice, nor for a request that was rejected.
     Effect,
-    /// No attempt beside another where that is not allowed.
+    /// Attempts of a request do not overlap unless the sidecar allows it.
     OneAtATime,
-    /// A keyed request is repeated only in its group and window.
+    /// A keyed request is repeated only within its deduplication group and window.
     Repeat,
-    /// Nothing begins for a client that has gone.
+    /// No attempt begins after its client has left.
     Gone,
-    /// The deadline passed on.
+    /// The remaining time passed on is not longer than the real one.
     Deadline,
-    /// Nothing new to a server that drains.
+    /// A draining server gets no new requests.
     Drain,
-    /// Slow start, for the sum of all processes.
+    /// A cold server is not overloaded by all sidecars together.
     SlowStart,
-    /// Clients that stop are told.
+    /// Clients that stop in the middle of a request get a response or a close.
     Stalled,
-    /// No process crashes, hangs in its start or its end, or counts a violated invariant.
+    /// No process crashes, hangs while it starts or exits, or logs a violated invariant.
     Process,
 }
 
-/// One broken rule.
+/// A violation of a rule, with its time in the run.
 #[derive(Clone, Debug)]
 pub struct Violation {
     pub rule: Rule,
     pub at: Duration,
-    pub what: String,
+    pub description: String,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} at {:.3} s: {}", self.rule, self.at.as_secs_f64(), self.what)
+        write!(f, "{:?} at {:.3} s: {}", self.rule, self.at.as_secs_f64(), self.description)
     }
 }
 
-/// What came of a run.
+/// The violations and request counts of a run.
 #[derive(Clone, Debug)]
-pub struct Verdict {
+pub struct SoakResult {
     pub violations: Vec<Violation>,
     pub requests: usize,
     pub attempts: usize,
     pub answered: usize,
-    pub refused: usize,
+    pub rejected: usize,
     pub failed: usize,
-    pub left: usize,
-    /// Requests whose connection ended under them, by the end of a process or a crowd.
-    pub crossed: usize,
+    pub abandoned: usize,
+    /// Requests whose connection ended before the response.
+    pub interrupted: usize,
     pub faults: usize,
 }
 
-/// Judges a run; `crashes` is what the processes themselves said.
-pub fn judge(plan: &Plan, seen: &Seen, crashes: Vec<String>) -> Verdict {
-    let warm_rate = seen.attempts.len() as f64 / plan.servers as f64 / plan.length.as_secs_f64();
-    let capacity = terms::ROOM * warm_rate;
-    let mut judge = Judge { seen, capacity, attempts: BTreeMap::new(), violations: Vec::new() };
-    for attempt in &seen.attempts {
-        judge.attempts.entry(&attempt.request).or_default().push(attempt);
+/// Checks a run; `crashes` are the crashes and invariant violations of the processes.
+pub fn check(plan: &Plan, observations: &Observations, crashes: Vec<String>) -> SoakResult {
+    let warm_rate = observations.attempts.len() as f64 / plan.servers as f64 / plan.duration.as_secs_f64();
+    let capacity = rule_settings::CAPACITY_FACTOR * warm_rate;
+    let mut checker =
+        SoakChecker { observations, capacity, attempts: BTreeMap::new(), violations: Vec::new() };
+    for attempt in &observations.attempts {
+        checker.attempts.entry(&attempt.request_id).or_default().push(attempt);
     }
-    for what in crashes {
-        judge.broken(Rule::Process, plan.length, what);
+    for description in crashes {
+        checker.add_violation(Rule::Process, plan.duration, description);
     }
-    seen.asked.iter().for_each(|asked| judge.one(asked));
-    judge.stalled();
-    judge.drains();
-    judge.slow_starts();
-    let count = |end: &dyn Fn(&Asked) -> bool| seen.asked.iter().filter(|asked| end(asked)).count();
-    let status = |asked: &Asked| match asked.end {
-        End::Answered { status, .. } => Some(status),
+    observations.requests.iter().for_each(|request| checker.check_request(request));
+    checker.check_stalled_clients();
+    checker.check_drains();
+    checker.check_slow_starts();
+    let count = |has_outcome: &dyn Fn(&RequestRecord) -> bool| {
+        observations.requests.iter().filter(|request| has_outcome(request)).count()
+    };
+    let status = |request: &RequestRecord| match request.outcome {
+        RequestOutcome::Answered { status, .. } => Some(status),
         _ => None,
     };
-    Verdict {
-        requests: seen.asked.len(),
-        attempts: seen.attempts.len(),
-        answered: count(&|asked| status(asked) == Some(200)),
-        refused: count(&|asked| matches!(status(asked), Some(429 | 503))),
-        failed: count(&|asked| status(asked).is_some_and(|status| !matches!(status, 200 | 429 | 503))),
-        left: count(&|asked| asked.end == End::Left),
-        crossed: count(&|asked| matches!(asked.end, End::ConnectionEnded { .. })),
-        faults: seen.troubles.len(),
-        violations: judge.violations,
+    SoakResult {
+        requests: observations.requests.len(),
+        attempts: observations.attempts.len(),
+        answered: count(&|request| status(request) == Some(200)),
+        rejected: count(&|request| matches!(status(request), Some(429 | 503))),
+        failed: count(&|request| status(request).is_some_and(|status| !matches!(status, 200 | 429 | 503))),
+        abandoned: count(&|request| request.outcome == RequestOutcome::ClientLeft),
+        interrupted: count(&|request| matches!(request.outcome, RequestOutcome::ConnectionEnded { .. })),
+        faults: observations.faults.len(),
+        violations: checker.violations,
     }
 }
 
-struct Judge<'a> {
-    seen: &'a Seen,
-    /// What a warm server can do in a second.
+struct SoakChecker<'a> {
+    observations: &'a Observations,
+    /// Requests per second that a warm server can process.
     capacity: f64,
-    /// By request, in the order in which they began.
+    /// By request id, in the order in which they began.
     attempts: BTreeMap<&'a str, Vec<&'a Attempt>>,
     violations: Vec<Violation>,
 }
 
-impl<'a> Judge<'a> {
-    fn broken(&mut self, rule: Rule, at: Duration, what: String) {
-        self.violations.push(Violation { rule, at, what });
+impl<'a> SoakChecker<'a> {
+    fn add_violation(&mut self, rule: Rule, at: Duration, description: String) {
+        self.violations.push(Violation { rule, at, description });
     }
 
-    /// The last such signal to this sidecar before then.
-    fn last(&self, sidecar: usize, signal: Signal, before: Duration) -> Option<Duration> {
-        let signals = self.seen.signals.iter();
-        let of = signals.filter(|(at, to, kind)| *to == sidecar && *kind == signal && *at <= before);
-        of.map(|(at, ..)| *at).next_back()
+    /// The time of the last event of this kind at this sidecar, up to `before`.
+    fn last_event(&self, sidecar: usize, event: ProcessEvent, before: Duration) -> Option<Duration> {
+        let events = self.observations.process_events.iter();
+        let matching = events.filter(|(at, to, kind)| *to == sidecar && *kind == event && *at <= before);
+        matching.map(|(at, ..)| *at).next_back()
     }
 
-    /// Killed outright between these moments.
+    /// Whether the sidecar was killed by SIGKILL between these times.
     fn killed(&self, sidecar: usize, from: Duration, to: Duration) -> bool {
-        self.last(sidecar, Signal::Kill, to + RIG).is_some_and(|at| at + RIG >= from)
+        self.last_event(sidecar, ProcessEvent::Kill, to + TEST_DELAY)
+            .is_some_and(|at| at + TEST_DELAY >= from)
     }
 
-    /// Told to end so shortly before then.
-    fn ending(&self, sidecar: usize, at: Duration) -> Option<Duration> {
-        self.last(sidecar, Signal::Term, at + RIG).filter(|told| *told + ENDING >= at)
+    /// The time of a SIGTERM that the sidecar got within its longest exit time before `at`.
+    fn exit_start(&self, sidecar: usize, at: Duration) -> Option<Duration> {
+        self.last_event(sidecar, ProcessEvent::Term, at + TEST_DELAY)
+            .filter(|term| *term + MAX_EXIT_TIME >= at)
     }
 
+    /// Whether idle clients occupied the sidecar's connections at this time or shortly before.
     fn crowded(&self, sidecar: usize, at: Duration) -> bool {
-        let came = self.last(sidecar, Signal::Crowd, at + RIG);
-        let left = self.last(sidecar, Signal::CrowdLeft, at);
-        came.is_some_and(|came| left.is_none_or(|left| left < came || at < left + ENDING))
+        let connected = self.last_event(sidecar, ProcessEvent::IdleClientsConnected, at + TEST_DELAY);
+        let left = self.last_event(sidecar, ProcessEvent::IdleClientsLeft, at);
+        connected
+            .is_some_and(|connected| left.is_none_or(|left| left < connected || at < left + MAX_EXIT_TIME))
     }
 
-    /// How long the sidecar was held up in this time, at most.
+    /// How long the sidecar was stopped by SIGSTOP between these times, at most.
     fn paused(&self, sidecar: usize, from: Duration, to: Duration) -> Duration {
-        let stopped = self.last(sidecar, Signal::Stop, to).filter(|at| *at + ENDING >= from);
+        let stopped =
+            self.last_event(sidecar, ProcessEvent::Stop, to).filter(|at| *at + MAX_EXIT_TIME >= from);
         let Some(stopped) = stopped else { return Duration::ZERO };
-        let went_on = self
-            .seen
-            .signals
+        let resumed = self
+            .observations
+            .process_events
             .iter()
-            .find(|(at, to, kind)| *to == sidecar && *kind == Signal::Cont && *at >= stopped);
-        went_on.map_or(to, |(at, ..)| *at).saturating_sub(stopped)
+            .find(|(at, to, kind)| *to == sidecar && *kind == ProcessEvent::Cont && *at >= stopped);
+        resumed.map_or(to, |(at, ..)| *at).saturating_sub(stopped)
     }
 
-    fn one(&mut self, asked: &'a Asked) {
-        let attempts: Vec<&Attempt> = self.attempts.get(asked.request.as_str()).cloned().unwrap_or_default();
-        self.answered(asked, &attempts);
-        self.effects(asked, &attempts);
-        self.timely(asked, &attempts);
+    fn check_request(&mut self, request: &'a RequestRecord) {
+        let attempts: Vec<&Attempt> =
+            self.attempts.get(request.request_id.as_str()).cloned().unwrap_or_default();
+        self.check_outcome(request, &attempts);
+        self.check_effects(request, &attempts);
+        self.check_times(request, &attempts);
     }
 
-    fn answered(&mut self, asked: &Asked, attempts: &[&Attempt]) {
-        let Asked { request, sidecar, written, limit, ended, .. } = asked;
+    fn check_outcome(&mut self, request: &RequestRecord, attempts: &[&Attempt]) {
+        let RequestRecord { request_id, sidecar, written, time_limit, ended, .. } = request;
         let killed = self.killed(*sidecar, *written, *ended);
-        let who = format!("{request} at n{sidecar}, written at {:.3} s", written.as_secs_f64());
-        match &asked.end {
-            End::Answered { own_body: false, .. } => {
-                self.broken(Rule::OwnAnswer, *ended, format!("{who}: an answer made for another"));
+        let context = format!("{request_id} at n{sidecar}, written at {:.3} s", written.as_secs_f64());
+        match &request.outcome {
+            RequestOutcome::Answered { body_matches: false, .. } => {
+                self.add_violation(
+                    Rule::OwnAnswer,
+                    *ended,
+                    format!("{context}: response to another request"),
+                );
             }
-            End::Answered { status, .. } => {
-                let held_up = self.paused(*sidecar, *written, *ended);
-                if *ended > *written + *limit + ANSWER_SLACK + RIG + held_up {
-                    let late = (*ended - *written - *limit).as_secs_f64();
-                    self.broken(Rule::Answer, *ended, format!("{who}: {status}, {late:.3} s past its time"));
+            RequestOutcome::Answered { status, .. } => {
+                let paused = self.paused(*sidecar, *written, *ended);
+                if *ended > *written + *time_limit + RESPONSE_GRACE + TEST_DELAY + paused {
+                    let late = (*ended - *written - *time_limit).as_secs_f64();
+                    self.add_violation(
+                        Rule::Answer,
+                        *ended,
+                        format!("{context}: {status}, {late:.3} s past its time limit"),
+                    );
                 }
             }
-            End::NoAnswer if !killed => self.broken(Rule::Answer, *ended, format!("{who}: no answer")),
-            End::ConnectionEnded { answer_begun: false } if !killed => {
-                let ending = self.ending(*sidecar, *ended);
-                // It was not read, or it was read and lost. What was sent on was read.
-                let crossed = match ending {
-                    Some(told) => asked.kept || asked.connected > told + COMING,
+            RequestOutcome::NoResponse if !killed => {
+                self.add_violation(Rule::Answer, *ended, format!("{context}: no response"));
+            }
+            RequestOutcome::ConnectionEnded { response_begun: false } if !killed => {
+                let exit_start = self.exit_start(*sidecar, *ended);
+                // The request was not read, which is allowed, or was read and lost. An attempt shows that it was read.
+                let may_be_unread = match exit_start {
+                    Some(term) => request.reused || request.connected > term + CONNECTS_AFTER_TERM,
                     None => self.crowded(*sidecar, *ended),
                 };
-                if !crossed || !attempts.is_empty() {
-                    let sent = attempts.len();
-                    let what =
-                        format!("{who}, kept: {}: closed with no answer, sent on {sent} times", asked.kept);
-                    self.broken(Rule::Answer, *ended, what);
+                if !may_be_unread || !attempts.is_empty() {
+                    let attempt_count = attempts.len();
+                    let description = format!(
+                        "{context}, reused connection: {}: closed without a response, {attempt_count} attempts",
+                        request.reused
+                    );
+                    self.add_violation(Rule::Answer, *ended, description);
                 }
             }
             _ => {}
         }
     }
 
-    fn effects(&mut self, asked: &Asked, attempts: &[&Attempt]) {
+    fn check_effects(&mut self, request: &RequestRecord, attempts: &[&Attempt]) {
         let ran: Vec<&&Attempt> = attempts.iter().filter(|attempt| attempt.ran).collect();
-        let who = format!("{} at n{}", asked.request, asked.sidecar);
-        if asked.effect == Effect::AtMostOnce && ran.len() > 1 {
-            self.broken(Rule::Effect, ran[1].began, format!("{who}: it ran {} times", ran.len()));
+        let context = format!("{} at n{}", request.request_id, request.sidecar);
+        if request.effect == Effect::AtMostOnce && ran.len() > 1 {
+            self.add_violation(Rule::Effect, ran[1].began, format!("{context}: it ran {} times", ran.len()));
         }
-        let refused = matches!(asked.end, End::Answered { status: 429 | 503, .. });
-        let one_group = terms::scope(asked.sidecar) != "all";
+        let rejected = matches!(request.outcome, RequestOutcome::Answered { status: 429 | 503, .. });
+        let limited_scope = rule_settings::dedup_scope(request.sidecar) != "all";
         let harmful =
-            asked.effect == Effect::AtMostOnce || (asked.effect == Effect::Deduplicated && one_group);
-        if refused && harmful && !ran.is_empty() {
-            self.broken(Rule::Effect, ran[0].began, format!("{who}: it ran, and was refused"));
+            request.effect == Effect::AtMostOnce || (request.effect == Effect::Deduplicated && limited_scope);
+        if rejected && harmful && !ran.is_empty() {
+            self.add_violation(Rule::Effect, ran[0].began, format!("{context}: it ran and was rejected"));
         }
-        if asked.effect == Effect::Deduplicated
+        if request.effect == Effect::Deduplicated
             && let Some((first, further)) = ran.split_first()
         {
             for attempt in further {
-                let same = match terms::scope(asked.sidecar) {
+                let same_group = match rule_settings::dedup_scope(request.sidecar) {
                     "all" => true,
                     "zone" => attempt.zone == first.zone,
                     _ => attempt.cell == first.cell,
                 };
-                let late = attempt.began > first.began + terms::WINDOW + RIG;
-                if !same || late {
-                    let what =
-                        format!("{who}: repeated at {}, same group: {same}, late: {late}", attempt.server);
-                    self.broken(Rule::Repeat, attempt.began, what);
+                let late = attempt.began > first.began + rule_settings::DEDUP_WINDOW + TEST_DELAY;
+                if !same_group || late {
+                    let description = format!(
+                        "{context}: repeated at {}, same group: {same_group}, late: {late}",
+                        attempt.server
+                    );
+                    self.add_violation(Rule::Repeat, attempt.began, description);
                 }
             }
         }
-        if !terms::parallel(asked.sidecar) {
+        if !rule_settings::allows_parallel_attempts(request.sidecar) {
             for pair in attempts.windows(2) {
-                if pair[0].ended.is_some_and(|ended| pair[1].began + RIG < ended) {
-                    let what = format!("{who}: at {} beside {}", pair[1].server, pair[0].server);
-                    self.broken(Rule::OneAtATime, pair[1].began, what);
+                if pair[0].ended.is_some_and(|ended| pair[1].began + TEST_DELAY < ended) {
+                    let description = format!(
+                        "{context}: attempt at {} overlaps the one at {}",
+                        pair[1].server, pair[0].server
+                    );
+                    self.add_violation(Rule::OneAtATime, pair[1].began, description);
                 }
             }
         }
     }
 
-    fn timely(&mut self, asked: &Asked, attempts: &[&Attempt]) {
-        let gone = (asked.end == End::Left).then_some(asked.ended);
+    fn check_times(&mut self, request: &RequestRecord, attempts: &[&Attempt]) {
+        let client_left = (request.outcome == RequestOutcome::ClientLeft).then_some(request.ended);
         for attempt in attempts {
-            let who = format!("{} at n{} to {}", asked.request, asked.sidecar, attempt.server);
-            let held_up = self.paused(asked.sidecar, asked.written, attempt.began);
-            if let Some(gone) = gone.filter(|gone| attempt.began > *gone + LEFT_SLACK + RIG + held_up) {
-                let late = (attempt.began - gone).as_secs_f64();
-                self.broken(Rule::Gone, attempt.began, format!("{who}: {late:.3} s after its client left"));
+            let context = format!("{} at n{} to {}", request.request_id, request.sidecar, attempt.server);
+            let paused = self.paused(request.sidecar, request.written, attempt.began);
+            if let Some(client_left) = client_left
+                .filter(|client_left| attempt.began > *client_left + LEFT_GRACE + TEST_DELAY + paused)
+            {
+                let late = (attempt.began - client_left).as_secs_f64();
+                self.add_violation(
+                    Rule::Gone,
+                    attempt.began,
+                    format!("{context}: {late:.3} s after its client left"),
+                );
             }
-            let left = (asked.written + asked.limit).saturating_sub(attempt.began);
-            let told = Duration::from_millis(attempt.told_ms.unwrap_or(u64::from(u32::MAX)));
-            if told > left + DEADLINE_SLACK + RIG / 3 + held_up {
-                let what = format!("{who}: told {told:?}, {left:?} were left");
-                self.broken(Rule::Deadline, attempt.began, what);
+            let remaining = (request.written + request.time_limit).saturating_sub(attempt.began);
+            let passed_on = Duration::from_millis(attempt.remaining_ms.unwrap_or(u64::from(u32::MAX)));
+            if passed_on > remaining + DEADLINE_SLACK + TEST_DELAY / 3 + paused {
+                let description = format!("{context}: passed on {passed_on:?}, {remaining:?} remained");
+                self.add_violation(Rule::Deadline, attempt.began, description);
             }
         }
     }
 
-    fn stalled(&mut self) {
-        for stalled in &self.seen.stalled {
-            let until = stalled.since + STALLED + RIG;
-            let ended = stalled.told.unwrap_or(until + RIG);
-            let held_up = self.paused(stalled.sidecar, stalled.since, until);
-            if ended > until + held_up && !self.killed(stalled.sidecar, stalled.since, ended) {
-                let what = format!("n{}: told {:?}", stalled.sidecar, stalled.told);
-                self.broken(Rule::Stalled, stalled.since, what);
+    fn check_stalled_clients(&mut self) {
+        for stalled in &self.observations.stalled_clients {
+            let until = stalled.since + STALLED_CLIENT_TIMEOUT + TEST_DELAY;
+            let ended = stalled.notified.unwrap_or(until + TEST_DELAY);
+            let paused = self.paused(stalled.sidecar, stalled.since, until);
+            if ended > until + paused && !self.killed(stalled.sidecar, stalled.since, ended) {
+                let description =
+                    format!("n{}: response or close at {:?}", stalled.sidecar, stalled.notified);
+                self.add_violation(Rule::Stalled, stalled.since, description);
             }
         }
     }
 
-    /// Until when discovery could not be reached, if that was so between these moments.
+    /// The end of the last discovery outage that may delay news between these times; `from` if there is none.
     fn reachable_again(&self, from: Duration, to: Duration) -> Duration {
         use super::plan::FaultKind::{DiscoveryDown, DiscoverySilent, DiscoveryStale, Reload};
-        let outages = self.seen.troubles.iter().filter(|(at, trouble)| {
-            let away = matches!(trouble.kind, DiscoveryDown | DiscoveryStale | DiscoverySilent | Reload);
-            away && *at <= to && *at + trouble.lasts + TOLD >= from
+        let outages = self.observations.faults.iter().filter(|(at, fault)| {
+            let unreachable = matches!(fault.kind, DiscoveryDown | DiscoveryStale | DiscoverySilent | Reload);
+            unreachable && *at <= to && *at + fault.duration + DISCOVERY_DELAY >= from
         });
-        outages.map(|(at, trouble)| *at + trouble.lasts).max().unwrap_or(from).max(from)
+        outages.map(|(at, fault)| *at + fault.duration).max().unwrap_or(from).max(from)
     }
 
-    fn drains(&mut self) {
-        let seen = self.seen;
-        for (at, server, change) in &seen.list {
+    fn check_drains(&mut self) {
+        let observations = self.observations;
+        for (at, server, change) in &observations.list_changes {
             if *change != ListChange::Draining {
                 continue;
             }
-            let told = self.reachable_again(*at, *at + TOLD) + TOLD;
-            let until = told + terms::DRAIN_GRACE + RIG;
-            let late =
-                seen.attempts.iter().find(|attempt| attempt.server == *server && attempt.began > until);
+            let known = self.reachable_again(*at, *at + DISCOVERY_DELAY) + DISCOVERY_DELAY;
+            let until = known + rule_settings::DRAIN_GRACE + TEST_DELAY;
+            let late = observations
+                .attempts
+                .iter()
+                .find(|attempt| attempt.server == *server && attempt.began > until);
             if let Some(late) = late {
-                let what =
-                    format!("{} to {server}, which drains since {:.3} s", late.request, at.as_secs_f64());
-                self.broken(Rule::Drain, late.began, what);
+                let description = format!(
+                    "{} to {server}, which has been draining since {:.3} s",
+                    late.request_id,
+                    at.as_secs_f64()
+                );
+                self.add_violation(Rule::Drain, late.began, description);
             }
         }
     }
 
-    /// No window of the settings' span holds more attempts at a cold server than it stands.
-    fn slow_starts(&mut self) {
-        let seen = self.seen;
-        for (at, server, change) in &seen.list {
+    /// In no overload window does a cold server get more attempts than allowed.
+    fn check_slow_starts(&mut self) {
+        let observations = self.observations;
+        for (at, server, change) in &observations.list_changes {
             if *change != ListChange::Started {
                 continue;
             }
-            let cold = seen.attempts.iter().filter(|attempt| attempt.server == *server);
+            let cold = observations.attempts.iter().filter(|attempt| attempt.server == *server);
             let began: Vec<Duration> =
                 cold.map(|attempt| attempt.began).filter(|began| began >= at).collect();
             for (number, end) in began.iter().enumerate() {
                 let age = end.saturating_sub(*at);
-                if age >= terms::COLD {
+                if age >= rule_settings::WARMUP {
                     break;
                 }
-                let from = end.saturating_sub(terms::FALL);
+                let from = end.saturating_sub(rule_settings::OVERLOAD_WINDOW);
                 let count = began[..=number].iter().filter(|began| **began > from).count() as f64;
-                let warmed = age.as_secs_f64() / terms::COLD.as_secs_f64();
-                let share = terms::COLD_SHARE + (1.0 - terms::COLD_SHARE) * warmed;
-                let allowed = terms::TIP_MULTIPLE * self.capacity * share * terms::FALL.as_secs_f64();
-                if count > budget(allowed) {
-                    let what =
-                        format!("{server}: {count} attempts within {:?}, {allowed:.1} allowed", terms::FALL);
-                    self.broken(Rule::SlowStart, *end, what);
+                let warmed = age.as_secs_f64() / rule_settings::WARMUP.as_secs_f64();
+                let share =
+                    rule_settings::INITIAL_FRACTION + (1.0 - rule_settings::INITIAL_FRACTION) * warmed;
+                let allowed = rule_settings::OVERLOAD_MULTIPLE
+                    * self.capacity
+                    * share
+                    * rule_settings::OVERLOAD_WINDOW.as_secs_f64();
+                if count > overload_limit(allowed) {
+                    let description = format!(
+                        "{server}: {count} attempts within {:?}, {allowed:.1} allowed",
+                        rule_settings::OVERLOAD_WINDOW
+                    );
+                    self.add_violation(Rule::SlowStart, *end, description);
                     break;
                 }
             }
@@ -333,10 +378,11 @@
     }
 }
 
-/// What a cold server stands where so many are allowed, with the operators' room for chance.
-fn budget(allowed: f64) -> f64 {
-    let room = if allowed < 30.0 { 3.0 * allowed.sqrt() + 3.0 } else { 2.0 * allowed.sqrt() + 2.0 };
-    allowed + room
+/// The number of attempts above which a cold server counts as overloaded: the allowed number and the operators' margin
+/// for random variation.
+fn overload_limit(allowed: f64) -> f64 {
+    let margin = if allowed < 30.0 { 3.0 * allowed.sqrt() + 3.0 } else { 2.0 * allowed.sqrt() + 2.0 };
+    allowed + margin
 }
 
 #[cfg(test)]
@@ -347,74 +393,80 @@
         Duration::from_millis(ms)
     }
 
-    fn asked(effect: Effect, end: End, ended: u64) -> Asked {
-        Asked {
-            request: "r".into(),
+    fn request(effect: Effect, outcome: RequestOutcome, ended: u64) -> RequestRecord {
+        RequestRecord {
+            request_id: "r".into(),
             effect,
             sidecar: 1,
             connected: at(0),
-            kept: true,
+            reused: true,
             written: at(1000),
-            limit: at(500),
-            end,
+            time_limit: at(500),
+            outcome,
             ended: at(ended),
         }
     }
 
-    fn attempt(server: &str, began: u64, ended: u64, told_ms: u64) -> Attempt {
+    fn attempt(server: &str, began: u64, ended: u64, remaining_ms: u64) -> Attempt {
         Attempt {
-            request: "r".into(),
+            request_id: "r".into(),
             server: server.into(),
             zone: 0,
             cell: 0,
             began: at(began),
-            told_ms: Some(told_ms),
+            remaining_ms: Some(remaining_ms),
             ended: Some(at(ended)),
             ran: true,
         }
     }
 
-    fn broken(asked: Asked, attempts: Vec<Attempt>) -> Vec<Rule> {
+    fn broken_rules(request: RequestRecord, attempts: Vec<Attempt>) -> Vec<Rule> {
         let plan = Plan::sized(1, at(5000), 2, 2);
-        let seen = Seen { asked: vec![asked], attempts, ..Seen::default() };
-        judge(&plan, &seen, Vec::new()).violations.iter().map(|violation| violation.rule).collect()
+        let observations = Observations { requests: vec![request], attempts, ..Observations::default() };
+        check(&plan, &observations, Vec::new()).violations.iter().map(|violation| violation.rule).collect()
     }
 
     #[test]
-    fn each_rule_is_seen_to_be_broken_and_a_plain_exchange_breaks_none() {
-        let ok = || End::Answered { status: 200, own_body: true };
+    fn each_rule_reports_its_violation_and_a_normal_request_none() {
+        let ok = || RequestOutcome::Answered { status: 200, body_matches: true };
         let once = || vec![attempt("s1", 1002, 1020, 497)];
-        assert_eq!(broken(asked(Effect::AtMostOnce, ok(), 1025), once()), []);
-        let other = End::Answered { status: 200, own_body: false };
-        assert_eq!(broken(asked(Effect::Idempotent, other, 1025), once()), [Rule::OwnAnswer]);
-        assert_eq!(broken(asked(Effect::Idempotent, ok(), 2300), once()), [Rule::Answer]);
-        assert_eq!(broken(asked(Effect::Idempotent, End::NoAnswer, 3000), once()), [Rule::Answer]);
-        let closed = End::ConnectionEnded { answer_begun: false };
-        assert_eq!(broken(asked(Effect::Idempotent, closed, 1100), Vec::new()), [Rule::Answer]);
-        let refused = End::Answered { status: 503, own_body: true };
-        assert_eq!(broken(asked(Effect::AtMostOnce, refused, 1100), once()), [Rule::Effect]);
+        assert_eq!(broken_rules(request(Effect::AtMostOnce, ok(), 1025), once()), []);
+        let other = RequestOutcome::Answered { status: 200, body_matches: false };
+        assert_eq!(broken_rules(request(Effect::Idempotent, other, 1025), once()), [Rule::OwnAnswer]);
+        assert_eq!(broken_rules(request(Effect::Idempotent, ok(), 2300), once()), [Rule::Answer]);
+        assert_eq!(
+            broken_rules(request(Effect::Idempotent, RequestOutcome::NoResponse, 3000), once()),
+            [Rule::Answer]
+        );
+        let closed = RequestOutcome::ConnectionEnded { response_begun: false };
+        assert_eq!(broken_rules(request(Effect::Idempotent, closed, 1100), Vec::new()), [Rule::Answer]);
+        let rejected = RequestOutcome::Answered { status: 503, body_matches: true };
+        assert_eq!(broken_rules(request(Effect::AtMostOnce, rejected, 1100), once()), [Rule::Effect]);
         let again = vec![attempt("s1", 1002, 1020, 497), attempt("s2", 1030, 1040, 470)];
-        assert_eq!(broken(asked(Effect::AtMostOnce, ok(), 1100), again), [Rule::Effect]);
-        let beside = vec![attempt("s1", 1002, 1400, 497), attempt("s2", 1030, 1040, 470)];
-        assert_eq!(broken(asked(Effect::Idempotent, ok(), 1100), beside), [Rule::OneAtATime]);
+        assert_eq!(broken_rules(request(Effect::AtMostOnce, ok(), 1100), again), [Rule::Effect]);
+        let overlapping = vec![attempt("s1", 1002, 1400, 497), attempt("s2", 1030, 1040, 470)];
+        assert_eq!(broken_rules(request(Effect::Idempotent, ok(), 1100), overlapping), [Rule::OneAtATime]);
         let late = vec![attempt("s1", 1500, 1510, 10)];
-        assert_eq!(broken(asked(Effect::Idempotent, End::Left, 1050), late), [Rule::Gone]);
-        let told = vec![attempt("s1", 1400, 1410, 499)];
-        assert_eq!(broken(asked(Effect::Idempotent, ok(), 1450), told), [Rule::Deadline]);
+        assert_eq!(
+            broken_rules(request(Effect::Idempotent, RequestOutcome::ClientLeft, 1050), late),
+            [Rule::Gone]
+        );
+        let late_deadline = vec![attempt("s1", 1400, 1410, 499)];
+        assert_eq!(broken_rules(request(Effect::Idempotent, ok(), 1450), late_deadline), [Rule::Deadline]);
     }
 
     #[test]
-    fn more_than_a_cold_server_stands_is_seen() {
+    fn excess_attempts_at_a_cold_server_are_reported() {
         let plan = Plan::sized(1, at(5000), 2, 2);
-        let judged = |every_ms: u64| {
-            // The other server is warm, and has as many over the whole run as make 60 a second possible at each.
+        let violation_count = |every_ms: u64| {
+            // The warm server gets as many over the run as gives each server a capacity of 60 per second.
             let warm = (0..420).map(|number| attempt("s0", number * 11, 1001, 1));
             let cold = (0..60).map(|number| attempt("s1", 1000 + number * every_ms, 1001, 1));
             let attempts = warm.chain(cold).collect();
-            let list = vec![(at(1000), "s1".to_string(), ListChange::Started)];
-            let seen = Seen { attempts, list, ..Seen::default() };
-            judge(&plan, &seen, Vec::new()).violations.len()
+            let list_changes = vec![(at(1000), "s1".to_string(), ListChange::Started)];
+            let observations = Observations { attempts, list_changes, ..Observations::default() };
+            check(&plan, &observations, Vec::new()).violations.len()
         };
-        assert_eq!((judged(15), judged(60)), (1, 0));
+        assert_eq!((violation_count(15), violation_count(60)), (1, 0));
     }
 }
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -1,9 +1,10 @@
-//! The soak: a few dozen real sidecar processes on loopback under load, with servers, clients, discovery and signals that
-//! misbehave, two or three at a time, by a seed. What the stand-ins on both sides saw is judged by the rules that
-//! sidecars must keep whatever happens; the processes' own counts of violated invariants are read from their logs.
+//! The soak test: a few dozen real sidecar processes on loopback under load, while faults of servers, clients,
+//! discovery and processes overlap, two or three at a time, chosen by a seed. The observations of the test servers and
+//! clients are checked against the rules that sidecars must keep under any fault; violated invariants are read from the
+//! logs.
 //!
-//! `plan` draws the troubles, `processes` and `server` and `client` carry them out, `record` is what was seen, and
-//! `judge` says which rules were broken.
+//! `plan` draws the faults, `processes`, `server` and `client` inject them, `record` stores the observations, and
+//! `judge` checks the rules.
 
 mod client;
 mod judge;
@@ -12,13 +13,13 @@
 mod record;
 mod server;
 
-pub use judge::{Rule, Verdict, Violation};
+pub use judge::{Rule, SoakResult, Violation};
 pub use plan::{Fault, FaultKind, Plan};
 
 use crate::sockets::{Discovery, run_dir};
 use client::Clients;
 use processes::Processes;
-use record::Records;
+use record::Recorder;
 use server::Servers;
 use std::io;
 use std::path::Path;
@@ -26,98 +27,98 @@
 use std::thread;
 use std::time::Duration;
 
-/// Troubles begin no later than this before the end of a run, so that their outcome can be seen.
+/// No fault begins in this last part of a run, so that the effects of all faults are observed.
 const SETTLE: Duration = Duration::from_secs(5);
-/// How often the run looks at its schedule and its processes.
-const STEP: Duration = Duration::from_millis(10);
+/// Interval at which the schedule and the processes are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Plays one seed for this long on this program and judges it. An error is the rig's own: nothing was judged.
-pub fn run(plan: &Plan, program: &Path) -> Result<Verdict, String> {
-    let told = |wrong: io::Error| format!("the rig: {wrong}");
+/// Runs a plan with this program and checks the rules. An error means that the test setup failed: nothing was checked.
+pub fn run(plan: &Plan, program: &Path) -> Result<SoakResult, String> {
+    let describe = |error: io::Error| format!("test setup: {error}");
     let dir = run_dir(&format!("soak-{}", plan.seed))?;
-    let records = Arc::new(Records::new());
-    let discoveries = [Discovery::start().map_err(told)?, Discovery::start().map_err(told)?];
-    let servers = Servers::start(plan, &discoveries, &records).map_err(told)?;
-    let processes = Processes::start(plan, program, &dir, &discoveries, &records)?;
-    let clients = Clients::start(plan, &processes.addresses(), &records);
-    let mut run = Run { plan, records: &records, discoveries: &discoveries, servers, processes };
-    let played = run.play();
+    let recorder = Arc::new(Recorder::new());
+    let discoveries = [Discovery::start().map_err(describe)?, Discovery::start().map_err(describe)?];
+    let servers = Servers::start(plan, &discoveries, &recorder).map_err(describe)?;
+    let processes = Processes::start(plan, program, &dir, &discoveries, &recorder)?;
+    let clients = Clients::start(plan, &processes.client_access(), &recorder);
+    let mut run = Run { plan, recorder: &recorder, discoveries: &discoveries, servers, processes };
+    let execution = run.execute();
     clients.stop();
-    let crashes = run.processes.finish();
-    played?;
-    let verdict = judge::judge(plan, &records.close(), crashes);
+    let crashes = run.processes.stop_all();
+    execution?;
+    let result = judge::check(plan, &recorder.observations(), crashes);
     discoveries.iter().for_each(|discovery| discovery.stop());
-    if verdict.violations.is_empty() {
-        // A run that held leaves nothing behind.
+    if result.violations.is_empty() {
+        // The files are only of use after a violation.
         let _ = std::fs::remove_dir_all(&dir);
     }
-    Ok(verdict)
+    Ok(result)
 }
 
-/// A run under way.
+/// A running soak test.
 struct Run<'a> {
     plan: &'a Plan,
-    records: &'a Records,
+    recorder: &'a Recorder,
     discoveries: &'a [Arc<Discovery>; 2],
     servers: Servers,
     processes: Processes,
 }
 
 impl Run<'_> {
-    fn play(&mut self) -> Result<(), String> {
+    fn execute(&mut self) -> Result<(), String> {
         let mut due: Vec<&Fault> = self.plan.faults.iter().collect();
-        due.sort_by_key(|trouble| std::cmp::Reverse(trouble.at));
-        let mut over: Vec<(Duration, &Fault)> = Vec::new();
-        while self.records.now() < self.plan.length {
-            let now = self.records.now();
-            while due.last().is_some_and(|trouble| trouble.at <= now) {
-                if let Some(trouble) = due.pop() {
-                    self.begin(trouble);
-                    over.push((now + trouble.lasts, trouble));
+        due.sort_by_key(|fault| std::cmp::Reverse(fault.at));
+        let mut active: Vec<(Duration, &Fault)> = Vec::new();
+        while self.recorder.now() < self.plan.duration {
+            let now = self.recorder.now();
+            while due.last().is_some_and(|fault| fault.at <= now) {
+                if let Some(fault) = due.pop() {
+                    self.begin(fault);
+                    active.push((now + fault.duration, fault));
                 }
             }
-            for (_, trouble) in over.extract_if(.., |(until, _)| *until <= now) {
-                self.end(trouble);
+            for (_, fault) in active.extract_if(.., |(until, _)| *until <= now) {
+                self.end(fault);
             }
-            self.processes.step()?;
-            thread::sleep(STEP);
+            self.processes.update()?;
+            thread::sleep(CHECK_INTERVAL);
         }
         Ok(())
     }
 
-    fn begin(&mut self, trouble: &Fault) {
-        self.records.trouble_began(trouble);
-        match &trouble.kind {
-            FaultKind::Terminate(which) => self.processes.terminate(which),
-            FaultKind::Kill(which) => self.processes.kill(which),
-            FaultKind::Pause(which) => self.processes.pause(which),
+    fn begin(&mut self, fault: &Fault) {
+        self.recorder.record_fault(fault);
+        match &fault.kind {
+            FaultKind::Terminate(numbers) => self.processes.terminate(numbers),
+            FaultKind::Kill(numbers) => self.processes.kill(numbers),
+            FaultKind::Pause(numbers) => self.processes.pause(numbers),
             FaultKind::Reload => self.processes.reload(),
-            FaultKind::Drain(which) => self.servers.drain(which),
-            FaultKind::Vanish(which) => self.servers.vanish(which),
-            FaultKind::Hang(which) => self.servers.hang(which, true),
-            FaultKind::DiscoveryDown => self.discovery(crate::sockets::DiscoveryFault::Down),
-            FaultKind::DiscoveryStale => self.discovery(crate::sockets::DiscoveryFault::Stale),
-            FaultKind::Crowd(which) => self.processes.crowd(*which),
-            FaultKind::NoDescriptors(which) => self.processes.limit_descriptors(which, true),
-            FaultKind::DiscoverySilent => self.discovery(crate::sockets::DiscoveryFault::Silent),
+            FaultKind::Drain(numbers) => self.servers.drain(numbers),
+            FaultKind::Vanish(numbers) => self.servers.vanish(numbers),
+            FaultKind::Hang(numbers) => self.servers.hang(numbers, true),
+            FaultKind::DiscoveryDown => self.set_discovery_fault(crate::sockets::DiscoveryFault::Down),
+            FaultKind::DiscoveryStale => self.set_discovery_fault(crate::sockets::DiscoveryFault::Stale),
+            FaultKind::Crowd(number) => self.processes.open_idle_connections(*number),
+            FaultKind::NoDescriptors(numbers) => self.processes.limit_descriptors(numbers, true),
+            FaultKind::DiscoverySilent => self.set_discovery_fault(crate::sockets::DiscoveryFault::Silent),
         }
     }
 
-    fn end(&mut self, trouble: &Fault) {
-        match &trouble.kind {
-            FaultKind::Pause(which) => self.processes.go_on(which),
-            FaultKind::Vanish(which) => self.servers.come_back(which),
-            FaultKind::Hang(which) => self.servers.hang(which, false),
-            FaultKind::NoDescriptors(which) => self.processes.limit_descriptors(which, false),
+    fn end(&mut self, fault: &Fault) {
+        match &fault.kind {
+            FaultKind::Pause(numbers) => self.processes.resume(numbers),
+            FaultKind::Vanish(numbers) => self.servers.restart(numbers),
+            FaultKind::Hang(numbers) => self.servers.hang(numbers, false),
+            FaultKind::NoDescriptors(numbers) => self.processes.limit_descriptors(numbers, false),
             FaultKind::DiscoveryDown | FaultKind::DiscoveryStale | FaultKind::DiscoverySilent => {
-                self.discovery(crate::sockets::DiscoveryFault::None);
+                self.set_discovery_fault(crate::sockets::DiscoveryFault::None);
             }
-            FaultKind::Crowd(_) => self.processes.crowd_leaves(),
+            FaultKind::Crowd(_) => self.processes.close_idle_connections(),
             _ => {}
         }
     }
 
-    fn discovery(&self, trouble: crate::sockets::DiscoveryFault) {
-        self.discoveries.iter().for_each(|discovery| discovery.set_fault(trouble));
+    fn set_discovery_fault(&self, fault: crate::sockets::DiscoveryFault) {
+        self.discoveries.iter().for_each(|discovery| discovery.set_fault(fault));
     }
 }
--- a/crates/lab/src/soak/record.rs
+++ b/crates/lab/src/soak/record.rs
@@ -1,11 +1,11 @@
-//! What clients, servers and processes of a run saw, with the time of each, in one place. Times are spans since the run
-//! began, of one clock.
+//! Stores the observations of the clients and servers of a run, and what was done to its processes. All times are spans
+//! since the start of the run, by one clock.
 
 use super::plan::Fault;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// What a request may do when it runs twice.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Idempotent,
@@ -13,155 +13,160 @@
     AtMostOnce,
 }
 
-/// How a request ended for its client.
+/// How a request ended, as its client saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestOutcome {
     Answered {
         status: u16,
-        /// Whether the body was made for this request; true for what is no 200.
-        own_body: bool,
+        /// Whether the body belongs to this request; true for other statuses than 200.
+        body_matches: bool,
     },
-    /// The connection was closed or reset with no whole answer; whether the answer had begun.
-    ConnectionEnded { answer_begun: bool },
+    /// The connection was closed or reset before the response was complete.
+    ConnectionEnded { response_begun: bool },
     /// The client closed the connection itself.
-    Left,
-    /// Nothing came for long past its time.
-    NoAnswer,
+    ClientLeft,
+    /// No response arrived until long after the time limit.
+    NoResponse,
 }
 
 /// One request as its client saw it.
 #[derive(Clone, Debug)]
-pub struct Asked {
-    pub request: String,
+pub struct RequestRecord {
+    pub request_id: String,
     pub effect: Effect,
     pub sidecar: usize,
-    /// When its connection was made, and whether it had carried a request before this one.
+    /// When its connection was opened, and whether the connection had carried a request before.
     pub connected: Duration,
-    pub kept: bool,
-    /// When its last byte was written.
+    pub reused: bool,
+    /// When the last byte of the request was written.
     pub written: Duration,
-    pub limit: Duration,
-    pub end: End,
+    pub time_limit: Duration,
+    pub outcome: RequestOutcome,
     pub ended: Duration,
 }
 
-/// A client that stopped in the middle of a request or sent none.
+/// A client that stopped in the middle of a request or sent an invalid one.
 #[derive(Clone, Debug)]
-pub struct Stalled {
+pub struct StalledClient {
     pub sidecar: usize,
     pub since: Duration,
-    /// When it had an error or a close.
-    pub told: Option<Duration>,
+    /// When it received a response or the connection was closed; None if neither happened in time.
+    pub notified: Option<Duration>,
 }
 
 /// One attempt as its server saw it.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    pub request: String,
-    /// The server's id by the list, its zone and cell.
+    pub request_id: String,
+    /// Id of the server in the endpoint list, and its zone and cell.
     pub server: String,
     pub zone: usize,
     pub cell: u32,
-    /// When its first byte was there.
+    /// When the first byte arrived.
     pub began: Duration,
-    /// What the server was told to have left.
-    pub told_ms: Option<u64>,
-    /// When the server's answer was out, or the connection's end was seen.
+    /// The remaining time that the request stated.
+    pub remaining_ms: Option<u64>,
+    /// When the server sent its response, or saw the connection end.
     pub ended: Option<Duration>,
+    /// Whether the server ran the request, so that it may have had an effect.
     pub ran: bool,
 }
 
-/// What was done to one process.
+/// A signal to a process, or another event of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Signal {
+pub enum ProcessEvent {
+    /// SIGTERM, SIGKILL, SIGSTOP and SIGCONT.
     Term,
     Kill,
     Stop,
     Cont,
-    Ended,
+    Exited,
     Ready,
-    Crowd,
-    CrowdLeft,
+    /// Idle clients connected to it.
+    IdleClientsConnected,
+    IdleClientsLeft,
 }
 
-/// What was done to one server's entry in the list.
+/// A change of a server's entry in the endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListChange {
     Draining,
     Started,
 }
 
-/// All that was seen in a run.
+/// All observations of a run.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
-    pub asked: Vec<Asked>,
+pub struct Observations {
+    pub requests: Vec<RequestRecord>,
     pub attempts: Vec<Attempt>,
-    pub stalled: Vec<Stalled>,
-    pub signals: Vec<(Duration, usize, Signal)>,
-    pub list: Vec<(Duration, String, ListChange)>,
-    pub troubles: Vec<(Duration, Fault)>,
+    pub stalled_clients: Vec<StalledClient>,
+    /// When, which sidecar, and what happened to it.
+    pub process_events: Vec<(Duration, usize, ProcessEvent)>,
+    /// When, which server, and how its entry changed.
+    pub list_changes: Vec<(Duration, String, ListChange)>,
+    pub faults: Vec<(Duration, Fault)>,
 }
 
-/// The records of a run under way; any thread adds to them.
-pub struct Records {
-    began: Instant,
-    seen: Mutex<Seen>,
+/// Collects the observations of a run from all threads.
+pub struct Recorder {
+    start: Instant,
+    observations: Mutex<Observations>,
 }
 
-impl Records {
-    pub fn new() -> Records {
-        Records { began: Instant::now(), seen: Mutex::default() }
+impl Recorder {
+    pub fn new() -> Recorder {
+        Recorder { start: Instant::now(), observations: Mutex::default() }
     }
 
     pub fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.start.elapsed()
     }
 
-    fn seen(&self) -> MutexGuard<'_, Seen> {
-        // A thread that panicked has left whole entries behind.
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Observations> {
+        // A thread that panics leaves no entry incomplete.
+        self.observations.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn asked(&self, asked: Asked) {
-        self.seen().asked.push(asked);
+    pub fn record_request(&self, request: RequestRecord) {
+        self.lock().requests.push(request);
     }
 
-    pub fn stalled(&self, stalled: Stalled) {
-        self.seen().stalled.push(stalled);
+    pub fn record_stalled_client(&self, client: StalledClient) {
+        self.lock().stalled_clients.push(client);
     }
 
-    /// The attempt's number, by which its end is told.
+    /// Records the start of an attempt; returns its number for `attempt_ended`.
     pub fn attempt_began(&self, attempt: Attempt) -> usize {
-        let mut seen = self.seen();
-        seen.attempts.push(attempt);
-        seen.attempts.len() - 1
+        let mut observations = self.lock();
+        observations.attempts.push(attempt);
+        observations.attempts.len() - 1
     }
 
     pub fn attempt_ended(&self, number: usize, ran: bool) {
         let now = self.now();
-        if let Some(attempt) = self.seen().attempts.get_mut(number) {
+        if let Some(attempt) = self.lock().attempts.get_mut(number) {
             attempt.ended = Some(now);
             attempt.ran = ran;
         }
     }
 
-    pub fn signalled(&self, sidecar: usize, signal: Signal) {
+    pub fn record_process_event(&self, sidecar: usize, event: ProcessEvent) {
         let now = self.now();
-        self.seen().signals.push((now, sidecar, signal));
+        self.lock().process_events.push((now, sidecar, event));
     }
 
-    pub fn list_changed(&self, server: &str, change: ListChange) {
+    pub fn record_list_change(&self, server: &str, change: ListChange) {
         let now = self.now();
-        self.seen().list.push((now, server.to_string(), change));
+        self.lock().list_changes.push((now, server.to_string(), change));
     }
 
-    pub fn trouble_began(&self, trouble: &Fault) {
+    pub fn record_fault(&self, fault: &Fault) {
         let now = self.now();
-        self.seen().troubles.push((now, trouble.clone()));
+        self.lock().faults.push((now, fault.clone()));
     }
 
-    /// All that was seen.
-    pub fn close(&self) -> Seen {
-        self.seen().clone()
+    /// A copy of all observations so far.
+    pub fn observations(&self) -> Observations {
+        self.lock().clone()
     }
 }
--- a/crates/lab/src/soaks.rs
+++ b/crates/lab/src/soaks.rs
@@ -1,24 +1,25 @@
-//! The sub-command that plays soaks. It owns what is printed: a line for each seed with its figures, each violation, and as the
-//! last line `held` or `broken`; the exit code says the same (0 or 1).
+//! The sub-command that runs soak tests. It prints a line with the figures of each seed, the violations, and `held` or
+//! `broken` as the last line. The exit code is 0 for `held` and 1 for `broken`.
 
 use crate::args::Soak;
-use landingspread_lab::soak::{Plan, Verdict, run};
+use landingspread_lab::soak::{Plan, SoakResult, run};
 use landingspread_lab::sockets;
 use std::process::ExitCode;
 
-/// Violations told of each seed.
-const TOLD_MOST: usize = 12;
+/// Limit of violations printed for each seed.
+const MAX_PRINTED_VIOLATIONS: usize = 12;
 
-pub fn soak(wanted: &Soak) -> ExitCode {
+/// Runs the soak test for each seed and prints the results.
+pub fn soak(options: &Soak) -> ExitCode {
     let mut held = true;
-    for seed in wanted.seed..wanted.seed + wanted.seeds {
-        match one(wanted, seed) {
-            Ok((plan, verdict)) => {
-                say(seed, &plan, &verdict);
-                held &= verdict.violations.is_empty();
+    for seed in options.seed..options.seed + options.seeds {
+        match run_seed(options, seed) {
+            Ok((plan, result)) => {
+                print_result(seed, &plan, &result);
+                held &= result.violations.is_empty();
             }
-            Err(wrong) => {
-                println!("seed {seed}: not judged: {wrong}");
+            Err(error) => {
+                println!("seed {seed}: not judged: {error}");
                 held = false;
             }
         }
@@ -27,26 +28,35 @@
     if held { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
 
-fn one(wanted: &Soak, seed: u64) -> Result<(Plan, Verdict), String> {
-    let program = wanted.program.clone().map_or_else(sockets::sidecar_program, Ok)?;
-    let mut plan = Plan::drawn(seed, wanted.time);
-    if let Some(sidecars) = wanted.sidecars {
-        plan = Plan::sized(seed, wanted.time, sidecars.max(2), plan.servers);
+fn run_seed(options: &Soak, seed: u64) -> Result<(Plan, SoakResult), String> {
+    let program = options.program.clone().map_or_else(sockets::sidecar_program, Ok)?;
+    let mut plan = Plan::from_seed(seed, options.time);
+    if let Some(sidecars) = options.sidecars {
+        plan = Plan::sized(seed, options.time, sidecars.max(2), plan.servers);
     }
-    let verdict = run(&plan, &program)?;
-    Ok((plan, verdict))
+    let result = run(&plan, &program)?;
+    Ok((plan, result))
 }
 
-fn say(seed: u64, plan: &Plan, verdict: &Verdict) {
-    let Verdict { violations, requests, attempts, answered, refused, failed, left, crossed, faults } =
-        verdict;
+fn print_result(seed: u64, plan: &Plan, result: &SoakResult) {
+    let SoakResult {
+        violations,
+        requests,
+        attempts,
+        answered,
+        rejected,
+        failed,
+        abandoned,
+        interrupted,
+        faults,
+    } = result;
     println!(
-        "seed {seed}: {faults} troubles, {requests} requests, {attempts} attempts, {answered} answered, {refused} refused, \
-         {failed} failed, {left} left, {crossed} crossed an end, {} violations",
+        "seed {seed}: {faults} troubles, {requests} requests, {attempts} attempts, {answered} answered, {rejected} refused, \
+         {failed} failed, {abandoned} left, {interrupted} crossed an end, {} violations",
         violations.len()
     );
     if !violations.is_empty() {
-        plan.faults.iter().for_each(|trouble| println!("  {trouble}"));
+        plan.faults.iter().for_each(|fault| println!("  {fault}"));
     }
-    violations.iter().take(TOLD_MOST).for_each(|violation| println!("  {violation}"));
+    violations.iter().take(MAX_PRINTED_VIOLATIONS).for_each(|violation| println!("  {violation}"));
 }
--- a/crates/lab/src/sockets/added.rs
+++ b/crates/lab/src/sockets/added.rs
@@ -1,5 +1,5 @@
-//! How much time one sidecar adds to a call: the same callers speak straight to stand-ins that answer at once, and through
-//! a sidecar before these, in turn. It owns the turns and how pairs become figures; it judges nothing.
+//! Measures the time that one sidecar adds to a request: the same clients send to servers that respond at once,
+//! directly and through a sidecar in turn. Computes the statistics of the pairs, without judging them.
 
 use super::bench::{SidecarBench, start_bench};
 use super::callers::{ClientPlan, ClientRequestClass, CompletedRequest, RequestRate, run};
@@ -13,42 +13,43 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// What comes first in each turn is not counted: connections are opened, and who slept wakes up.
-const SETTLE: Duration = Duration::from_millis(500);
-const LIMIT: Duration = Duration::from_secs(2);
+/// Requests at the start of each run are not counted: connections are opened, and sleeping threads wake up.
+const WARMUP: Duration = Duration::from_millis(500);
+const TIME_LIMIT: Duration = Duration::from_secs(2);
 
+/// The measurement: its request rate, its runs and its processes.
 pub struct AddedLatencyPlan {
-    /// Calls a second.
+    /// Requests per second.
     pub rate: f64,
     pub pairs: usize,
-    /// What is counted of a turn.
+    /// Counted time of each run.
     pub run_duration: Duration,
     pub connections: usize,
     pub servers: usize,
 }
 
-/// One turn's calls. Milliseconds, by sorted calls.
+/// Statistics of one run's requests. Latencies are in milliseconds.
 #[derive(Clone, Debug, Default)]
 pub struct RunStatistics {
     pub answered: usize,
     pub unanswered: usize,
-    /// From the send to the last byte.
+    /// Quantiles of the latency from the send to the last byte.
     pub p50: f64,
     pub p99: f64,
-    /// From the intended send: with the caller's own lateness.
+    /// From the scheduled send, which includes the lateness of the client.
     pub p99_intended: f64,
-    /// Processor time of the sidecar for each call, in microseconds, and how often it went to sleep for each.
+    /// Processor time of the sidecar, in microseconds, and how often its threads went to sleep; 0 without a sidecar.
     pub cpu_us_per_request: f64,
     pub sleeps_per_request: f64,
 }
 
-/// A pair, or three where two builds are held against each other: straight, and through each of them.
+/// A direct run, and one run through the sidecar of each compared build.
 pub struct Pair {
     pub direct: RunStatistics,
     pub via_sidecar: Vec<RunStatistics>,
 }
 
-/// The value below which so large a share of the sorted figures lies; 0 where there is none.
+/// The smallest value that at least this share of the sorted values do not exceed; 0 if there are none.
 pub fn quantile(sorted: &[f64], share: f64) -> f64 {
     let rank = (sorted.len() as f64 * share).ceil() as usize;
     sorted.get(rank.saturating_sub(1)).copied().unwrap_or(0.0)
@@ -58,100 +59,108 @@
 struct LatencySamples {
     sent: Vec<f64>,
     intended: Vec<f64>,
-    not_answered: usize,
+    unanswered: usize,
 }
 
-fn turn(turns: &AddedLatencyPlan, targets: Vec<SocketAddr>, seed: u64) -> RunStatistics {
-    let plan = ClientPlan {
+fn measure_run(plan: &AddedLatencyPlan, targets: Vec<SocketAddr>, seed: u64) -> RunStatistics {
+    let client_plan = ClientPlan {
         targets,
         request_classes: vec![ClientRequestClass {
             name: "view".into(),
             retry_safety: RetrySafety::Idempotent,
             share: 1.0,
-            time_limit: LIMIT,
+            time_limit: TIME_LIMIT,
         }],
         tenants: vec![("lab".into(), 1.0)],
-        connections: turns.connections,
-        duration: SETTLE + turns.run_duration,
+        connections: plan.connections,
+        duration: WARMUP + plan.run_duration,
         seed,
         id_prefix: format!("a{seed}-"),
         retry_non_idempotent: true,
     };
-    let seen = Mutex::new(LatencySamples::default());
-    let watch = || -> Box<dyn FnMut(&CompletedRequest) + '_> {
-        Box::new(|done: &CompletedRequest| {
-            if done.intended < SETTLE {
+    let samples = Mutex::new(LatencySamples::default());
+    let observer = || -> Box<dyn FnMut(&CompletedRequest) + '_> {
+        Box::new(|completed: &CompletedRequest| {
+            if completed.intended < WARMUP {
                 return;
             }
-            let ms = |from: Duration| done.ended.saturating_sub(from).as_secs_f64() * 1e3;
-            let mut seen = seen.lock().unwrap_or_else(PoisonError::into_inner);
-            if done.outcome == FinalOutcome::Answered {
-                seen.sent.push(ms(done.sent));
-                seen.intended.push(ms(done.intended));
+            let ms = |from: Duration| completed.ended.saturating_sub(from).as_secs_f64() * 1e3;
+            let mut samples = samples.lock().unwrap_or_else(PoisonError::into_inner);
+            if completed.outcome == FinalOutcome::Answered {
+                samples.sent.push(ms(completed.sent));
+                samples.intended.push(ms(completed.intended));
             } else {
-                seen.not_answered += 1;
+                samples.unanswered += 1;
             }
         })
     };
-    run(&plan, &RequestRate::new(turns.rate), &AtomicBool::new(false), Instant::now(), &watch);
-    let mut seen = seen.into_inner().unwrap_or_else(PoisonError::into_inner);
-    seen.sent.sort_by(f64::total_cmp);
-    seen.intended.sort_by(f64::total_cmp);
+    run(&client_plan, &RequestRate::new(plan.rate), &AtomicBool::new(false), Instant::now(), &observer);
+    let mut samples = samples.into_inner().unwrap_or_else(PoisonError::into_inner);
+    samples.sent.sort_by(f64::total_cmp);
+    samples.intended.sort_by(f64::total_cmp);
     RunStatistics {
-        answered: seen.sent.len(),
-        unanswered: seen.not_answered,
-        p50: quantile(&seen.sent, 0.5),
-        p99: quantile(&seen.sent, 0.99),
-        p99_intended: quantile(&seen.intended, 0.99),
+        answered: samples.sent.len(),
+        unanswered: samples.unanswered,
+        p50: quantile(&samples.sent, 0.5),
+        p99: quantile(&samples.sent, 0.99),
+        p99_intended: quantile(&samples.intended, 0.99),
         ..RunStatistics::default()
     }
 }
 
-/// What a process has used by now: seconds of processor time, and how often a thread of it went to sleep.
-fn used(pid: u32) -> (f64, f64) {
+/// Processor time that a process has used, in seconds, and how often its threads went to sleep.
+fn process_usage(pid: u32) -> (f64, f64) {
     let tasks = fs::read_dir(format!("/proc/{pid}/task")).into_iter().flatten().flatten();
     tasks.fold((0.0, 0.0), |(time, sleeps), task| {
         let text = |name: &str| fs::read_to_string(task.path().join(name)).unwrap_or_default();
-        let first = |text: &str| text.split_whitespace().next().and_then(|word| word.parse::<f64>().ok());
+        let first_number =
+            |text: &str| text.split_whitespace().next().and_then(|text| text.parse::<f64>().ok());
         let status = text("status");
         let switches = status.lines().find_map(|line| line.strip_prefix("voluntary_ctxt_switches:"));
-        let more = first(&text("schedstat")).unwrap_or(0.0) / 1e9;
-        (time + more, sleeps + switches.and_then(first).unwrap_or(0.0))
+        let added = first_number(&text("schedstat")).unwrap_or(0.0) / 1e9;
+        (time + added, sleeps + switches.and_then(first_number).unwrap_or(0.0))
     })
 }
 
-fn through(turns: &AddedLatencyPlan, rig: &mut SidecarBench, seed: u64) -> Result<RunStatistics, String> {
-    let (pid, address) = (rig.sidecar.pid(), rig.sidecar.address);
-    let before = used(pid);
-    let turn = turn(turns, vec![address], seed);
-    let after = used(pid);
-    rig.sidecar.check_running()?;
-    // The settling time's calls are in it too, at the same rate.
-    let calls = turns.rate * (SETTLE + turns.run_duration).as_secs_f64();
-    let (processor_us, sleeps) = ((after.0 - before.0) * 1e6 / calls, (after.1 - before.1) / calls);
-    Ok(RunStatistics { cpu_us_per_request: processor_us, sleeps_per_request: sleeps, ..turn })
+fn measure_via_sidecar(
+    plan: &AddedLatencyPlan,
+    bench: &mut SidecarBench,
+    seed: u64,
+) -> Result<RunStatistics, String> {
+    let (pid, address) = (bench.sidecar.pid(), bench.sidecar.address);
+    let before = process_usage(pid);
+    let statistics = measure_run(plan, vec![address], seed);
+    let after = process_usage(pid);
+    bench.sidecar.check_running()?;
+    // The usage includes the warm-up, in which the request rate is the same.
+    let requests = plan.rate * (WARMUP + plan.run_duration).as_secs_f64();
+    let (processor_us, sleeps) = ((after.0 - before.0) * 1e6 / requests, (after.1 - before.1) / requests);
+    Ok(RunStatistics { cpu_us_per_request: processor_us, sleeps_per_request: sleeps, ..statistics })
 }
 
-/// Plays all pairs; who goes first changes from pair to pair.
-pub fn measure(turns: &AddedLatencyPlan, programs: &[PathBuf], dir: &Path) -> Result<Vec<Pair>, String> {
-    let mut rigs = Vec::new();
+/// Runs all pairs; the order within a pair rotates from pair to pair.
+pub fn measure(plan: &AddedLatencyPlan, programs: &[PathBuf], dir: &Path) -> Result<Vec<Pair>, String> {
+    let mut benches = Vec::new();
     for program in programs {
-        rigs.push(start_bench(program, dir, turns.servers)?);
+        benches.push(start_bench(program, dir, plan.servers)?);
     }
-    let Some(first) = rigs.first() else { return Err("there is no program to measure".into()) };
-    let straight_to: Vec<SocketAddr> = first.servers.servers.iter().map(|server| server.address).collect();
-    let ways = 1 + rigs.len();
+    let Some(first) = benches.first() else { return Err("there is no program to measure".into()) };
+    let server_addresses: Vec<SocketAddr> =
+        first.servers.servers.iter().map(|server| server.address).collect();
+    let route_count = 1 + benches.len();
     let mut pairs = Vec::new();
-    for number in 0..turns.pairs {
+    for number in 0..plan.pairs {
         let mut pair = Pair {
             direct: RunStatistics::default(),
-            via_sidecar: vec![RunStatistics::default(); rigs.len()],
+            via_sidecar: vec![RunStatistics::default(); benches.len()],
         };
-        for step in 0..ways {
-            let seed = (number * ways + step + 1) as u64;
-            match (number + step) % ways {
-                0 => pair.direct = turn(turns, straight_to.clone(), seed),
-                way => pair.via_sidecar[way - 1] = through(turns, &mut rigs[way - 1], seed)?,
+        for step in 0..route_count {
+            let seed = (number * route_count + step + 1) as u64;
+            match (number + step) % route_count {
+                0 => pair.direct = measure_run(plan, server_addresses.clone(), seed),
+                route => {
+                    pair.via_sidecar[route - 1] = measure_via_sidecar(plan, &mut benches[route - 1], seed)?;
+                }
             }
         }
         pairs.push(pair);
@@ -159,53 +168,63 @@
     Ok(pairs)
 }
 
-/// `median (least to most)`.
-fn spread(figures: impl Iterator<Item = f64>) -> String {
-    let mut all: Vec<f64> = figures.collect();
-    all.sort_by(f64::total_cmp);
-    let (least, most) = (quantile(&all, 0.0), quantile(&all, 1.0));
-    format!("{:.3} ({least:.3} to {most:.3})", quantile(&all, 0.5))
+/// Formats values as `median (minimum to maximum)`.
+fn median_and_range(values: impl Iterator<Item = f64>) -> String {
+    let mut sorted: Vec<f64> = values.collect();
+    sorted.sort_by(f64::total_cmp);
+    let (minimum, maximum) = (quantile(&sorted, 0.0), quantile(&sorted, 1.0));
+    format!("{:.3} ({minimum:.3} to {maximum:.3})", quantile(&sorted, 0.5))
 }
 
-/// A table: each figure's median over the pairs, with the least and the most.
-pub fn render_table(turns: &AddedLatencyPlan, pairs: &[Pair]) -> String {
+/// A table with the median, minimum and maximum of each figure over the pairs.
+pub fn render_table(plan: &AddedLatencyPlan, pairs: &[Pair]) -> String {
     let mut text = format!(
         "{} calls a second, {} connections, {} stand-ins, {} pairs of {} s; milliseconds from the send; load of the machine {}\n\n",
-        turns.rate,
-        turns.connections,
-        turns.servers,
+        plan.rate,
+        plan.connections,
+        plan.servers,
         pairs.len(),
-        turns.run_duration.as_secs_f64(),
+        plan.run_duration.as_secs_f64(),
         fs::read_to_string("/proc/loadavg").unwrap_or_default().trim(),
     );
     text += "| calls | p50 | p99 | p99 from the intended send | added at p50 | added at p99 | not answered | processor time a call, us | sleeps a call |\n";
     text += "| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
-    let of = |way: usize, figure: &dyn Fn(&RunStatistics) -> f64| -> Vec<f64> {
-        let turn =
-            |pair: &Pair| if way == 0 { figure(&pair.direct) } else { figure(&pair.via_sidecar[way - 1]) };
-        pairs.iter().map(turn).collect()
+    let values = |route: usize, value_of: &dyn Fn(&RunStatistics) -> f64| -> Vec<f64> {
+        let statistics = |pair: &Pair| {
+            if route == 0 { value_of(&pair.direct) } else { value_of(&pair.via_sidecar[route - 1]) }
+        };
+        pairs.iter().map(statistics).collect()
     };
-    let ways = 1 + pairs.first().map_or(0, |pair| pair.via_sidecar.len());
-    for way in 0..ways {
-        let name = ["straight", "through", "through the other build"].get(way).copied().unwrap_or("through");
-        let told = |figure: &dyn Fn(&RunStatistics) -> f64| spread(of(way, figure).into_iter());
-        let more = |figure: &dyn Fn(&RunStatistics) -> f64| {
-            spread(of(way, figure).into_iter().zip(of(0, figure)).map(|(with, without)| with - without))
+    let route_count = 1 + pairs.first().map_or(0, |pair| pair.via_sidecar.len());
+    for route in 0..route_count {
+        let name =
+            ["straight", "through", "through the other build"].get(route).copied().unwrap_or("through");
+        let summary =
+            |value_of: &dyn Fn(&RunStatistics) -> f64| median_and_range(values(route, value_of).into_iter());
+        let added = |value_of: &dyn Fn(&RunStatistics) -> f64| {
+            median_and_range(
+                values(route, value_of)
+                    .into_iter()
+                    .zip(values(0, value_of))
+                    .map(|(with, without)| with - without),
+            )
         };
-        let failed: f64 = of(way, &|turn| turn.unanswered as f64).iter().sum();
+        let failed: f64 = values(route, &|statistics| statistics.unanswered as f64).iter().sum();
         let _ = write!(
             text,
             "| {name} | {} | {} | {} |",
-            told(&|turn| turn.p50),
-            told(&|turn| turn.p99),
-            told(&|turn| turn.p99_intended),
+            summary(&|statistics| statistics.p50),
+            summary(&|statistics| statistics.p99),
+            summary(&|statistics| statistics.p99_intended),
         );
-        if way == 0 {
+        if route == 0 {
             let _ = writeln!(text, " | | {failed} | | |");
         } else {
-            let (p50, p99) = (more(&|turn| turn.p50), more(&|turn| turn.p99));
-            let (processor, sleeps) =
-                (told(&|turn| turn.cpu_us_per_request), told(&|turn| turn.sleeps_per_request));
+            let (p50, p99) = (added(&|statistics| statistics.p50), added(&|statistics| statistics.p99));
+            let (processor, sleeps) = (
+                summary(&|statistics| statistics.cpu_us_per_request),
+                summary(&|statistics| statistics.sleeps_per_request),
+            );
             let _ = writeln!(text, " {p50} | {p99} | {failed} | {processor} | {sleeps} |");
         }
     }
--- a/crates/lab/src/sockets/bench.rs
+++ b/crates/lab/src/sockets/bench.rs
@@ -1,5 +1,5 @@
-//! How much one sidecar carries: stand-ins that answer at once, callers that send again as soon as they are
-//! answered, by connections and servers. First without the sidecar, so that it is known what the lab can do itself.
+//! Measures the request rate that one sidecar can carry, by connections and servers. The servers respond at once, and
+//! the clients send the next request as soon as one is answered. A run without a sidecar shows the limit of the lab.
 
 use super::child::Sidecar;
 use super::discovery::{Discovery, Entry};
@@ -17,33 +17,33 @@
 const PLAN: &str = "name = \"bench\"\nseconds = 10\nload = { rate = 1 }\n\
     verbs = [{ name = \"view\", goal = 1, limit = 2, work = [0.001] }]\n[[tiers]]\nservers = 1\nreports = \"none\"\n";
 
-/// One figure of the table.
+/// One row of the table.
 pub struct Point {
-    /// 0: callers speak to one stand-in with no sidecar between.
+    /// Number of servers; 0 if the clients send to one server directly.
     pub servers: usize,
     pub results: LoadResults,
-    /// Seconds of processor time that the sidecar used for each second.
+    /// Seconds of processor time that the sidecar used per second.
     pub cores_used: f64,
 }
 
-fn at_once() -> Arc<Vec<ServedRequestClass>> {
-    let (name, spread) = ("view".into(), WorkDistribution::Fixed);
+fn instant_request_classes() -> Arc<Vec<ServedRequestClass>> {
+    let (name, work_distribution) = ("view".into(), WorkDistribution::Fixed);
     Arc::new(vec![ServedRequestClass {
         name,
         retry_safety: RetrySafety::Idempotent,
         mean_work: 0.0,
-        work_distribution: spread,
+        work_distribution,
         downstream_calls: 0,
     }])
 }
 
-/// Stand-ins that answer at once.
+/// Starts servers that respond at once.
 pub fn start_servers(count: usize) -> Result<ServerGroup, String> {
-    let ledger = Arc::new(RuleChecker::new(Instant::now()));
-    let mut fleet = ServerGroup::empty();
-    for place in 0..count {
-        let make = ServerConfig {
-            name: format!("t0s{place}"),
+    let rule_checker = Arc::new(RuleChecker::new(Instant::now()));
+    let mut server_group = ServerGroup::empty();
+    for index in 0..count {
+        let config = ServerConfig {
+            name: format!("t0s{index}"),
             cores: 256,
             queue_limit: 10_000,
             speed: 1.0,
@@ -55,15 +55,17 @@
             next_tier: None,
             seed: 1,
         };
-        fleet.add(make, at_once(), ledger.clone()).map_err(|wrong| wrong.to_string())?;
+        server_group
+            .add(config, instant_request_classes(), rule_checker.clone())
+            .map_err(|error| error.to_string())?;
     }
-    Ok(fleet)
+    Ok(server_group)
 }
 
-/// What is not counted at the start, and what is after it.
+/// Warm-up, which is not counted, and measured time.
 type Spans = (Duration, Duration);
 
-fn plan_of(targets: Vec<SocketAddr>, connections: usize, (settle, length): Spans) -> LoadPlan {
+fn load_plan(targets: Vec<SocketAddr>, connections: usize, (settle, length): Spans) -> LoadPlan {
     LoadPlan {
         targets,
         request_class: "view".into(),
@@ -76,13 +78,14 @@
     }
 }
 
+/// Measures clients that send to one server directly.
 pub fn direct(connections: usize, spans: Spans) -> Result<Point, String> {
-    let fleet = start_servers(1)?;
-    let targets = vec![fleet.servers[0].address];
-    Ok(Point { servers: 0, results: load(&plan_of(targets, connections, spans)), cores_used: 0.0 })
+    let server_group = start_servers(1)?;
+    let targets = vec![server_group.servers[0].address];
+    Ok(Point { servers: 0, results: load(&load_plan(targets, connections, spans)), cores_used: 0.0 })
 }
 
-/// One sidecar before stand-ins that answer at once.
+/// A sidecar and servers that respond at once.
 pub struct SidecarBench {
     pub servers: ServerGroup,
     pub sidecar: Sidecar,
@@ -95,10 +98,11 @@
     }
 }
 
+/// Starts the servers and a sidecar for them.
 pub fn start_bench(program: &Path, dir: &Path, servers: usize) -> Result<SidecarBench, String> {
-    let fleet = start_servers(servers)?;
-    let discovery = Discovery::start().map_err(|wrong| wrong.to_string())?;
-    for server in &fleet.servers {
+    let server_group = start_servers(servers)?;
+    let discovery = Discovery::start().map_err(|error| error.to_string())?;
+    for server in &server_group.servers {
         discovery.publish(Entry {
             id: server.config.name.clone(),
             address: server.address,
@@ -109,9 +113,9 @@
             started: None,
         });
     }
-    let plan: Scenario = crate::plan::parse("bench", PLAN).map_err(|wrong| wrong.to_string())?;
+    let plan: Scenario = crate::plan::parse("bench", PLAN).map_err(|error| error.to_string())?;
     let listen = unused_address_v4().into();
-    let told = SidecarParameters {
+    let parameters = SidecarParameters {
         name: "bench",
         listen,
         discovery: discovery.address,
@@ -124,10 +128,11 @@
         sockets: 4096,
         memory_mb: 512,
     };
-    let sidecar = Sidecar::start(program, dir, "bench", &sidecar_config(&plan, &told))?;
-    Ok(SidecarBench { servers: fleet, sidecar, discovery })
+    let sidecar = Sidecar::start(program, dir, "bench", &sidecar_config(&plan, &parameters))?;
+    Ok(SidecarBench { servers: server_group, sidecar, discovery })
 }
 
+/// Measures clients that send through a sidecar.
 pub fn via_sidecar(
     program: &Path,
     dir: &Path,
@@ -135,22 +140,22 @@
     connections: usize,
     spans: Spans,
 ) -> Result<Point, String> {
-    let mut rig = start_bench(program, dir, servers)?;
-    let before = processor_time(rig.sidecar.pid());
+    let mut bench = start_bench(program, dir, servers)?;
+    let before = processor_time(bench.sidecar.pid());
     let began = Instant::now();
-    let figures = load(&plan_of(vec![rig.sidecar.address], connections, spans));
-    let busy = (processor_time(rig.sidecar.pid()) - before) / began.elapsed().as_secs_f64();
-    rig.sidecar.check_running()?;
-    Ok(Point { servers, results: figures, cores_used: busy })
+    let results = load(&load_plan(vec![bench.sidecar.address], connections, spans));
+    let cores_used = (processor_time(bench.sidecar.pid()) - before) / began.elapsed().as_secs_f64();
+    bench.sidecar.check_running()?;
+    Ok(Point { servers, results, cores_used })
 }
 
-/// Seconds of processor time that a process has used, by proc(5); 0 where the system tells none.
+/// Processor time that a process has used, in seconds, by proc(5); 0 if the system does not report it.
 fn processor_time(pid: u32) -> f64 {
-    const TICKS_A_SECOND: f64 = 100.0;
+    const CLOCK_TICKS_PER_SECOND: f64 = 100.0;
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
-    // The name in brackets may hold spaces; user and system time are the 12th and 13th field after it.
+    // The name in brackets may contain spaces; user and system time are the 12th and 13th field after it.
     let after = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
     let fields: Vec<&str> = after.split_whitespace().collect();
     let ticks = |at: usize| fields.get(at).and_then(|text| text.parse::<f64>().ok()).unwrap_or(0.0);
-    (ticks(11) + ticks(12)) / TICKS_A_SECOND
+    (ticks(11) + ticks(12)) / CLOCK_TICKS_PER_SECOND
 }
--- a/crates/lab/src/sockets/callers.rs
+++ b/crates/lab/src/sockets/callers.rs
@@ -1,5 +1,5 @@
-//! Callers: threads with one connection each, that send what a schedule intends. A command's time counts from the
-//! moment it was meant to be sent, whether or not a connection was free then: what a slow answer keeps waiting is
+//! Clients: threads with one connection each that send requests on a common schedule. The latency of a request counts
+//! from its scheduled time, whether or not a connection was free then, so that requests delayed by a slow response are
 //! slow too (Tene's "coordinated omission").
 
 use super::message::{HttpMessage, Peer};
@@ -15,69 +15,74 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const STACK: usize = 256 << 10;
-const DIAL: Duration = Duration::from_millis(200);
-/// How much later than its limit an answer is still waited for.
-const SLACK: Duration = Duration::from_millis(150);
+const THREAD_STACK_BYTES: usize = 256 << 10;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
+/// Responses are awaited this long past the time limit of the request.
+const RESPONSE_GRACE: Duration = Duration::from_millis(150);
 
-/// A verb as callers ask it.
+/// A request class as clients send it.
 #[derive(Clone, Debug)]
 pub struct ClientRequestClass {
     pub name: String,
     pub retry_safety: RetrySafety,
+    /// Share of all requests, relative to the other classes.
     pub share: f64,
     pub time_limit: Duration,
 }
 
+/// The requests of a group of clients: where they are sent, which, for how long, and on how many connections.
 #[derive(Clone, Debug)]
 pub struct ClientPlan {
     pub targets: Vec<SocketAddr>,
     pub request_classes: Vec<ClientRequestClass>,
+    /// Name and relative share of each tenant.
     pub tenants: Vec<(String, f64)>,
     pub connections: usize,
     pub duration: Duration,
     pub seed: u64,
-    /// Names this plan's commands apart from others'.
+    /// Distinguishes the request ids of this plan from those of other plans.
     pub id_prefix: String,
-    /// Whether an effectful command is asked again where a kept connection ends under it: its copy may have sent it on.
+    /// Whether a non-idempotent request is sent again if a reused connection ends without a response. The sidecar may
+    /// have forwarded the request before.
     pub retry_non_idempotent: bool,
 }
 
-/// How fast they send; it can be changed while they do. 0: each sends again as soon as it is answered.
+/// The rate of all clients together, in requests per second; it can be changed while they run. At 0, each client sends
+/// its next request as soon as the previous one is answered.
 pub struct RequestRate(AtomicU64);
 
 impl RequestRate {
-    pub fn new(per_s: f64) -> RequestRate {
-        RequestRate(AtomicU64::new(per_s.to_bits()))
+    pub fn new(per_second: f64) -> RequestRate {
+        RequestRate(AtomicU64::new(per_second.to_bits()))
     }
 
-    pub fn set(&self, per_s: f64) {
-        self.0.store(per_s.to_bits(), Ordering::Relaxed);
+    pub fn set(&self, per_second: f64) {
+        self.0.store(per_second.to_bits(), Ordering::Relaxed);
     }
 
-    fn per_s(&self) -> f64 {
+    fn per_second(&self) -> f64 {
         f64::from_bits(self.0.load(Ordering::Relaxed))
     }
 }
 
-/// A command's end as its caller saw it.
+/// A finished request as its client saw it. Times count from the start of the schedule.
 pub struct CompletedRequest<'a> {
     pub request_id: &'a str,
     pub request_class: usize,
     pub tenant: usize,
-    /// Since the start of the schedule.
+    /// Scheduled time of the request.
     pub intended: Duration,
-    /// When its caller had a connection free for it.
+    /// When a connection was free for the request.
     pub sent: Duration,
     pub ended: Duration,
     pub outcome: FinalOutcome,
-    /// Why it is lost, where it is.
+    /// What happened to a lost request for which there was a connection.
     pub lost_reason: Option<&'static str>,
-    /// Whom it was asked of last.
+    /// The address that was tried last.
     pub target: SocketAddr,
 }
 
-/// What a thread tells of each command; made in that thread.
+/// Creates the callback of a client thread, in that thread; the callback gets each finished request of the thread.
 pub type Observer<'a> = &'a (dyn Fn() -> Box<dyn FnMut(&CompletedRequest) + 'a> + Sync);
 
 struct Schedule {
@@ -87,154 +92,173 @@
 
 struct Shared<'a> {
     plan: &'a ClientPlan,
-    pace: &'a RequestRate,
+    rate: &'a RequestRate,
     stop: &'a AtomicBool,
     schedule: Mutex<Schedule>,
-    began: Instant,
+    start: Instant,
 }
 
-/// Sends until the plan's length is over or `stop` is set, and comes back when all have their ends.
-pub fn run(plan: &ClientPlan, pace: &RequestRate, stop: &AtomicBool, began: Instant, watch: Observer) {
+/// Sends requests until the plan's duration is over or `stop` is set, and returns when all of them are finished.
+pub fn run(plan: &ClientPlan, rate: &RequestRate, stop: &AtomicBool, start: Instant, observer: Observer) {
     let rng = ChaCha8Rng::seed_from_u64(plan.seed);
-    let schedule = Mutex::new(Schedule { next: began.elapsed(), rng });
-    let shared = Shared { plan, pace, stop, schedule, began };
+    let schedule = Mutex::new(Schedule { next: start.elapsed(), rng });
+    let shared = Shared { plan, rate, stop, schedule, start };
     thread::scope(|scope| {
         for number in 0..plan.connections {
             let shared = &shared;
-            let talk = move || shared.talk(number, watch());
-            // Without memory for a thread there are fewer connections, and the figures say so by their lateness.
-            let _ = thread::Builder::new().stack_size(STACK).spawn_scoped(scope, talk);
+            let run_client = move || shared.run_client(number, observer());
+            // Without memory for a thread there are fewer connections, which shows in the latencies from the scheduled
+            // times.
+            let _ = thread::Builder::new().stack_size(THREAD_STACK_BYTES).spawn_scoped(scope, run_client);
         }
     });
 }
 
 impl Shared<'_> {
-    /// When the next command is meant to be sent, what, and by whom.
-    fn next(&self) -> (Duration, usize, usize) {
+    /// The scheduled time, the request class and the tenant of the next request.
+    fn next_request(&self) -> (Duration, usize, usize) {
         let mut schedule = self.schedule.lock().unwrap_or_else(PoisonError::into_inner);
-        let per_s = self.pace.per_s();
-        let now = self.began.elapsed();
-        if per_s > 0.0 {
-            let gap = exponential(&mut schedule.rng) / per_s;
+        let per_second = self.rate.per_second();
+        let now = self.start.elapsed();
+        if per_second > 0.0 {
+            let gap = exponential(&mut schedule.rng) / per_second;
             schedule.next += Duration::from_secs_f64(gap.min(10.0));
         } else {
             schedule.next = now;
         }
-        let (verb, tenant) = (schedule.rng.random(), schedule.rng.random());
-        let verb =
-            crate::world::weighted_index(self.plan.request_classes.iter().map(|verb| verb.share), verb);
+        let (request_class, tenant) = (schedule.rng.random(), schedule.rng.random());
+        let request_class = crate::world::weighted_index(
+            self.plan.request_classes.iter().map(|class| class.share),
+            request_class,
+        );
         let tenant = crate::world::weighted_index(self.plan.tenants.iter().map(|(_, share)| *share), tenant);
-        (schedule.next, verb, tenant)
+        (schedule.next, request_class, tenant)
     }
 
-    fn over(&self) -> bool {
-        self.stop.load(Ordering::Relaxed) || self.began.elapsed() >= self.plan.duration
+    fn is_over(&self) -> bool {
+        self.stop.load(Ordering::Relaxed) || self.start.elapsed() >= self.plan.duration
     }
 
-    fn talk(&self, number: usize, mut watch: Box<dyn FnMut(&CompletedRequest) + '_>) {
+    fn run_client(&self, number: usize, mut observer: Box<dyn FnMut(&CompletedRequest) + '_>) {
         let mut conn: Option<Peer> = None;
-        let mut target = number;
+        let mut target_number = number;
         let mut count = 0u64;
-        while !self.over() {
-            let (intended, verb, tenant) = self.next();
-            while self.began.elapsed() < intended && !self.over() {
-                thread::sleep((intended.saturating_sub(self.began.elapsed())).min(Duration::from_millis(50)));
+        while !self.is_over() {
+            let (intended, request_class, tenant) = self.next_request();
+            while self.start.elapsed() < intended && !self.is_over() {
+                thread::sleep((intended.saturating_sub(self.start.elapsed())).min(Duration::from_millis(50)));
             }
-            if self.over() || intended >= self.plan.duration {
+            if self.is_over() || intended >= self.plan.duration {
                 return;
             }
             count += 1;
-            let cmd = format!("{}{number}x{count}", self.plan.id_prefix);
-            let until = intended + self.plan.request_classes[verb].time_limit;
-            let sent = self.began.elapsed();
-            let (word, lost) = self.ask(&cmd, verb, tenant, until, &mut conn, &mut target);
-            let ended = self.began.elapsed();
-            let to = self.plan.targets[target % self.plan.targets.len()];
-            watch(&CompletedRequest {
-                request_id: &cmd,
-                request_class: verb,
+            let request_id = format!("{}{number}x{count}", self.plan.id_prefix);
+            let deadline = intended + self.plan.request_classes[request_class].time_limit;
+            let sent = self.start.elapsed();
+            let (outcome, lost_reason) = self.send_request(
+                &request_id,
+                request_class,
+                tenant,
+                deadline,
+                &mut conn,
+                &mut target_number,
+            );
+            let ended = self.start.elapsed();
+            let target = self.plan.targets[target_number % self.plan.targets.len()];
+            observer(&CompletedRequest {
+                request_id: &request_id,
+                request_class,
                 tenant,
                 intended,
                 sent,
                 ended,
-                outcome: word,
-                lost_reason: lost,
-                target: to,
+                outcome,
+                lost_reason,
+                target,
             });
         }
     }
 
-    fn bytes(&self, cmd: &str, verb: usize, tenant: usize, left: Duration) -> String {
-        let ClientRequestClass { name, retry_safety, .. } = &self.plan.request_classes[verb];
+    fn request_bytes(
+        &self,
+        request_id: &str,
+        request_class: usize,
+        tenant: usize,
+        remaining: Duration,
+    ) -> String {
+        let ClientRequestClass { name, retry_safety, .. } = &self.plan.request_classes[request_class];
         let tenant = self.plan.tenants.get(tenant).map_or("", |(name, _)| name.as_str());
-        let left = left.as_millis().max(1);
-        let common =
-            format!("Host: lab\r\nX-Trace-Id: {cmd}\r\nX-Customer: {tenant}\r\nX-Expires-In-Ms: {left}\r\n");
+        let remaining = remaining.as_millis().max(1);
+        let common = format!(
+            "Host: lab\r\nX-Trace-Id: {request_id}\r\nX-Customer: {tenant}\r\nX-Expires-In-Ms: {remaining}\r\n"
+        );
         match retry_safety {
             RetrySafety::Idempotent => format!("GET /{name} HTTP/1.1\r\n{common}\r\n"),
             RetrySafety::NonIdempotent => {
                 format!("POST /{name} HTTP/1.1\r\n{common}Content-Length: 4\r\n\r\nbody")
             }
             _ => format!(
-                "POST /{name} HTTP/1.1\r\n{common}Idempotency-Key: k{cmd}\r\nContent-Length: 4\r\n\r\nbody"
+                "POST /{name} HTTP/1.1\r\n{common}Idempotency-Key: k{request_id}\r\nContent-Length: 4\r\n\r\nbody"
             ),
         }
     }
 
-    fn ask(
+    /// Sends a request and waits for its response until the time limit.
+    fn send_request(
         &self,
-        cmd: &str,
-        verb: usize,
+        request_id: &str,
+        request_class: usize,
         tenant: usize,
-        until: Duration,
+        deadline: Duration,
         conn: &mut Option<Peer>,
-        target: &mut usize,
+        target_number: &mut usize,
     ) -> (FinalOutcome, Option<&'static str>) {
-        // Once for a kept connection that was closed meanwhile, and once for each copy that may be gone.
+        // Once for a reused connection that was closed meanwhile, and once for each target that may be down.
         for _ in 0..=self.plan.targets.len() {
-            let left = until.saturating_sub(self.began.elapsed());
-            if left.is_zero() {
+            let remaining = deadline.saturating_sub(self.start.elapsed());
+            if remaining.is_zero() {
                 return (FinalOutcome::Lost, None);
             }
-            // One that its copy closed while it was idle has carried nothing of this command: a client dials anew.
+            // A connection that was closed while idle has carried nothing of this request: it is replaced by a new one.
             conn.take_if(|peer| peer.is_closed());
-            let kept = conn.is_some();
-            let to = self.plan.targets[*target % self.plan.targets.len()];
-            let Some(mut peer) =
-                conn.take().or_else(|| TcpStream::connect_timeout(&to, DIAL).ok().map(Peer::new))
+            let reused = conn.is_some();
+            let address = self.plan.targets[*target_number % self.plan.targets.len()];
+            let Some(mut peer) = conn
+                .take()
+                .or_else(|| TcpStream::connect_timeout(&address, CONNECT_TIMEOUT).ok().map(Peer::new))
             else {
-                *target += 1;
+                *target_number += 1;
                 continue;
             };
-            peer.set_read_timeout(Some(left + SLACK));
-            let heard = peer
-                .write(self.bytes(cmd, verb, tenant, left).as_bytes())
+            peer.set_read_timeout(Some(remaining + RESPONSE_GRACE));
+            let response = peer
+                .write(self.request_bytes(request_id, request_class, tenant, remaining).as_bytes())
                 .and_then(|()| peer.read_response());
-            match heard {
-                Ok(heard) => {
-                    let word = Self::word(&heard);
-                    let ends =
-                        heard.header("connection").is_some_and(|text| text.eq_ignore_ascii_case("close"));
-                    *conn = (!ends).then_some(peer);
-                    return (word, None);
+            match response {
+                Ok(response) => {
+                    let outcome = Self::outcome(&response);
+                    let closes =
+                        response.header("connection").is_some_and(|text| text.eq_ignore_ascii_case("close"));
+                    *conn = (!closes).then_some(peer);
+                    return (outcome, None);
                 }
-                Err(wrong) if matches!(wrong.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
+                Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
                     return (FinalOutcome::Lost, Some("no final answer in time"));
                 }
-                Err(_) if kept && self.may_ask_again(verb) => {}
+                Err(_) if reused && self.may_send_again(request_class) => {}
                 Err(_) => return (FinalOutcome::Lost, Some("its connection ended with no answer")),
             }
         }
         (FinalOutcome::Lost, None)
     }
 
-    fn may_ask_again(&self, verb: usize) -> bool {
+    fn may_send_again(&self, request_class: usize) -> bool {
         self.plan.retry_non_idempotent
-            || self.plan.request_classes[verb].retry_safety != RetrySafety::NonIdempotent
+            || self.plan.request_classes[request_class].retry_safety != RetrySafety::NonIdempotent
     }
 
-    fn word(heard: &HttpMessage) -> FinalOutcome {
-        match heard.status() {
+    fn outcome(response: &HttpMessage) -> FinalOutcome {
+        match response.status() {
             Some(200) => FinalOutcome::Answered,
             Some(429 | 503) => FinalOutcome::Declined,
             _ => FinalOutcome::Terminated,
--- a/crates/lab/src/sockets/discovery.rs
+++ b/crates/lab/src/sockets/discovery.rs
@@ -1,4 +1,4 @@
-//! The stand-in list source: whole lists and watches by the platform's protocol, for one tier, with its troubles.
+//! The test discovery of one tier: complete lists and watches in the platform's protocol, with injected faults.
 
 use super::message::{HttpMessage, Peer, response_bytes};
 use super::ports::bind_loopback;
@@ -11,9 +11,10 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime};
 
-/// The longest that a watch may ask to wait.
-const WAIT_MOST: Duration = Duration::from_secs(60);
+/// The longest wait of a watch; longer requested waits are shortened to it.
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
+/// One server's entry in the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Entry {
     pub id: String,
@@ -28,48 +29,53 @@
 
 impl Entry {
     pub(super) fn value(&self) -> Value {
-        let unix =
+        let unix_ms =
             |at: SystemTime| at.duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         json!({"instanceId": self.id, "hostPort": self.address.to_string(), "zone": self.zone,
             "machineType": "lab", "cell": self.cell, "lifecycle": self.state, "weight": self.weight,
-            "startedAtMs": self.started.map_or(0, unix)})
+            "startedAtMs": self.started.map_or(0, unix_ms)})
     }
 }
 
-/// What ails the source.
+/// An injected fault of discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiscoveryFault {
     #[default]
     None,
-    /// Calls end with 503, watches break.
+    /// Requests get a 503 and waiting watches end.
     Down,
-    /// Nothing new is told; a whole list is the one of the moment when it began.
+    /// Watches get no changes, and complete lists are the one from the start of the fault.
     Stale,
-    /// The whole list is empty.
+    /// Complete lists are empty.
     Empty,
-    /// Calls are taken and nothing is said until it is over.
+    /// Requests are accepted and not answered until the fault ends.
     Silent,
 }
 
 #[derive(Default)]
 struct List {
     generation: u64,
+    /// By server id: the generation of the entry's last change, and the entry.
     entries: BTreeMap<String, (u64, Entry)>,
+    /// Generation and entries of the list that a stale discovery returns.
     stale: Option<(u64, Vec<Entry>)>,
-    /// Watches that began before this generation are told a whole list.
-    whole_before: u64,
+    /// Watches from an earlier generation than this get a complete list.
+    complete_before: u64,
     fault: DiscoveryFault,
-    /// A list as somebody wrote it, and its generation, in place of all else.
-    written: Option<(u64, String)>,
-    calls: u64,
-    left: u64,
+    /// Generation and text of the list that a test has set; it replaces all entries.
+    raw_list: Option<(u64, String)>,
+    /// Number of requests received.
+    requests: u64,
+    /// Number of watches whose client left while they waited.
+    abandoned_watches: u64,
 }
 
+/// A running test discovery, with a thread for each connection.
 pub struct Discovery {
     pub address: SocketAddr,
     list: Mutex<List>,
-    news: Condvar,
-    over: AtomicBool,
+    changed: Condvar,
+    stopped: AtomicBool,
 }
 
 impl Discovery {
@@ -78,48 +84,49 @@
         let discovery = Arc::new(Discovery {
             address: listener.local_addr()?,
             list: Mutex::default(),
-            news: Condvar::new(),
-            over: AtomicBool::new(false),
+            changed: Condvar::new(),
+            stopped: AtomicBool::new(false),
         });
-        let own = discovery.clone();
+        let shared = discovery.clone();
         thread::spawn(move || {
             while let Ok((stream, _)) = listener.accept() {
-                if own.over.load(Ordering::Relaxed) {
+                if shared.stopped.load(Ordering::Relaxed) {
                     return;
                 }
-                let own = own.clone();
-                thread::spawn(move || own.talk(stream));
+                let shared = shared.clone();
+                thread::spawn(move || shared.serve_connection(stream));
             }
         });
         Ok(discovery)
     }
 
-    /// One that tells what `write` gives it, word for word; until then every call waits.
+    /// Starts a discovery that returns the texts set by `set_raw_list` unchanged. Requests wait for the first text.
     pub fn with_raw_lists() -> io::Result<Arc<Discovery>> {
         let discovery = Discovery::start()?;
         discovery.set_raw_list(0, String::new());
         Ok(discovery)
     }
 
-    /// The next list, whether or not it can be read; it is told to whoever knows an older generation.
+    /// Sets the text of the next list, valid or not; it is sent to clients with an older generation.
     pub fn set_raw_list(&self, generation: u64, list: String) {
-        self.list().written = Some((generation, list));
-        self.news.notify_all();
+        self.list().raw_list = Some((generation, list));
+        self.changed.notify_all();
     }
 
     fn list(&self) -> MutexGuard<'_, List> {
         self.list.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes a server's entry in; watches hear of it.
+    /// Adds or replaces a server's entry and sends it to all watches.
     pub fn publish(&self, entry: Entry) {
         let mut list = self.list();
         list.generation += 1;
         let generation = list.generation;
         list.entries.insert(entry.id.clone(), (generation, entry));
-        self.news.notify_all();
+        self.changed.notify_all();
     }
 
+    /// The entry of the server with this id.
     pub fn entry(&self, id: &str) -> Option<Entry> {
         self.list().entries.get(id).map(|(_, entry)| entry.clone())
     }
@@ -134,35 +141,36 @@
     pub fn set_fault(&self, fault: DiscoveryFault) {
         let mut list = self.list();
         list.generation += 1;
-        let whole: Vec<Entry> = list.entries.values().map(|(_, entry)| entry.clone()).collect();
-        list.stale = (fault == DiscoveryFault::Stale).then_some((list.generation, whole));
+        let entries: Vec<Entry> = list.entries.values().map(|(_, entry)| entry.clone()).collect();
+        list.stale = (fault == DiscoveryFault::Stale).then_some((list.generation, entries));
         list.fault = fault;
-        // What was not told meanwhile is told whole.
-        list.whole_before = list.generation;
-        self.news.notify_all();
+        // Changes that were not sent during the previous fault are sent as a complete list.
+        list.complete_before = list.generation;
+        self.changed.notify_all();
     }
 
-    /// The list as a sidecar may know it at its start.
+    /// The current list as JSON, for the initial endpoints of a sidecar's configuration.
     pub fn snapshot(&self) -> Value {
-        self.list().whole()
+        self.list().complete_list()
     }
 
-    /// Calls that have come, and watches that were left while they waited.
+    /// Number of requests received, and number of watches whose client left while they waited.
     pub fn call_counts(&self) -> (u64, u64) {
         let list = self.list();
-        (list.calls, list.left)
+        (list.requests, list.abandoned_watches)
     }
 
+    /// Ends all watches and stops accepting connections.
     pub fn stop(&self) {
-        self.over.store(true, Ordering::Relaxed);
-        self.news.notify_all();
+        self.stopped.store(true, Ordering::Relaxed);
+        self.changed.notify_all();
         let _ = TcpStream::connect_timeout(&self.address, Duration::from_millis(100));
     }
 
-    fn talk(&self, stream: TcpStream) {
+    fn serve_connection(&self, stream: TcpStream) {
         let mut peer = Peer::new(stream);
-        while let Ok(Some(heard)) = peer.read_request() {
-            let Some(list) = self.answer_to(&heard, &peer) else {
+        while let Ok(Some(request)) = peer.read_request() {
+            let Some(list) = self.list_for(&request, &peer) else {
                 let _ = peer.write(&response_bytes(503, "Connection: close\r\n", b""));
                 return;
             };
@@ -172,74 +180,76 @@
         }
     }
 
-    /// None where the source is down, or the watch was left.
-    fn answer_to(&self, heard: &HttpMessage, peer: &Peer) -> Option<String> {
-        let query = heard.path().split_once('?').map_or("", |(_, query)| query);
-        let figure = |name: &str| {
+    /// The list to send. None if discovery is down or stopped, or the client has left its watch.
+    fn list_for(&self, request: &HttpMessage, peer: &Peer) -> Option<String> {
+        let query = request.path().split_once('?').map_or("", |(_, query)| query);
+        let number_parameter = |name: &str| {
             let pair = query.split('&').filter_map(|pair| pair.split_once('=')).find(|(key, _)| *key == name);
             pair.and_then(|(_, value)| value.parse::<u64>().ok())
         };
-        let until = Instant::now() + Duration::from_millis(figure("wait_ms").unwrap_or(0)).min(WAIT_MOST);
+        let until =
+            Instant::now() + Duration::from_millis(number_parameter("wait_ms").unwrap_or(0)).min(MAX_WAIT);
         let mut list = self.list();
-        list.calls += 1;
-        let after = figure("after");
-        if after.is_none() && list.written.is_none() && list.fault != DiscoveryFault::Silent {
-            return (list.fault != DiscoveryFault::Down).then(|| list.whole().to_string());
+        list.requests += 1;
+        let after = number_parameter("after");
+        if after.is_none() && list.raw_list.is_none() && list.fault != DiscoveryFault::Silent {
+            return (list.fault != DiscoveryFault::Down).then(|| list.complete_list().to_string());
         }
         let after = after.unwrap_or(0);
         let _ = peer.stream.set_nonblocking(true);
-        let told = loop {
-            if list.fault == DiscoveryFault::Down || self.over.load(Ordering::Relaxed) {
+        let answer = loop {
+            if list.fault == DiscoveryFault::Down || self.stopped.load(Ordering::Relaxed) {
                 break None;
             }
             let silent = list.fault == DiscoveryFault::Silent;
-            match &list.written {
+            match &list.raw_list {
                 _ if silent => {}
                 Some((generation, text)) if *generation > after => break Some(text.clone()),
                 Some(_) => {}
-                None if list.news_after(after) || Instant::now() >= until => {
+                None if list.has_changes_after(after) || Instant::now() >= until => {
                     break Some(list.changes(after).to_string());
                 }
                 None => {}
             }
-            // Looks now and then whether anybody still waits.
+            // Wakes regularly to check whether the client is still connected.
             list = self
-                .news
+                .changed
                 .wait_timeout(list, Duration::from_millis(10))
                 .unwrap_or_else(PoisonError::into_inner)
                 .0;
             if matches!(peer.stream.peek(&mut [0]), Ok(0)) {
-                list.left += 1;
+                list.abandoned_watches += 1;
                 break None;
             }
         };
         let _ = peer.stream.set_nonblocking(false);
-        told
+        answer
     }
 }
 
 impl List {
-    fn news_after(&self, after: u64) -> bool {
+    fn has_changes_after(&self, after: u64) -> bool {
         self.generation != after && self.fault != DiscoveryFault::Stale
     }
 
-    fn whole(&self) -> Value {
+    /// The complete list without removed servers.
+    fn complete_list(&self) -> Value {
         let (generation, entries) = match (&self.fault, &self.stale) {
             (DiscoveryFault::Empty, _) => (self.generation, Vec::new()),
             (DiscoveryFault::Stale, Some((generation, entries))) => (*generation, entries.clone()),
             _ => (self.generation, self.entries.values().map(|(_, entry)| entry.clone()).collect()),
         };
-        let there = entries.iter().filter(|entry| entry.state != "gone").map(Entry::value);
-        json!({"generation": generation, "reset": true, "instances": there.collect::<Vec<_>>()})
+        let listed = entries.iter().filter(|entry| entry.state != "gone").map(Entry::value);
+        json!({"generation": generation, "reset": true, "instances": listed.collect::<Vec<_>>()})
     }
 
-    /// What is newer than a generation, or all of it where that can't be told.
+    /// The changes since a generation, or the complete list if they are unknown.
     fn changes(&self, after: u64) -> Value {
         if self.fault == DiscoveryFault::Stale {
             return json!({"generation": after, "reset": false, "instances": []});
         }
-        if after < self.whole_before || after > self.generation {
-            return self.whole();
+        if after < self.complete_before || after > self.generation {
+            return self.complete_list();
         }
         let newer = self.entries.values().filter(|(generation, _)| *generation > after);
         let newer: Vec<Value> = newer.map(|(_, entry)| entry.value()).collect();
--- a/crates/lab/src/sockets/ejection_log.rs
+++ b/crates/lab/src/sockets/ejection_log.rs
@@ -1,26 +1,27 @@
-//! Which log lines of a sidecar tell of an ejected or a returned server.
+//! Recognizes the sidecar's log lines about ejected and returned servers.
 
-/// How a line names the decision: the text before the server's name, the text behind it, and the word of the note.
-struct LineForm {
-    before: &'static str,
-    behind: &'static str,
+/// A form of log line: the text before and after the server's name, and the first word of the note for it.
+struct LinePattern {
+    prefix: &'static str,
+    suffix: &'static str,
     note: &'static str,
 }
 
-const LINE_FORMS: [LineForm; 4] = [
-    LineForm { before: "server ", behind: " ejected", note: "mark" },
-    LineForm { before: "server ", behind: " returned, in slow start", note: "return" },
-    // Earlier builds of the program wrote the note itself.
-    LineForm { before: "mark ", behind: "", note: "mark" },
-    LineForm { before: "return ", behind: "", note: "return" },
+const LINE_PATTERNS: [LinePattern; 4] = [
+    LinePattern { prefix: "server ", suffix: " ejected", note: "mark" },
+    LinePattern { prefix: "server ", suffix: " returned, in slow start", note: "return" },
+    // Earlier builds of the program log the note itself.
+    LinePattern { prefix: "mark ", suffix: "", note: "mark" },
+    LinePattern { prefix: "return ", suffix: "", note: "return" },
 ];
 
-/// The note of a line, `mark SERVER` or `return SERVER`, if it tells of one of the lab's servers: their names start with `t`.
+/// The note for a log line, `mark SERVER` or `return SERVER`. None for other lines and for servers outside the lab: the
+/// lab's server names start with `t`.
 pub fn ejection_note(line: &str) -> Option<String> {
-    LINE_FORMS.iter().find_map(|form| {
-        let (_, rest) = line.split_once(form.before)?;
-        let server = rest.strip_suffix(form.behind)?;
-        server.starts_with('t').then(|| format!("{} {server}", form.note))
+    LINE_PATTERNS.iter().find_map(|pattern| {
+        let (_, rest) = line.split_once(pattern.prefix)?;
+        let server = rest.strip_suffix(pattern.suffix)?;
+        server.starts_with('t').then(|| format!("{} {server}", pattern.note))
     })
 }
 
--- a/crates/lab/src/sockets/ejection_log_tests.rs
+++ b/crates/lab/src/sockets/ejection_log_tests.rs
@@ -3,7 +3,7 @@
 use super::ejection_note;
 
 #[test]
-fn lines_of_this_build_and_of_earlier_ones_give_the_same_notes() {
+fn log_lines_of_this_and_earlier_builds_give_the_same_notes() {
     let cases = [
         ("2026-12-03T09:00:00.000000Z  INFO server t0s3 ejected", Some("mark t0s3")),
         ("2026-12-03T09:00:00.000000Z  INFO mark t0s3", Some("mark t0s3")),
--- a/crates/lab/src/sockets/fleet.rs
+++ b/crates/lab/src/sockets/fleet.rs
@@ -1,5 +1,5 @@
-//! Stand-in servers: they read the platform's commands, take the time that the plan gives, and fail as told.
-//! A thread to each connection, a count of cores and a bounded queue to each server.
+//! Test servers: they read requests, take the processing time that the plan sets, and fail according to their state.
+//! Each connection has a thread; each server has a number of cores and a bounded queue.
 
 use super::ledger::RuleChecker;
 use super::message::{HttpMessage, Peer, response_bytes};
@@ -16,46 +16,54 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A thread that serves a connection needs little; there may be thousands.
-const STACK: usize = 256 << 10;
-/// How often what waits looks whether it still should.
-const LOOK: Duration = Duration::from_millis(20);
+/// Threads that serve connections need little stack, and there may be thousands of them.
+const THREAD_STACK_BYTES: usize = 256 << 10;
+/// Interval at which waiting threads check whether they should go on waiting.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A verb as a server does it.
+/// A request class as a server processes it.
 #[derive(Clone, Debug)]
 pub struct ServedRequestClass {
     pub name: String,
     pub retry_safety: RetrySafety,
-    /// Mean seconds of a core.
+    /// Mean processing time, in seconds of a core.
     pub mean_work: f64,
     pub work_distribution: WorkDistribution,
-    /// Calls to the next tier.
+    /// Requests that the server sends to the next tier for each of these.
     pub downstream_calls: u32,
 }
 
+/// The request classes of a tier, shared by its servers.
 pub type ServedRequestClasses = Arc<Vec<ServedRequestClass>>;
 
-/// By which address servers call the next tier.
+/// Address through which servers call the next tier; None at the last tier.
 pub type NextTier = Option<SocketAddr>;
 
-/// How a server does by now; changed while it runs.
+/// The state of a server, which faults change while it runs.
 #[derive(Clone, Debug)]
 pub struct ServerState {
+    /// Factor on the processing time.
     pub slowdown: f64,
-    /// The share of commands that fails at once, and of which verb alone.
+    /// Fraction of requests that fail at once.
     pub error_fraction: f64,
+    /// The request class that fails; None if all classes do.
     pub error_class: Option<String>,
+    /// Factor on the processing time of heavy requests.
     pub heavy_factor: f64,
+    /// Fraction of requests that are heavy.
     pub heavy_fraction: f64,
+    /// Starts no requests; they wait in the queue.
     pub paused: bool,
-    /// Reads and says nothing.
+    /// Reads requests and sends no responses.
     pub silent: bool,
-    /// Its process is down: connections are refused.
+    /// Refuses connections, as if its process were down.
     pub down: bool,
-    /// Connections older than this moment get no answer any more.
+    /// Connections that were opened before this time get no more responses.
     pub half_open_before: Option<Instant>,
+    /// Start of the current process, from which the server warms up; None if it is warm.
     pub cold_since: Option<Instant>,
     pub draining_since: Option<Instant>,
+    /// A false load that is reported instead of the real one.
     pub false_load: Option<crate::plan::FalseLoad>,
 }
 
@@ -78,59 +86,64 @@
     }
 }
 
-/// What a server is from its start on.
+/// Properties of a server that do not change while it runs.
 #[derive(Clone, Debug)]
 pub struct ServerConfig {
     pub name: String,
     pub cores: usize,
     pub queue_limit: usize,
+    /// Speed when warm; 1 is nominal.
     pub speed: f64,
+    /// Fraction of its speed that a cold server starts with.
     pub initial_fraction: f64,
+    /// Time until a cold server has its full speed.
     pub warmup: Duration,
-    /// A cold one is pushed over by more than so many times the work that it can do within the window; by any where the
-    /// rule does not hold here.
+    /// The work that overloads a cold server; None if this is not checked.
     pub overload_limit: Option<OverloadLimit>,
+    /// Time after the start of draining during which new requests are allowed.
     pub drain_grace: Duration,
+    /// Whether responses carry a load report.
     pub reports_load: bool,
     pub next_tier: NextTier,
     pub seed: u64,
 }
 
-/// Rule 4 as a server knows it.
+/// The limit of rule 4: a cold server is overloaded by more than `multiple` times the work that it can do in a window.
 #[derive(Clone, Copy, Debug)]
 pub struct OverloadLimit {
     pub multiple: f64,
     pub window: Duration,
-    /// Fewer commands than this within a window never push it over.
+    /// Fewer requests than this within a window never overload a server.
     pub min_requests: usize,
 }
 
+/// A running test server.
 pub struct Server {
     pub config: ServerConfig,
     pub address: SocketAddr,
     state: Mutex<ServerState>,
-    /// Free cores.
     free_cores: Mutex<usize>,
     core_freed: Condvar,
-    /// What was brought to it while it was cold, and over all its lives before.
+    /// Start of the current cold process, the work sent to it, and the peaks of the cold processes before.
     cold_load: Mutex<(Option<Instant>, OfferedWork, ColdPeaks)>,
     queued: AtomicU32,
     in_flight: AtomicU32,
+    /// Number of requests received, including rejected ones.
     pub received_requests: AtomicU64,
-    /// What it reported last while it told the truth: in flight above, queue below.
+    /// The last true load report: requests in flight in the upper 32 bits, queued requests in the lower.
     last_report: AtomicU64,
     request_classes: ServedRequestClasses,
     rule_checker: Arc<RuleChecker>,
     stopped: AtomicBool,
 }
 
-/// All servers of a scene.
+/// The servers of a tier; dropping the group stops them.
 pub struct ServerGroup {
     pub servers: Vec<Arc<Server>>,
 }
 
-fn locked<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
-    // What a panicking thread leaves behind here is still whole.
+fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
+    // A thread that panics leaves no value incomplete.
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
@@ -141,15 +154,15 @@
 
     pub fn add(
         &mut self,
-        make: ServerConfig,
-        verbs: ServedRequestClasses,
-        ledger: Arc<RuleChecker>,
+        config: ServerConfig,
+        request_classes: ServedRequestClasses,
+        rule_checker: Arc<RuleChecker>,
     ) -> io::Result<Arc<Server>> {
         let listener = bind_loopback()?;
         let server = Arc::new(Server {
             address: listener.local_addr()?,
-            free_cores: Mutex::new(make.cores),
-            config: make,
+            free_cores: Mutex::new(config.cores),
+            config,
             state: Mutex::default(),
             core_freed: Condvar::new(),
             cold_load: Mutex::default(),
@@ -157,12 +170,14 @@
             in_flight: AtomicU32::new(0),
             received_requests: AtomicU64::new(0),
             last_report: AtomicU64::new(0),
-            request_classes: verbs,
-            rule_checker: ledger,
+            request_classes,
+            rule_checker,
             stopped: AtomicBool::new(false),
         });
-        let own = server.clone();
-        thread::Builder::new().stack_size(STACK).spawn(move || own.listen(listener))?;
+        let shared = server.clone();
+        thread::Builder::new()
+            .stack_size(THREAD_STACK_BYTES)
+            .spawn(move || shared.accept_connections(listener))?;
         self.servers.push(server.clone());
         Ok(server)
     }
@@ -170,265 +185,285 @@
 
 impl Drop for ServerGroup {
     fn drop(&mut self) {
-        self.servers.iter().for_each(|server| server.end());
+        self.servers.iter().for_each(|server| server.stop());
     }
 }
 
 impl Server {
-    pub fn update_state(&self, what: impl FnOnce(&mut ServerState)) {
-        what(&mut locked(&self.state));
+    /// Changes the state and wakes the threads that wait for it.
+    pub fn update_state(&self, change: impl FnOnce(&mut ServerState)) {
+        change(&mut lock(&self.state));
         self.core_freed.notify_all();
-        if locked(&self.state).down {
+        if lock(&self.state).down {
             self.wake_listener();
         }
     }
 
     pub fn state(&self) -> ServerState {
-        locked(&self.state).clone()
+        lock(&self.state).clone()
     }
 
-    /// Commands in it for each core.
+    /// Requests in flight per core.
     pub fn load(&self) -> f64 {
         f64::from(self.in_flight.load(Ordering::Relaxed)) / self.config.cores as f64
     }
 
-    fn end(&self) {
+    fn stop(&self) {
         self.stopped.store(true, Ordering::Relaxed);
         self.wake_listener();
     }
 
-    /// A thread that waits for a connection looks around when one comes.
+    /// Connects to the server itself, so that the accepting thread checks the state.
     fn wake_listener(&self) {
         let _ = TcpStream::connect_timeout(&self.address, Duration::from_millis(100));
     }
 
-    fn listen(self: Arc<Self>, listener: TcpListener) {
+    fn accept_connections(self: Arc<Self>, listener: TcpListener) {
         let mut listening = Some(listener);
         while !self.stopped.load(Ordering::Relaxed) {
             if self.state().down {
-                // Closed, so that connections are refused.
+                // The listener is closed, so that connections are refused.
                 listening = None;
-                thread::sleep(LOOK);
+                thread::sleep(POLL_INTERVAL);
                 continue;
             }
             let Some(listener) = listening.take().or_else(|| TcpListener::bind(self.address).ok()) else {
-                thread::sleep(LOOK);
+                thread::sleep(POLL_INTERVAL);
                 continue;
             };
             if let Ok((stream, _)) = listener.accept()
                 && !self.state().down
                 && !self.stopped.load(Ordering::Relaxed)
             {
-                let own = self.clone();
-                let _ = thread::Builder::new().stack_size(STACK).spawn(move || own.talk(stream));
+                let shared = self.clone();
+                let _ = thread::Builder::new()
+                    .stack_size(THREAD_STACK_BYTES)
+                    .spawn(move || shared.serve_connection(stream));
             }
             listening = Some(listener);
         }
     }
 
-    fn talk(&self, stream: TcpStream) {
+    fn serve_connection(&self, stream: TcpStream) {
         let opened = Instant::now();
         let mut peer = Peer::new(stream);
         let mut rng = ChaCha8Rng::seed_from_u64(self.config.seed ^ u64::from(self.address.port()));
-        let mut next: Option<Peer> = None;
-        // A connection must not outlive the scene for ever.
+        let mut next_tier_connection: Option<Peer> = None;
+        // A thread must not wait forever for a connection that the other side never closes.
         peer.set_read_timeout(Some(Duration::from_secs(300)));
-        while let Ok(Some(heard)) = peer.read_request() {
-            let forgotten = self.state().half_open_before.is_some_and(|before| opened < before);
-            if forgotten || self.state().silent {
-                self.stay_silent(&peer, forgotten);
+        while let Ok(Some(request)) = peer.read_request() {
+            let half_open = self.state().half_open_before.is_some_and(|before| opened < before);
+            if half_open || self.state().silent {
+                self.stay_silent(&peer, half_open);
                 return;
             }
-            let Some(bytes) = self.answer_to(&heard, &mut rng, &mut next) else { return };
+            let Some(bytes) = self.respond(&request, &mut rng, &mut next_tier_connection) else { return };
             if self.state().down || peer.write(&bytes).is_err() {
                 return;
             }
         }
     }
 
-    /// Open and silent until the other side closes or the silence is over.
-    fn stay_silent(&self, peer: &Peer, for_good: bool) {
+    /// Keeps the connection open without a response until the other side closes it or the silence ends.
+    fn stay_silent(&self, peer: &Peer, forever: bool) {
         peer.set_read_timeout(Some(Duration::from_millis(100)));
-        while !self.stopped.load(Ordering::Relaxed) && (for_good || self.state().silent) {
+        while !self.stopped.load(Ordering::Relaxed) && (forever || self.state().silent) {
             match peer.stream.peek(&mut [0]) {
                 Ok(0) => return,
-                Ok(_) => thread::sleep(LOOK),
-                Err(wrong) if wrong.kind() == io::ErrorKind::WouldBlock => {}
+                Ok(_) => thread::sleep(POLL_INTERVAL),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(_) => return,
             }
         }
     }
 
-    /// None where its process dies meanwhile: the connection breaks.
-    fn answer_to(
+    /// The response to a request. None if the server goes down meanwhile: the connection is closed.
+    fn respond(
         &self,
-        heard: &HttpMessage,
+        request: &HttpMessage,
         rng: &mut ChaCha8Rng,
-        next: &mut Option<Peer>,
+        next_tier_connection: &mut Option<Peer>,
     ) -> Option<Vec<u8>> {
-        match heard.path() {
+        match request.path() {
             "/ping" => return Some(response_bytes(200, "", b"")),
             "/_load" => return Some(response_bytes(200, "", self.report().as_bytes())),
             _ => {}
         }
-        let Some(doing) = self.request_classes.iter().find(|doing| doing.name == heard.request_class())
+        let Some(class) = self.request_classes.iter().find(|class| class.name == request.request_class())
         else {
             return Some(response_bytes(404, "", b"no such verb"));
         };
         self.received_requests.fetch_add(1, Ordering::Relaxed);
-        let cmd = heard.header("x-trace-id").unwrap_or("");
-        let serving = self.state();
+        let request_id = request.header("x-trace-id").unwrap_or("");
+        let state = self.state();
         if let Some(late) =
-            serving.draining_since.map(|since| since.elapsed()).filter(|late| *late > self.config.drain_grace)
+            state.draining_since.map(|since| since.elapsed()).filter(|late| *late > self.config.drain_grace)
         {
-            self.rule_checker.attempt_after_grace(cmd, &self.config.name, late);
+            self.rule_checker.attempt_after_grace(request_id, &self.config.name, late);
         }
-        if let Some(from) = serving.cold_since {
-            self.bring(from, doing.mean_work, &serving);
+        if let Some(cold_since) = state.cold_since {
+            self.record_cold_work(cold_since, class.mean_work, &state);
         }
         if self.in_flight.load(Ordering::Relaxed) as usize >= self.config.queue_limit + self.config.cores {
-            return Some(self.said(503, "X-Never-Ran: 1\r\n", b"full"));
+            return Some(self.response_with_load(503, "X-Never-Ran: 1\r\n", b"full"));
         }
         self.in_flight.fetch_add(1, Ordering::Relaxed);
-        let done = self.work_on(heard, doing, cmd, rng, next);
+        let response = self.process(request, class, request_id, rng, next_tier_connection);
         self.in_flight.fetch_sub(1, Ordering::Relaxed);
-        done
+        response
     }
 
-    fn work_on(
+    fn process(
         &self,
-        heard: &HttpMessage,
-        doing: &ServedRequestClass,
-        cmd: &str,
+        request: &HttpMessage,
+        class: &ServedRequestClass,
+        request_id: &str,
         rng: &mut ChaCha8Rng,
-        next: &mut Option<Peer>,
+        next_tier_connection: &mut Option<Peer>,
     ) -> Option<Vec<u8>> {
-        if !self.take_core() {
+        if !self.acquire_core() {
             return None;
         }
-        self.rule_checker.attempt_started(cmd, &self.config.name, doing.retry_safety);
-        let serving = self.state();
-        let hit = serving.error_class.as_ref().is_none_or(|verb| *verb == doing.name);
-        let fails = hit && serving.error_fraction > 0.0 && rng.random::<f64>() < serving.error_fraction;
-        if !fails && doing.mean_work > 0.0 {
-            let heavy = serving.heavy_fraction > 0.0 && rng.random::<f64>() < serving.heavy_fraction;
-            let work = doing.mean_work
-                * work_multiple(doing.work_distribution, rng)
-                * if heavy { serving.heavy_factor } else { 1.0 };
-            thread::sleep(Duration::from_secs_f64(work * serving.slowdown / self.speed(&serving)));
+        self.rule_checker.attempt_started(request_id, &self.config.name, class.retry_safety);
+        let state = self.state();
+        let affected = state.error_class.as_ref().is_none_or(|failing| *failing == class.name);
+        let fails = affected && state.error_fraction > 0.0 && rng.random::<f64>() < state.error_fraction;
+        if !fails && class.mean_work > 0.0 {
+            let heavy = state.heavy_fraction > 0.0 && rng.random::<f64>() < state.heavy_fraction;
+            let work = class.mean_work
+                * work_multiple(class.work_distribution, rng)
+                * if heavy { state.heavy_factor } else { 1.0 };
+            thread::sleep(Duration::from_secs_f64(work * state.slowdown / self.speed(&state)));
         }
-        self.give_core();
+        self.release_core();
         if self.state().down {
             return None;
         }
-        let well = !fails && (0..doing.downstream_calls).all(|call| self.call(heard, doing, cmd, call, next));
-        Some(if well { self.said(200, "", b"done") } else { self.said(500, "", b"failed") })
+        let succeeded = !fails
+            && (0..class.downstream_calls).all(|call_number| {
+                self.send_to_next_tier(request, class, request_id, call_number, next_tier_connection)
+            });
+        Some(if succeeded {
+            self.response_with_load(200, "", b"done")
+        } else {
+            self.response_with_load(500, "", b"failed")
+        })
     }
 
-    /// Work is brought to it while it may be cold, also what it turns away: too much pushes it over, whoever sent it. It
-    /// goes on here all the same.
-    fn bring(&self, from: Instant, work: f64, serving: &ServerState) {
-        let Some(rule) = self.config.overload_limit.filter(|_| from.elapsed() < self.config.warmup) else {
+    /// Records work sent to a cold server, including that of rejected requests, from all sidecars together. Overload is
+    /// reported to the rule checker; the server continues.
+    fn record_cold_work(&self, cold_since: Instant, work: f64, state: &ServerState) {
+        let Some(limit) = self.config.overload_limit.filter(|_| cold_since.elapsed() < self.config.warmup)
+        else {
             return;
         };
-        let mean = self.request_classes.iter().map(|doing| doing.mean_work).sum::<f64>()
+        let mean = self.request_classes.iter().map(|class| class.mean_work).sum::<f64>()
             / self.request_classes.len().max(1) as f64;
-        let (mut brought, mean) = (locked(&self.cold_load), mean.max(1e-9));
-        let (life, brought, peaks) = &mut *brought;
-        if life.replace(from) != Some(from) {
-            brought.finish_process(peaks);
+        let (mut offered_work, mean) = (lock(&self.cold_load), mean.max(1e-9));
+        let (process_start, offered_work, peaks) = &mut *offered_work;
+        if process_start.replace(cold_since) != Some(cold_since) {
+            offered_work.finish_process(peaks);
         }
-        let able = self.config.cores as f64 * self.speed(serving) * rule.window.as_secs_f64();
+        let capacity = self.config.cores as f64 * self.speed(state) * limit.window.as_secs_f64();
         let bound = OverloadBound {
-            window: rule.window,
-            budget: rule.multiple * able / mean,
-            min_requests: rule.min_requests,
+            window: limit.window,
+            budget: limit.multiple * capacity / mean,
+            min_requests: limit.min_requests,
         };
-        if brought.record(&self.config.name, self.rule_checker.now(), work / mean, bound) {
-            self.rule_checker.cold_server_overloaded(&self.config.name, brought.total() * mean, able);
-            brought.clear();
+        if offered_work.record(&self.config.name, self.rule_checker.now(), work / mean, bound) {
+            self.rule_checker.cold_server_overloaded(
+                &self.config.name,
+                offered_work.total() * mean,
+                capacity,
+            );
+            offered_work.clear();
         }
     }
 
-    /// What it was brought in its cold lives until now, which ends here.
+    /// Peaks of the work sent to the server while it was cold. Ends the record of the current process.
     pub fn cold_peaks(&self) -> ColdPeaks {
-        let mut brought = locked(&self.cold_load);
-        let (_, brought, peaks) = &mut *brought;
-        brought.finish_process(peaks);
+        let mut offered_work = lock(&self.cold_load);
+        let (_, offered_work, peaks) = &mut *offered_work;
+        offered_work.finish_process(peaks);
         peaks.clone()
     }
 
-    fn speed(&self, serving: &ServerState) -> f64 {
+    fn speed(&self, state: &ServerState) -> f64 {
         let ServerConfig { speed, initial_fraction, warmup, .. } = &self.config;
-        let Some(from) = serving.cold_since else { return *speed };
-        let done = from.elapsed().as_secs_f64() / warmup.as_secs_f64().max(1e-3);
-        speed * (initial_fraction + (1.0 - initial_fraction) * done).min(1.0)
+        let Some(cold_since) = state.cold_since else { return *speed };
+        let warmed = cold_since.elapsed().as_secs_f64() / warmup.as_secs_f64().max(1e-3);
+        speed * (initial_fraction + (1.0 - initial_fraction) * warmed).min(1.0)
     }
 
-    /// Waits for a core; false where the process dies meanwhile.
-    fn take_core(&self) -> bool {
+    /// Waits for a core; false if the server goes down or is stopped meanwhile.
+    fn acquire_core(&self) -> bool {
         self.queued.fetch_add(1, Ordering::Relaxed);
-        let mut free = locked(&self.free_cores);
-        let taken = loop {
+        let mut free_cores = lock(&self.free_cores);
+        let acquired = loop {
             if self.stopped.load(Ordering::Relaxed) || self.state().down {
                 break false;
             }
-            if *free > 0 && !self.state().paused {
-                *free -= 1;
+            if *free_cores > 0 && !self.state().paused {
+                *free_cores -= 1;
                 break true;
             }
-            free = self.core_freed.wait_timeout(free, LOOK).unwrap_or_else(PoisonError::into_inner).0;
+            free_cores = self
+                .core_freed
+                .wait_timeout(free_cores, POLL_INTERVAL)
+                .unwrap_or_else(PoisonError::into_inner)
+                .0;
         };
-        drop(free);
+        drop(free_cores);
         self.queued.fetch_sub(1, Ordering::Relaxed);
-        taken
+        acquired
     }
 
-    fn give_core(&self) {
-        *locked(&self.free_cores) += 1;
+    fn release_core(&self) {
+        *lock(&self.free_cores) += 1;
         self.core_freed.notify_one();
     }
 
-    /// A call to the next tier, with an id of its own and what is left of the time.
-    fn call(
+    /// Sends a request to the next tier, with an id of its own and the remaining time. Returns whether it succeeded.
+    fn send_to_next_tier(
         &self,
-        heard: &HttpMessage,
-        doing: &ServedRequestClass,
-        cmd: &str,
-        call: u32,
-        next: &mut Option<Peer>,
+        request: &HttpMessage,
+        class: &ServedRequestClass,
+        request_id: &str,
+        call_number: u32,
+        next_tier_connection: &mut Option<Peer>,
     ) -> bool {
-        let Some(behind) = self.config.next_tier else { return true };
-        let left: u64 = heard.header("x-expires-in-ms").and_then(|text| text.parse().ok()).unwrap_or(1000);
-        let method = heard.method();
-        let key = match doing.retry_safety {
+        let Some(address) = self.config.next_tier else { return true };
+        let remaining_ms: u64 =
+            request.header("x-expires-in-ms").and_then(|text| text.parse().ok()).unwrap_or(1000);
+        let method = request.method();
+        let key = match class.retry_safety {
             RetrySafety::Idempotent | RetrySafety::NonIdempotent => String::new(),
-            _ => format!("Idempotency-Key: {cmd}.{call}\r\n"),
+            _ => format!("Idempotency-Key: {request_id}.{call_number}\r\n"),
         };
         let length = if method == "GET" { "" } else { "Content-Length: 0\r\n" };
         let bytes = format!(
-            "{method} /{} HTTP/1.1\r\nHost: lab\r\nX-Trace-Id: {cmd}.{}.{call}\r\nX-Customer: lab\r\n\
-             X-Expires-In-Ms: {left}\r\n{key}{length}\r\n",
-            doing.name, self.config.name
+            "{method} /{} HTTP/1.1\r\nHost: lab\r\nX-Trace-Id: {request_id}.{}.{call_number}\r\nX-Customer: lab\r\n\
+             X-Expires-In-Ms: {remaining_ms}\r\n{key}{length}\r\n",
+            class.name, self.config.name
         );
         for _ in 0..2 {
-            let kept = next.is_some();
-            let peer = match next.take() {
+            let reused = next_tier_connection.is_some();
+            let peer = match next_tier_connection.take() {
                 Some(peer) => Some(peer),
-                None => TcpStream::connect_timeout(&behind, Duration::from_millis(200)).ok().map(Peer::new),
+                None => TcpStream::connect_timeout(&address, Duration::from_millis(200)).ok().map(Peer::new),
             };
             let Some(mut peer) = peer else { return false };
-            peer.set_read_timeout(Some(Duration::from_millis(left + 100)));
-            let heard = peer.write(bytes.as_bytes()).and_then(|()| peer.read_response());
-            match heard {
-                Ok(heard) => {
-                    let ends =
-                        heard.header("connection").is_some_and(|text| text.eq_ignore_ascii_case("close"));
-                    *next = (!ends).then_some(peer);
-                    return heard.status() == Some(200);
+            peer.set_read_timeout(Some(Duration::from_millis(remaining_ms + 100)));
+            let response = peer.write(bytes.as_bytes()).and_then(|()| peer.read_response());
+            match response {
+                Ok(response) => {
+                    let closes =
+                        response.header("connection").is_some_and(|text| text.eq_ignore_ascii_case("close"));
+                    *next_tier_connection = (!closes).then_some(peer);
+                    return response.status() == Some(200);
                 }
-                // A kept connection may have been closed meanwhile, and what crosses that was not read.
-                Err(wrong) if kept && wrong.kind() != io::ErrorKind::WouldBlock => {}
+                // A reused connection may have been closed meanwhile; a request sent across the close was not read.
+                Err(error) if reused && error.kind() != io::ErrorKind::WouldBlock => {}
                 Err(_) => return false,
             }
         }
@@ -437,24 +472,24 @@
 
     fn report(&self) -> String {
         use crate::plan::FalseLoad;
-        let (queue, inside) = match self.state().false_load {
+        let (queued, in_flight) = match self.state().false_load {
             Some(FalseLoad::Idle) => (0, 0),
             Some(FalseLoad::Frozen) => {
-                let told = self.last_report.load(Ordering::Relaxed);
-                (told as u32, (told >> 32) as u32)
+                let last_report = self.last_report.load(Ordering::Relaxed);
+                (last_report as u32, (last_report >> 32) as u32)
             }
             Some(FalseLoad::Busy) => (self.config.queue_limit as u32, self.config.queue_limit as u32),
             None => {
-                let (queue, inside) =
+                let (queued, in_flight) =
                     (self.queued.load(Ordering::Relaxed), self.in_flight.load(Ordering::Relaxed));
-                self.last_report.store(u64::from(inside) << 32 | u64::from(queue), Ordering::Relaxed);
-                (queue, inside)
+                self.last_report.store(u64::from(in_flight) << 32 | u64::from(queued), Ordering::Relaxed);
+                (queued, in_flight)
             }
         };
-        format!("TEXT inflight={inside}, queue={queue}")
+        format!("TEXT inflight={in_flight}, queue={queued}")
     }
 
-    fn said(&self, status: u16, more: &str, body: &[u8]) -> Vec<u8> {
+    fn response_with_load(&self, status: u16, more: &str, body: &[u8]) -> Vec<u8> {
         if self.config.reports_load {
             response_bytes(status, &format!("{more}Endpoint-Load-Metrics: {}\r\n", self.report()), body)
         } else {
@@ -467,9 +502,9 @@
 mod tests {
     use super::*;
 
-    fn brought(commands: usize, cold: bool) -> [u64; 4] {
-        let ledger = Arc::new(RuleChecker::new(Instant::now()));
-        let make = ServerConfig {
+    fn breach_counts(requests: usize, cold: bool) -> [u64; 4] {
+        let rule_checker = Arc::new(RuleChecker::new(Instant::now()));
+        let config = ServerConfig {
             name: "s".into(),
             cores: 1,
             queue_limit: 64,
@@ -486,39 +521,41 @@
             next_tier: None,
             seed: 1,
         };
-        let doing = ServedRequestClass {
+        let class = ServedRequestClass {
             name: "view".into(),
             retry_safety: RetrySafety::Idempotent,
             mean_work: 0.05,
             work_distribution: WorkDistribution::Fixed,
             downstream_calls: 0,
         };
-        let mut fleet = ServerGroup::empty();
-        let server = fleet.add(make, Arc::new(vec![doing]), ledger.clone()).expect("a port");
+        let mut group = ServerGroup::empty();
+        let server = group
+            .add(config, Arc::new(vec![class]), rule_checker.clone())
+            .expect("failed to start the server");
         if cold {
-            server.update_state(|serving| serving.cold_since = Some(Instant::now()));
+            server.update_state(|state| state.cold_since = Some(Instant::now()));
         }
-        let asks = || {
-            let mut peer = Peer::new(TcpStream::connect(server.address).expect("a connection"));
-            peer.write(b"GET /view HTTP/1.1\r\nHost: x\r\n\r\n").expect("it is written");
+        let send_request = || {
+            let mut peer = Peer::new(TcpStream::connect(server.address).expect("failed to connect"));
+            peer.write(b"GET /view HTTP/1.1\r\nHost: x\r\n\r\n").expect("failed to send the request");
             peer
         };
-        // All are there before any is answered: a core takes a sixth of a second for one.
-        let asked: Vec<Peer> = (0..commands).map(|_| asks()).collect();
-        let begun = Instant::now();
-        while (server.received_requests.load(Ordering::Relaxed) as usize) < commands {
-            assert!(begun.elapsed() < Duration::from_secs(5), "all come");
+        // All requests arrive before the first response: a core takes a sixth of a second for each.
+        let connections: Vec<Peer> = (0..requests).map(|_| send_request()).collect();
+        let start = Instant::now();
+        while (server.received_requests.load(Ordering::Relaxed) as usize) < requests {
+            assert!(start.elapsed() < Duration::from_secs(5), "not all requests arrived in time");
             thread::yield_now();
         }
-        drop(asked);
-        ledger.results().1
+        drop(connections);
+        rule_checker.results().1
     }
 
-    /// It can do 0.6 s of work in the window, and stands 1.8 s of it: 36 commands.
+    /// The cold server can do 0.6 s of work in the window and is overloaded by more than 1.8 s, which is 36 requests.
     #[test]
-    fn a_cold_server_is_pushed_over_by_too_much_and_a_warm_one_is_not() {
-        assert_eq!(brought(30, true), [0; 4]);
-        assert_eq!(brought(45, true), [0, 0, 0, 1]);
-        assert_eq!(brought(45, false), [0; 4]);
+    fn excess_work_overloads_a_cold_server_only() {
+        assert_eq!(breach_counts(30, true), [0; 4]);
+        assert_eq!(breach_counts(45, true), [0, 0, 0, 1]);
+        assert_eq!(breach_counts(45, false), [0; 4]);
     }
 }
--- a/crates/lab/src/sockets/load.rs
+++ b/crates/lab/src/sockets/load.rs
@@ -1,5 +1,5 @@
-//! The load generator by itself: against any address, at a rate or as fast as it is answered, with latencies from
-//! the intended send.
+//! The load generator by itself: sends to any addresses, at a rate or as fast as it gets responses, and reports
+//! latencies from the scheduled send.
 
 use super::callers::{ClientPlan, ClientRequestClass, CompletedRequest, RequestRate, run};
 use crate::plan::RetrySafety;
@@ -11,21 +11,22 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
+/// A load: its target addresses, request class, connections, rate and duration.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
     pub targets: Vec<SocketAddr>,
     pub request_class: String,
     pub connections: usize,
-    /// Commands a second; 0: as fast as they are answered.
+    /// Requests per second; at 0, each connection sends its next request as soon as one is answered.
     pub rate: f64,
     pub time_limit: Duration,
-    /// What comes before this is not counted.
+    /// Requests scheduled before this time are not counted.
     pub warmup: Duration,
     pub duration: Duration,
     pub seed: u64,
 }
 
-/// Milliseconds, from the intended send to the last byte.
+/// Counts and latencies of a load. Latencies are in milliseconds, from the scheduled send to the last byte.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct LoadResults {
     pub connections: usize,
@@ -39,57 +40,60 @@
     pub p90: f64,
     pub p99: f64,
     pub p999: f64,
-    pub most: f64,
+    #[serde(rename = "most")]
+    pub max: f64,
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds and digits are within what it takes")
+    Histogram::new_with_bounds(1, 60_000_000, 3).expect("the bounds and the number of digits are valid")
 }
 
-struct Own<'a> {
-    figures: LoadResults,
-    latency: Histogram<u64>,
+/// Results of one client thread.
+struct ThreadResults<'a> {
+    results: LoadResults,
+    latencies: Histogram<u64>,
     all: &'a Mutex<(LoadResults, Histogram<u64>)>,
 }
 
-impl Own<'_> {
-    fn count(&mut self, done: &CompletedRequest) {
-        match done.outcome {
-            FinalOutcome::Answered => self.figures.answered += 1,
-            FinalOutcome::Declined => self.figures.declined += 1,
-            FinalOutcome::Terminated => self.figures.terminated += 1,
-            FinalOutcome::Left | FinalOutcome::Lost => self.figures.lost += 1,
+impl ThreadResults<'_> {
+    fn count(&mut self, completed: &CompletedRequest) {
+        match completed.outcome {
+            FinalOutcome::Answered => self.results.answered += 1,
+            FinalOutcome::Declined => self.results.declined += 1,
+            FinalOutcome::Terminated => self.results.terminated += 1,
+            FinalOutcome::Left | FinalOutcome::Lost => self.results.lost += 1,
         }
-        if done.outcome == FinalOutcome::Answered {
-            let took = done.ended.saturating_sub(done.intended).as_micros() as u64;
-            self.latency.saturating_record(took.max(1));
+        if completed.outcome == FinalOutcome::Answered {
+            let latency_us = completed.ended.saturating_sub(completed.intended).as_micros() as u64;
+            self.latencies.saturating_record(latency_us.max(1));
         }
     }
 }
 
-impl Drop for Own<'_> {
-    /// A thread's figures join the others when it ends.
+impl Drop for ThreadResults<'_> {
+    /// Adds the results of the thread to those of all threads when it ends.
     fn drop(&mut self) {
         let mut all = self.all.lock().unwrap_or_else(PoisonError::into_inner);
-        all.0.answered += self.figures.answered;
-        all.0.declined += self.figures.declined;
-        all.0.terminated += self.figures.terminated;
-        all.0.lost += self.figures.lost;
-        // Both have the same bounds.
-        let _ = all.1.add(&self.latency);
+        all.0.answered += self.results.answered;
+        all.0.declined += self.results.declined;
+        all.0.terminated += self.results.terminated;
+        all.0.lost += self.results.lost;
+        // This cannot fail: both histograms have the same bounds.
+        let _ = all.1.add(&self.latencies);
     }
 }
 
+/// Generates the load and returns its results.
 pub fn load(plan: &LoadPlan) -> LoadResults {
-    let asking = ClientRequestClass {
+    let client_class = ClientRequestClass {
         name: plan.request_class.clone(),
         retry_safety: RetrySafety::Idempotent,
         share: 1.0,
         time_limit: plan.time_limit,
     };
-    let calls = ClientPlan {
+    let client_plan = ClientPlan {
         targets: plan.targets.clone(),
-        request_classes: vec![asking],
+        request_classes: vec![client_class],
         tenants: vec![("lab".into(), 1.0)],
         connections: plan.connections,
         duration: plan.warmup + plan.duration,
@@ -98,21 +102,22 @@
         retry_non_idempotent: true,
     };
     let all = Mutex::new((LoadResults::default(), histogram()));
-    let watch = || -> Box<dyn FnMut(&CompletedRequest) + '_> {
-        let mut own = Own { figures: LoadResults::default(), latency: histogram(), all: &all };
-        Box::new(move |done: &CompletedRequest| {
-            if done.intended >= plan.warmup {
-                own.count(done);
+    let observer = || -> Box<dyn FnMut(&CompletedRequest) + '_> {
+        let mut thread_results =
+            ThreadResults { results: LoadResults::default(), latencies: histogram(), all: &all };
+        Box::new(move |completed: &CompletedRequest| {
+            if completed.intended >= plan.warmup {
+                thread_results.count(completed);
             }
         })
     };
-    run(&calls, &RequestRate::new(plan.rate), &AtomicBool::new(false), Instant::now(), &watch);
-    let (mut figures, latency) = all.into_inner().unwrap_or_else(PoisonError::into_inner);
-    let ms = |share: f64| latency.value_at_quantile(share) as f64 / 1000.0;
-    figures.connections = plan.connections;
-    figures.seconds = plan.duration.as_secs_f64();
-    figures.answered_per_s = figures.answered as f64 / figures.seconds.max(1e-9);
-    (figures.p50, figures.p90, figures.p99, figures.p999) = (ms(0.5), ms(0.9), ms(0.99), ms(0.999));
-    figures.most = latency.max() as f64 / 1000.0;
-    figures
+    run(&client_plan, &RequestRate::new(plan.rate), &AtomicBool::new(false), Instant::now(), &observer);
+    let (mut results, latencies) = all.into_inner().unwrap_or_else(PoisonError::into_inner);
+    let ms = |share: f64| latencies.value_at_quantile(share) as f64 / 1000.0;
+    results.connections = plan.connections;
+    results.seconds = plan.duration.as_secs_f64();
+    results.answered_per_s = results.answered as f64 / results.seconds.max(1e-9);
+    (results.p50, results.p90, results.p99, results.p999) = (ms(0.5), ms(0.9), ms(0.99), ms(0.999));
+    results.max = latencies.max() as f64 / 1000.0;
+    results
 }
--- a/crates/lab/src/sockets/mod.rs
+++ b/crates/lab/src/sockets/mod.rs
@@ -1,7 +1,7 @@
-//! The lab on real sockets: stand-in servers, list source and callers on loopback, round real `landingspread`
-//! processes. It owns what runs on which address; the program under test is reached through its protocol alone.
+//! Tests on real sockets: test servers, discovery and clients on loopback, around real `landingspread` processes.
+//! Owns the processes and their addresses; the program under test is reached only through its protocols.
 //!
-//! Threads and blocking calls throughout: what is measured must not share its run-time with what measures.
+//! Uses threads and blocking calls throughout, so that the measuring code shares no runtime with the measured code.
 
 pub mod added;
 pub mod bench;
