--- a/crates/lab/src/sockets/scene.rs
+++ b/crates/lab/src/sockets/scene.rs
@@ -1,6 +1,6 @@
-//! A scenario on real sockets: its tiers as stand-in servers, its copies as `landingspread` processes, its clients
-//! as callers, its faults at their times. What the emulated world knows of every queue can't be seen here: the
-//! rules are checked as far as stand-ins see them.
+//! Runs a scenario on real sockets: its tiers as test servers, its replicas as `landingspread` processes, its clients
+//! as threads, and its faults at their times. Unlike in virtual time, not every queue is visible: the rules are checked
+//! as far as servers and clients can see.
 
 use super::callers::{ClientPlan, ClientRequestClass, CompletedRequest, RequestRate, run};
 use super::child::Sidecar;
@@ -20,42 +20,50 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime};
 
-const TICK: Duration = Duration::from_millis(50);
-const CONNECTIONS_MOST: f64 = 512.0;
+/// Interval at which faults, lists and logs are processed.
+const CONTROL_INTERVAL: Duration = Duration::from_millis(50);
+const MAX_CONNECTIONS: f64 = 512.0;
 
-/// One second of a running scene, for whoever shows it.
+/// One second of a running scenario, for display.
 pub struct SecondSummary<'a> {
+    /// Number of the second, from 0 on.
     pub second: usize,
-    /// This second's figures.
+    /// Statistics of this second.
     pub statistics: &'a crate::tally::Second,
+    /// Name, state and requests per core of each server.
     pub servers: Vec<(String, &'static str, f64)>,
+    /// Labels of the active faults.
     pub faults: Vec<String>,
 }
 
 struct Tier {
-    fleet: ServerGroup,
+    server_group: ServerGroup,
     discovery: Arc<Discovery>,
     sidecars: Vec<Sidecar>,
-    verbs: ServedRequestClasses,
+    request_classes: ServedRequestClasses,
 }
 
+/// The processes and servers of a scenario while it runs.
 pub struct TestEnvironment {
     plan: Scenario,
     tiers: Vec<Tier>,
-    ledger: Arc<RuleChecker>,
+    rule_checker: Arc<RuleChecker>,
     began: Instant,
-    /// Words of the list source that are still to come: when, of which tier, what.
-    words: Vec<(Duration, usize, Entry)>,
-    active: Vec<usize>,
-    ended: Vec<usize>,
-    /// Copies that are away, and when they start again.
-    away: Vec<(Duration, usize)>,
-    steps: Vec<(Duration, usize, u32)>,
-    leaving: Vec<(Duration, usize, usize)>,
+    /// Entries that discovery has yet to publish: when, for which tier, and the entry.
+    pending_entries: Vec<(Duration, usize, Entry)>,
+    /// Faults in effect, by number.
+    active_faults: Vec<usize>,
+    ended_faults: Vec<usize>,
+    /// When stopped replicas start again, and their numbers.
+    stopped_replicas: Vec<(Duration, usize)>,
+    /// When a repeating fault has its next step, its number, and the number of the step.
+    fault_steps: Vec<(Duration, usize, u32)>,
+    /// When drained servers go down, with their tier and number.
+    removals: Vec<(Duration, usize, usize)>,
     seed: u64,
 }
 
-/// Plays a scenario with real processes. `show` hears of each second.
+/// Runs a scenario with real processes. `show` is called with the summary of each second.
 pub fn run_scenario(
     plan: &Scenario,
     seed: u64,
@@ -64,85 +72,86 @@
     show: &mut dyn FnMut(&SecondSummary),
 ) -> Result<RunReport, String> {
     if let Some(fault) = plan.first_virtual_time_only_fault() {
-        return Err(format!("{} can be played in virtual time only", fault.label()));
+        return Err(format!("{} is available in virtual time only", fault.label()));
     }
-    let mut scene = TestEnvironment::build(plan, seed, program, dir)?;
-    let line = scene.run(show)?;
-    scene.end();
-    Ok(line)
+    let mut environment = TestEnvironment::build(plan, seed, program, dir)?;
+    let report = environment.run(show)?;
+    environment.stop();
+    Ok(report)
 }
 
-fn doing(plan: &Scenario, tier: usize) -> ServedRequestClasses {
+fn served_request_classes(plan: &Scenario, tier: usize) -> ServedRequestClasses {
     let last = tier + 1 >= plan.tiers.len();
-    let one = |verb: &crate::plan::RequestClass| ServedRequestClass {
-        name: verb.name.clone(),
-        retry_safety: verb.retry_safety,
-        mean_work: verb.mean_work(tier),
-        work_distribution: verb.work_distribution,
-        downstream_calls: if last { 0 } else { verb.downstream_calls },
+    let served_class = |class: &crate::plan::RequestClass| ServedRequestClass {
+        name: class.name.clone(),
+        retry_safety: class.retry_safety,
+        mean_work: class.mean_work(tier),
+        work_distribution: class.work_distribution,
+        downstream_calls: if last { 0 } else { class.downstream_calls },
     };
-    Arc::new(plan.request_classes.iter().map(one).collect())
+    Arc::new(plan.request_classes.iter().map(served_class).collect())
 }
 
-fn io_told(wrong: std::io::Error) -> String {
-    wrong.to_string()
+fn io_message(error: std::io::Error) -> String {
+    error.to_string()
 }
 
 impl TestEnvironment {
     fn build(plan: &Scenario, seed: u64, program: &Path, dir: &Path) -> Result<TestEnvironment, String> {
         let began = Instant::now();
-        let mut scene = TestEnvironment {
+        let mut environment = TestEnvironment {
             plan: plan.clone(),
             tiers: Vec::new(),
-            ledger: Arc::new(RuleChecker::new(began)),
+            rule_checker: Arc::new(RuleChecker::new(began)),
             began,
-            words: Vec::new(),
-            active: Vec::new(),
-            ended: Vec::new(),
-            away: Vec::new(),
-            steps: Vec::new(),
-            leaving: Vec::new(),
+            pending_entries: Vec::new(),
+            active_faults: Vec::new(),
+            ended_faults: Vec::new(),
+            stopped_replicas: Vec::new(),
+            fault_steps: Vec::new(),
+            removals: Vec::new(),
             seed,
         };
-        // The last tier first: those before it call it by its sidecars.
-        let mut behind: Vec<Sidecar> = Vec::new();
+        // Starts with the last tier: the servers of each tier call the next one through its sidecars.
+        let mut next_sidecars: Vec<Sidecar> = Vec::new();
         for tier in (0..plan.tiers.len()).rev() {
-            let discovery = Discovery::start().map_err(io_told)?;
-            let mut built = Tier {
-                fleet: ServerGroup::empty(),
+            let discovery = Discovery::start().map_err(io_message)?;
+            let mut tier_state = Tier {
+                server_group: ServerGroup::empty(),
                 discovery,
                 sidecars: Vec::new(),
-                verbs: doing(plan, tier),
+                request_classes: served_request_classes(plan, tier),
             };
-            for place in 0..plan.tiers[tier].servers {
-                let address = (!behind.is_empty()).then(|| behind[place % behind.len()].address);
-                scene.add_server(&mut built, tier, place, address)?;
+            for index in 0..plan.tiers[tier].servers {
+                let address =
+                    (!next_sidecars.is_empty()).then(|| next_sidecars[index % next_sidecars.len()].address);
+                environment.add_server(&mut tier_state, tier, index, address)?;
             }
-            if let Some(next) = scene.tiers.first_mut() {
-                next.sidecars = std::mem::take(&mut behind);
+            if let Some(next) = environment.tiers.first_mut() {
+                next.sidecars = std::mem::take(&mut next_sidecars);
             }
-            behind = scene.start_copies(&built, tier, program, dir)?;
-            scene.tiers.insert(0, built);
+            next_sidecars = environment.start_replicas(&tier_state, tier, program, dir)?;
+            environment.tiers.insert(0, tier_state);
         }
-        if let Some(first) = scene.tiers.first_mut() {
-            first.sidecars = behind;
+        if let Some(first) = environment.tiers.first_mut() {
+            first.sidecars = next_sidecars;
         }
-        Ok(scene)
+        Ok(environment)
     }
 
     fn add_server(
         &self,
         tier: &mut Tier,
         number: usize,
-        place: usize,
-        behind: super::fleet::NextTier,
+        index: usize,
+        next_tier: super::fleet::NextTier,
     ) -> Result<Arc<Server>, String> {
         let plan = &self.plan.tiers[number];
-        let make = ServerConfig {
-            name: format!("t{number}s{place}"),
+        let config = ServerConfig {
+            name: format!("t{number}s{index}"),
             cores: plan.cores,
             queue_limit: plan.queue_limit,
-            speed: plan.speeds[place % plan.speeds.len()],
+            speed: plan.speeds[index % plan.speeds.len()],
             initial_fraction: plan.cold_start.initial_fraction,
             warmup: to_duration(plan.cold_start.warmup),
             overload_limit: None,
@@ -150,18 +159,22 @@
                 + to_duration(self.plan.discovery.delay)
                 + Duration::from_millis(100),
             reports_load: plan.load_reports != crate::plan::ReportedLoad::None,
-            next_tier: behind,
+            next_tier,
             seed: self.seed,
         };
-        let server = tier.fleet.add(make, tier.verbs.clone(), self.ledger.clone()).map_err(io_told)?;
-        tier.discovery.publish(self.entry(number, place, &server, "ready", None));
+        let server = tier
+            .server_group
+            .add(config, tier.request_classes.clone(), self.rule_checker.clone())
+            .map_err(io_message)?;
+        tier.discovery.publish(self.entry(number, index, &server, "ready", None));
         Ok(server)
     }
 
+    /// The entry of a server in the endpoint list.
     fn entry(
         &self,
         tier: usize,
-        place: usize,
+        index: usize,
         server: &Server,
         state: &'static str,
         started: Option<SystemTime>,
@@ -170,56 +183,56 @@
         Entry {
             id: server.config.name.clone(),
             address: server.address,
-            zone: self.plan.zones[place % zones].clone(),
-            cell: (place / zones) as u32 % self.plan.tiers[tier].cells,
+            zone: self.plan.zones[index % zones].clone(),
+            cell: (index / zones) as u32 % self.plan.tiers[tier].cells,
             state,
             weight: if self.plan.tiers[tier].lists_weights { server.config.speed } else { 1.0 },
             started,
         }
     }
 
-    fn start_copies(
+    fn start_replicas(
         &self,
         tier: &Tier,
         number: usize,
         program: &Path,
         dir: &Path,
     ) -> Result<Vec<Sidecar>, String> {
-        let copies = self.plan.front.replicas;
-        let one = |ordinal: usize| {
+        let replicas = self.plan.front.replicas;
+        let start_replica = |ordinal: usize| {
             let name = format!("t{number}n{ordinal}");
             let listen = unused_address_v4().into();
-            let told = SidecarParameters {
+            let parameters = SidecarParameters {
                 name: &name,
                 listen,
                 discovery: tier.discovery.address,
                 initial_endpoints: tier.discovery.snapshot(),
                 tier: number,
-                replicas: copies,
+                replicas,
                 ordinal,
                 zone: ordinal % self.plan.zones.len(),
                 seed: self.seed + ordinal as u64,
                 sockets: 1024,
                 memory_mb: 192,
             };
-            Sidecar::start(program, dir, &name, &sidecar_config(&self.plan, &told))
+            Sidecar::start(program, dir, &name, &sidecar_config(&self.plan, &parameters))
         };
-        (0..copies).map(one).collect()
+        (0..replicas).map(start_replica).collect()
     }
 
-    fn call_plan(&self) -> ClientPlan {
-        let limit = self.plan.request_classes.iter().map(|verb| verb.time_limit).fold(0.0, f64::max);
-        let asking = |verb: &crate::plan::RequestClass| ClientRequestClass {
-            name: verb.name.clone(),
-            retry_safety: verb.retry_safety,
-            share: verb.share,
-            time_limit: to_duration(verb.time_limit),
+    fn client_plan(&self) -> ClientPlan {
+        let limit = self.plan.request_classes.iter().map(|class| class.time_limit).fold(0.0, f64::max);
+        let client_class = |class: &crate::plan::RequestClass| ClientRequestClass {
+            name: class.name.clone(),
+            retry_safety: class.retry_safety,
+            share: class.share,
+            time_limit: to_duration(class.time_limit),
         };
         ClientPlan {
             targets: self.tiers[0].sidecars.iter().map(|sidecar| sidecar.address).collect(),
-            request_classes: self.plan.request_classes.iter().map(asking).collect(),
+            request_classes: self.plan.request_classes.iter().map(client_class).collect(),
             tenants: self.plan.tenants.iter().map(|tenant| (tenant.name.clone(), tenant.share)).collect(),
-            connections: (self.plan.load.rate * limit).clamp(8.0, CONNECTIONS_MOST) as usize,
+            connections: (self.plan.load.rate * limit).clamp(8.0, MAX_CONNECTIONS) as usize,
             duration: to_duration(self.plan.seconds),
             seed: self.seed,
             id_prefix: "c".into(),
@@ -228,99 +241,101 @@
     }
 
     fn run(&mut self, show: &mut dyn FnMut(&SecondSummary)) -> Result<RunReport, String> {
-        let calls = self.call_plan();
-        let tally = Mutex::new(Statistics::new(to_duration(self.plan.settle), self.plan.tenants.len(), 0));
-        let (pace, stop) = (RequestRate::new(self.plan.load.rate), AtomicBool::new(false));
-        // Where copies die, what they held is lost: no decision of theirs.
+        let client_plan = self.client_plan();
+        let statistics =
+            Mutex::new(Statistics::new(to_duration(self.plan.settle), self.plan.tenants.len(), 0));
+        let (rate, stop) = (RequestRate::new(self.plan.load.rate), AtomicBool::new(false));
+        // Requests that a killed replica held are lost by the fault: they do not break a rule.
         let strict = !self
             .plan
             .faults
             .iter()
             .any(|f| matches!(f.kind, FaultKind::ReplicasRestarted | FaultKind::ZoneLost));
-        let (ledger, plan) = (self.ledger.clone(), self.plan.clone());
+        let (rule_checker, plan) = (self.rule_checker.clone(), self.plan.clone());
         self.began = Instant::now();
         let began = self.began;
-        let watch = || -> Box<dyn FnMut(&CompletedRequest) + '_> {
-            let (tally, ledger, plan) = (&tally, &ledger, &plan);
-            Box::new(move |done: &CompletedRequest| {
-                let mut tally = tally.lock().unwrap_or_else(PoisonError::into_inner);
-                note(&mut tally, ledger, plan, done, strict);
+        let observer = || -> Box<dyn FnMut(&CompletedRequest) + '_> {
+            let (statistics, rule_checker, plan) = (&statistics, &rule_checker, &plan);
+            Box::new(move |completed: &CompletedRequest| {
+                let mut statistics = statistics.lock().unwrap_or_else(PoisonError::into_inner);
+                record_request(&mut statistics, rule_checker, plan, completed, strict);
             })
         };
-        let driven = thread::scope(|scope| {
-            let callers = scope.spawn(|| run(&calls, &pace, &stop, began, &watch));
-            let driven = self.drive(&tally, &pace, show);
+        let finished = thread::scope(|scope| {
+            let clients = scope.spawn(|| run(&client_plan, &rate, &stop, began, &observer));
+            let finished = self.run_until_end(&statistics, &rate, show);
             stop.store(true, Ordering::Relaxed);
-            let joined = callers.join().map_err(|_| "a caller's thread has panicked".to_string());
-            driven.and(joined)
+            let joined = clients.join().map_err(|_| "a client thread panicked".to_string());
+            finished.and(joined)
         });
-        driven?;
-        let (breaches, counts) = self.ledger.results();
-        let tally = tally.into_inner().unwrap_or_else(PoisonError::into_inner);
-        let (mut totals, seconds, marks) = tally.finish();
-        // Stand-ins count what came to them over the whole run, the settling time included.
-        let taken = |server: &Arc<Server>| server.received_requests.load(Ordering::Relaxed);
-        totals.attempts = self.tiers[0].fleet.servers.iter().map(taken).sum();
-        let came: u64 = seconds.iter().map(|second| u64::from(second.arrived)).sum();
-        totals.attempts_per_request = totals.attempts as f64 / came.max(1) as f64;
+        finished?;
+        let (breaches, counts) = self.rule_checker.results();
+        let statistics = statistics.into_inner().unwrap_or_else(PoisonError::into_inner);
+        let (mut totals, seconds, ejections) = statistics.finish();
+        // The servers count the requests of the whole run, including the settling time.
+        let received = |server: &Arc<Server>| server.received_requests.load(Ordering::Relaxed);
+        totals.attempts = self.tiers[0].server_group.servers.iter().map(received).sum();
+        let arrived: u64 = seconds.iter().map(|second| u64::from(second.arrived)).sum();
+        totals.attempts_per_request = totals.attempts as f64 / arrived.max(1) as f64;
         Ok(RunReport {
             name: "landingspread on sockets".into(),
             totals,
             seconds,
-            ejections: marks,
+            ejections,
             breach_counts: counts,
             breaches: breaches.iter().map(ToString::to_string).collect(),
         })
     }
 
-    fn drive(
+    fn run_until_end(
         &mut self,
-        tally: &Mutex<Statistics>,
-        pace: &RequestRate,
+        statistics: &Mutex<Statistics>,
+        rate: &RequestRate,
         show: &mut dyn FnMut(&SecondSummary),
     ) -> Result<(), String> {
         let length = to_duration(self.plan.seconds);
         let mut second = 0;
         while self.began.elapsed() < length {
-            thread::sleep(TICK);
+            thread::sleep(CONTROL_INTERVAL);
             let now = self.began.elapsed();
-            self.faults(now, pace)?;
-            self.say_words(now);
-            self.restart_copies(now)?;
+            self.update_faults(now, rate)?;
+            self.publish_due_entries(now);
+            self.restart_replicas(now)?;
             for tier in &mut self.tiers {
-                let copies = tier.sidecars.iter_mut().enumerate();
-                let mut tally = tally.lock().unwrap_or_else(PoisonError::into_inner);
-                for (copy, sidecar) in copies {
+                let replicas = tier.sidecars.iter_mut().enumerate();
+                let mut statistics = statistics.lock().unwrap_or_else(PoisonError::into_inner);
+                for (replica, sidecar) in replicas {
                     for line in sidecar.new_log_lines() {
-                        note_mark(&mut tally, now, copy, &line);
+                        record_ejection(&mut statistics, now, replica, &line);
                     }
                 }
             }
             if now.as_secs() as usize > second {
                 let loads = self.loads();
-                let mut tally = tally.lock().unwrap_or_else(PoisonError::into_inner);
-                tally.end_second(now, &loads);
-                if let Some(of) = tally.last_second() {
+                let mut statistics = statistics.lock().unwrap_or_else(PoisonError::into_inner);
+                statistics.end_second(now, &loads);
+                if let Some(last_second) = statistics.last_second() {
                     show(&SecondSummary {
                         second,
-                        statistics: of,
-                        servers: self.standing(),
-                        faults: self.fault_names(),
+                        statistics: last_second,
+                        servers: self.server_states(),
+                        faults: self.fault_labels(),
                     });
                 }
                 second += 1;
-                drop(tally);
-                self.must_run()?;
+                drop(statistics);
+                self.check_running()?;
             }
         }
         Ok(())
     }
 
-    fn must_run(&mut self) -> Result<(), String> {
-        let away: Vec<usize> = self.away.iter().map(|(_, copy)| *copy).collect();
-        for (tier, built) in self.tiers.iter_mut().enumerate() {
-            for (copy, sidecar) in built.sidecars.iter_mut().enumerate() {
-                if tier > 0 || !away.contains(&copy) {
+    fn check_running(&mut self) -> Result<(), String> {
+        let stopped_replicas: Vec<usize> =
+            self.stopped_replicas.iter().map(|(_, replica)| *replica).collect();
+        for (tier, tier_state) in self.tiers.iter_mut().enumerate() {
+            for (replica, sidecar) in tier_state.sidecars.iter_mut().enumerate() {
+                if tier > 0 || !stopped_replicas.contains(&replica) {
                     sidecar.check_running()?;
                 }
             }
@@ -329,196 +344,209 @@
     }
 
     fn loads(&self) -> Vec<f64> {
-        self.tiers.iter().flat_map(|tier| tier.fleet.servers.iter().map(|server| server.load())).collect()
+        self.tiers
+            .iter()
+            .flat_map(|tier| tier.server_group.servers.iter().map(|server| server.load()))
+            .collect()
     }
 
-    fn standing(&self) -> Vec<(String, &'static str, f64)> {
-        let one = |server: &Arc<Server>| {
-            let serving = server.state();
-            let standing = match serving {
-                _ if serving.down => "down",
-                _ if serving.silent => "silent",
-                _ if serving.paused => "paused",
-                _ if serving.draining_since.is_some() => "drains",
-                _ if serving.error_fraction > 0.0 => "errors",
-                _ if serving.slowdown > 1.0 => "slow",
+    fn server_states(&self) -> Vec<(String, &'static str, f64)> {
+        let server_state = |server: &Arc<Server>| {
+            let state = server.state();
+            let label = match state {
+                _ if state.down => "down",
+                _ if state.silent => "silent",
+                _ if state.paused => "paused",
+                _ if state.draining_since.is_some() => "drains",
+                _ if state.error_fraction > 0.0 => "errors",
+                _ if state.slowdown > 1.0 => "slow",
                 _ => "up",
             };
-            (server.config.name.clone(), standing, server.load())
+            (server.config.name.clone(), label, server.load())
         };
-        self.tiers.iter().flat_map(|tier| tier.fleet.servers.iter().map(one)).collect()
+        self.tiers.iter().flat_map(|tier| tier.server_group.servers.iter().map(server_state)).collect()
     }
 
-    fn fault_names(&self) -> Vec<String> {
-        self.active.iter().map(|number| self.plan.faults[*number].label()).collect()
+    fn fault_labels(&self) -> Vec<String> {
+        self.active_faults.iter().map(|number| self.plan.faults[*number].label()).collect()
     }
 
-    fn faults(&mut self, now: Duration, pace: &RequestRate) -> Result<(), String> {
+    fn update_faults(&mut self, now: Duration, rate: &RequestRate) -> Result<(), String> {
         for (number, fault) in self.plan.clone().faults.iter().enumerate() {
-            let begun = self.active.contains(&number) || self.ended.contains(&number);
+            let begun = self.active_faults.contains(&number) || self.ended_faults.contains(&number);
             if !begun && now >= to_duration(fault.at) {
-                self.active.push(number);
-                self.begin(number, fault, now)?;
-                self.settle();
+                self.active_faults.push(number);
+                self.begin_fault(number, fault, now)?;
+                self.apply_faults();
             }
-            if self.active.contains(&number) && now >= to_duration(fault.at + fault.duration) {
-                self.active.retain(|active| *active != number);
-                self.ended.push(number);
-                self.finish(fault, now);
-                self.settle();
+            if self.active_faults.contains(&number) && now >= to_duration(fault.at + fault.duration) {
+                self.active_faults.retain(|active| *active != number);
+                self.ended_faults.push(number);
+                self.end_fault(fault, now);
+                self.apply_faults();
             }
         }
         let due: Vec<(usize, u32)> = self
-            .steps
+            .fault_steps
             .iter()
             .filter(|(at, _, _)| *at <= now)
             .map(|(_, number, step)| (*number, *step))
             .collect();
-        self.steps.retain(|(at, _, _)| *at > now);
-        due.into_iter().for_each(|(number, step)| self.step(number, step, now));
+        self.fault_steps.retain(|(at, _, _)| *at > now);
+        due.into_iter().for_each(|(number, step)| self.run_fault_step(number, step, now));
         let gone: Vec<(usize, usize)> = self
-            .leaving
+            .removals
             .iter()
             .filter(|(at, _, _)| *at <= now)
-            .map(|(_, tier, place)| (*tier, *place))
+            .map(|(_, tier, index)| (*tier, *index))
             .collect();
-        self.leaving.retain(|(at, _, _)| *at > now);
-        for (tier, place) in gone {
-            self.tiers[tier].fleet.servers[place].update_state(|serving| serving.down = true);
-            self.tell(tier, place, "gone", None, now);
+        self.removals.retain(|(at, _, _)| *at > now);
+        for (tier, index) in gone {
+            self.tiers[tier].server_group.servers[index].update_state(|state| state.down = true);
+            self.schedule_entry(tier, index, "gone", None, now);
         }
-        let surges = self.active.iter().map(|number| &self.plan.faults[*number]);
+        let surges = self.active_faults.iter().map(|number| &self.plan.faults[*number]);
         let factor: f64 = surges.filter(|f| f.kind == FaultKind::Surge).filter_map(|f| f.factor).product();
-        pace.set(self.plan.load.rate * factor);
+        rate.set(self.plan.load.rate * factor);
         Ok(())
     }
 
-    fn struck(&self, fault: &Fault) -> Vec<Arc<Server>> {
-        let servers = &self.tiers[fault.tier].fleet.servers;
-        fault.servers.iter().filter_map(|place| servers.get(*place).cloned()).collect()
+    fn affected_servers(&self, fault: &Fault) -> Vec<Arc<Server>> {
+        let servers = &self.tiers[fault.tier].server_group.servers;
+        fault.servers.iter().filter_map(|index| servers.get(*index).cloned()).collect()
     }
 
-    /// Queues what the list says of a server, for when the source tells it.
-    fn tell(
+    /// Schedules a change of a server's entry for the time when discovery publishes it.
+    fn schedule_entry(
         &mut self,
         tier: usize,
-        place: usize,
+        index: usize,
         state: &'static str,
         started: Option<SystemTime>,
         now: Duration,
     ) {
-        let late = self.active.iter().map(|number| &self.plan.faults[*number]);
-        let late: f64 = late
+        let active_faults = self.active_faults.iter().map(|number| &self.plan.faults[*number]);
+        let added_delay: f64 = active_faults
             .filter(|fault| fault.kind == FaultKind::ListLate && fault.tier == tier)
             .filter_map(|fault| fault.seconds)
             .sum();
-        let server = self.tiers[tier].fleet.servers[place].clone();
-        let mut entry = self.entry(tier, place, &server, state, started);
+        let server = self.tiers[tier].server_group.servers[index].clone();
+        let mut entry = self.entry(tier, index, &server, state, started);
         if started.is_none()
-            && let Some(known) = self.tiers[tier].discovery.entry(&entry.id)
+            && let Some(listed) = self.tiers[tier].discovery.entry(&entry.id)
         {
-            entry.started = known.started;
+            entry.started = listed.started;
         }
-        self.words.push((now + to_duration(self.plan.discovery.delay + late), tier, entry));
+        self.pending_entries.push((now + to_duration(self.plan.discovery.delay + added_delay), tier, entry));
     }
 
-    fn say_words(&mut self, now: Duration) {
-        let (due, later): (Vec<_>, Vec<_>) = self.words.drain(..).partition(|(at, _, _)| *at <= now);
-        self.words = later;
+    fn publish_due_entries(&mut self, now: Duration) {
+        let (due, later): (Vec<_>, Vec<_>) =
+            self.pending_entries.drain(..).partition(|(at, _, _)| *at <= now);
+        self.pending_entries = later;
         for (_, tier, entry) in due {
             self.tiers[tier].discovery.publish(entry);
         }
     }
 
-    /// Makes each server do what the active faults say: those overlap, so it is reckoned anew.
-    fn settle(&mut self) {
-        let faults: Vec<Fault> = self.active.iter().map(|number| self.plan.faults[*number].clone()).collect();
-        for (tier, built) in self.tiers.iter().enumerate() {
-            for (place, server) in built.fleet.servers.iter().enumerate() {
-                let mine = |fault: &&Fault| fault.tier == tier && fault.servers.contains(&place);
-                let of = |kind: FaultKind| faults.iter().filter(mine).find(move |fault| fault.kind == kind);
-                let all = |kind: FaultKind| {
+    /// Sets the state of each server and discovery from all active faults, as faults overlap.
+    fn apply_faults(&mut self) {
+        let faults: Vec<Fault> =
+            self.active_faults.iter().map(|number| self.plan.faults[*number].clone()).collect();
+        for (tier, tier_state) in self.tiers.iter().enumerate() {
+            for (index, server) in tier_state.server_group.servers.iter().enumerate() {
+                let affects_server = |fault: &&Fault| fault.tier == tier && fault.servers.contains(&index);
+                let server_fault = |kind: FaultKind| {
+                    faults.iter().filter(affects_server).find(move |fault| fault.kind == kind)
+                };
+                let tier_fault = |kind: FaultKind| {
                     faults.iter().find(move |fault| fault.kind == kind && fault.tier == tier)
                 };
-                let slow = of(FaultKind::Slow).and_then(|fault| fault.factor).unwrap_or(1.0);
-                let shared = all(FaultKind::SharedSlowness).and_then(|fault| fault.factor).unwrap_or(1.0);
-                server.update_state(|serving| {
-                    serving.slowdown = slow * shared;
-                    serving.error_fraction =
-                        of(FaultKind::Errors).and_then(|fault| fault.share).unwrap_or(0.0);
-                    serving.error_class = of(FaultKind::Errors).and_then(|fault| fault.request_class.clone());
-                    serving.heavy_factor =
-                        all(FaultKind::Heavy).and_then(|fault| fault.factor).unwrap_or(1.0);
-                    serving.heavy_fraction =
-                        all(FaultKind::Heavy).map_or(0.0, |fault| fault.share.unwrap_or(1.0));
-                    serving.paused = of(FaultKind::Pause).is_some();
-                    serving.false_load = of(FaultKind::FalseLoadReports).and_then(|fault| fault.false_load);
+                let slow = server_fault(FaultKind::Slow).and_then(|fault| fault.factor).unwrap_or(1.0);
+                let shared =
+                    tier_fault(FaultKind::SharedSlowness).and_then(|fault| fault.factor).unwrap_or(1.0);
+                server.update_state(|state| {
+                    state.slowdown = slow * shared;
+                    state.error_fraction =
+                        server_fault(FaultKind::Errors).and_then(|fault| fault.share).unwrap_or(0.0);
+                    state.error_class =
+                        server_fault(FaultKind::Errors).and_then(|fault| fault.request_class.clone());
+                    state.heavy_factor =
+                        tier_fault(FaultKind::Heavy).and_then(|fault| fault.factor).unwrap_or(1.0);
+                    state.heavy_fraction =
+                        tier_fault(FaultKind::Heavy).map_or(0.0, |fault| fault.share.unwrap_or(1.0));
+                    state.paused = server_fault(FaultKind::Pause).is_some();
+                    state.false_load =
+                        server_fault(FaultKind::FalseLoadReports).and_then(|fault| fault.false_load);
                 });
             }
         }
-        for (tier, built) in self.tiers.iter().enumerate() {
+        for (tier, tier_state) in self.tiers.iter().enumerate() {
             let has = |kind: FaultKind| faults.iter().any(|fault| fault.kind == kind && fault.tier == tier);
-            let trouble = match () {
+            let discovery_fault = match () {
                 () if has(FaultKind::ListDown) => DiscoveryFault::Down,
                 () if has(FaultKind::ListEmpty) => DiscoveryFault::Empty,
                 () if has(FaultKind::ListStale) => DiscoveryFault::Stale,
                 () => DiscoveryFault::None,
             };
-            built.discovery.set_fault_if_changed(trouble);
+            tier_state.discovery.set_fault_if_changed(discovery_fault);
         }
     }
 
-    fn begin(&mut self, number: usize, fault: &Fault, now: Duration) -> Result<(), String> {
-        let notice = to_duration(self.plan.discovery.removal_delay);
+    fn begin_fault(&mut self, number: usize, fault: &Fault, now: Duration) -> Result<(), String> {
+        let removal_delay = to_duration(self.plan.discovery.removal_delay);
         match fault.kind {
             FaultKind::Crash | FaultKind::Vanish => {
-                for (server, place) in self.struck(fault).into_iter().zip(&fault.servers) {
-                    server.update_state(|serving| match fault.kind {
-                        FaultKind::Crash => serving.down = true,
-                        _ => serving.silent = true,
+                for (server, index) in self.affected_servers(fault).into_iter().zip(&fault.servers) {
+                    server.update_state(|state| match fault.kind {
+                        FaultKind::Crash => state.down = true,
+                        _ => state.silent = true,
                     });
-                    // A short absence is over before the list notices it.
+                    // Discovery does not notice an absence that is shorter than its removal delay.
                     if fault.duration > self.plan.discovery.removal_delay {
-                        self.tell(fault.tier, *place, "gone", None, now + notice);
+                        self.schedule_entry(fault.tier, *index, "gone", None, now + removal_delay);
                     }
                 }
             }
             FaultKind::HalfOpen => {
-                let forget =
-                    |serving: &mut super::fleet::ServerState| serving.half_open_before = Some(Instant::now());
-                self.struck(fault).iter().for_each(|server| server.update_state(forget));
+                let mark_half_open =
+                    |state: &mut super::fleet::ServerState| state.half_open_before = Some(Instant::now());
+                self.affected_servers(fault).iter().for_each(|server| server.update_state(mark_half_open));
             }
-            FaultKind::Grow => self.grow(fault, now)?,
+            FaultKind::Grow => self.add_new_servers(fault, now)?,
             FaultKind::Shrink => {
-                for (server, place) in self.struck(fault).into_iter().zip(&fault.servers) {
-                    self.tell(fault.tier, *place, "draining", None, now);
-                    server.update_state(|serving| serving.draining_since = Some(Instant::now()));
-                    self.leaving.push((
+                for (server, index) in self.affected_servers(fault).into_iter().zip(&fault.servers) {
+                    self.schedule_entry(fault.tier, *index, "draining", None, now);
+                    server.update_state(|state| state.draining_since = Some(Instant::now()));
+                    self.removals.push((
                         now + to_duration(self.plan.discovery.drain_time),
                         fault.tier,
-                        *place,
+                        *index,
                     ));
                 }
             }
-            FaultKind::ListFlapping | FaultKind::ReplicasRestarted => self.steps.push((now, number, 0)),
+            FaultKind::ListFlapping | FaultKind::ReplicasRestarted => self.fault_steps.push((now, number, 0)),
             FaultKind::ZoneLost => self.lose_zone(fault, now),
             _ => {}
         }
         Ok(())
     }
 
-    fn finish(&mut self, fault: &Fault, now: Duration) {
+    fn end_fault(&mut self, fault: &Fault, now: Duration) {
         match fault.kind {
             FaultKind::Crash | FaultKind::Vanish => {
-                fault.servers.iter().for_each(|place| self.start_server(fault.tier, *place, now));
+                fault.servers.iter().for_each(|index| self.start_server(fault.tier, *index, now));
             }
             FaultKind::ListFlapping => {
-                fault.servers.iter().for_each(|place| self.tell(fault.tier, *place, "ready", None, now));
+                fault
+                    .servers
+                    .iter()
+                    .for_each(|index| self.schedule_entry(fault.tier, *index, "ready", None, now));
             }
             FaultKind::ZoneLost => {
                 for tier in 0..self.tiers.len() {
-                    for place in self.places_in(tier, fault) {
-                        self.start_server(tier, place, now);
+                    for index in self.servers_in_zone(tier, fault) {
+                        self.start_server(tier, index, now);
                     }
                 }
             }
@@ -526,79 +554,89 @@
         }
     }
 
-    /// It comes back cold, as a process that has just started.
-    fn start_server(&mut self, tier: usize, place: usize, now: Duration) {
-        let server = self.tiers[tier].fleet.servers[place].clone();
-        server.update_state(|serving| {
-            (serving.down, serving.silent, serving.cold_since) = (false, false, Some(Instant::now()));
+    /// Starts a server again; it is cold, as a new process.
+    fn start_server(&mut self, tier: usize, index: usize, now: Duration) {
+        let server = self.tiers[tier].server_group.servers[index].clone();
+        server.update_state(|state| {
+            (state.down, state.silent, state.cold_since) = (false, false, Some(Instant::now()));
         });
-        // What it said of its end is overtaken.
+        // Scheduled entries about the previous process are outdated.
         let name = server.config.name.clone();
-        self.words.retain(|(_, _, entry)| entry.id != name);
-        self.tell(tier, place, "ready", Some(SystemTime::now()), now);
+        self.pending_entries.retain(|(_, _, entry)| entry.id != name);
+        self.schedule_entry(tier, index, "ready", Some(SystemTime::now()), now);
     }
 
-    fn grow(&mut self, fault: &Fault, now: Duration) -> Result<(), String> {
+    fn add_new_servers(&mut self, fault: &Fault, now: Duration) -> Result<(), String> {
         for _ in 0..fault.count.unwrap_or(0) {
-            let place = self.tiers[fault.tier].fleet.servers.len();
-            let behind = self.tiers.get(fault.tier + 1).and_then(|next| {
-                (!next.sidecars.is_empty()).then(|| next.sidecars[place % next.sidecars.len()].address)
+            let index = self.tiers[fault.tier].server_group.servers.len();
+            let next_tier = self.tiers.get(fault.tier + 1).and_then(|next| {
+                (!next.sidecars.is_empty()).then(|| next.sidecars[index % next.sidecars.len()].address)
             });
             let mut tier = self.tiers.remove(fault.tier);
-            let added = self.add_server(&mut tier, fault.tier, place, behind);
+            let added = self.add_server(&mut tier, fault.tier, index, next_tier);
             self.tiers.insert(fault.tier, tier);
-            added?.update_state(|serving| serving.cold_since = Some(Instant::now()));
-            self.tell(fault.tier, place, "ready", Some(SystemTime::now()), now);
+            added?.update_state(|state| state.cold_since = Some(Instant::now()));
+            self.schedule_entry(fault.tier, index, "ready", Some(SystemTime::now()), now);
         }
         Ok(())
     }
 
-    fn places_in(&self, tier: usize, fault: &Fault) -> Vec<usize> {
+    fn servers_in_zone(&self, tier: usize, fault: &Fault) -> Vec<usize> {
         let zone = self.plan.zones.iter().position(|zone| Some(zone) == fault.zone.as_ref());
-        let count = self.tiers[tier].fleet.servers.len();
-        (0..count).filter(|place| Some(place % self.plan.zones.len()) == zone).collect()
+        let count = self.tiers[tier].server_group.servers.len();
+        (0..count).filter(|index| Some(index % self.plan.zones.len()) == zone).collect()
     }
 
     fn lose_zone(&mut self, fault: &Fault, now: Duration) {
         for tier in 0..self.tiers.len() {
-            for place in self.places_in(tier, fault) {
-                self.tiers[tier].fleet.servers[place].update_state(|serving| serving.silent = true);
-                self.tell(tier, place, "gone", None, now + to_duration(self.plan.discovery.removal_delay));
+            for index in self.servers_in_zone(tier, fault) {
+                self.tiers[tier].server_group.servers[index].update_state(|state| state.silent = true);
+                self.schedule_entry(
+                    tier,
+                    index,
+                    "gone",
+                    None,
+                    now + to_duration(self.plan.discovery.removal_delay),
+                );
             }
         }
         let zone = self.plan.zones.iter().position(|zone| Some(zone) == fault.zone.as_ref());
-        for copy in 0..self.tiers[0].sidecars.len() {
-            if Some(copy % self.plan.zones.len()) == zone {
-                self.tiers[0].sidecars[copy].kill();
-                self.away.push((to_duration(fault.at + fault.duration), copy));
+        for replica in 0..self.tiers[0].sidecars.len() {
+            if Some(replica % self.plan.zones.len()) == zone {
+                self.tiers[0].sidecars[replica].kill();
+                self.stopped_replicas.push((to_duration(fault.at + fault.duration), replica));
             }
         }
     }
 
-    fn step(&mut self, number: usize, step: u32, now: Duration) {
+    fn run_fault_step(&mut self, number: usize, step: u32, now: Duration) {
         let fault = self.plan.faults[number].clone();
         let every = to_duration(fault.seconds.unwrap_or(1.0));
         match fault.kind {
-            FaultKind::ListFlapping if self.active.contains(&number) => {
+            FaultKind::ListFlapping if self.active_faults.contains(&number) => {
                 let state = if step.is_multiple_of(2) { "draining" } else { "ready" };
-                fault.servers.iter().for_each(|place| self.tell(fault.tier, *place, state, None, now));
+                fault
+                    .servers
+                    .iter()
+                    .for_each(|index| self.schedule_entry(fault.tier, *index, state, None, now));
             }
             FaultKind::ReplicasRestarted if (step as usize) < self.plan.affected_replicas(&fault) => {
                 self.tiers[0].sidecars[step as usize].kill();
-                self.away.push((now + Duration::from_secs(1), step as usize));
+                self.stopped_replicas.push((now + Duration::from_secs(1), step as usize));
             }
             _ => return,
         }
-        self.steps.push((now + every, number, step + 1));
+        self.fault_steps.push((now + every, number, step + 1));
     }
 
-    fn restart_copies(&mut self, now: Duration) -> Result<(), String> {
-        let due: Vec<usize> = self.away.iter().filter(|(at, _)| *at <= now).map(|(_, copy)| *copy).collect();
-        self.away.retain(|(at, _)| *at > now);
-        due.into_iter().try_for_each(|copy| self.tiers[0].sidecars[copy].restart())
+    fn restart_replicas(&mut self, now: Duration) -> Result<(), String> {
+        let due: Vec<usize> =
+            self.stopped_replicas.iter().filter(|(at, _)| *at <= now).map(|(_, replica)| *replica).collect();
+        self.stopped_replicas.retain(|(at, _)| *at > now);
+        due.into_iter().try_for_each(|replica| self.tiers[0].sidecars[replica].restart())
     }
 
-    fn end(&mut self) {
+    fn stop(&mut self) {
         self.tiers.iter_mut().for_each(|tier| {
             tier.sidecars.clear();
             tier.discovery.stop();
@@ -606,39 +644,40 @@
     }
 }
 
-fn note(
-    tally: &mut Statistics,
-    ledger: &RuleChecker,
+/// Records a finished request in the statistics and with the rule checker. Lost requests break a rule if `strict`.
+fn record_request(
+    statistics: &mut Statistics,
+    rule_checker: &RuleChecker,
     plan: &Scenario,
-    done: &CompletedRequest,
+    completed: &CompletedRequest,
     strict: bool,
 ) {
-    let verb = &plan.request_classes[done.request_class];
-    tally.record_arrival(done.intended, verb.utility, done.tenant);
-    tally.record_final_outcome(done.ended, done.intended, done.outcome);
-    let took = done.ended.saturating_sub(done.intended).as_secs_f64();
-    if done.outcome == FinalOutcome::Answered {
-        let earned = if took <= verb.latency_objective { verb.utility } else { verb.late_utility };
-        tally.record_utility(done.ended, done.intended, earned, done.tenant);
+    let class = &plan.request_classes[completed.request_class];
+    statistics.record_arrival(completed.intended, class.utility, completed.tenant);
+    statistics.record_final_outcome(completed.ended, completed.intended, completed.outcome);
+    let latency = completed.ended.saturating_sub(completed.intended).as_secs_f64();
+    if completed.outcome == FinalOutcome::Answered {
+        let earned = if latency <= class.latency_objective { class.utility } else { class.late_utility };
+        statistics.record_utility(completed.ended, completed.intended, earned, completed.tenant);
     }
-    if done.outcome == FinalOutcome::Declined {
-        ledger.request_declined(done.request_id, verb.retry_safety);
+    if completed.outcome == FinalOutcome::Declined {
+        rule_checker.request_declined(completed.request_id, class.retry_safety);
     }
-    if let Some(why) = done.lost_reason.filter(|_| strict) {
-        ledger.missing_response(done.request_id, why);
+    if let Some(why) = completed.lost_reason.filter(|_| strict) {
+        rule_checker.missing_response(completed.request_id, why);
     }
 }
 
-/// Notes the ejections and returns in the sidecars' logs.
-fn note_mark(tally: &mut Statistics, now: Duration, copy: usize, line: &str) {
+/// Records an ejection or return that a log line of a sidecar reports.
+fn record_ejection(statistics: &mut Statistics, now: Duration, replica: usize, line: &str) {
     if let Some(note) = ejection_note(line) {
-        tally.record_note(now, copy, &note);
+        statistics.record_note(now, replica, &note);
     }
 }
 
-/// A folder for a run's files, made anew.
+/// Creates a directory for a run's files in the system's directory for temporary files.
 pub fn run_dir(name: &str) -> Result<PathBuf, String> {
     let dir = std::env::temp_dir().join(format!("landingspread-lab-{name}-{}", std::process::id()));
-    std::fs::create_dir_all(&dir).map_err(|wrong| format!("{}: {wrong}", dir.display()))?;
+    std::fs::create_dir_all(&dir).map_err(|error| format!("{}: {error}", dir.display()))?;
     Ok(dir)
 }
--- a/crates/lab/src/sockets/scripted.rs
+++ b/crates/lab/src/sockets/scripted.rs
@@ -1,5 +1,5 @@
-//! A stand-in server that does one thing to each command, by script: for tests that cause a single fault and look at
-//! what comes of it. `fleet.rs` has the servers that behave as ones do.
+//! A test server with one scripted behavior for all requests, for tests that cause a single fault and check its effect.
+//! `fleet.rs` has servers with cores, queues and processing times.
 
 use super::message::{HttpMessage, Peer, response_bytes};
 use super::ports::bind_loopback;
@@ -10,29 +10,33 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What it does with a command.
+/// What the server does with each request.
 #[derive(Clone, Copy, Debug)]
 pub enum ScriptedBehavior {
-    /// Answers with the command's id in `X-Kept` and `ok:` before its body.
+    /// Responds with status 200, with the request id in `X-Kept` and `ok:` before the request's body.
     Respond,
+    /// Responds and closes the connection.
     RespondAndClose,
-    /// Answers after so many milliseconds, or notes that the other side has gone.
+    /// Responds after this many milliseconds, or records that the client has left before.
     RespondAfterMs(u64),
+    /// Closes the connection without a response.
     Disconnect,
-    /// Answers, and says that it holds so many commands when its load is asked for.
+    /// Responds, and reports this many requests in flight when its load is queried.
     ReportInFlight(u32),
+    /// Responds with status 500.
     Fail,
+    /// Responds with status 503 and a header that says that the request never ran.
     Reject,
-    /// Answers, but lets go without a word of a connection that was idle for so many milliseconds.
+    /// Responds, but closes the connection at a request that comes after more than this many idle milliseconds.
     CloseAfterIdleMs(u64),
-    /// Answers, and a little later once more.
+    /// Responds, and sends the same response again 1 ms later.
     RespondTwice,
-    /// One of the others for each command, by chance that goes by the command's id and this.
+    /// Chooses another behavior for each request, by a hash of this seed and the request id.
     Random(u64),
 }
 
 impl ScriptedBehavior {
-    /// What it comes to for one command.
+    /// The behavior for one request, with `Random` replaced by its choice.
     pub fn resolve(self, request: &HttpMessage) -> ScriptedBehavior {
         let ScriptedBehavior::Random(seed) = self else { return self };
         let mut hasher = DefaultHasher::new();
@@ -49,92 +53,95 @@
     }
 }
 
-/// What it has seen.
+/// What the server has received, without health checks and load queries.
 #[derive(Debug, Default)]
 pub struct ServerRecord {
     pub requests: Vec<HttpMessage>,
+    /// Connections accepted, including those of health checks.
     pub connections: usize,
-    /// Commands whose caller left while they waited.
+    /// Requests whose client left before the delayed response.
     pub cancelled: usize,
 }
 
+/// A running test server; its thread ends with the process.
 pub struct ScriptedServer {
     pub address: SocketAddr,
-    seen: Arc<Mutex<ServerRecord>>,
+    record: Arc<Mutex<ServerRecord>>,
 }
 
-fn locked(seen: &Mutex<ServerRecord>) -> MutexGuard<'_, ServerRecord> {
-    seen.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(record: &Mutex<ServerRecord>) -> MutexGuard<'_, ServerRecord> {
+    record.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl ScriptedServer {
-    pub fn start(does: ScriptedBehavior) -> io::Result<ScriptedServer> {
+    pub fn start(behavior: ScriptedBehavior) -> io::Result<ScriptedServer> {
         let listener = bind_loopback()?;
         let address = listener.local_addr()?;
-        let seen = Arc::<Mutex<ServerRecord>>::default();
-        let shared = seen.clone();
+        let record = Arc::<Mutex<ServerRecord>>::default();
+        let shared = record.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let seen = shared.clone();
-                thread::spawn(move || talk(stream, does, &seen));
+                let record = shared.clone();
+                thread::spawn(move || serve_connection(stream, behavior, &record));
             }
         });
-        Ok(ScriptedServer { address, seen })
+        Ok(ScriptedServer { address, record })
     }
 
     pub fn record(&self) -> MutexGuard<'_, ServerRecord> {
-        locked(&self.seen)
+        lock(&self.record)
     }
 
-    /// Commands that came whole.
+    /// Number of complete requests received, without health checks and load queries.
     pub fn request_count(&self) -> usize {
         self.record().requests.len()
     }
 }
 
-fn talk(stream: TcpStream, does: ScriptedBehavior, seen: &Mutex<ServerRecord>) {
-    locked(seen).connections += 1;
+fn serve_connection(stream: TcpStream, behavior: ScriptedBehavior, record: &Mutex<ServerRecord>) {
+    lock(record).connections += 1;
     let mut peer = Peer::new(stream);
     let mut answered = Instant::now();
-    while let Ok(Some(heard)) = peer.read_request() {
+    while let Ok(Some(request)) = peer.read_request() {
         let idle = answered.elapsed();
-        if matches!(does, ScriptedBehavior::CloseAfterIdleMs(most) if idle > Duration::from_millis(most)) {
+        if matches!(behavior, ScriptedBehavior::CloseAfterIdleMs(limit_ms) if idle > Duration::from_millis(limit_ms))
+        {
             return;
         }
-        let checked = matches!(heard.path(), "/ping" | "/_load");
-        let does = if checked && !matches!(does, ScriptedBehavior::ReportInFlight(_)) {
+        let is_health_check = matches!(request.path(), "/ping" | "/_load");
+        let behavior = if is_health_check && !matches!(behavior, ScriptedBehavior::ReportInFlight(_)) {
             ScriptedBehavior::Respond
         } else {
-            does.resolve(&heard)
+            behavior.resolve(&request)
         };
-        let bytes = word(does, &heard, &mut peer, seen, checked);
+        let bytes = respond(behavior, &request, &mut peer, record, is_health_check);
         let Some(bytes) = bytes else { return };
-        if peer.write(&bytes).is_err() || matches!(does, ScriptedBehavior::RespondAndClose) {
+        if peer.write(&bytes).is_err() || matches!(behavior, ScriptedBehavior::RespondAndClose) {
             return;
         }
         answered = Instant::now();
     }
 }
 
-/// None where the connection ends instead.
-fn word(
-    does: ScriptedBehavior,
-    heard: &HttpMessage,
+/// The response to a request; None if the connection is closed instead.
+fn respond(
+    behavior: ScriptedBehavior,
+    request: &HttpMessage,
     peer: &mut Peer,
-    seen: &Mutex<ServerRecord>,
-    checked: bool,
+    record: &Mutex<ServerRecord>,
+    is_health_check: bool,
 ) -> Option<Vec<u8>> {
-    if !checked {
-        locked(seen).requests.push(heard.clone());
+    if !is_health_check {
+        lock(record).requests.push(request.clone());
     }
-    let kept = format!("X-Kept: {}\r\n", heard.header("x-trace-id").unwrap_or(""));
-    let ok = match does {
-        ScriptedBehavior::ReportInFlight(held) if checked => {
-            response_bytes(200, "", format!("TEXT inflight={held}").as_bytes())
+    let id_header = format!("X-Kept: {}\r\n", request.header("x-trace-id").unwrap_or(""));
+    let ok = match behavior {
+        ScriptedBehavior::ReportInFlight(in_flight) if is_health_check => {
+            response_bytes(200, "", format!("TEXT inflight={in_flight}").as_bytes())
         }
-        _ => response_bytes(200, &kept, &[b"ok:", &heard.body[..]].concat()),
+        _ => response_bytes(200, &id_header, &[b"ok:", &request.body[..]].concat()),
     };
-    match does {
+    match behavior {
         ScriptedBehavior::Respond
         | ScriptedBehavior::RespondAndClose
         | ScriptedBehavior::ReportInFlight(_)
@@ -149,8 +156,8 @@
         ScriptedBehavior::Fail => Some(response_bytes(500, "", b"")),
         ScriptedBehavior::Reject => Some(response_bytes(503, "X-Never-Ran: 1\r\n", b"")),
         ScriptedBehavior::RespondAfterMs(span) => {
-            if left_within(peer, Duration::from_millis(span)) {
-                locked(seen).cancelled += 1;
+            if closes_within(peer, Duration::from_millis(span)) {
+                lock(record).cancelled += 1;
                 return None;
             }
             Some(ok)
@@ -158,15 +165,15 @@
     }
 }
 
-/// Whether the other side leaves within a span.
-fn left_within(peer: &mut Peer, span: Duration) -> bool {
+/// Whether the other side closes the connection within this span.
+fn closes_within(peer: &mut Peer, span: Duration) -> bool {
     peer.set_read_timeout(Some(span));
-    let left = loop {
+    let closed = loop {
         match peer.stream.peek(&mut [0]) {
-            Err(wrong) if wrong.kind() == ErrorKind::Interrupted => {}
-            looked => break matches!(looked, Ok(0)),
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            peeked => break matches!(peeked, Ok(0)),
         }
     };
     peer.set_read_timeout(None);
-    left
+    closed
 }
--- a/crates/lab/src/sockets/settings.rs
+++ b/crates/lab/src/sockets/settings.rs
@@ -1,10 +1,10 @@
-//! A scenario as the configuration of a real sidecar, in the platform's form.
+//! The configuration of a real sidecar for a scenario, in the platform's form.
 
 use crate::plan::{RequestClass, RetrySafety, Scenario};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// What one sidecar is told beside the scenario.
+/// Parameters of one sidecar's configuration that are not part of the scenario.
 pub struct SidecarParameters<'a> {
     pub name: &'a str,
     pub listen: SocketAddr,
@@ -23,36 +23,39 @@
     (seconds * 1e6).round() as u64
 }
 
-fn verb(verb: &RequestClass) -> Value {
-    let (effect, scope) = match verb.retry_safety {
+fn request_class_settings(class: &RequestClass) -> Value {
+    let (effect, scope) = match class.retry_safety {
         RetrySafety::Idempotent => ("idempotent", "all"),
         RetrySafety::KeyedEverywhere => ("deduplicated", "all"),
         RetrySafety::KeyedInZone => ("deduplicated", "zone"),
         RetrySafety::KeyedInCell => ("deduplicated", "cell"),
         RetrySafety::NonIdempotent => ("at_most_once", "all"),
     };
-    json!({"Name": verb.name, "Effect": effect, "KeyScope": scope, "MemorySpan": micros(verb.dedup_window),
-        "TimeLimit": micros(verb.time_limit), "ResponseGoal": micros(verb.latency_objective), "Utility": verb.utility,
-        "OverdueUtility": verb.late_utility})
+    json!({"Name": class.name, "Effect": effect, "KeyScope": scope, "MemorySpan": micros(class.dedup_window),
+        "TimeLimit": micros(class.time_limit), "ResponseGoal": micros(class.latency_objective), "Utility": class.utility,
+        "OverdueUtility": class.late_utility})
 }
 
-pub fn sidecar_config(plan: &Scenario, told: &SidecarParameters) -> Value {
-    let (rules, tier) = (&plan.rules, &plan.tiers[told.tier]);
-    let all: f64 = plan.tenants.iter().map(|tenant| tenant.share).sum();
+/// The configuration of one sidecar of this scenario.
+pub fn sidecar_config(plan: &Scenario, parameters: &SidecarParameters) -> Value {
+    let (rules, tier) = (&plan.rules, &plan.tiers[parameters.tier]);
+    let total_share: f64 = plan.tenants.iter().map(|tenant| tenant.share).sum();
     let tenants = plan.tenants.iter().map(|tenant| {
-        let mut value = json!({"Name": tenant.name, "Share": tenant.share / all.max(1e-9)});
+        let mut value = json!({"Name": tenant.name, "Share": tenant.share / total_share.max(1e-9)});
         if let Some(quota) = tenant.quota {
             value["QuotaRps"] = json!(quota);
         }
         value
     });
-    json!({"name": told.name, "listen": told.listen.to_string(), "discovery": told.discovery.to_string(),
-        "seed": format!("{:x}", told.seed),
-        "limits": {"cores": 1.0, "memory_mb": told.memory_mb, "sockets": told.sockets}, "known": told.initial_endpoints,
-        "settings": {"Balancers": told.replicas, "Ordinal": told.ordinal, "Discovery": "automatic",
-            "Localities": plan.zones, "MyZone": told.zone, "Tier": told.tier, "Resolution": 1000,
+    json!({"name": parameters.name, "listen": parameters.listen.to_string(),
+        "discovery": parameters.discovery.to_string(),
+        "seed": format!("{:x}", parameters.seed),
+        "limits": {"cores": 1.0, "memory_mb": parameters.memory_mb, "sockets": parameters.sockets},
+        "known": parameters.initial_endpoints,
+        "settings": {"Balancers": parameters.replicas, "Ordinal": parameters.ordinal, "Discovery": "automatic",
+            "Localities": plan.zones, "MyZone": parameters.zone, "Tier": parameters.tier, "Resolution": 1000,
             "BeyondShareUtility": rules.over_quota_value,
-            "Verbs": plan.request_classes.iter().map(verb).collect::<Vec<_>>(),
+            "Verbs": plan.request_classes.iter().map(request_class_settings).collect::<Vec<_>>(),
             "Tenants": tenants.collect::<Vec<_>>(),
             "Costs": {"CrossZone": rules.cross_zone_cost},
             "PolicyLimits": {"MayCancel": rules.cancellation, "Probes": tier.health_checks, "MostRelays": rules.max_attempts,
--- a/crates/lab/src/sockets/watches.rs
+++ b/crates/lab/src/sockets/watches.rs
@@ -1,5 +1,5 @@
-//! The stand-in list source for many watches: one thread, one list, any number of connections. It owns what was sent on
-//! them and how much processor time that took; `discovery.rs` has the one with troubles, for few.
+//! A test discovery for many watches: one thread serves one endpoint list to any number of connections. Owns the counts
+//! of requests and bytes and the thread's processor time. `discovery.rs` has a discovery with faults, for few watches.
 
 use super::discovery::Entry;
 use super::message::response_bytes;
@@ -13,28 +13,29 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
+/// The poller's key of the listener; connections have the keys from 0 on.
 const LISTENER: usize = usize::MAX - 1;
-const WAIT_MOST: Duration = Duration::from_secs(60);
-/// A call is shorter than this; a longer one is given up.
-const CALL_MOST: usize = 8 << 10;
+/// The longest wait of a watch; longer requested waits are shortened to it.
+const MAX_WAIT: Duration = Duration::from_secs(60);
+/// A connection that sends a longer request head is closed.
+const MAX_REQUEST_BYTES: usize = 8 << 10;
 
 #[derive(Default)]
 struct EndpointList {
     generation: u64,
-    /// Every entry as it is sent, by the generation that it has.
+    /// By server id: the generation of the entry's last change, and the entry as JSON text.
     entries: BTreeMap<String, (u64, String)>,
 }
 
-/// What was counted since the start.
+/// Totals since the start; `open_connections` is the current number.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WatchCounts {
     pub requests: u64,
     pub responses: u64,
     pub bytes_in: u64,
     pub bytes_out: u64,
-    /// Connections that are open now.
     pub open_connections: u64,
-    /// Nanoseconds of processor time of its thread; 0 where the system does not tell.
+    /// Processor time of the serving thread, in nanoseconds; 0 if the system does not report it.
     pub cpu_ns: u64,
 }
 
@@ -48,14 +49,15 @@
 }
 
 struct Shared {
-    book: Mutex<EndpointList>,
+    list: Mutex<EndpointList>,
     poller: Poller,
     counters: Counters,
-    over: AtomicBool,
-    /// Where the system tells of the thread.
-    task: OnceLock<std::path::PathBuf>,
+    stopped: AtomicBool,
+    /// Directory of the serving thread in `/proc`.
+    thread_dir: OnceLock<std::path::PathBuf>,
 }
 
+/// A discovery server for watches of one endpoint list. Dropping it stops its thread.
 pub struct WatchServer {
     pub address: SocketAddr,
     shared: Arc<Shared>,
@@ -64,10 +66,10 @@
 
 struct Conn {
     stream: TcpStream,
-    came: Vec<u8>,
-    goes: Vec<u8>,
-    /// What it knows, and until when it waits for more.
-    waits: Option<(u64, Instant)>,
+    received: Vec<u8>,
+    unsent: Vec<u8>,
+    /// For a waiting watch: the generation that its client has, and the end of the wait.
+    watch: Option<(u64, Instant)>,
 }
 
 impl WatchServer {
@@ -76,65 +78,75 @@
         listener.set_nonblocking(true)?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
-            book: Mutex::default(),
+            list: Mutex::default(),
             poller: Poller::new()?,
             counters: Counters::default(),
-            over: AtomicBool::new(false),
-            task: OnceLock::new(),
+            stopped: AtomicBool::new(false),
+            thread_dir: OnceLock::new(),
         });
-        // SAFETY: the thread that polls owns the listener and takes it off before it is closed.
+        // SAFETY: the polling thread owns the listener and removes it from the poller before closing it.
         unsafe { shared.poller.add(&listener, Event::readable(LISTENER))? };
-        let own = shared.clone();
+        let loop_shared = shared.clone();
         let serve = move || {
-            WatchLoop { shared: own, listener, conns: BTreeMap::new(), due: BTreeSet::new(), next: 0 }.run();
+            WatchLoop {
+                shared: loop_shared,
+                listener,
+                conns: BTreeMap::new(),
+                deadlines: BTreeSet::new(),
+                next_key: 0,
+            }
+            .run();
         };
         let thread = thread::Builder::new().name("watches".into()).spawn(serve)?;
         Ok(WatchServer { address, shared, thread: Some(thread) })
     }
 
-    /// Takes an entry in; all watches hear of it.
+    /// Adds or replaces an entry and sends it to all watches.
     pub fn publish(&self, entry: &Entry) {
         self.publish_all(std::slice::from_ref(entry));
     }
 
-    /// All of them as one change.
+    /// Adds or replaces these entries as one change.
     pub fn publish_all(&self, entries: &[Entry]) {
-        let mut book = self.shared.book();
-        book.generation += 1;
-        let generation = book.generation;
+        let mut list = self.shared.list();
+        list.generation += 1;
+        let generation = list.generation;
         for entry in entries {
-            book.entries.insert(entry.id.clone(), (generation, entry.value().to_string()));
+            list.entries.insert(entry.id.clone(), (generation, entry.value().to_string()));
         }
-        drop(book);
-        // A poller that can't be told is told by the next call's time.
+        drop(list);
+        // If the notification fails, the change is sent at the poller's next event or timeout.
         let _ = self.shared.poller.notify();
     }
 
     pub fn counts(&self) -> WatchCounts {
-        let of = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
+        let value = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let Counters { requests, responses, bytes_in, bytes_out, open_connections } = &self.shared.counters;
-        let told =
-            self.shared.task.get().and_then(|task| std::fs::read_to_string(task.join("schedstat")).ok());
-        let cpu = told.and_then(|text| text.split(' ').next()?.parse().ok());
+        let schedstat = self
+            .shared
+            .thread_dir
+            .get()
+            .and_then(|thread_dir| std::fs::read_to_string(thread_dir.join("schedstat")).ok());
+        let cpu = schedstat.and_then(|text| text.split(' ').next()?.parse().ok());
         WatchCounts {
-            requests: of(requests),
-            responses: of(responses),
-            bytes_in: of(bytes_in),
-            bytes_out: of(bytes_out),
-            open_connections: of(open_connections),
+            requests: value(requests),
+            responses: value(responses),
+            bytes_in: value(bytes_in),
+            bytes_out: value(bytes_out),
+            open_connections: value(open_connections),
             cpu_ns: cpu.unwrap_or(0),
         }
     }
 
-    /// Bytes of the whole list as a new watch is told it, with its head.
+    /// Length in bytes of the response with the complete list, its head included.
     pub fn list_bytes(&self) -> usize {
-        response_bytes(200, "", self.shared.book().whole().as_bytes()).len()
+        response_bytes(200, "", self.shared.list().complete_list().as_bytes()).len()
     }
 }
 
 impl Drop for WatchServer {
     fn drop(&mut self) {
-        self.shared.over.store(true, Ordering::Relaxed);
+        self.shared.stopped.store(true, Ordering::Relaxed);
         let _ = self.shared.poller.notify();
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -143,31 +155,31 @@
 }
 
 impl Shared {
-    fn book(&self) -> MutexGuard<'_, EndpointList> {
-        self.book.lock().unwrap_or_else(PoisonError::into_inner)
+    fn list(&self) -> MutexGuard<'_, EndpointList> {
+        self.list.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl EndpointList {
-    fn told<'a>(&self, whole: bool, entries: impl Iterator<Item = &'a str>) -> String {
+    fn to_json<'a>(&self, complete: bool, entries: impl Iterator<Item = &'a str>) -> String {
         let entries: Vec<&str> = entries.collect();
         format!(
-            "{{\"generation\":{},\"reset\":{whole},\"instances\":[{}]}}",
+            "{{\"generation\":{},\"reset\":{complete},\"instances\":[{}]}}",
             self.generation,
             entries.join(",")
         )
     }
 
-    fn whole(&self) -> String {
-        self.told(true, self.entries.values().map(|(_, text)| text.as_str()))
+    fn complete_list(&self) -> String {
+        self.to_json(true, self.entries.values().map(|(_, text)| text.as_str()))
     }
 
-    fn changes(&self, after: u64) -> String {
+    fn changes_after(&self, after: u64) -> String {
         if after > self.generation {
-            return self.whole();
+            return self.complete_list();
         }
         let newer = self.entries.values().filter(|(generation, _)| *generation > after);
-        self.told(false, newer.map(|(_, text)| text.as_str()))
+        self.to_json(false, newer.map(|(_, text)| text.as_str()))
     }
 }
 
@@ -175,21 +187,21 @@
     shared: Arc<Shared>,
     listener: TcpListener,
     conns: BTreeMap<usize, Conn>,
-    /// The ends of waits.
-    due: BTreeSet<(Instant, usize)>,
-    next: usize,
+    /// Ends of the waits of watches, with the keys of their connections.
+    deadlines: BTreeSet<(Instant, usize)>,
+    next_key: usize,
 }
 
 impl WatchLoop {
     fn run(mut self) {
-        if let Ok(task) = std::fs::read_link("/proc/thread-self") {
-            let _ = self.shared.task.set(std::path::Path::new("/proc").join(task));
+        if let Ok(thread_dir) = std::fs::read_link("/proc/thread-self") {
+            let _ = self.shared.thread_dir.set(std::path::Path::new("/proc").join(thread_dir));
         }
         let mut events = Events::new();
-        let mut told = 0;
-        while !self.shared.over.load(Ordering::Relaxed) {
+        let mut sent_generation = 0;
+        while !self.shared.stopped.load(Ordering::Relaxed) {
             events.clear();
-            let wait = self.due.first().map(|(at, _)| at.saturating_duration_since(Instant::now()));
+            let wait = self.deadlines.first().map(|(at, _)| at.saturating_duration_since(Instant::now()));
             if self.shared.poller.wait(&mut events, wait).is_err() {
                 break;
             }
@@ -197,18 +209,18 @@
             for (key, readable) in ready {
                 if key == LISTENER {
                     self.accept();
-                } else if !self.go_on(key, readable) {
+                } else if !self.handle_ready(key, readable) {
                     self.close(key);
                 }
             }
             let now = Instant::now();
-            while let Some((at, key)) = self.due.first().copied().filter(|(at, _)| *at <= now) {
-                self.due.remove(&(at, key));
-                self.tell_waiting(key);
+            while let Some((at, key)) = self.deadlines.first().copied().filter(|(at, _)| *at <= now) {
+                self.deadlines.remove(&(at, key));
+                self.end_wait(key);
             }
-            let generation = self.shared.book().generation;
-            if generation != std::mem::replace(&mut told, generation) {
-                self.tell_news(generation);
+            let generation = self.shared.list().generation;
+            if generation != std::mem::replace(&mut sent_generation, generation) {
+                self.send_changes(generation);
             }
         }
         let _ = self.shared.poller.delete(&self.listener);
@@ -219,14 +231,15 @@
 
     fn accept(&mut self) {
         while let Ok((stream, _)) = self.listener.accept() {
-            let (key, _) = (self.next, stream.set_nodelay(true));
-            self.next += 1;
-            // SAFETY: it is taken off the poller before it is closed.
+            let (key, _) = (self.next_key, stream.set_nodelay(true));
+            self.next_key += 1;
+            // SAFETY: `close` and `run` remove the stream from the poller before it is closed.
             let added = stream.set_nonblocking(true).is_ok()
                 && unsafe { self.shared.poller.add(&stream, Event::readable(key)) }.is_ok();
             if added {
                 self.shared.counters.open_connections.fetch_add(1, Ordering::Relaxed);
-                self.conns.insert(key, Conn { stream, came: Vec::new(), goes: Vec::new(), waits: None });
+                self.conns
+                    .insert(key, Conn { stream, received: Vec::new(), unsent: Vec::new(), watch: None });
             }
         }
         let _ = self.shared.poller.modify(&self.listener, Event::readable(LISTENER));
@@ -235,14 +248,14 @@
     fn close(&mut self, key: usize) {
         let Some(conn) = self.conns.remove(&key) else { return };
         let _ = self.shared.poller.delete(&conn.stream);
-        if let Some((_, until)) = conn.waits {
-            self.due.remove(&(until, key));
+        if let Some((_, until)) = conn.watch {
+            self.deadlines.remove(&(until, key));
         }
         self.shared.counters.open_connections.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Reads and writes what can be; `false` where the connection is over.
-    fn go_on(&mut self, key: usize, readable: bool) -> bool {
+    /// Reads and writes as much as possible without blocking; false if the connection has ended.
+    fn handle_ready(&mut self, key: usize, readable: bool) -> bool {
         let Some(conn) = self.conns.get_mut(&key) else { return true };
         if readable {
             let mut bytes = [0; 4096];
@@ -251,75 +264,77 @@
                     Ok(0) => return false,
                     Ok(count) => {
                         self.shared.counters.bytes_in.fetch_add(count as u64, Ordering::Relaxed);
-                        conn.came.extend_from_slice(&bytes[..count]);
+                        conn.received.extend_from_slice(&bytes[..count]);
                     }
-                    Err(wrong) if wrong.kind() == ErrorKind::WouldBlock => break,
+                    Err(error) if error.kind() == ErrorKind::WouldBlock => break,
                     Err(_) => return false,
                 }
             }
-            let end = conn.came.windows(4).position(|four| four == b"\r\n\r\n");
+            let end = conn.received.windows(4).position(|four| four == b"\r\n\r\n");
             if let Some(end) = end {
-                let head = String::from_utf8_lossy(&conn.came[..end]).into_owned();
-                conn.came.drain(..end + 4);
-                self.call(key, &head);
-            } else if conn.came.len() > CALL_MOST {
+                let head = String::from_utf8_lossy(&conn.received[..end]).into_owned();
+                conn.received.drain(..end + 4);
+                self.handle_request(key, &head);
+            } else if conn.received.len() > MAX_REQUEST_BYTES {
                 return false;
             }
         }
         self.write(key)
     }
 
-    fn call(&mut self, key: usize, head: &str) {
+    fn handle_request(&mut self, key: usize, head: &str) {
         self.shared.counters.requests.fetch_add(1, Ordering::Relaxed);
         let path = head.split(' ').nth(1).unwrap_or("");
         let query = path.split_once('?').map_or("", |(_, query)| query);
-        let figure = |name: &str| {
+        let number_parameter = |name: &str| {
             let pair = query.split('&').filter_map(|pair| pair.split_once('=')).find(|(key, _)| *key == name);
             pair.and_then(|(_, value)| value.parse::<u64>().ok())
         };
-        let Some(after) = figure("after") else {
-            let whole = self.shared.book().whole();
-            return self.say(key, &whole);
+        let Some(after) = number_parameter("after") else {
+            let complete = self.shared.list().complete_list();
+            return self.queue_response(key, &complete);
         };
-        if after != self.shared.book().generation {
-            let changes = self.shared.book().changes(after);
-            return self.say(key, &changes);
+        if after != self.shared.list().generation {
+            let changes = self.shared.list().changes_after(after);
+            return self.queue_response(key, &changes);
         }
-        let wait = Duration::from_millis(figure("wait_ms").unwrap_or(0)).min(WAIT_MOST);
+        let wait = Duration::from_millis(number_parameter("wait_ms").unwrap_or(0)).min(MAX_WAIT);
         let until = Instant::now() + wait;
-        self.due.insert((until, key));
+        self.deadlines.insert((until, key));
         if let Some(conn) = self.conns.get_mut(&key) {
-            conn.waits = Some((after, until));
+            conn.watch = Some((after, until));
         }
     }
 
-    fn say(&mut self, key: usize, list: &str) {
+    fn queue_response(&mut self, key: usize, list: &str) {
         let Some(conn) = self.conns.get_mut(&key) else { return };
         self.shared.counters.responses.fetch_add(1, Ordering::Relaxed);
-        conn.goes.extend_from_slice(&response_bytes(200, "", list.as_bytes()));
+        conn.unsent.extend_from_slice(&response_bytes(200, "", list.as_bytes()));
     }
 
-    fn tell_waiting(&mut self, key: usize) {
-        let Some((after, _)) = self.conns.get_mut(&key).and_then(|conn| conn.waits.take()) else { return };
-        let changes = self.shared.book().changes(after);
-        self.say(key, &changes);
+    /// Responds to a waiting watch with the changes since its generation, if any.
+    fn end_wait(&mut self, key: usize) {
+        let Some((after, _)) = self.conns.get_mut(&key).and_then(|conn| conn.watch.take()) else { return };
+        let changes = self.shared.list().changes_after(after);
+        self.queue_response(key, &changes);
         if !self.write(key) {
             self.close(key);
         }
     }
 
-    /// Most know the same generation: what is newer is put together once for each.
-    fn tell_news(&mut self, generation: u64) {
-        let behind = |conn: &Conn| conn.waits.filter(|(after, _)| *after != generation);
+    /// Responds to all waiting watches. Most of their clients have the same generation, so that the changes are put
+    /// together once for each generation.
+    fn send_changes(&mut self, generation: u64) {
+        let outdated_watch = |conn: &Conn| conn.watch.filter(|(after, _)| *after != generation);
         let waiting: Vec<(usize, u64, Instant)> = (self.conns.iter())
-            .filter_map(|(key, conn)| behind(conn).map(|(after, until)| (*key, after, until)))
+            .filter_map(|(key, conn)| outdated_watch(conn).map(|(after, until)| (*key, after, until)))
             .collect();
         let mut texts: BTreeMap<u64, String> = BTreeMap::new();
         for (key, after, until) in waiting {
-            self.due.remove(&(until, key));
-            self.conns.get_mut(&key).into_iter().for_each(|conn| conn.waits = None);
-            let text = texts.entry(after).or_insert_with(|| self.shared.book().changes(after)).clone();
-            self.say(key, &text);
+            self.deadlines.remove(&(until, key));
+            self.conns.get_mut(&key).into_iter().for_each(|conn| conn.watch = None);
+            let text = texts.entry(after).or_insert_with(|| self.shared.list().changes_after(after)).clone();
+            self.queue_response(key, &text);
             if !self.write(key) {
                 self.close(key);
             }
@@ -328,17 +343,17 @@
 
     fn write(&mut self, key: usize) -> bool {
         let Some(conn) = self.conns.get_mut(&key) else { return true };
-        while !conn.goes.is_empty() {
-            match conn.stream.write(&conn.goes) {
+        while !conn.unsent.is_empty() {
+            match conn.stream.write(&conn.unsent) {
                 Ok(count) => {
                     self.shared.counters.bytes_out.fetch_add(count as u64, Ordering::Relaxed);
-                    conn.goes.drain(..count);
+                    conn.unsent.drain(..count);
                 }
-                Err(wrong) if wrong.kind() == ErrorKind::WouldBlock => break,
+                Err(error) if error.kind() == ErrorKind::WouldBlock => break,
                 Err(_) => return false,
             }
         }
-        let wanted = Event::new(key, true, !conn.goes.is_empty());
-        self.shared.poller.modify(&conn.stream, wanted).is_ok()
+        let interest = Event::new(key, true, !conn.unsent.is_empty());
+        self.shared.poller.modify(&conn.stream, interest).is_ok()
     }
 }
--- a/crates/lab/tests/ports.rs
+++ b/crates/lab/tests/ports.rs
@@ -1,4 +1,4 @@
-//! Addresses that programs under test are told to listen at, while other threads start programs.
+//! Addresses for programs to listen at, requested while other threads start programs.
 
 use landingspread_lab::sockets::unused_address;
 use std::net::TcpListener;
@@ -9,41 +9,46 @@
 use std::thread;
 use std::time::Duration;
 
-const STARTERS: usize = 8;
-const ASKED: usize = 8000;
+const STARTING_THREADS: usize = 8;
+const REQUESTED_ADDRESSES: usize = 8000;
 
-/// Each child stands 10 ms between `fork` and `exec`, as on a machine with too little time for it: it has a copy of every
-/// descriptor of this process until then.
-fn start_slowly(over: &AtomicBool) {
-    while !over.load(Ordering::Relaxed) {
+/// Starts programs that spend 10 ms between `fork` and `exec`, as on an overloaded machine. Until `exec`, the child has
+/// a copy of every descriptor of this process.
+fn start_slowly(stopped: &AtomicBool) {
+    while !stopped.load(Ordering::Relaxed) {
         let mut program = Command::new("true");
-        // SAFETY: between fork and exec one system call is made, and nothing is allocated or locked.
+        // SAFETY: between fork and exec, the closure makes one system call and neither allocates nor locks.
         unsafe {
             program.pre_exec(|| {
                 thread::sleep(Duration::from_millis(10));
                 Ok(())
             });
         }
-        assert!(program.status().expect("it starts").success());
+        assert!(program.status().expect("failed to start `true`").success());
     }
 }
 
 #[test]
-fn an_address_for_a_program_is_free_while_other_programs_are_being_started() {
-    let over = Arc::new(AtomicBool::new(false));
-    let starters: Vec<_> = (0..STARTERS)
+fn unused_address_is_free_while_other_threads_start_programs() {
+    let stopped = Arc::new(AtomicBool::new(false));
+    let starters: Vec<_> = (0..STARTING_THREADS)
         .map(|_| {
-            let over = over.clone();
-            thread::spawn(move || start_slowly(&over))
+            let stopped = stopped.clone();
+            thread::spawn(move || start_slowly(&stopped))
         })
         .collect();
-    let taken: Vec<_> = (0..ASKED)
+    let in_use: Vec<_> = (0..REQUESTED_ADDRESSES)
         .filter_map(|_| {
             let address = unused_address();
-            TcpListener::bind(address).err().map(|wrong| (address, wrong))
+            TcpListener::bind(address).err().map(|error| (address, error))
         })
         .collect();
-    over.store(true, Ordering::Relaxed);
-    starters.into_iter().for_each(|starter| starter.join().expect("a starter"));
-    assert!(taken.is_empty(), "{} of {ASKED} are taken: {:?}", taken.len(), taken.first());
+    stopped.store(true, Ordering::Relaxed);
+    starters.into_iter().for_each(|starter| starter.join().expect("a starting thread panicked"));
+    assert!(
+        in_use.is_empty(),
+        "{} of {REQUESTED_ADDRESSES} addresses are in use: {:?}",
+        in_use.len(),
+        in_use.first()
+    );
 }
