--- a/crates/lab/src/fan_out.rs
+++ b/crates/lab/src/fan_out.rs
@@ -2,7 +2,7 @@
 //! machines are processes of the program; followers, many per process, run the program's own task on real
 //! sockets. The figures come from the followers' output and from the kernel's process statistics.
 
-use landingspread_lab::sockets::{Peer, free, program};
+use landingspread_lab::sockets::{Peer, bind_loopback, sidecar_program};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
--- a/crates/sidecar/tests/scale.rs
+++ b/crates/sidecar/tests/scale.rs
@@ -8,7 +8,7 @@
 
 fn scale_plan(copies: usize) -> RunSize {
     RunSize {
-        copies,
+        replicas: copies,
         fleet_size: 0,
         endpoints: 12,
         changes_per_s: 2.0,
