--- a/crates/lab/src/soak/judge.rs
+++ b/crates/lab/src/soak/judge.rs
@@ -312,8 +312,8 @@
     fn reachable_again(&self, from: Duration, to: Duration) -> Duration {
         use super::plan::FaultKind::{DiscoveryDown, DiscoverySilent, DiscoveryStale, Reload};
         let outages = self.observations.faults.iter().filter(|(at, fault)| {
-            let unreachable = matches!(fault.kind, DiscoveryDown | DiscoveryStale | DiscoverySilent | Reload);
-            unreachable && *at <= to && *at + fault.duration + DISCOVERY_DELAY >= from
+            let is_outage = matches!(fault.kind, DiscoveryDown | DiscoveryStale | DiscoverySilent | Reload);
+            is_outage && *at <= to && *at + fault.duration + DISCOVERY_DELAY >= from
         });
         outages.map(|(at, fault)| *at + fault.duration).max().unwrap_or(from).max(from)
     }
