--- a/crates/decisions/src/host.rs
+++ b/crates/decisions/src/host.rs
@@ -13,9 +13,10 @@
     /// Starts the next attempt of a request. The attempt must end by `deadline`, or by the request's own deadline if
     /// `deadline` is zero.
     fn start_attempt(&mut self, request: &Id, server: &Id, deadline: Duration);
-    /// Responds to a request as rejected, which implies that it did not run; `retry_after` is sent to its client.
+    /// Responds to a request as rejected: it did not run, or may be sent again without harm. `retry_after`, if any, is
+    /// sent to its client.
     fn reject(&mut self, request: &Id, retry_after: Option<Duration>);
-    /// Responds to a request as failed: it may have run.
+    /// Responds to a request as failed: it may have run and must not be sent again, or its class is unknown.
     fn fail(&mut self, request: &Id);
     /// Cancels an attempt. `attempt` is its number within the request, from 0.
     fn cancel_attempt(&mut self, request: &Id, attempt: u32);
@@ -166,8 +167,8 @@
     /// Number of replicas, this one included: at least 1, and a fraction while the share of a lost replica is taken
     /// over.
     pub count: f64,
-    /// Upper bound of the replicas that may be alive, unreachable ones included. Together they must not overload a
-    /// server in slow start.
+    /// Upper bound of the number of replicas that may be alive, unreachable ones included. All of them together must
+    /// not overload a server in slow start.
     pub max_alive: f64,
     /// Ordinal of this replica; `None` while it has none.
     pub ordinal: Option<u32>,
--- a/crates/decisions/src/policy/admission.rs
+++ b/crates/decisions/src/policy/admission.rs
@@ -6,7 +6,7 @@
 use crate::state::request::Request;
 use std::time::Duration;
 
-/// A new request is queued if its expected wait is at most this fraction of its slack, which is the time left without
+/// A new request is queued if its expected wait is at most this fraction of its slack, which is the time left minus
 /// the expected latency.
 pub(super) const MAX_WAIT_FRACTION: f64 = 0.25;
 /// A request that is already queued may wait this many times as long as a new one.
@@ -16,7 +16,8 @@
 const SWEEPS_BEFORE_DEADLINE: f64 = 2.0;
 /// An attempt is not started if less time than this fraction of the expected latency is left.
 const MIN_TIME_LEFT_FRACTION: f64 = 0.5;
-/// Increase of the rank per unit of a class's shortfall, for each point of the objective's weight of the worst class.
+/// A class's shortfall multiplies its rank by 1 plus the shortfall times this value times the objective's weight of the
+/// worst class.
 const WORST_CLASS_WEIGHT: f64 = 20.0;
 /// Lower bound of the fraction of answered requests, by which the shortfall is divided.
 const MIN_ANSWERED_FRACTION: f64 = 0.1;
--- a/crates/decisions/src/policy/attempts.rs
+++ b/crates/decisions/src/policy/attempts.rs
@@ -46,8 +46,8 @@
         self.classes[class].watched.push_back(attempt);
     }
 
-    /// Closes a request that has its final response: attempts in flight are cancelled, and the record is kept until
-    /// they end.
+    /// Closes a request that has its final response or whose client has left. Attempts in flight are cancelled if the
+    /// settings allow it and no answer is being passed on; the record is kept until they end.
     pub(super) fn close_request(&mut self, id: &Id) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.finished = true;
--- a/crates/decisions/src/policy/capacity.rs
+++ b/crates/decisions/src/policy/capacity.rs
@@ -10,7 +10,7 @@
 const MIN_CAPACITY: f64 = 0.1;
 /// A capacity of at least this many attempts is enforced at every moment, a smaller one only on average.
 const MIN_STRICT_CAPACITY: f64 = 16.0;
-/// Time constant of that average, in seconds for each multiple by which `MIN_STRICT_CAPACITY` exceeds the capacity.
+/// Time constant of that average, in seconds, per unit of `MIN_STRICT_CAPACITY` / capacity - 1.
 const MEAN_IN_FLIGHT_SPAN_SECONDS: f64 = 0.1;
 /// Factor on the capacity while servers report spare capacity. It is bounded because the reports are seconds old.
 const SPARE_CAPACITY_FACTOR: f64 = 4.0;
@@ -59,8 +59,8 @@
             && self.mean_in_flight.mean >= self.capacity() * self.capacity_fraction(request) * factor
     }
 
-    /// Fraction of the capacity that is open to the request. Where each replica has few requests at a time, low ranks
-    /// leave a part of the capacity to high ranks.
+    /// Fraction of the capacity that is open to the request. Where replicas exchange messages, each has few requests at
+    /// a time, so low ranks leave a part of the capacity to high ranks.
     fn capacity_fraction(&self, request: &Request) -> f64 {
         let rank_of_class = |class| self.rank(&Request { class, ..Request::default() });
         let highest = (0..self.classes.len()).map(rank_of_class).fold(MIN_RANK, f64::max);
--- a/crates/decisions/src/policy/concurrency_limits.rs
+++ b/crates/decisions/src/policy/concurrency_limits.rs
@@ -18,11 +18,12 @@
 const MAX_LIMIT: f64 = 64.0;
 /// Negative logarithm of the factor by which one slow answer lowers a limit, for one replica per server.
 const CONGESTION_DECREASE: f64 = 0.002;
-/// The same for one answer past the latency objective, one timeout, or one rejection by an overloaded server.
+/// Negative logarithm of the factor by which one late answer, one timeout, or one rejection by an overloaded server
+/// lowers a limit, for one replica per server.
 const OVERLOAD_DECREASE: f64 = 0.02;
 /// Weight of an error relative to an overload. Errors count because an overloaded next tier may show by errors alone.
 const ERROR_DECREASE_WEIGHT: f64 = 0.4;
-/// Attempts that one answer adds to a limit, multiplied by the limit, for one replica per server.
+/// One answer raises a limit by this value divided by the limit, in attempts, for one replica per server.
 const ADDITIVE_INCREASE: f64 = 0.08;
 /// Below this latency, as a multiple of the baseline, servers are uncongested and limits rise.
 const UNCONGESTED_INFLATION: f64 = 1.1;
@@ -83,8 +84,8 @@
         let has_spare_capacity = self.reports_spare_capacity();
         let is_in_use = self.limit_is_in_use(slot);
         let server = &mut self.servers[slot];
-        // The server's own slowness tells which zone is congested when others are not. With heavy requests, one answer
-        // in twenty is late even on an idle server, so the utilization that servers report takes precedence.
+        // The factor of the server's slowness lets limits fall in a congested zone and stay in the others. With heavy
+        // requests, one answer in twenty is late even on an idle server, so reported utilization takes precedence.
         let inflation = match has_spare_capacity {
             Some(true) => 1.0,
             Some(false) => BUSY_INFLATION,
--- a/crates/decisions/src/policy/outlier_ejection.rs
+++ b/crates/decisions/src/policy/outlier_ejection.rs
@@ -16,7 +16,7 @@
 const MAX_EJECTED_FRACTION: f64 = 0.5;
 /// Consecutive successful health checks or trials that end an ejection.
 const SUCCESSES_TO_RETURN: u32 = 2;
-/// Consecutive health checks or attempts that could not reach a server and so eject it.
+/// Health checks or attempts that could not reach a server, by `Server::unreachable_checks`, from which it is ejected.
 const UNREACHABLE_CHECKS_TO_EJECT: u32 = 2;
 /// Maximum fraction of the ready servers that is ejected for one class.
 const MAX_CLASS_EJECTED_FRACTION: f64 = 0.75;
@@ -162,8 +162,8 @@
         }
     }
 
-    /// Whether the server fails this class but not every other one. A server that is slow for all classes alike shows
-    /// it by its queue, and does not fail requests.
+    /// Whether the server fails this class and another class has few failures, or there is only one class.
+    /// A server that is slow for all classes alike has a long queue and does not fail requests.
     fn fails_only_class(&self, slot: Slot, class: usize) -> bool {
         let classes = &self.servers[slot].classes;
         let others = classes.iter().enumerate().filter(|(other, _)| *other != class);
@@ -171,8 +171,8 @@
         classes.len() == 1 || min_failures < Some(FAILURES_TO_EJECT)
     }
 
-    /// Ejects the server for this class alone. Without the servers that fail one class and answer the others, the rest
-    /// could not carry the traffic.
+    /// Ejects the server for this class alone, up to a maximum fraction of the ready servers. If it were ejected for all
+    /// classes, the remaining servers could not carry the traffic.
     fn eject_for_class(&mut self, slot: Slot, class: usize) {
         let ejected = self.servers.class_ejected_count(class) as f64;
         let already_ejected = self.servers[slot].class_ejection(class).is_some();
--- a/crates/decisions/src/policy/selection.rs
+++ b/crates/decisions/src/policy/selection.rs
@@ -17,8 +17,7 @@
 const CHECKED_WEIGHT_EXPONENT: i32 = 12;
 /// Lower bound of the time to an answer in weights, in seconds.
 const MIN_ESTIMATE_SECONDS: f64 = 1e-6;
-/// Weights of servers in other zones are multiplied by e to the power of minus this times the price of an attempt
-/// there.
+/// Weights of servers in other zones are multiplied by exp(-`ZONE_CROSSING_WEIGHT` * price of an attempt there).
 const ZONE_CROSSING_WEIGHT: f64 = 60.0;
 /// A server is eligible if the request would be answered within this fraction of the time left, or within all of it if
 /// the server is idle.
@@ -43,7 +42,7 @@
         let exponent = self.size_exponent();
         let cell_servers = dedup_cell.map(|(zone, cell)| self.servers.cell_servers(zone, cell, exponent));
         self.weigh_servers(id, cell_servers.as_deref());
-        // By its weight alone, a replica with few requests would leave a reinstated server unused for long.
+        // Drawn by weight alone, a reinstated server would stay unused for long at a replica with few requests.
         let reinstated =
             self.weights.iter().find(|(slot, _)| self.servers[*slot].min_credits_per_second > 0.0);
         reinstated.map(|(slot, _)| *slot).or_else(|| weighted_choice(&self.weights, draw))
--- a/crates/decisions/src/policy/slow_start.rs
+++ b/crates/decisions/src/policy/slow_start.rs
@@ -9,8 +9,8 @@
 
 /// Minimum credits per second until the first request to a server that operators have reinstated.
 const REINSTATED_CREDITS_PER_SECOND: f64 = 0.33;
-/// Lower bound of the mean rate of one server that replicas with little traffic assume, in requests per second of all
-/// replicas together.
+/// Lower bound of a server's mean request rate, by which credits are added at replicas with little traffic. In requests
+/// per second from all replicas together.
 const MIN_FLEET_RATE_PER_SECOND: f64 = 4.0;
 /// Maximum time for which credits are added at once, in seconds.
 const MAX_CREDITED_SECONDS: f64 = 1.0;
@@ -62,12 +62,12 @@
         let window = self.servers.window().len().max(1) as f64;
         let ready = (self.servers.ready_count() as f64).max(1.0);
         // Replicas that may be alive but are unreachable send to the server as well.
-        let unheard_factor = (self.settings.max_live_replicas / self.settings.replicas).max(1.0);
+        let unreachable_factor = (self.settings.max_live_replicas / self.settings.replicas).max(1.0);
         // In a surge, the traffic of every replica exceeds the last known mean, which lowers `replicas_per_server` at
         // all of them. The even share keeps the sum of all lower bounds from exceeding `MIN_FLEET_RATE_PER_SECOND`.
         let even_share_replicas = self.settings.replicas * window / ready;
         let replicas = self.replicas_per_server.max(even_share_replicas);
-        let floor = MIN_FLEET_RATE_PER_SECOND / (replicas * unheard_factor);
+        let floor = MIN_FLEET_RATE_PER_SECOND / (replicas * unreachable_factor);
         (self.throughput.sent_per_second(self.now) / window).max(floor)
     }
 }
--- a/crates/decisions/src/policy/window.rs
+++ b/crates/decisions/src/policy/window.rs
@@ -18,7 +18,7 @@
 /// Distance of the window positions of consecutive ordinals, as a fraction of the ring: the golden ratio spreads any
 /// number of replicas evenly.
 const GOLDEN_RATIO_CONJUGATE: f64 = 0.618_033_988_749_895;
-/// Size that a server counts as in the window if it is ejected for a class.
+/// Fraction of a server that counts toward the size of the window if the server is ejected for a class.
 const CLASS_EJECTED_WEIGHT: f64 = 0.3;
 /// Time after which the window is chosen again. Each list updates it as well.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(500);
--- a/crates/decisions/src/policy/zones.rs
+++ b/crates/decisions/src/policy/zones.rs
@@ -134,8 +134,8 @@
         }
     }
 
-    /// Starts a health check of one server, a different one for each trial number: other replicas get no answers from
-    /// the zone, and this replica may not have any evidence.
+    /// Starts a health check of one server, a different one for each trial number: other replicas find the zone silent,
+    /// and this replica may have no observation of it.
     fn check_zone(&mut self, zone: u32, trial: u64) {
         if !self.settings.capabilities.health_checks {
             return;
--- a/crates/decisions/src/state/check_budget.rs
+++ b/crates/decisions/src/state/check_budget.rs
@@ -2,11 +2,11 @@
 
 use crate::settings::Settings;
 
-/// Maximum cost of health checks per request, in points of the objective, where health checks alone report load.
+/// Maximum mean cost of health checks per request, in points of the objective, where health checks alone report load.
 const MAX_COST_PER_REQUEST: f64 = 0.012;
 /// Lower bound of the price of a check by which the budget is divided.
 const MIN_CHECK_PRICE: f64 = 1e-9;
-/// Maximum number of checks per request.
+/// Maximum number of checks that one request adds to the budget.
 const MAX_CHECKS_PER_REQUEST: f64 = 6.0;
 /// Maximum number of saved checks.
 const MAX_SAVED_CHECKS: f64 = 60.0;
@@ -36,7 +36,7 @@
         self.per_request > 0
     }
 
-    /// Maximum number of checks in one round of a request.
+    /// Number of checks that each request adds, also the maximum in one round after the first.
     pub fn per_request(&self) -> usize {
         self.per_request
     }
--- a/crates/decisions/src/state/class_statistics.rs
+++ b/crates/decisions/src/state/class_statistics.rs
@@ -34,7 +34,7 @@
 pub struct ClassStatistics {
     /// Seconds from the start of an attempt to its answer.
     pub latency: Histogram,
-    /// Lowest mean latency, in seconds, with a slow rise so that it adapts.
+    /// Lowest mean latency so far, in seconds. It rises slowly, so that an old minimum expires.
     baseline_latency: Option<f64>,
     /// Moving average of the declared work of requests, in seconds on a standard core.
     mean_cost: Option<f64>,
--- a/crates/decisions/src/state/polling.rs
+++ b/crates/decisions/src/state/polling.rs
@@ -6,8 +6,8 @@
 const FIRST_DELAY_SECONDS: f64 = 0.5;
 /// Maximum time from the start of a failed poll to the next poll, in seconds.
 const MAX_INTERVAL_SECONDS: f64 = 4.0;
-/// The same after more than one rejected poll. All replicas together make few polls then, because discovery wastes work
-/// on polls that wait too long in its queue.
+/// Maximum time from the start of a poll to the next poll, in seconds, from the second consecutive rejection on. It is
+/// longer because discovery wastes work on polls that wait too long in its queue.
 const MAX_REJECTED_INTERVAL_SECONDS: f64 = 8.0;
 /// Target rate at which all rejected replicas together poll again. The maximum interval takes precedence.
 const REJECTED_POLLS_PER_SECOND: f64 = 10.0;
@@ -37,7 +37,7 @@
         PollState { started_at: now, ..PollState::default() }
     }
 
-    /// Starts a poll if one is due. Returns whether it is due.
+    /// Records the start of a poll if one is due. Returns whether one is due.
     pub fn take_due(&mut self, now: Duration) -> bool {
         let due = self.next_poll.take_if(|at| *at <= now).is_some();
         if due {
--- a/crates/decisions/src/state/request.rs
+++ b/crates/decisions/src/state/request.rs
@@ -81,7 +81,7 @@
     pub useful_until: Duration,
     /// Declared work as a multiple of the class's mean.
     pub relative_cost: f64,
-    /// Servers to which selection is limited; the whole window if empty.
+    /// Servers from which one is selected; if empty, the whole window is used.
     pub candidates: Vec<Slot>,
     /// Candidates whose health checks are in flight.
     pub pending_checks: Vec<Slot>,
--- a/crates/decisions/src/state/server_set/server.rs
+++ b/crates/decisions/src/state/server_set/server.rs
@@ -88,7 +88,8 @@
     pub started_at: Option<Duration>,
     /// State by request class.
     pub classes: Vec<ClassHealth>,
-    /// Consecutive health checks or attempts that could not reach the server.
+    /// Health checks or attempts that could not reach the server, since it last answered a check before selection or
+    /// its statistics were reset. Other answers do not reset the count.
     pub unreachable_checks: u32,
     pub(super) ejection: Option<Ejection>,
     pub(super) slow_start_from: Option<Duration>,
@@ -227,7 +228,7 @@
         self.last_used.is_some_and(|used| now.saturating_sub(used) < idle_timeout)
     }
 
-    /// Records the end of an attempt. If the last report cannot include it, it no longer counts in addition to that
+    /// Records the end of an attempt. If it was sent after the last report, it no longer counts in addition to that
     /// report.
     pub fn attempt_ended(&mut self, now: Duration, sent_at: Duration, overdue: bool) {
         self.overdue = self.overdue.saturating_sub(u32::from(overdue));
--- a/crates/decisions/src/state/sweep_clock.rs
+++ b/crates/decisions/src/state/sweep_clock.rs
@@ -15,12 +15,13 @@
     interval: Duration,
     /// Time of the last sweep, skipped ones included.
     last_sweep: Duration,
-    /// Recent delay of sweeps. Servers are not held responsible for that time.
+    /// Recent delay of sweeps, halved by each sweep. It does not count as waiting time of attempts, because servers did
+    /// not cause it.
     own_delay: Duration,
 }
 
 impl SweepClock {
-    /// Sweeps from `now` on, with an interval of at least `resolution`, that of the host's timers.
+    /// A schedule from `now` on, with an interval of at least `resolution`, the resolution of the host's timers.
     pub fn new(now: Duration, resolution: Duration) -> Self {
         SweepClock { interval: SWEEP_INTERVAL.max(resolution), last_sweep: now, own_delay: Duration::ZERO }
     }
--- a/crates/decisions/src/state/throughput.rs
+++ b/crates/decisions/src/state/throughput.rs
@@ -5,7 +5,7 @@
 
 /// Time constant of the rate that measures a surge of ended attempts, in seconds.
 const RECENT_TIME_CONSTANT_SECONDS: f64 = 0.25;
-/// The recent rate is used if it is this multiple of the long-term rate.
+/// The recent rate is used only if it exceeds this multiple of the long-term rate.
 const SURGE_FACTOR: f64 = 2.0;
 /// The recent rate is used only with at least this many recent attempts.
 const SURGE_MIN_ATTEMPTS: f64 = 8.0;
--- a/crates/decisions/src/state/zones.rs
+++ b/crates/decisions/src/state/zones.rs
@@ -12,7 +12,8 @@
 const MAX_LATE_AFTER: Duration = Duration::from_millis(500);
 /// Attempts that were lost longer ago than this are ignored.
 const LOSS_MEMORY: Duration = Duration::from_secs(2);
-/// This many lost attempts at once are no coincidence.
+/// Number of lost attempts since the last answer from which a zone counts as silent. A single loss may be a
+/// coincidence, and counts only once the first attempt since that answer is late.
 const MIN_LOSSES: u32 = 2;
 /// A health check that fails within this time after one was requested counts as the requested one.
 const REQUESTED_CHECK_WINDOW: Duration = Duration::from_secs(1);
--- a/crates/localities/src/evidence.rs
+++ b/crates/localities/src/evidence.rs
@@ -12,12 +12,12 @@
 /// step, if the counts over all replicas decide it.
 const MIN_SILENT_OBSERVERS: u32 = 3;
 /// The fleet-wide criterion: the number of all replicas divided by this, rounded up, must find the zone silent. A fifth
-/// exceeds the seventh of the replicas whose reports may be false.
+/// is enough, as at most a seventh of the replicas are assumed to send false reports.
 const FLEET_FRACTION_DIVISOR: u32 = 5;
 /// The fleet-wide criterion also needs this fraction of all replicas with an observation to find the zone silent.
 const MIN_SILENT_FRACTION: f64 = 0.4;
-/// The most replicas that may be answered by an evacuated zone without contradicting the evacuation. Trials are sent in
-/// turn, so that answers to more replicas are answers to regular traffic.
+/// The most replicas of the own zone (or half of them, if that is more) that an evacuated zone may answer without
+/// contradicting the evacuation. Trials are sent in turn, so that answers to more replicas are answers to regular traffic.
 const MAX_CONCURRENT_TRIALS: u32 = 5;
 /// Answers to trials sent longer ago than this do not count.
 const TRIAL_RESULT_TTL: Duration = Duration::from_secs(4);
@@ -106,8 +106,9 @@
 
 impl Evidence {
     /// Whether the zone is lost for the replicas of the own zone, given their number and the number of all replicas. Either
-    /// at least half of the own zone's replicas find it silent, and no fewer than it answers; or a fifth of all replicas do,
-    /// from at least two zones, and `MIN_SILENT_FRACTION` of those with an observation and a third of the own zone's agree.
+    /// at least half of the own zone's replicas find it silent, and at least as many as it answers; or a fifth of all
+    /// replicas do, from at least two zones, as well as `MIN_SILENT_FRACTION` of all replicas with an observation and a
+    /// third of those in the own zone.
     /// One replica alone never decides: servers that only it cannot reach are left to outlier ejection.
     pub fn is_lost(&self, zone_replicas: u32, all_replicas: u32) -> bool {
         let Evidence { same_zone, all, silent_zones } = self;
@@ -148,19 +149,19 @@
     evacuated_for: Duration,
     zone_replicas: u32,
 ) -> bool {
-    let (mut answered, mut failed) = (Vec::new(), Duration::MAX);
+    let (mut answered_ago, mut latest_failure_ago) = (Vec::new(), Duration::MAX);
     for observer in observers.filter(|observer| observer.zone == own_zone && !observer.report.isolated) {
         let Some(observation) = observer.observation(zone) else { continue };
         match observation.health {
-            ZoneHealth::Answering { sent_ago, .. } => answered.push(sent_ago + observer.age),
-            ZoneHealth::Silent { since } => failed = failed.min(since + observer.age),
+            ZoneHealth::Answering { sent_ago, .. } => answered_ago.push(sent_ago + observer.age),
+            ZoneHealth::Silent { since } => latest_failure_ago = latest_failure_ago.min(since + observer.age),
             ZoneHealth::Unknown => {}
         }
     }
-    answered.retain(|ago| *ago <= evacuated_for.min(TRIAL_RESULT_TTL));
-    answered.sort();
+    answered_ago.retain(|ago| *ago <= evacuated_for.min(TRIAL_RESULT_TTL));
+    answered_ago.sort();
     let needed = zone_replicas.clamp(1, 2) as usize;
-    answered.get(needed - 1).is_some_and(|ago| *ago < failed)
+    answered_ago.get(needed - 1).is_some_and(|ago| *ago < latest_failure_ago)
 }
 
 #[cfg(test)]
--- a/crates/localities/src/failover/trials.rs
+++ b/crates/localities/src/failover/trials.rs
@@ -7,8 +7,8 @@
 
 /// The replicas of all zones together send one trial to an evacuated zone per interval.
 const TRIAL_INTERVAL: Duration = Duration::from_millis(250);
-/// How often a replica verifies a zone that others of its own zone find silent, unless it has an observation as recent as
-/// this. A replica without an observation would delay the verdict.
+/// How often a replica verifies a zone that others of its own zone find silent, unless its own observation is no older
+/// than this. A replica without an observation would delay the verdict.
 const VERIFICATION_INTERVAL: Duration = Duration::from_millis(500);
 /// Set in the numbers of verifications, which distinguishes them from the numbers of trials.
 const VERIFICATION_FLAG: u64 = 1 << 63;
@@ -45,7 +45,7 @@
         if self.isolated || self.stage(zone) == ZoneStage::Evacuated {
             return false;
         }
-        let has_recent_sign = match self.own_observations[zone].health {
+        let has_recent_observation = match self.own_observations[zone].health {
             ZoneHealth::Silent { .. } => true,
             ZoneHealth::Answering { sent_ago, .. } => sent_ago <= VERIFICATION_INTERVAL,
             ZoneHealth::Unknown => false,
@@ -55,9 +55,9 @@
             ZoneHealth::Silent { since } => observation.zone == id && since + age <= EVIDENCE_WINDOW,
             _ => false,
         };
-        let mut neighbours = peers.iter().filter(|peer| peer.zone == self.own_zone && !peer.report.isolated);
-        !has_recent_sign
-            && neighbours.any(|peer| {
+        let mut zone_peers = peers.iter().filter(|peer| peer.zone == self.own_zone && !peer.report.isolated);
+        !has_recent_observation
+            && zone_peers.any(|peer| {
                 peer.report.observations.iter().any(|observation| is_silent(observation, peer.age))
             })
     }
--- a/crates/localities/src/failover/verdicts.rs
+++ b/crates/localities/src/failover/verdicts.rs
@@ -16,7 +16,7 @@
 /// Each repeated evacuation lasts this many times as long as the previous one, up to `MAX_BACKOFF`.
 const BACKOFF_FACTOR: u32 = 8;
 const MAX_BACKOFF: Duration = Duration::from_secs(60);
-/// A verdict whose number is more than this ahead of the known one is rejected as not genuine.
+/// A verdict whose number is more than this ahead of the known one is rejected as implausible.
 const MAX_NUMBER_ADVANCE: u32 = 1 << 24;
 
 impl<H: Host> ZoneFailover<H> {
@@ -108,6 +108,7 @@
         let window = EVIDENCE_WINDOW.min(sent_since);
         let evidence = collect_evidence(self.observers(peers), self.own_zone, id, window);
         self.evidence[zone] = evidence;
+        // An isolated replica cannot judge zones, and an operator's evacuation takes precedence.
         if self.isolated || self.stage(zone) != stage {
             return;
         }
--- a/crates/localities/src/report.rs
+++ b/crates/localities/src/report.rs
@@ -6,7 +6,7 @@
 //! | 0 | version |
 //! | 1 | flags: 1 if the replica is isolated, and its observations are to be ignored |
 //! | 2, 3 | number of observations, number of verdicts |
-//! | 6 per observation | zone id; health; age of the latest answer or failure, in units of 20 ms |
+//! | 6 per observation | zone id; health; time since the answered request was sent or since the failure, in units of 20 ms |
 //! | 12 per verdict | zone id; number; stage and operator flag; evacuations; age in units of 10 ms |
 
 use crate::verdict::{Verdict, ZoneStage};
@@ -74,7 +74,8 @@
     pub isolated: bool,
     /// The replica's observations, at most one per zone.
     pub observations: Vec<ZoneObservation>,
-    /// The verdicts in force for the replica's own zone and those commanded by operators, each with its age.
+    /// The verdicts that apply to the replicas of the reporting replica's own zone, and those commanded by operators, each
+    /// with its age.
     pub verdicts: Vec<(Verdict, Duration)>,
 }
 
--- a/crates/localities/src/verdict.rs
+++ b/crates/localities/src/verdict.rs
@@ -71,7 +71,8 @@
     }
 }
 
-/// The decision on a zone that the replicas of one zone agreed on, or that an operator commanded for all replicas.
+/// A decision on a zone, which one replica issued for all replicas of its own zone, or an operator commanded for the
+/// whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Verdict {
     /// The id of the zone that the verdict is about.
@@ -87,8 +88,8 @@
 }
 
 impl Verdict {
-    /// The key by which verdicts are compared; the greatest prevails. The higher number comes first, then the stage with
-    /// less traffic, then the higher number of evacuations.
+    /// The key by which verdicts are compared; the greatest prevails. The higher number decides, then the stage with less
+    /// traffic, then the higher count of evacuations.
     fn precedence(&self) -> (u32, u8, u8) {
         let caution = match self.stage {
             ZoneStage::InService => 0,
--- a/crates/membership/src/membership/probing.rs
+++ b/crates/membership/src/membership/probing.rs
@@ -85,7 +85,7 @@
     }
 
     fn send_indirect(&mut self, target: Address, number: u32) {
-        // The other suspectors do not reach the target either.
+        // Enough members suspect the target already, so other members hardly reach it either.
         let member = self.members.slot(target).map(|slot| self.members.get(slot));
         if member.is_some_and(|member| member.suspector_count() >= DEATH_QUORUM) {
             return;
--- a/crates/sidecar/src/net/clients/accept.rs
+++ b/crates/sidecar/src/net/clients/accept.rs
@@ -70,8 +70,8 @@
     }
 
     /// Frees permits while only spare ones are left; returns whether that failed. If a crowd has just connected, waits
-    /// for its silent connections to be closed, rather than close clients that had requests. For a few new connections
-    /// it must not wait, or no client would be accepted.
+    /// for its silent connections to be closed, rather than close clients that had requests. With fewer new connections
+    /// it does not wait, or no client would be accepted.
     async fn only_spare_permits_left(&self) -> bool {
         while self.resources.client_sockets.only_spare_left() {
             let crowd = self.close_idle_without_request() || self.silent_new_connections.get() >= CROWD_SIZE;
@@ -97,8 +97,8 @@
         !new.is_empty()
     }
 
-    /// Closes the longest idle connection, which loses nothing, or otherwise the partial request that has received no
-    /// bytes for longest, as its client has most likely stopped.
+    /// Closes the first idle connection in the order of `IdleKey`, which loses nothing. If none is idle, closes the
+    /// partial request that has received no bytes for longest, as its client has most likely stopped.
     fn close_idle_or_stalled(&self) -> bool {
         self.close_longest_idle() || self.close_stalled_request()
     }
--- a/crates/sidecar/src/net/clients/connection.rs
+++ b/crates/sidecar/src/net/clients/connection.rs
@@ -75,8 +75,8 @@
         counters::connection_closed(reason);
     }
 
-    /// Answers the next message. `connected_at` is set for the first message of a new client. The error is the reason
-    /// to close the connection.
+    /// Reads the next message and answers it. `connected_at` is set for the first message of a new client. The error is
+    /// the reason to close the connection.
     async fn serve_message(
         &self,
         stream: &Rc<Async<TcpStream>>,
--- a/crates/sidecar/src/net/clients/exchange.rs
+++ b/crates/sidecar/src/net/clients/exchange.rs
@@ -1,5 +1,5 @@
-//! Serves one request: passes it to the owner and the rest of a long body as it arrives, then awaits and writes the
-//! final response.
+//! Serves one request: passes it to the owner, passes on the rest of a long body as it arrives, and awaits and writes
+//! the final response.
 
 use super::read::STALL_TIMEOUT;
 use super::state::ClientSide;
--- a/crates/sidecar/src/net/discovery.rs
+++ b/crates/sidecar/src/net/discovery.rs
@@ -23,8 +23,8 @@
 
 /// The bounds of the time that a poll waits for a change. A connection that has gone silent is detected only when the
 /// poll times out, and drains are not seen until then, so polls wait briefly; they wait longer where all replicas
-/// together would poll more often than `MAX_POLLS_PER_SECOND`. A change has to be known 6 s after discovery has it: a
-/// poll that waits for 2.5 s times out and is repeated within 4 s.
+/// together would poll more often than `MAX_POLLS_PER_SECOND`. A change has to be known within 6 s of its
+/// arrival at discovery: a poll that waits for 2.5 s times out and is repeated within 4 s.
 const MIN_WAIT: Duration = Duration::from_secs(2);
 const MAX_WAIT: Duration = Duration::from_millis(2500);
 const MAX_POLLS_PER_SECOND: f64 = 50.0;
--- a/crates/sidecar/src/net/owner/event_loop.rs
+++ b/crates/sidecar/src/net/owner/event_loop.rs
@@ -282,7 +282,8 @@
         let ignored_before = self.policy.ignored_messages().total();
         self.policy.peer_message_received(now, peer, message);
         let IgnoredMessages { malformed, unknown_server } = self.policy.ignored_messages();
-        // Logged at powers of two only, since a peer of another version sends such messages continuously.
+        // Logged only when the total reaches a power of two, as a peer of another version sends such messages
+        // continuously.
         if (ignored_before + 1..=malformed + unknown_server).any(u64::is_power_of_two) {
             tracing::warn!(malformed, unknown_server, peer, "messages of peers were ignored");
         }
