--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -10,7 +10,7 @@
 /// The largest relative error of a prediction that the page accepts without an explanation.
 const PREDICTION_TOLERANCE: f64 = 0.15;
 
-/// The mechanism that distributes configuration, named once its slopes are measured.
+/// The mechanism that distributes configuration, shown once its slopes are measured.
 const CONFIGURATION_MECHANISM: &str = "control machines, by versions that each sidecar acknowledges";
 
 /// The name of a section of a page, and the text between its marks.
--- a/crates/capacity/src/sheet.rs
+++ b/crates/capacity/src/sheet.rs
@@ -2,7 +2,7 @@
 //! uses and the operators' bound next to it. Every figure is measured or derived from the protocol.
 //!
 //! A row reads the slopes of its role and figure. Where several match (by copies, by endpoints, ...), the first in the
-//! order of [`VARIABLES`] counts in full and each other one adds only its increment per unit. At any moment but calm a row
+//! order of [`VARIABLES`] counts in full and each other one adds only its increment per unit. At any moment except `Calm` a row
 //! needs a slope by changes or lines per second, or a figure of that moment (`bytes_out_zone_lost`); without either it is
 //! not measured.
 
@@ -47,7 +47,7 @@
     pub unit: &'static str,
     /// The results, in the order of [`Moment::ALL`].
     pub cells: [Cell; 6],
-    /// The operators' bound, in `unit`; for relays per call it is the project's own.
+    /// The operators' bound, in `unit`; for relays per call, the project's own limit.
     pub bound: Option<f64>,
     /// The part of the system that carries the load.
     pub mechanism: &'static str,
@@ -150,11 +150,11 @@
     /// A sidecar as the program works today: a process, a list and a fleet for each called service, times the mean number
     /// of called services.
     ProcessPerService,
-    /// One of these fleets.
+    /// One of the fleets of `ProcessPerService`: the copies that call one service.
     OneFleet,
     /// The sidecar that calls the most services.
     LargestSidecar,
-    /// One process if all copies formed a single ring.
+    /// One process of a system in which all copies form a single ring.
     SingleRing,
     /// One control machine when `remaining` machines share all watches; 0 means that no machine has failed.
     Machine { remaining: u64 },
--- a/crates/capacity/src/size.rs
+++ b/crates/capacity/src/size.rs
@@ -1,5 +1,5 @@
 //! The size file: the operators' figures and the cases that complete them. It defines the format of the file, its checks
-//! and the built-in file, which alone states a size.
+//! and the built-in file, the only place that states a size.
 
 use crate::sums::{Class, item_count, service_and_item_count};
 use landingspread_files::{FileError, parse_toml};
@@ -51,9 +51,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Pairing {
-    /// They are independent: the mean number of endpoints is assumed for each service.
+    /// The numbers are independent: each service is assumed to have the mean number of endpoints.
     Even,
-    /// Both are sorted in descending order and matched by rank, so that the most called service is the largest.
+    /// Both numbers are sorted in descending order and matched by rank, so that the most called service has the most
+    /// endpoints.
     Rank,
 }
 
--- a/crates/control/src/follower.rs
+++ b/crates/control/src/follower.rs
@@ -19,13 +19,14 @@
 const BACKOFF_JITTER: Duration = Duration::from_millis(80);
 /// The fraction of the jitter that is always added.
 const MIN_JITTER_FRACTION: f64 = 0.2;
-/// The factor on the jitter once every machine has failed, which doubles with each round over all machines.
+/// The factor on the jitter after every machine has failed, besides a factor of 2 for each round over all machines.
 const ROUND_JITTER_FACTOR: u32 = 6;
 /// The number of rounds after which the jitter no longer doubles.
 const MAX_BACKOFF_ROUNDS: usize = 4;
 /// The maximum backoff, jitter included.
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
-/// The follower returns to the first machine in its order after this time at another, plus jitter up to this time.
+/// The follower returns to the first machine in its order once it has polled another one without failures for this
+/// time plus a jitter of at most the same length.
 const FAILBACK_AFTER: Duration = Duration::from_secs(30);
 /// The increment of SplitMix64.
 const SEED_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
@@ -89,7 +90,7 @@
 pub enum RestoreError {
     /// The snapshot is truncated, corrupt or of another scope.
     Delta(DeltaError),
-    /// The host refuses the snapshot, because the sidecar's own file has changed.
+    /// The host refuses the snapshot, for instance after a change of the sidecar's own file.
     Config(ConfigError),
 }
 
@@ -261,7 +262,7 @@
         (MIN_BACKOFF + jitter.mul_f64(fraction)).min(MAX_BACKOFF)
     }
 
-    /// Selects the first machine in order if the failback is is_due. Returns whether it did.
+    /// Selects the first machine in order if the failback is due. Returns whether it did.
     fn fail_back(&mut self, now: Duration) -> bool {
         let is_due = self.current > 0 && now >= self.failback_at;
         if is_due {
--- a/crates/control/src/scope_status.rs
+++ b/crates/control/src/scope_status.rs
@@ -17,10 +17,10 @@
     /// The version that the sidecar acknowledged last.
     #[serde(rename = "have")]
     pub acknowledged: Option<Version>,
-    /// Its last refusal since the acknowledged version came into force.
+    /// The sidecar's last refusal since the acknowledged version came into force.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub refused: Option<ReportedRefusal>,
-    /// Milliseconds since its last poll.
+    /// Milliseconds since the sidecar's last poll.
     pub age_ms: u64,
 }
 
@@ -29,7 +29,7 @@
 pub struct LaggingFollower<'a> {
     /// The name of the sidecar.
     pub name: &'a str,
-    /// Whether the follower has stopped polling.
+    /// Whether the follower's last poll is too old, so that it may no longer run.
     pub silent: bool,
 }
 
--- a/crates/control/src/version_store.rs
+++ b/crates/control/src/version_store.rs
@@ -40,7 +40,7 @@
 /// Why a publication or a rollback is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PublishError {
-    /// The base differs from the current version, which is this one.
+    /// The base differs from the current version, which is given here; `None` if the scope has no version.
     BaseMismatch(Option<Version>),
     /// The version to roll back to is not in the history.
     UnknownVersion(Version),
@@ -173,7 +173,7 @@
     pub fn merge(&mut self, delta: Delta) -> Result<MergeOutcome, DeltaError> {
         let scope = delta.scope.clone();
         if !self.has_room_for(&scope) {
-            // A scope beyond the maximum is rejected as a foreign one.
+            // A new scope beyond `MAX_SCOPES` is rejected like an unexpected one.
             return Err(DeltaError::WrongScope(scope));
         }
         let next = delta.apply(&scope, self.current(&scope))?;
--- a/crates/lab/src/fleet/check.rs
+++ b/crates/lab/src/fleet/check.rs
@@ -11,7 +11,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-/// Virtual time per transition.
+/// Virtual time that a transition takes.
 const STEP_INTERVAL: Duration = Duration::from_millis(300);
 /// The replicas' own zone and the other one.
 const ZONES: [&str; 2] = ["here", "away"];
@@ -52,8 +52,9 @@
 #[derive(Clone, Debug)]
 struct Replica {
     failover: ZoneFailover<IssuedVerdicts>,
-    /// Observations of the other zone: send time of the last answered request, and time of the last lost one.
+    /// Time of the last request to the other zone that was answered.
     last_answered: Option<Duration>,
+    /// Time of the last request to the other zone that was lost.
     last_lost: Option<Duration>,
     /// Latest report and the one before, each with its time.
     reports: [(Vec<u8>, Duration); 2],
@@ -74,7 +75,7 @@
     observers: u8,
 }
 
-/// What happens between two moments of the model.
+/// The faults and the operator command of one step of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Transition {
     /// The zone fails, or recovers.
@@ -83,7 +84,7 @@
     isolated: Option<usize>,
     /// Messages of the first replica to the second are lost.
     lost_path: Option<(usize, usize)>,
-    /// All replicas receive the previous reports.
+    /// All replicas receive the previous reports of the others instead of the latest ones.
     late: bool,
     /// This replica is paused.
     paused: Option<usize>,
@@ -154,7 +155,7 @@
         self.failover.statuses().nth(OTHER_ZONE).map_or(ZoneStage::InService, |status| status.stage)
     }
 
-    /// Sends a request to the other zone if the verdict allows, and records its result.
+    /// Sends a request to the other zone if the verdict allows it, and records whether it was answered or lost.
     fn send(&mut self, now: Duration, zone_is_down: bool) {
         let share = self.failover.traffic()[OTHER_ZONE];
         if share.traffic_fraction > 0.0 || share.trial.is_some() {
--- a/crates/lab/src/fleet/emulated.rs
+++ b/crates/lab/src/fleet/emulated.rs
@@ -102,15 +102,17 @@
 #[derive(Clone, Debug, Default)]
 pub struct EmulationResults {
     pub views: ViewResults,
-    /// Datagrams and bytes that a replica sends per second: mean over the run, and the mean over replicas in
-    /// the busiest second.
+    /// Datagrams that a replica sends per second, as the mean over the run.
     pub datagrams_per_s: f64,
+    /// Bytes that a replica sends per second, as the mean over the run.
     pub bytes_per_s: f64,
+    /// Datagrams that a replica sends in the busiest second, as the mean over the replicas.
     pub max_datagrams_per_s: f64,
+    /// Bytes that a replica sends in the busiest second, as the mean over the replicas.
     pub max_bytes_per_s: f64,
     /// Suspicions raised by all replicas.
     pub suspicions: u64,
-    /// Fleet size that each replica reports to its decisions at the end; none if its process is down.
+    /// Fleet size that each replica reports to its decisions at the end; `None` if its process is down.
     pub fleet_sizes: Vec<Option<FleetSize>>,
     /// Events that were handled.
     pub steps: u64,
--- a/crates/lab/src/fleet/nemesis.rs
+++ b/crates/lab/src/fleet/nemesis.rs
@@ -1,6 +1,6 @@
-//! Fault generator: draws a random fault plan from a seed, so that a run can be repeated. A fault on processes affects at most
-//! 70 % of the replicas or one of several zones. It leaves time before
-//! the first and after the last fault in which the fleet's views can be checked.
+//! Fault generator: draws a random fault plan from a seed, so that a run can be repeated. A fault on processes, or
+//! a cut, affects one of several zones or at most 70 % of the replicas. The plan leaves time before the first and
+//! after the last fault in which the fleet's views can be checked.
 
 use super::plan::{Direction, Fault, FaultKind, FleetPlan};
 use rand::seq::IndexedRandom;
--- a/crates/lab/src/fleet/page.rs
+++ b/crates/lab/src/fleet/page.rs
@@ -19,7 +19,7 @@
 const SNAPSHOT_WIDTH_S: f64 = 0.1;
 
 type BoxError = Box<dyn std::error::Error>;
-/// A count of one second that is plotted.
+/// Selects the plotted count from the counts of one second.
 type CountOfSecond = fn(&super::rig::SecondCounts) -> u32;
 
 fn escaped(text: &str) -> String {
@@ -58,7 +58,7 @@
     Ok(html)
 }
 
-/// The lanes of all replicas, with a line at the begin and end of each fault.
+/// The lanes of all replicas, with a line at the start and end of each fault.
 fn lanes(plan: &FleetPlan, results: &RunResults) -> Result<String, BoxError> {
     let replicas = plan.processes;
     let mut svg = String::new();
--- a/crates/lab/src/fleet/plan.rs
+++ b/crates/lab/src/fleet/plan.rs
@@ -28,7 +28,7 @@
     /// Number of stand-in servers (real processes only).
     #[serde(default = "servers")]
     pub servers: usize,
-    /// Requests a second that arrive at each replica (real processes only).
+    /// Requests per second that arrive at each replica (real processes only).
     #[serde(rename = "rate_each", default = "rate")]
     pub rate_per_replica: f64,
     /// Load of every fourth replica as a multiple of the others' load, with `rate_each` as the mean (real
@@ -41,27 +41,28 @@
     /// Number of cores of each server.
     #[serde(default = "cores")]
     pub cores: usize,
-    /// Time until all replicas agree on a death, and on any other change.
+    /// Time in seconds within which all replicas must agree on a death.
     #[serde(default = "death_within")]
     pub death_within: f64,
+    /// Time in seconds within which all replicas must agree on any other change.
     #[serde(default = "agree_within")]
     pub agree_within: f64,
-    /// Time until each side of a partition has removed the other side.
+    /// Time in seconds within which each side of a partition must remove the other side.
     #[serde(default = "cut_within")]
     pub cut_within: f64,
     /// Whether the replicas evacuate and restore zones as a fleet.
     #[serde(default)]
     pub localities: bool,
-    /// How long replicas that can't reach a zone may still send requests to it.
+    /// Time in seconds during which replicas that can't reach a zone may still send requests to it.
     #[serde(default = "left_within")]
     pub left_within: f64,
-    /// Time after the end of a zone loss until all replicas send the zone its normal traffic.
+    /// Time in seconds after the end of a zone loss within which all replicas must send the zone its normal traffic.
     #[serde(default = "back_within")]
     pub back_within: f64,
     /// Bound on trials of a lost zone, per second over all replicas.
     #[serde(rename = "trials_most", default = "trials_most")]
     pub max_trials_per_s: f64,
-    /// How often one replica may evacuate one zone; unbounded if absent.
+    /// Maximum number of times that one replica may evacuate one zone; unbounded if absent.
     #[serde(rename = "departures_most", default, skip_serializing_if = "Option::is_none")]
     pub max_departures: Option<u32>,
     #[serde(default)]
@@ -82,9 +83,11 @@
     Starve,
     /// No message passes between the group and the others.
     Cut,
-    /// A fraction `share` of the datagrams is lost, duplicated or corrupted.
+    /// A fraction `share` of the datagrams is lost.
     Loss,
+    /// A fraction `share` of the datagrams is duplicated.
     Double,
+    /// A fraction `share` of the datagrams is corrupted.
     Garble,
     /// Messages are delayed by `delay`; datagrams may be reordered.
     Delay,
--- a/crates/lab/src/fleet/rig/copy.rs
+++ b/crates/lab/src/fleet/rig/copy.rs
@@ -120,14 +120,14 @@
         Ok(())
     }
 
-    /// Updates the list: the server has just started.
+    /// Updates the replica's list after the start of a server.
     pub fn announce_started(&self, server: usize) {
         if let Some(entry) = self.entries.get(server) {
             self.discovery.publish(Entry { started: Some(SystemTime::now()), ..entry.clone() });
         }
     }
 
-    /// Addresses of the live members in the replica's view, itself excluded; none if it can't be queried.
+    /// Addresses of the live members in the replica's view, itself excluded; `None` if it can't be queried.
     pub fn live_members(&self) -> Option<Vec<String>> {
         if self.state != ProcessState::Runs || !self.with_fleet {
             return None;
@@ -144,7 +144,7 @@
         )
     }
 
-    /// The replica's view of each zone; none if it can't be queried.
+    /// The replica's view of each zone; `None` if it can't be queried.
     pub fn zone_views(&self) -> Option<Vec<ZoneView>> {
         if self.state != ProcessState::Runs {
             return None;
@@ -158,7 +158,7 @@
         self.zones.iter().map(view).collect()
     }
 
-    /// Sends an operator's command to evacuate a zone or to return it, and returns whether it was accepted.
+    /// Sends an operator's command to evacuate a zone or to return it to service. Returns whether it was accepted.
     pub fn send_zone_command(&self, zone: &str, leave: bool) -> bool {
         let path = if leave { "/zones/leave" } else { "/zones/return" };
         let length = zone.len();
--- a/crates/lab/src/fleet/rig/mod.rs
+++ b/crates/lab/src/fleet/rig/mod.rs
@@ -43,8 +43,8 @@
 /// Time in each period in which a starved replica runs.
 const STARVED_RUN_TIME: Duration = Duration::from_millis(10);
 const STARVED_PAUSE: Duration = Duration::from_millis(90);
-/// Seconds after a disturbance of a replica's process in which its lost requests are not held against its
-/// decisions.
+/// Seconds after a disturbance of a replica's process during which its lost requests don't count as rule
+/// violations.
 const DISTURBANCE_S: f64 = 0.5;
 
 /// Network faults of the run, shared by all proxies.
@@ -98,7 +98,7 @@
     pub at: f64,
     #[serde(rename = "truth")]
     pub states: Vec<ProcessState>,
-    /// Number of members that each replica counts and number of errors in its view; none if it could not be
+    /// Number of members that each replica counts and number of errors in its view; `None` if it could not be
     /// queried.
     pub counts: Vec<Option<(usize, usize)>>,
 }
--- a/crates/lab/src/fleet/views.rs
+++ b/crates/lab/src/fleet/views.rs
@@ -15,12 +15,14 @@
 pub struct ReplicaSet(Vec<u64>);
 
 impl ReplicaSet {
+    /// Creates a set of these replicas.
     pub fn new(replicas: impl IntoIterator<Item = usize>) -> ReplicaSet {
         let mut set = ReplicaSet::default();
         replicas.into_iter().for_each(|replica| set.insert(replica));
         set
     }
 
+    /// Adds the replica with this index.
     pub fn insert(&mut self, replica: usize) {
         if self.0.len() <= replica / 64 {
             self.0.resize(replica / 64 + 1, 0);
@@ -28,14 +30,17 @@
         self.0[replica / 64] |= 1 << (replica % 64);
     }
 
+    /// Whether the set contains the replica with this index.
     pub fn contains(&self, replica: usize) -> bool {
         self.0.get(replica / 64).is_some_and(|bits| bits >> (replica % 64) & 1 == 1)
     }
 
+    /// Number of replicas in the set.
     pub fn len(&self) -> usize {
         self.0.iter().map(|bits| bits.count_ones() as usize).sum()
     }
 
+    /// Whether the set has no replicas.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -53,7 +58,7 @@
 /// Actual state of a replica's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum ProcessState {
-    /// The process has ended or was told to end.
+    /// The process has ended or was sent SIGTERM.
     Down,
     /// The process is paused.
     Still,
@@ -69,7 +74,7 @@
     pub states: Vec<ProcessState>,
     /// Partition of each replica under the active cuts; replicas of one partition reach each other.
     pub partitions: Vec<usize>,
-    /// Replicas that each replica counts as members, itself included; none if it could not be queried.
+    /// Replicas that each replica counts as members, itself included; `None` if it could not be queried.
     pub views: Vec<Option<ReplicaSet>>,
     /// Whether paths are so bad that views are not checked.
     pub is_too_lossy: bool,
@@ -153,6 +158,7 @@
 }
 
 impl ViewChecker {
+    /// Creates a checker with the plan's limits, before the first snapshot.
     pub fn new(deadlines: ViewDeadlines) -> ViewChecker {
         ViewChecker {
             deadlines,
--- a/crates/lab/src/fleet/zones.rs
+++ b/crates/lab/src/fleet/zones.rs
@@ -37,7 +37,7 @@
     pub by_operator: bool,
 }
 
-/// Whether, and if not why, a replica may use a zone.
+/// Whether a replica may use a zone, and the reason if it may not.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ZoneLoss {
     /// The replica may use the zone.
@@ -57,7 +57,7 @@
     pub runs: Vec<bool>,
     /// Expected state, by replica and zone.
     pub losses: Vec<Vec<ZoneLoss>>,
-    /// Reported state, by replica and zone; none if the replica could not be queried.
+    /// Reported state, by replica and zone; `None` if the replica could not be queried.
     pub views: Vec<Option<Vec<ZoneView>>>,
 }
 
@@ -117,6 +117,7 @@
 }
 
 impl<'a> ZoneChecker<'a> {
+    /// Creates a checker with the plan's limits, before the first snapshot.
     pub fn new(plan: &'a FleetPlan) -> ZoneChecker<'a> {
         ZoneChecker {
             plan,
--- a/crates/lab/src/pickers/named.rs
+++ b/crates/lab/src/pickers/named.rs
@@ -18,7 +18,7 @@
     LandingspreadFleet,
     /// With fleet membership and zone failover, as with `[localities]`.
     LandingspreadZones,
-    /// The same, where one in seven replicas sends false reports of zones.
+    /// Like `LandingspreadZones`, but one in seven replicas sends false reports of zones.
     #[serde(rename = "landingspread_zones_lied")]
     LandingspreadZonesFalseReports,
     Random,
--- a/crates/lab/src/pickers/plain.rs
+++ b/crates/lab/src/pickers/plain.rs
@@ -1,4 +1,4 @@
-//! Baselines: one selection rule, and only what the rules on final answers and safe retries require besides. They send
+//! Baseline load balancers: each has one selection rule and keeps the rules on final answers and safe retries. They send
 //! at once, retry a failure at another server where that is safe, and have no ejection, no queue and no slow start.
 
 use super::rules::{SentAttempt, may_reject, may_send};
@@ -22,8 +22,8 @@
     LeastOutstanding,
     /// The one of two random servers with fewer outstanding attempts (Mitzenmacher 2001).
     TwoChoices,
-    /// The shortest wait by the true state of the servers, which no replica can know, and a rejection where no server
-    /// would answer within the objective. An upper bound for comparison.
+    /// The server with the shortest wait by the true state of the servers, which no replica can know. A request is
+    /// rejected if no server would answer within the objective. An upper bound for comparison.
     TrueState,
 }
 
--- a/crates/lab/src/pickers/rules.rs
+++ b/crates/lab/src/pickers/rules.rs
@@ -1,4 +1,5 @@
-//! Rules 1 and 2 as the baselines keep them: where a request may still be sent, and how it may end.
+//! The checks by which the baselines keep rule 2 of the referee: whether a further attempt is safe, and whether a
+//! request may be rejected.
 
 use landingspread_decisions::host::Outcome;
 use landingspread_decisions::settings::{DedupScope, RetrySafety, Settings};
--- a/crates/lab/src/plan/check.rs
+++ b/crates/lab/src/plan/check.rs
@@ -16,7 +16,7 @@
     Some((key.into(), message.into()))
 }
 
-/// The first invalid key and the reason.
+/// The first invalid key of a scenario and the reason; `None` if the scenario is valid.
 pub fn first_error(scenario: &Scenario) -> Problem {
     check_sizes(scenario)
         .or_else(|| check_classes(scenario))
@@ -27,7 +27,7 @@
         })
 }
 
-/// An error if a figure lies outside a range, ends included.
+/// Returns an error if a value is outside the range from `min` to `max`, both included.
 fn check_range(key: String, value: f64, min: f64, max: f64) -> Problem {
     let within = value.is_finite() && value >= min && value <= max;
     if within { None } else { problem(key, format!("{value} does not lie from {min} to {max}")) }
--- a/crates/lab/src/plan/faults.rs
+++ b/crates/lab/src/plan/faults.rs
@@ -58,7 +58,8 @@
     /// Load reports of `servers` are false, as `says`.
     #[serde(rename = "reports_lie")]
     FalseLoadReports,
-    /// Connections are half open: one side holds them for open, the other has no state of them (real sockets only).
+    /// Connections are half open: one side considers them open, the other has no state for them (real sockets
+    /// only).
     HalfOpen,
 }
 
--- a/crates/lab/src/plan/scenario.rs
+++ b/crates/lab/src/plan/scenario.rs
@@ -21,7 +21,8 @@
     pub about: String,
     /// Time during which clients send, in seconds.
     pub seconds: f64,
-    /// Time at the start, in seconds, that totals leave out, because a system that has just started is not typical.
+    /// Time at the start, in seconds, that totals leave out, because a system that has just started is not in its steady
+    /// state.
     #[serde(default = "two")]
     pub settle: f64,
     pub load: Load,
@@ -87,7 +88,7 @@
     Exponential,
     /// Lognormal with coefficient of variation 1.5.
     Lognormal,
-    /// Bounded Pareto, shape 1.5, from a third of the mean to thirty times it (Crovella and Bestavros).
+    /// Bounded Pareto, shape 1.5, from about a third of the mean to 90 times that (Crovella and Bestavros).
     Pareto,
 }
 
@@ -144,7 +145,7 @@
 pub struct FrontTier {
     #[serde(rename = "copies")]
     pub replicas: usize,
-    /// Time for which clients would still connect to a replica that has ended, in seconds. It is checked, but no run
+    /// Time for which clients would still connect to a replica that has ended, in seconds. It is validated, but no run
     /// uses it.
     #[serde(rename = "notice")]
     pub detection_delay: f64,
@@ -216,12 +217,13 @@
     #[serde(rename = "warm_after")]
     pub warmup: f64,
     /// The server is overloaded, and ends, when the work that arrives within the window is more than this multiple of the
-    /// work that it can do in it at its present speed.
+    /// work that it can do in it at its current speed.
     #[serde(rename = "multiple")]
     pub overload_multiple: f64,
     #[serde(rename = "window")]
     pub overload_window: f64,
-    /// With fewer requests than this in the window, only work beyond the allowance for chance overloads the server.
+    /// With fewer requests than this in the window, the server is overloaded only by work beyond that multiple plus an
+    /// allowance for random variation.
     #[serde(rename = "least")]
     pub min_requests: u32,
     /// Time until an overloaded server starts again, in seconds.
--- a/crates/lab/src/referee.rs
+++ b/crates/lab/src/referee.rs
@@ -47,12 +47,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FinalOutcome {
+    /// A server answered the request.
     Answered,
+    /// The replica rejected the request, which tells the client that a retry is safe.
     Declined,
+    /// The replica gave the request up with an error that does not say whether a retry is safe.
     Terminated,
     /// The client disconnected before a final answer.
     Left,
-    /// The process of its replica ended, or it had no final answer by its deadline.
+    /// The process of the request's replica ended, or the request had no final answer by its deadline.
     Lost,
 }
 
--- a/crates/lab/src/scale/rig.rs
+++ b/crates/lab/src/scale/rig.rs
@@ -25,14 +25,16 @@
 /// Fraction of time in which a process of clientless sidecars may run or wait for a processor; beyond it the
 /// process falls behind.
 const MAX_BUSY_FRACTION: f64 = 0.9;
-/// Memory in MB per process, per replica, and per known member or endpoint, rounded up from runs of 30 to 1,000
-/// replicas.
+/// Memory per process, in MB, rounded up like the next two from runs of 30 to 1,000 replicas.
 const MB_PROCESS: f64 = 6.0;
+/// Memory per replica, in MB.
 const MB_REPLICA: f64 = 0.15;
+/// Memory per member or endpoint that a replica knows, in MB.
 const MB_MEMBER: f64 = 0.0005;
 /// Memory of the lab's own process, in MB.
 const MB_LAB: f64 = 16.0;
-/// A replica's number determines its address; concurrent runs use different ranges of numbers.
+/// Replica numbers in the range of one run. A replica's number determines its address, so concurrent runs use
+/// different ranges.
 const NUMBERS_PER_RUN: u32 = 8_192;
 const CONCURRENT_RUNS: u32 = 31;
 static RUN_COUNT: AtomicU32 = AtomicU32::new(0);
@@ -61,12 +63,13 @@
     pub requests_per_s: f64,
     /// Clientless sidecars per process; 0 derives it from the size.
     pub clientless_per_process: usize,
-    /// Time between convergence and the measurement, and the duration of the measurement.
+    /// Time between the convergence of the membership and the start of the measurement.
     pub settle: Duration,
+    /// Duration of the measurement.
     pub duration: Duration,
     /// Limit for all members to know each other.
     pub join_timeout: Duration,
-    /// Whether the clientless sidecars of a zone are then killed and started again together.
+    /// Whether the clientless sidecars of a zone are killed and started again together after the measurement.
     pub lose_zone: bool,
     pub bounds: Bounds,
 }
@@ -84,16 +87,18 @@
     pub figures: Vec<Figure>,
     /// Why the figures are invalid, if they are.
     pub invalid: Option<String>,
-    /// Highest number of processes, and highest memory in MB.
+    /// Highest number of processes.
     pub processes: usize,
+    /// Highest memory of all processes together, in MB.
     pub memory_mb: f64,
     /// Latency of requests through the measured sidecars in milliseconds, at p50 and p99, and the number of
     /// requests without an answer.
     pub calls: Option<(f64, f64, u64)>,
-    /// Seconds until the measured sidecars knew the full membership: at the start, after the loss of a zone,
-    /// and after its return.
+    /// Seconds from the start until the measured sidecars knew the full membership.
     pub join_s: f64,
+    /// Seconds from the loss of a zone until the measured sidecars knew the remaining membership.
     pub zone_loss_s: Option<f64>,
+    /// Seconds from the return of the zone until the measured sidecars knew the full membership.
     pub zone_return_s: Option<f64>,
 }
 
@@ -202,7 +207,7 @@
     }
 }
 
-/// Configuration of a sidecar; the program itself fills in what differs between clientless ones.
+/// Configuration of a sidecar. The program replaces the placeholders for each clientless sidecar.
 const TEMPLATE: &str = "\
 name = \"h{n}\"
 listen = \"{listen}\"
@@ -529,7 +534,7 @@
         let answers = per_s(source.responses, source_after.responses);
         let (bytes_in, bytes_out) =
             (per_s(source.bytes_in, source_after.bytes_in), per_s(source.bytes_out, source_after.bytes_out));
-        // What the list source sends is what sidecars receive, and the other way round.
+        // The list source sends what sidecars receive, and receives what they send.
         let on_watch = [0.0, calls, answers, bytes_in, bytes_out].map(|all| all / replicas);
         for ((figure, unit, fleet_figure), watch) in fleet.into_iter().zip(on_watch) {
             let value = mean(false, fleet_figure).unwrap_or(0.0);
--- a/crates/lab/src/tally.rs
+++ b/crates/lab/src/tally.rs
@@ -28,18 +28,18 @@
     pub p99: f64,
     /// Requests at a server divided by its cores, as the mean over all servers.
     pub load: f64,
-    /// The same for each of the first servers, in order of their numbers.
+    /// The load of each server, in order of their numbers, for at most `MAX_SERVER_LOADS` servers.
     pub loads: Vec<f64>,
 }
 
-/// A log line of a replica about the ejection or return of a server.
+/// A log line of a replica about the ejection or return of a server, or about its verdict on a zone.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct EjectionNote {
     /// Seconds since the start.
     pub at: f64,
     #[serde(rename = "copy")]
     pub replica: usize,
-    /// The replica's log line: `mark s3`, `return s3`.
+    /// The replica's log line, such as `mark s3`, `return s3` or `mark zone b left`.
     #[serde(rename = "note")]
     pub text: String,
 }
@@ -243,7 +243,7 @@
         self.totals.not_accepted += u64::from(now >= self.settle);
     }
 
-    /// Records a log line if it reports an ejection or a return, up to a bound.
+    /// Records a log line if it reports an ejection, a return or a zone verdict, up to `MAX_EJECTION_NOTES` lines.
     pub fn record_note(&mut self, now: Duration, replica: usize, text: &str) {
         if self.ejections.len() < MAX_EJECTION_NOTES
             && (text.starts_with("mark") || text.starts_with("return"))
@@ -252,7 +252,7 @@
         }
     }
 
-    /// Closes a second. `loads` are the requests at each server divided by its cores.
+    /// Closes a second. `loads` has, for each server, its requests divided by its cores.
     pub fn end_second(&mut self, now: Duration, loads: &[f64]) {
         let (p50, p99) =
             (quantile_ms(&self.second_latencies, 0.5), quantile_ms(&self.second_latencies, 0.99));
--- a/crates/lab/src/world/clients.rs
+++ b/crates/lab/src/world/clients.rs
@@ -18,8 +18,8 @@
         self.plan.load.rate * surges.product::<f64>()
     }
 
-    /// Schedules the next arrival and sends the present one: Poisson arrivals at the highest rate of the run, thinned to
-    /// the present rate, so that a surge changes nothing before it.
+    /// Schedules the next arrival and sends the current one. Poisson arrivals at the highest rate of the run are thinned
+    /// to the current rate, so that a surge does not change the arrivals before it.
     pub fn client_arrival(&mut self) {
         let max_rate_now = self.max_rate();
         if max_rate_now <= 0.0 || self.now >= to_duration(self.plan.seconds) {
@@ -66,7 +66,7 @@
         self.plan.load.rate * factors.map(|factor| factor.max(1.0)).product::<f64>()
     }
 
-    /// Counts an operation of a tenant and returns whether it exceeds the quota of the present second.
+    /// Counts an operation of a tenant and returns whether it exceeds the quota of the current second.
     fn exceeds_quota(&mut self, tenant: usize) -> bool {
         let Some(quota) = self.plan.tenants[tenant].quota else { return false };
         let (second, count) = &mut self.quota_usage[tenant];
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Chooses a running replica of the client's zone, or of any zone where none of its own runs.
+    /// Chooses a running replica of the client's zone, or of any zone if that zone has no running replica.
     fn choose_replica(&mut self, zone: u32) -> Option<usize> {
         let point: f64 = self.rng.clients.random();
         let count = self.plan.front.replicas;
--- a/crates/lab/src/world/faults.rs
+++ b/crates/lab/src/world/faults.rs
@@ -1,5 +1,5 @@
-//! The start, the steps and the end of faults. A fault that only changes a factor takes effect by being among the active
-//! faults; the others act on the state here.
+//! The start, the steps and the end of faults. A fault that only changes a factor needs no code here: the simulation
+//! reads the factor from the active faults. The other kinds change the state here.
 
 use super::ground::{ServerStatus, SimulationState};
 use super::happening::SimEvent;
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Keeps the present list at each replica of the tier, to be served while the list is stale.
+    /// Saves the current list for each replica of the tier. Polls are answered with it while the list is stale.
     fn snapshot_lists(&mut self, tier: usize) {
         let list = self.listed_servers(tier);
         for replica in self.replicas.iter_mut().filter(|replica| replica.tier == tier) {
--- a/crates/lab/src/world/ground.rs
+++ b/crates/lab/src/world/ground.rs
@@ -42,7 +42,7 @@
     pub speed: f64,
     pub status: ServerStatus,
     pub generation: u32,
-    /// Start of the warm-up of the present process; `None` for a server that was warm from the start of the run.
+    /// Start of the warm-up of the current process; `None` for a server that was warm from the start of the run.
     pub warming_since: Option<Duration>,
     pub started_at: Option<Duration>,
     pub draining: bool,
@@ -55,7 +55,7 @@
     pub offered_work: OfferedWork,
     /// Time and figures (queued, in flight) of the last load report that was computed.
     pub last_report: (Duration, f64, f64),
-    /// The replica through which it calls the next tier.
+    /// The replica through which the server calls the next tier; `None` in the last tier.
     pub replica: Option<usize>,
 }
 
@@ -111,7 +111,7 @@
     pub operation: u64,
     pub final_outcome: Option<FinalOutcome>,
     pub attempts: Vec<Attempt>,
-    /// Count of its jobs that servers still hold.
+    /// Count of the jobs of this request that servers have not removed yet.
     pub jobs: u32,
     /// The job of the tier above that waits for this request.
     pub parent: Option<JobKey>,
@@ -127,7 +127,7 @@
     pub over_quota: bool,
     /// Executions that were not deduplicated: location, time and number of the request.
     pub executions: Vec<(Location, Duration, u64)>,
-    /// Requests that still refer to the operation, plus a scheduled retry.
+    /// Count of requests that still refer to the operation, plus one for a scheduled retry.
     pub references: u32,
 }
 
@@ -179,7 +179,7 @@
     pub statistics: Statistics,
     /// The highest load on cold servers, over all their processes.
     pub cold_peaks: ColdPeaks,
-    /// By tenant: the present second and the operations counted in it.
+    /// By tenant: the current second and the operations counted in it.
     pub quota_usage: Vec<(u64, f64)>,
     pub events: u64,
 }
@@ -317,7 +317,7 @@
         origin_zone.up && origin_zone.generation == process.generation
     }
 
-    /// The present process of a replica, or the next one while it is down.
+    /// The current process of a replica, or the next one while it is down.
     pub fn current_process(&self, replica: usize) -> ReplicaProcess {
         ReplicaProcess { replica, generation: self.replicas[replica].generation }
     }
@@ -416,7 +416,7 @@
         check(&mut self.referee, &facts);
     }
 
-    /// The present entries of the servers of a tier, without faults of the list source.
+    /// The current entries of the servers of a tier, without faults of the list source.
     pub fn listed_servers(&self, tier: usize) -> Rc<[ListedServer]> {
         self.servers_by_tier[tier].iter().filter_map(|server| self.list_source.entry(*server)).collect()
     }
--- a/crates/lab/src/world/hand.rs
+++ b/crates/lab/src/world/hand.rs
@@ -200,10 +200,10 @@
         let own = &state.replicas[self.process.replica];
         let (tier, ordinal) = (own.tier, own.ordinal);
         let is_recipient = |replica: &usize| {
-            let server_zone = &state.replicas[*replica];
-            server_zone.tier == tier
-                && server_zone.ordinal != ordinal
-                && peer.is_none_or(|peer| peer == server_zone.ordinal)
+            let candidate = &state.replicas[*replica];
+            candidate.tier == tier
+                && candidate.ordinal != ordinal
+                && peer.is_none_or(|peer| peer == candidate.ordinal)
         };
         let to: Vec<usize> = (0..state.replicas.len()).filter(is_recipient).collect();
         let message: Rc<[u8]> = message.into();
@@ -221,7 +221,7 @@
 }
 
 impl HostHandle {
-    /// Records a log line of the replica; only notes on ejections are kept.
+    /// Records a log line of the replica; only lines about ejections, returns and zone verdicts are kept.
     pub fn note(&self, text: &str) {
         let state = &mut *self.state.borrow_mut();
         let now = state.now;
@@ -239,7 +239,8 @@
         let Some(idle_connections) = self.replicas[replica].idle_connections.get_mut(&server) else {
             return true;
         };
-        // A connection to an earlier process is known to be broken, except to a machine that has become unreachable.
+        // Connections to an earlier process are known to be broken, unless the machine is unreachable: then the replica has
+        // seen no reset and still uses them.
         if idle_connections.count == 0
             || (idle_connections.generation != generation && !server_unreachable)
             || now > idle_connections.last_used + idle
--- a/crates/lab/src/world/happening.rs
+++ b/crates/lab/src/world/happening.rs
@@ -59,7 +59,7 @@
     DiscoveryPollFailed(ReplicaProcess),
     /// A replica's poll arrives at the list source.
     DiscoveryPolled(ReplicaProcess),
-    /// The list source learns the present status of a server, by its number.
+    /// The list source learns the current status of a server, by its number.
     ListSourceUpdated(usize),
     /// A fault begins, by its index in the plan.
     FaultBegins(usize),
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -101,7 +101,7 @@
     }
 
     /// Starts a new process of a replica, with no statistics and the list as the source has it. The state is no longer
-    /// borrowed when the load balancer is created, because that calls its host at once.
+    /// borrowed when the load balancer is created, because its constructor calls the host.
     fn start_replica(&mut self, replica: usize) {
         let (process, settings, list, now) = {
             let state = &mut *self.state.borrow_mut();
--- a/crates/lab/src/world/serving.rs
+++ b/crates/lab/src/world/serving.rs
@@ -160,7 +160,7 @@
         self.start_jobs(number);
     }
 
-    /// Updates whether a server is congested, with a lower threshold for recovery than for the onset.
+    /// Updates whether a server is congested. The threshold for recovery is lower than the one for the onset.
     fn update_congestion(&mut self, number: usize) {
         let server = &mut self.servers[number];
         let tier = &self.plan.tiers[server.tier];
@@ -214,7 +214,7 @@
         to_duration(work / speed)
     }
 
-    /// The present speed of a server, by its hardware, warm-up, congestion and faults.
+    /// The current speed of a server, by its hardware, warm-up, congestion and faults.
     pub(super) fn speed(&self, number: usize) -> f64 {
         let server = &self.servers[number];
         let slow = |fault: &&crate::plan::Fault| match fault.kind {
@@ -304,7 +304,7 @@
         let Some(job) = self.job(key) else { return };
         let number = job.server;
         if self.is_paused(&self.servers[number]) {
-            // A job on a core does not end before the pause does.
+            // A running job can't end while its server is paused, so its end is checked again later.
             self.schedule_in(to_duration(0.01), SimEvent::CoreFinished(key));
             return;
         }
@@ -421,7 +421,7 @@
             .get(attempt_key.request)
             .map_or(0, |request| self.replicas[request.process.replica].zone);
         if is_waiting && !self.zones_are_cut(zone, self.servers[number].zone) {
-            self.servers[number].queue.retain(|server_zone| *server_zone != key);
+            self.servers[number].queue.retain(|queued_key| *queued_key != key);
             self.remove_job(key);
         }
     }
@@ -471,7 +471,7 @@
         }
     }
 
-    /// The load report of a server, by the tier's settings and by faults that make it false.
+    /// The load report of a server, according to the tier's settings and to faults that falsify reports.
     fn load_report(&mut self, number: usize) -> LoadReport {
         let (now, server) = (self.now, &self.servers[number]);
         let tier = &self.plan.tiers[server.tier];
--- a/crates/lab/src/world/source.rs
+++ b/crates/lab/src/world/source.rs
@@ -19,7 +19,7 @@
 }
 
 impl ListSource {
-    /// Records the present status of a server as its entry.
+    /// Records the current status of a server as its entry.
     pub fn update(&mut self, server: &Server, number: usize) {
         if self.entries.len() <= number {
             self.entries.resize(number + 1, None);
@@ -72,7 +72,8 @@
         self.broadcast_list(tier, false, &change);
     }
 
-    /// Sends entries to all watching replicas of a tier, each with its own delay.
+    /// Sends entries to all watching replicas of a tier, each with its own delay. While the list is stale, empty or down,
+    /// nothing is sent but a full list that is empty.
     fn broadcast_list(&mut self, tier: usize, full: bool, entries: &Rc<[ListedServer]>) {
         let (stale, empty) = (
             self.source_fault_active(FaultKind::ListStale, tier),
@@ -139,7 +140,7 @@
         self.deliver_list(process.replica, true, list);
     }
 
-    /// Ends the watches of all replicas of a tier, each within a second.
+    /// Ends the watches of all running replicas of a tier. Each replica learns of it within a second.
     pub fn end_watches(&mut self, tier: usize) {
         for replica in 0..self.replicas.len() {
             if self.replicas[replica].tier == tier && self.replicas[replica].up {
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Records since when a replica knows that servers are unavailable, by the list that it receives.
+    /// Records when a replica learns from a received list that servers are unavailable, or ready again.
     pub fn record_list(&mut self, process: ReplicaProcess, full: bool, entries: &[ListedServer]) {
         let (now, count) = (self.now, self.servers.len());
         let mut ready: Vec<(usize, bool)> = Vec::with_capacity(entries.len());
--- a/crates/sidecar/src/configuration/class_limits.rs
+++ b/crates/sidecar/src/configuration/class_limits.rs
@@ -8,9 +8,9 @@
 
 /// The settings of one request class that are checked together.
 pub struct ClassLimits {
-    /// At most the time limit.
+    /// The latency within which a response has its full value, at most the time limit.
     pub latency_objective: Duration,
-    /// The time by which a request has its final response.
+    /// The time within which a request must have its final response.
     pub time_limit: Duration,
     /// The value of a response within the latency objective.
     pub value: f64,
--- a/crates/sidecar/src/configuration/operator_form/schema.rs
+++ b/crates/sidecar/src/configuration/operator_form/schema.rs
@@ -55,7 +55,7 @@
     pub rules: Rules,
 }
 
-/// The service that the endpoint list is watched at: the table `[discovery]`.
+/// The discovery service from which the endpoint list is watched: the table `[discovery]`.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Discovered")]
 pub struct DiscoveryTable {
--- a/crates/sidecar/src/console/handlers.rs
+++ b/crates/sidecar/src/console/handlers.rs
@@ -119,7 +119,8 @@
         timeout(OWNER_TIMEOUT, reply.recv()).await?.ok()
     }
 
-    /// Applies the orders that the other process of an upgrade records. Returns only if there is no record.
+    /// Applies the orders that the other process of an upgrade records. Returns only if this process has no
+    /// maintenance record, because no state folder is configured.
     pub(super) async fn follow_record(self: Rc<Self>) {
         loop {
             Timer::after(CHECK_INTERVAL).await;
--- a/crates/sidecar/src/control/followers.rs
+++ b/crates/sidecar/src/control/followers.rs
@@ -1,6 +1,5 @@
 //! Runs many followers in one process for load measurements: they follow the configuration as sidecars do, with the
-//! same task on real sockets, and do nothing else. They print when each version came into force,
-//! for the lab.
+//! same task on real sockets, and do nothing else. For the lab, they print when each version came into force.
 
 use super::FollowTask;
 use super::host::AsyncConfigHost;
--- a/crates/sidecar/src/control/machine/polls.rs
+++ b/crates/sidecar/src/control/machine/polls.rs
@@ -13,14 +13,14 @@
 use std::net::TcpStream;
 use std::time::Instant;
 
-/// The minimum number of waiting polls of a scope at which the ended ones are removed.
+/// Adding a poll removes the ended polls of its scope only once the scope has at least this many polls.
 const MIN_PRUNE_AT: usize = 16;
 
 /// The polls that wait for the next version of a scope.
 #[derive(Default)]
 struct Waiting {
     polls: Vec<Sender<()>>,
-    /// The length of `polls` at which the ended ones are removed.
+    /// The length of `polls` at which ended polls are removed.
     prune_at: usize,
 }
 
@@ -46,7 +46,7 @@
         self.0.remove(scope);
     }
 
-    /// Removes the polls of all scopes that have ended.
+    /// Removes the ended polls of all scopes.
     pub fn prune(&mut self) {
         for waiting in self.0.values_mut() {
             waiting.polls.retain(|poll| !poll.is_closed());
--- a/crates/sidecar/src/control/machine/routes.rs
+++ b/crates/sidecar/src/control/machine/routes.rs
@@ -91,7 +91,7 @@
     match base {
         Some("none") => Ok(None),
         Some(text) => parse_version("base", text).map(Some),
-        // The base is mandatory, so that an operator can't overwrite a version that he has not seen.
+        // The base is mandatory, so that an operator can't overwrite a version without having seen it.
         None => Err(Reply::error(400, "base: a version is wanted, or none for the first")),
     }
 }
--- a/crates/sidecar/src/control/machine/versions.rs
+++ b/crates/sidecar/src/control/machine/versions.rs
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Distributes a version that an operator published here, because a version on only one machine is lost with it.
+    /// Distributes a version that an operator published here, because a version that only one machine has is lost if
+    /// that machine fails.
     /// Waits until all available machines have it, at most [`DISTRIBUTE_TIMEOUT`], and returns how many machines have
     /// it, including this one.
     pub(super) async fn distribute(&self, scope: &str, version: Version) -> usize {
--- a/crates/sidecar/src/handover/inherited_listener.rs
+++ b/crates/sidecar/src/handover/inherited_listener.rs
@@ -17,7 +17,7 @@
 
 fn take_over(descriptor: RawFd) -> io::Result<TcpListener> {
     // SAFETY: the descriptor is used only here, before anything else is opened, so no other part of this process can own or
-    // close it. The first call checks that the descriptor is open.
+    // close it. `fcntl_getfd` then checks that the descriptor is open.
     let borrowed = unsafe { BorrowedFd::borrow_raw(descriptor) };
     rustix::io::fcntl_getfd(borrowed)?;
     if !rustix::net::sockopt::socket_acceptconn(borrowed)? {
--- a/crates/sidecar/tests/discovery_recovery/plan.rs
+++ b/crates/sidecar/tests/discovery_recovery/plan.rs
@@ -20,7 +20,7 @@
     Resets,
     CutsShort,
     Closes,
-    /// A random other mode for each poll.
+    /// Each poll fails in one of the other modes, drawn at random.
     Mixed,
 }
 
--- a/crates/sidecar/tests/gone.rs
+++ b/crates/sidecar/tests/gone.rs
@@ -31,7 +31,7 @@
     RetryAfterClose,
     /// The connection of the second of two parallel attempts, while the first one is unanswered.
     ParallelConnection,
-    /// Its place among the open requests: the sidecar queues it.
+    /// The start of its first attempt: the sidecar queues the request while its servers are busy.
     Queue,
 }
 
--- a/crates/sidecar/tests/helpers/gate.rs
+++ b/crates/sidecar/tests/helpers/gate.rs
@@ -6,7 +6,7 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// A request whose client has disconnected is not sent to a server later than this.
+/// Maximum time after a client's disconnection within which its request may still be sent to a server.
 pub const DEPARTURE_BOUND: Duration = Duration::from_millis(100);
 /// The kernel retransmits an unanswered SYN after 1 s: after this time it has reached the opened server.
 pub const DIAL_RETRY_WAIT: Duration = Duration::from_millis(1400);
@@ -136,7 +136,7 @@
     endpoint_list(1, &entries)
 }
 
-/// Raises the number of sockets, the dial timeout and the time limits so that no request ends by them in a test. `cancel`
+/// Raises the number of sockets, the dial timeout and the time limits so that no request reaches any of these limits in a test. `cancel`
 /// says whether the sidecar may cancel attempts.
 pub fn set_long_limits(config: &mut Value, cancel: bool) {
     config["limits"]["sockets"] = json!(1000);
--- a/crates/sidecar/tests/starts.rs
+++ b/crates/sidecar/tests/starts.rs
@@ -16,7 +16,8 @@
 const PROCESSES: usize = 30;
 /// Nine in ten restarted processes are ready within this time.
 const READY_WITHIN: Duration = Duration::from_secs(10);
-/// A test waits this long for a process, which then counts among the slowest tenth or fails the test.
+/// Longest wait for a process to be ready or to exit. One that is not ready by then counts as slow; one that has not
+/// exited fails the test.
 const LONGEST_WAIT: Duration = Duration::from_secs(15);
 /// Servers in the statistics file of the earlier process: its size stays below 8 MiB, the most that is read.
 const STORED_SERVERS: usize = 50_000;
