--- a/crates/capacity/src/slope.rs
+++ b/crates/capacity/src/slope.rs
@@ -155,6 +155,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Slopes {
+    /// The slopes, in the order of the file; may be empty.
     #[serde(default, rename = "slope")]
     pub slopes: Vec<Slope>,
 }
--- a/crates/lab/src/args.rs
+++ b/crates/lab/src/args.rs
@@ -11,6 +11,7 @@
     pub subcommand: Subcommand,
 }
 
+/// The sub-commands of the program.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 pub enum Subcommand {
--- a/crates/lab/src/cold.rs
+++ b/crates/lab/src/cold.rs
@@ -8,6 +8,7 @@
 /// The overload bound of a cold server at one time.
 #[derive(Clone, Copy, Debug)]
 pub struct OverloadBound {
+    /// Length of the window in which requests are counted.
     pub window: Duration,
     /// Requests of mean work allowed within the window: overload multiple x present capacity x window / mean work.
     pub budget: f64,
@@ -23,6 +24,7 @@
 /// The window of one process of a cold server that was fullest relative to its allowance.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ColdPeak {
+    /// Name of the server.
     pub server: String,
     /// End of the window in seconds since the start.
     pub at: f64,
@@ -57,11 +59,13 @@
     /// The processes whose fullest window has the highest and the lowest ratio to its allowance.
     #[serde(rename = "highest")]
     pub highest_ratio: Option<ColdPeak>,
+    /// The process whose fullest window has the lowest ratio to its allowance; `None` if no process received a request.
     #[serde(rename = "lowest")]
     pub lowest_ratio: Option<ColdPeak>,
     /// The processes whose fullest window has the smallest and the largest margin to its allowance.
     #[serde(rename = "closest")]
     pub smallest_margin: Option<ColdPeak>,
+    /// The process whose fullest window has the largest margin to its allowance.
     #[serde(rename = "widest")]
     pub largest_margin: Option<ColdPeak>,
 }
--- a/crates/lab/src/experiment/compare.rs
+++ b/crates/lab/src/experiment/compare.rs
@@ -15,10 +15,15 @@
 /// The difference of the utility fraction of `load_balancer` to that of `base` in one setting.
 #[derive(Clone, Debug)]
 pub struct Difference {
+    /// Name of the setting: its case and the values of the axes.
     pub setting: String,
+    /// The compared load balancer.
     pub load_balancer: LoadBalancerKind,
+    /// The load balancer that it is compared with.
     pub base: LoadBalancerKind,
+    /// Number of seeds for which both load balancers have a run.
     pub seeds: usize,
+    /// Mean difference over the seeds, as a fraction of the offered utility.
     pub mean: f64,
     /// Bounds of the interval that holds 95% of the resampled means.
     pub interval: (f64, f64),
--- a/crates/lab/src/experiment/ready.rs
+++ b/crates/lab/src/experiment/ready.rs
@@ -16,18 +16,24 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
+    /// Name of the experiment.
     pub name: String,
+    /// One-line description; may be empty.
     #[serde(default)]
     pub about: String,
     /// Name of a built-in scenario, or path of a file relative to this one.
     #[serde(rename = "world")]
     pub scenario: String,
+    /// Cases, each run with every combination of axis values.
     #[serde(default = "calm_case")]
     pub cases: Vec<Case>,
+    /// Load balancers, each run in every setting.
     #[serde(default = "default_balancers", rename = "pickers")]
     pub load_balancers: Vec<LoadBalancerKind>,
+    /// Seeds of the runs of each setting and load balancer.
     #[serde(default)]
     pub seeds: Seeds,
+    /// Axes whose values are combined; none gives one setting for each case.
     #[serde(default)]
     pub axes: Vec<Axis>,
 }
@@ -36,9 +42,12 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Case {
+    /// Name of the case, as tables show it.
     pub name: String,
+    /// One-line description; may be empty.
     #[serde(default)]
     pub about: String,
+    /// Faults that are added to those of the scenario; may be empty.
     #[serde(default)]
     pub faults: Vec<Fault>,
 }
@@ -47,7 +56,9 @@
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Seeds {
+    /// The first seed.
     pub from: u64,
+    /// Number of seeds.
     pub count: u64,
 }
 
@@ -61,7 +72,9 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Axis {
+    /// Path of the key in the scenario, with parts separated by dots.
     pub key: String,
+    /// Values of the key, in the order of the runs.
     pub values: Vec<toml::Value>,
 }
 
@@ -76,24 +89,34 @@
 /// A scenario with the faults of one case and one combination of values of the axes.
 #[derive(Clone, Debug)]
 pub struct Setting {
+    /// Name of the case.
     pub case: String,
+    /// Description of the case.
     pub about: String,
+    /// Key and value of each axis in this setting.
     pub point: Vec<(String, String)>,
+    /// The scenario with the faults and axis values applied.
     pub scenario: Scenario,
 }
 
 /// One run: a setting by its index, a load balancer and a seed.
 #[derive(Clone, Debug)]
 pub struct PlannedRun {
+    /// Index of the setting in the prepared experiment.
     pub setting: usize,
+    /// Load balancer of the run.
     pub load_balancer: LoadBalancerKind,
+    /// Seed of the run.
     pub seed: u64,
 }
 
 /// An experiment with its settings and its runs, ordered by setting, load balancer and seed.
 pub struct PreparedExperiment {
+    /// The experiment as its file describes it.
     pub experiment: Experiment,
+    /// All settings, indexed by the `setting` of a run.
     pub settings: Vec<Setting>,
+    /// All planned runs.
     pub runs: Vec<PlannedRun>,
 }
 
--- a/crates/lab/src/experiment/results.rs
+++ b/crates/lab/src/experiment/results.rs
@@ -19,7 +19,9 @@
 /// The first line of the results.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Header {
+    /// Version and commit of the lab, as `build` returns them.
     pub build: String,
+    /// The experiment as its file describes it.
     pub experiment: Experiment,
     /// Indexed by the `setting` of the rows.
     pub settings: Vec<SettingRecord>,
@@ -28,20 +30,29 @@
 /// One setting of the experiment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SettingRecord {
+    /// Name of the case.
     pub case: String,
+    /// Key and value of each axis in this setting.
     pub point: Vec<(String, String)>,
+    /// The scenario with the faults and axis values applied.
     pub scenario: Scenario,
 }
 
 /// The result of one run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Row {
+    /// Index of the setting in the header.
     pub setting: usize,
+    /// Name of the case.
     pub case: String,
+    /// Key and value of each axis in this setting.
     pub point: Vec<(String, String)>,
+    /// Load balancer of the run.
     #[serde(rename = "picker")]
     pub load_balancer: LoadBalancerKind,
+    /// Seed of the run.
     pub seed: u64,
+    /// Totals of the run, without the settling time.
     pub totals: Totals,
     /// Count of breaches by rule, with rule 1 at index 0.
     #[serde(rename = "broken")]
@@ -51,6 +62,7 @@
     /// The highest load that all replicas together put on cold servers.
     #[serde(default, rename = "cold")]
     pub cold_peaks: ColdPeaks,
+    /// Number of simulated events.
     #[serde(rename = "steps")]
     pub events: u64,
 }
@@ -85,7 +97,9 @@
 /// The results of an experiment.
 #[derive(Clone, Debug)]
 pub struct Results {
+    /// The first line of the results.
     pub header: Header,
+    /// One row for each run.
     pub rows: Vec<Row>,
 }
 
--- a/crates/lab/src/fleet/plan.rs
+++ b/crates/lab/src/fleet/plan.rs
@@ -12,6 +12,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FleetPlan {
+    /// Name of the plan.
     pub name: String,
     /// One-line description for lists and reports.
     #[serde(default)]
@@ -113,6 +114,7 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Direction {
+    /// Messages that the group sends and messages that it receives.
     #[default]
     Both,
     /// Only messages that the group sends.
@@ -125,6 +127,7 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum PathScope {
+    /// All paths.
     #[default]
     All,
     /// Only paths between replicas.
@@ -138,6 +141,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
+    /// Kind of the fault.
     pub kind: FaultKind,
     /// Start of the fault, in seconds since the start of the run.
     pub at: f64,
--- a/crates/lab/src/fleet/rig/mod.rs
+++ b/crates/lab/src/fleet/rig/mod.rs
@@ -86,9 +86,13 @@
     /// All requests that were due.
     #[serde(rename = "came")]
     pub offered: u32,
+    /// Answered requests.
     pub answered: u32,
+    /// Requests that a replica rejected, with retries by the client being safe.
     pub declined: u32,
+    /// Requests that ended with an error that does not say whether a retry is safe.
     pub terminated: u32,
+    /// Requests without a final answer, including those whose client disconnected.
     pub lost: u32,
 }
 
--- a/crates/lab/src/fleet/weather.rs
+++ b/crates/lab/src/fleet/weather.rs
@@ -9,7 +9,9 @@
 /// A sender or receiver of messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Node {
+    /// The replica with this index.
     Replica(usize),
+    /// The server with this index.
     Server(usize),
     /// The list source and the clients, which are local to each replica.
     Local,
--- a/crates/lab/src/picker.rs
+++ b/crates/lab/src/picker.rs
@@ -8,14 +8,23 @@
 
 /// The events of one replica, one method each, as the decision module takes them.
 pub trait LoadBalancer {
+    /// Handles a complete endpoint list from a cache.
     fn endpoint_list_cached(&mut self, now: Duration, entries: &[ListedServer]);
+    /// Handles a complete endpoint list from discovery.
     fn endpoint_list_received(&mut self, now: Duration, entries: &[ListedServer]);
+    /// Handles changes of the endpoint list from discovery.
     fn endpoint_list_changed(&mut self, now: Duration, entries: &[ListedServer]);
+    /// Handles a poll that discovery did not answer completely.
     fn discovery_poll_failed(&mut self, now: Duration);
+    /// Handles a new request of a client.
     fn request_arrived(&mut self, now: Duration, arrival: RequestArrival);
+    /// Handles the disconnection of the client of an open request.
     fn client_disconnected(&mut self, now: Duration, request: &Id);
+    /// Handles the outcome of an attempt.
     fn attempt_ended(&mut self, now: Duration, attempt_end: AttemptEnd);
+    /// Handles the outcome of a health check with its load report.
     fn health_check_ended(&mut self, now: Duration, outcome: Outcome, server: &Id, load: LoadReport);
+    /// Handles the time that was set by `Host::wake_after`.
     fn timer_fired(&mut self, now: Duration);
     /// Handles a message of another replica's decisions; `peer` is the ordinal of the sender.
     fn peer_message_received(&mut self, _now: Duration, _peer: u32, _message: &[u8]) {}
--- a/crates/lab/src/pickers/named.rs
+++ b/crates/lab/src/pickers/named.rs
@@ -13,6 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoadBalancerKind {
+    /// The decision module of the sidecar, without fleet membership.
     Landingspread,
     /// With fleet membership, as with `[fleet]` in the sidecar's configuration.
     LandingspreadFleet,
@@ -21,9 +22,13 @@
     /// Like `LandingspreadZones`, but one in seven replicas sends false reports of zones.
     #[serde(rename = "landingspread_zones_lied")]
     LandingspreadZonesFalseReports,
+    /// A random server.
     Random,
+    /// The servers in turn.
     RoundRobin,
+    /// The server with the fewest outstanding requests.
     LeastOutstanding,
+    /// The less loaded of two random servers.
     TwoChoices,
     /// The less loaded of two random servers, with one attempt for each request.
     #[serde(rename = "no_repeats")]
@@ -31,6 +36,7 @@
     /// The less loaded of two random servers, with up to two retries after a failure or timeout, at every tier.
     #[serde(rename = "plain_repeats")]
     PlainRetries,
+    /// The server with the shortest wait by the true state of the servers, which no replica can know.
     TrueState,
 }
 
--- a/crates/lab/src/plan/faults.rs
+++ b/crates/lab/src/plan/faults.rs
@@ -67,8 +67,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FalseLoad {
+    /// No load: 0 queued requests and 0 requests in flight.
     Idle,
+    /// A full queue with all cores in use.
     Busy,
+    /// The last figures that were reported before the fault.
     Frozen,
 }
 
@@ -76,24 +79,33 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
+    /// Kind of the fault.
     pub kind: FaultKind,
     /// Seconds since the start.
     pub at: f64,
     /// Duration in seconds.
     #[serde(rename = "for", default)]
     pub duration: f64,
+    /// Index of the affected tier, from 0.
     #[serde(default)]
     pub tier: usize,
     /// Indices of servers in the tier, from 0.
     #[serde(default)]
     pub servers: Vec<usize>,
+    /// Multiple of the work, time or rate, as the kind defines it.
     pub factor: Option<f64>,
+    /// Affected fraction, from 0 to 1, of requests, messages or replicas, as the kind defines it.
     pub share: Option<f64>,
+    /// Name of the affected request class; all classes if absent.
     #[serde(rename = "verb")]
     pub request_class: Option<String>,
+    /// Number of affected replicas or added servers.
     pub count: Option<usize>,
+    /// A delay or an interval in seconds, as the kind defines it.
     pub seconds: Option<f64>,
+    /// Name of the affected zone.
     pub zone: Option<String>,
+    /// The load that the servers report.
     #[serde(rename = "says")]
     pub false_load: Option<FalseLoad>,
 }
--- a/crates/lab/src/plan/scenario.rs
+++ b/crates/lab/src/plan/scenario.rs
@@ -16,7 +16,9 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
+    /// Name of the scenario.
     pub name: String,
+    /// One-line description; may be empty.
     #[serde(default)]
     pub about: String,
     /// Time during which clients send, in seconds.
@@ -25,22 +27,32 @@
     /// state.
     #[serde(default = "two")]
     pub settle: f64,
+    /// Request rate and retries of the clients.
     pub load: Load,
+    /// Request classes that clients send.
     #[serde(rename = "verbs")]
     pub request_classes: Vec<RequestClass>,
+    /// Tenants that the requests belong to.
     #[serde(default = "one_tenant")]
     pub tenants: Vec<Tenant>,
+    /// Names of the zones.
     #[serde(default = "one_zone")]
     pub zones: Vec<String>,
+    /// The replicas that clients connect to.
     #[serde(default)]
     pub front: FrontTier,
+    /// Tiers of servers; the clients' requests enter at index 0.
     pub tiers: Vec<Tier>,
+    /// Delays and losses of messages.
     #[serde(default)]
     pub network: Network,
+    /// Delays of the source of endpoint lists.
     #[serde(default, rename = "lists")]
     pub discovery: Discovery,
+    /// Permissions of replicas and tolerances of the referee.
     #[serde(default)]
     pub rules: Rules,
+    /// Faults of the run, in any order; they may overlap.
     #[serde(default)]
     pub faults: Vec<Fault>,
 }
@@ -66,15 +78,20 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RetrySafety {
+    /// The request may run any number of times.
     #[default]
     #[serde(rename = "pure")]
     Idempotent,
+    /// All servers drop repeats of the request's key.
     #[serde(rename = "receipted_all")]
     KeyedEverywhere,
+    /// Servers of the same zone drop repeats of the request's key.
     #[serde(rename = "receipted_zone")]
     KeyedInZone,
+    /// Servers of the same cell drop repeats of the request's key.
     #[serde(rename = "receipted_cell")]
     KeyedInCell,
+    /// The request may run at most once.
     #[serde(rename = "effectful")]
     NonIdempotent,
 }
@@ -83,7 +100,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorkDistribution {
+    /// Always the mean.
     Fixed,
+    /// Exponential with the given mean.
     #[default]
     Exponential,
     /// Lognormal with coefficient of variation 1.5.
@@ -96,24 +115,32 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestClass {
+    /// Name of the class.
     pub name: String,
+    /// Share of the requests, relative to the other classes.
     #[serde(default = "one")]
     pub share: f64,
+    /// Whether a request of the class may run more than once.
     #[serde(default, rename = "repeats")]
     pub retry_safety: RetrySafety,
     /// Time during which servers of the deduplication scope drop repeats, in seconds.
     #[serde(default = "thirty", rename = "memory")]
     pub dedup_window: f64,
+    /// Latency objective in seconds.
     #[serde(rename = "goal")]
     pub latency_objective: f64,
+    /// Time limit of a request in seconds.
     #[serde(rename = "limit")]
     pub time_limit: f64,
+    /// Utility of an answer within the latency objective.
     #[serde(default = "one")]
     pub utility: f64,
+    /// Utility of an answer after the latency objective.
     #[serde(default, rename = "overdue_utility")]
     pub late_utility: f64,
     /// Mean work in seconds of one core at speed 1, for each tier; the last value holds for all further tiers.
     pub work: Vec<f64>,
+    /// Distribution of the work around its mean.
     #[serde(default, rename = "spread")]
     pub work_distribution: WorkDistribution,
     /// Calls to the next tier that a server makes for one request, one after another.
@@ -132,7 +159,9 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
+    /// Name of the tenant.
     pub name: String,
+    /// Share of the requests, relative to the other tenants.
     #[serde(default = "one")]
     pub share: f64,
     /// Quota in requests per second; unlimited if not given.
@@ -143,6 +172,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FrontTier {
+    /// Number of replicas.
     #[serde(rename = "copies")]
     pub replicas: usize,
     /// Time for which clients would still connect to a replica that has ended, in seconds. It is validated, but no run
@@ -166,10 +196,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReportedLoad {
+    /// No load report.
     None,
+    /// The number of requests in flight.
     InFlight,
+    /// The number of queued requests.
     #[default]
     Queue,
+    /// The numbers of queued requests and of requests in flight.
     Both,
 }
 
@@ -177,7 +211,9 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tier {
+    /// Number of servers at the start.
     pub servers: usize,
+    /// Number of cores of a server.
     #[serde(default = "two_cores")]
     pub cores: usize,
     /// Speeds of the servers, assigned in turn.
@@ -189,19 +225,25 @@
     /// Requests that may wait at a server; beyond it they are rejected as overload.
     #[serde(default = "sixty_four", rename = "queue")]
     pub queue_limit: usize,
+    /// Number of cells that the servers of a zone are assigned to in turn.
     #[serde(default = "four_cells")]
     pub cells: u32,
+    /// Figures that servers report with their answers.
     #[serde(default, rename = "reports")]
     pub load_reports: ReportedLoad,
     /// Time for which a load report is reused before the server computes a new one, in seconds.
     #[serde(default, rename = "report_every")]
     pub report_interval: f64,
+    /// Whether replicas may send health checks.
     #[serde(default = "yes", rename = "checks")]
     pub health_checks: bool,
+    /// Behavior of a server after its process starts.
     #[serde(default, rename = "cold")]
     pub cold_start: ColdStart,
+    /// Slowdown of an overfull server; none if absent.
     #[serde(rename = "jam")]
     pub congestion: Option<Congestion>,
+    /// Cost and timeouts of connections to the servers.
     #[serde(default)]
     pub connections: Connections,
 }
@@ -214,12 +256,14 @@
     /// Speed at the start as a fraction of the warm speed; it grows linearly.
     #[serde(rename = "share")]
     pub initial_fraction: f64,
+    /// Time from the start until the server is warm, in seconds.
     #[serde(rename = "warm_after")]
     pub warmup: f64,
     /// The server is overloaded, and ends, when the work that arrives within the window is more than this multiple of the
     /// work that it can do in it at its current speed.
     #[serde(rename = "multiple")]
     pub overload_multiple: f64,
+    /// Length of the window in which arriving work is compared with the server's capacity, in seconds.
     #[serde(rename = "window")]
     pub overload_window: f64,
     /// With fewer requests than this in the window, the server is overloaded only by work beyond that multiple plus an
@@ -255,6 +299,7 @@
     /// Requests per core at which the congestion ends.
     #[serde(rename = "clear")]
     pub recovery: f64,
+    /// Speed of a congested server as a fraction of its normal speed.
     pub speed: f64,
 }
 
@@ -282,13 +327,16 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
+    /// Delay within a zone.
     #[serde(rename = "near")]
     pub same_zone_delay: f64,
+    /// Delay between zones.
     #[serde(rename = "far")]
     pub cross_zone_delay: f64,
     /// Fractions of the messages between replicas that are lost and that are delivered twice.
     #[serde(rename = "words_lost")]
     pub peer_message_loss: f64,
+    /// Fraction of the messages between replicas that is delivered twice.
     #[serde(rename = "words_doubled")]
     pub peer_message_duplication: f64,
 }
@@ -311,6 +359,7 @@
     /// Time from a change to its delivery to the replicas, in seconds, and the random part added to it.
     #[serde(rename = "lag")]
     pub delay: f64,
+    /// Maximum of the random part that is added to the delay, in seconds.
     pub jitter: f64,
     /// Time for which a draining server still works, in seconds.
     #[serde(rename = "drain")]
@@ -330,10 +379,13 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
+    /// Maximum number of attempts of a request at one tier.
     #[serde(rename = "relays")]
     pub max_attempts: u32,
+    /// Whether replicas may cancel an attempt that is in flight.
     #[serde(rename = "cancel")]
     pub cancellation: bool,
+    /// Whether replicas may run two attempts of a request at the same time.
     #[serde(rename = "parallel")]
     pub hedging: bool,
     /// The longest retry-after time that clients follow, in seconds; 0 if they ignore it.
@@ -345,8 +397,10 @@
     /// Time after the time limit within which a final answer still counts as in time, in seconds.
     #[serde(rename = "slack")]
     pub deadline_slack: f64,
+    /// Price of an attempt at a server in another zone, in points of the objective, from 0 to 1.
     #[serde(rename = "crossing")]
     pub cross_zone_cost: f64,
+    /// Value of a request beyond its tenant's quota, as a fraction of its normal value, from 0 to 1.
     #[serde(rename = "beyond_quota")]
     pub over_quota_value: f64,
     /// Whether the decisions of replicas exchange peer messages.
--- a/crates/lab/src/referee.rs
+++ b/crates/lab/src/referee.rs
@@ -15,14 +15,19 @@
 /// One breach of a rule.
 #[derive(Clone, Debug, Serialize, PartialEq)]
 pub struct Breach {
+    /// Number of the rule, from 1 to 4.
     pub rule: u8,
     /// Seconds since the start.
     pub at: f64,
+    /// Number of the request, if the breach concerns one.
     #[serde(rename = "cmd")]
     pub request: Option<u64>,
+    /// Name of the server, if the breach concerns one.
     pub server: Option<String>,
+    /// Number of the replica, if the breach concerns one.
     #[serde(rename = "copy")]
     pub replica: Option<usize>,
+    /// Description of the breach for logs and reports.
     #[serde(rename = "what")]
     pub description: String,
 }
@@ -62,16 +67,22 @@
 /// The server of an attempt with its zone and cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Location {
+    /// Number of the server.
     pub server: usize,
+    /// Index of its zone.
     pub zone: u32,
+    /// Index of its cell.
     pub cell: u32,
 }
 
 /// An earlier attempt of the same request, as its replica knows it.
 #[derive(Clone, Copy, Debug)]
 pub struct PriorAttempt {
+    /// Server of the attempt with its zone and cell.
     pub location: Location,
+    /// Time of the send, since the start.
     pub sent_at: Duration,
+    /// Outcome of the attempt; `None` while it is open.
     pub outcome: Option<Outcome>,
 }
 
@@ -83,12 +94,19 @@
 
 /// The facts of a request that the rules refer to.
 pub struct RequestFacts<'a> {
+    /// Number of the request.
     pub request: u64,
+    /// Number of the replica that handles it.
     pub replica: usize,
+    /// Whether the request may run more than once.
     pub retry_safety: RetrySafety,
+    /// Time during which servers of the deduplication scope drop repeats.
     pub dedup_window: Duration,
+    /// Time by which a final answer is due, since the start.
     pub deadline: Duration,
+    /// The final outcome; `None` while the request is open.
     pub final_outcome: Option<FinalOutcome>,
+    /// Earlier attempts, in the order of their sends.
     pub prior_attempts: &'a [PriorAttempt],
 }
 
@@ -97,6 +115,7 @@
     removal_grace: Duration,
     deadline_slack: Duration,
     hedging: bool,
+    /// The first breaches, at most `MAX_RECORDED_BREACHES`.
     pub breaches: Vec<Breach>,
     /// Count of breaches by rule, with rule 1 at index 0.
     pub counts: [u64; 4],
--- a/crates/lab/src/report/story.rs
+++ b/crates/lab/src/report/story.rs
@@ -8,9 +8,11 @@
 /// The time of a fault, marked in every plot.
 #[derive(Clone, Debug)]
 pub struct FaultSpan {
+    /// Label of the fault in the plots.
     pub label: String,
     /// Seconds since the start.
     pub from: f64,
+    /// End of the fault, in seconds since the start.
     pub to: f64,
 }
 
--- a/crates/lab/src/scale/results.rs
+++ b/crates/lab/src/scale/results.rs
@@ -26,9 +26,13 @@
     /// Why the figures are invalid, if they are, for instance because a process fell behind.
     #[serde(rename = "not_held")]
     pub invalid: Option<String>,
+    /// Figures that the run measured.
     pub figures: Vec<Figure>,
+    /// Command line of the run.
     pub command: String,
+    /// Build and profile of the measured program.
     pub build: String,
+    /// Description of the machine.
     pub machine: String,
 }
 
--- a/crates/lab/src/soak/client.rs
+++ b/crates/lab/src/soak/client.rs
@@ -50,6 +50,8 @@
 }
 
 impl Clients {
+    /// Starts the clients of all sidecars, each in a thread of its own; clients whose thread cannot be created are
+    /// left out.
     pub fn start(plan: &Plan, targets: &[Arc<ClientAccess>], recorder: &Arc<Recorder>) -> Clients {
         let stop = Arc::new(AtomicBool::new(false));
         let count = Arc::new(AtomicU64::new(0));
--- a/crates/lab/src/soak/judge.rs
+++ b/crates/lab/src/soak/judge.rs
@@ -56,8 +56,11 @@
 /// A violation of a rule, with its time in the run.
 #[derive(Clone, Debug)]
 pub struct Violation {
+    /// The violated rule.
     pub rule: Rule,
+    /// Time since the start of the run.
     pub at: Duration,
+    /// Description of the violation with the objects concerned.
     pub description: String,
 }
 
@@ -70,15 +73,23 @@
 /// The violations and request counts of a run.
 #[derive(Clone, Debug)]
 pub struct SoakResult {
+    /// All violations that were found.
     pub violations: Vec<Violation>,
+    /// Number of requests.
     pub requests: usize,
+    /// Number of attempts that reached servers.
     pub attempts: usize,
+    /// Number of requests answered with status 200.
     pub answered: usize,
+    /// Number of requests rejected with status 429 or 503.
     pub rejected: usize,
+    /// Number of requests that ended with any other status.
     pub failed: usize,
+    /// Number of requests whose client disconnected first.
     pub abandoned: usize,
     /// Requests whose connection ended before the response.
     pub interrupted: usize,
+    /// Number of injected faults.
     pub faults: usize,
 }
 
--- a/crates/lab/src/soak/plan.rs
+++ b/crates/lab/src/soak/plan.rs
@@ -55,8 +55,11 @@
 /// One fault of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
+    /// Start of the fault, since the start of the run.
     pub at: Duration,
+    /// Time from the start of the fault to its end.
     pub duration: Duration,
+    /// Kind of the fault and the processes that it affects.
     pub kind: FaultKind,
 }
 
@@ -69,10 +72,15 @@
 /// The plan of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
+    /// Seed of all random choices of the run.
     pub seed: u64,
+    /// Duration of the run.
     pub duration: Duration,
+    /// Number of sidecars.
     pub sidecars: usize,
+    /// Number of servers.
     pub servers: usize,
+    /// Faults of the run.
     pub faults: Vec<Fault>,
 }
 
--- a/crates/lab/src/soak/processes.rs
+++ b/crates/lab/src/soak/processes.rs
@@ -25,11 +25,17 @@
 pub mod rule_settings {
     use std::time::Duration;
 
+    /// Time for which attempts are still allowed after a sidecar learns that a server drains or is removed.
     pub const DRAIN_GRACE: Duration = Duration::from_millis(500);
+    /// Time during which servers of the deduplication scope drop repeats of a keyed request.
     pub const DEDUP_WINDOW: Duration = Duration::from_millis(1200);
+    /// Capacity of a cold server at its start, as a fraction of its warm capacity.
     pub const INITIAL_FRACTION: f64 = 0.2;
+    /// Time from the start of a server until it is warm.
     pub const WARMUP: Duration = Duration::from_secs(5);
+    /// A cold server is overloaded by more than this multiple of the work that it can do in `OVERLOAD_WINDOW`.
     pub const OVERLOAD_MULTIPLE: f64 = 1.5;
+    /// Length of the window in which the load of a cold server is measured.
     pub const OVERLOAD_WINDOW: Duration = Duration::from_secs(1);
     /// Capacity of a warm server, as a multiple of the mean request rate of a server in the run.
     pub const CAPACITY_FACTOR: f64 = 1.25;
@@ -54,6 +60,8 @@
 }
 
 impl ClientAccess {
+    /// Whether clients may open connections now: the sidecar is ready, or its SIGTERM is less than
+    /// `CONNECTS_AFTER_TERM_MS` ago.
     pub fn accepts_connections(&self) -> bool {
         match self.state.load(Ordering::Relaxed) {
             0 => true,
@@ -124,6 +132,7 @@
 }
 
 impl Processes {
+    /// Starts all sidecars of the plan and waits until they are ready; an error if one cannot start or get ready.
     pub fn start(
         plan: &Plan,
         program: &Path,
@@ -157,6 +166,7 @@
         })
     }
 
+    /// The access of clients to each sidecar, in order of the sidecars' numbers.
     pub fn client_access(&self) -> Vec<Arc<ClientAccess>> {
         self.processes.iter().map(|process| process.client_access.clone()).collect()
     }
@@ -165,6 +175,7 @@
         matches!(self.processes[number].phase, Phase::Ready)
     }
 
+    /// Sends SIGTERM to those of these sidecars that are ready.
     pub fn terminate(&mut self, numbers: &[usize]) {
         let now = self.recorder.now();
         for number in numbers.iter().copied().filter(|number| self.is_ready(*number)).collect::<Vec<_>>() {
@@ -176,6 +187,7 @@
         }
     }
 
+    /// Kills those of these sidecars that are ready with SIGKILL and starts them again.
     pub fn kill(&mut self, numbers: &[usize]) {
         for number in numbers.iter().copied().filter(|number| self.is_ready(*number)).collect::<Vec<_>>() {
             self.processes[number].client_access.state.store(u64::MAX, Ordering::Relaxed);
@@ -197,6 +209,7 @@
         }
     }
 
+    /// Stops these processes with SIGSTOP until `resume`.
     pub fn pause(&mut self, numbers: &[usize]) {
         for number in numbers {
             self.recorder.record_process_event(*number, ProcessEvent::Stop);
@@ -204,6 +217,7 @@
         }
     }
 
+    /// Continues these processes with SIGCONT.
     pub fn resume(&mut self, numbers: &[usize]) {
         for number in numbers {
             self.processes[*number].sidecar.signal(Signal::CONT);
@@ -258,6 +272,7 @@
         self.crowded_sidecar = Some(number);
     }
 
+    /// Closes the connections that `open_idle_connections` opened.
     pub fn close_idle_connections(&mut self) {
         self.idle_connections.clear();
         if let Some(number) = self.crowded_sidecar.take() {
--- a/crates/lab/src/soak/record.rs
+++ b/crates/lab/src/soak/record.rs
@@ -114,10 +114,12 @@
 }
 
 impl Recorder {
+    /// Creates an empty recorder; the run starts now.
     pub fn new() -> Recorder {
         Recorder { start: Instant::now(), observations: Mutex::default() }
     }
 
+    /// Returns the time since the start of the run.
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
@@ -127,10 +129,12 @@
         self.observations.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Records a request with its outcome.
     pub fn record_request(&self, request: RequestRecord) {
         self.lock().requests.push(request);
     }
 
+    /// Records a client that stopped in the middle of a request or sent an invalid one.
     pub fn record_stalled_client(&self, client: StalledClient) {
         self.lock().stalled_clients.push(client);
     }
@@ -142,6 +146,7 @@
         observations.attempts.len() - 1
     }
 
+    /// Records the end of the attempt with this number, and whether it ran; unknown numbers are ignored.
     pub fn attempt_ended(&self, number: usize, ran: bool) {
         let now = self.now();
         if let Some(attempt) = self.lock().attempts.get_mut(number) {
@@ -150,16 +155,19 @@
         }
     }
 
+    /// Records an event of a sidecar's process at the current time.
     pub fn record_process_event(&self, sidecar: usize, event: ProcessEvent) {
         let now = self.now();
         self.lock().process_events.push((now, sidecar, event));
     }
 
+    /// Records a change of a server's entry in the endpoint list at the current time.
     pub fn record_list_change(&self, server: &str, change: ListChange) {
         let now = self.now();
         self.lock().list_changes.push((now, server.to_string(), change));
     }
 
+    /// Records the start of a fault at the current time.
     pub fn record_fault(&self, fault: &Fault) {
         let now = self.now();
         self.lock().faults.push((now, fault.clone()));
--- a/crates/lab/src/soak/server.rs
+++ b/crates/lab/src/soak/server.rs
@@ -85,6 +85,7 @@
 }
 
 impl Servers {
+    /// Starts the servers of the plan and publishes them as ready; an error if a port cannot be bound.
     pub fn start(
         plan: &Plan,
         discoveries: &[Arc<Discovery>; 2],
@@ -180,6 +181,7 @@
         }
     }
 
+    /// Makes these servers hang, or ends their hang.
     pub fn hang(&mut self, numbers: &[usize], hangs: bool) {
         numbers.iter().for_each(|number| self.servers[*number].hangs.store(hangs, Ordering::Relaxed));
     }
--- a/crates/lab/src/sockets/added.rs
+++ b/crates/lab/src/sockets/added.rs
@@ -31,6 +31,7 @@
 /// Statistics of one run's requests. Latencies are in milliseconds.
 #[derive(Clone, Debug, Default)]
 pub struct RunStatistics {
+    /// Number of answered requests.
     pub answered: usize,
     pub unanswered: usize,
     /// Quantiles of the latency from the send to the last byte.
@@ -45,7 +46,9 @@
 
 /// A direct run, and one run through the sidecar of each compared build.
 pub struct Pair {
+    /// The run without a sidecar.
     pub direct: RunStatistics,
+    /// The runs through a sidecar, one for each build.
     pub via_sidecar: Vec<RunStatistics>,
 }
 
--- a/crates/lab/src/sockets/callers.rs
+++ b/crates/lab/src/sockets/callers.rs
@@ -23,21 +23,28 @@
 /// A request class as clients send it.
 #[derive(Clone, Debug)]
 pub struct ClientRequestClass {
+    /// Name of the class.
     pub name: String,
+    /// Whether a request of the class may run more than once.
     pub retry_safety: RetrySafety,
     /// Share of all requests, relative to the other classes.
     pub share: f64,
+    /// Time limit of a request.
     pub time_limit: Duration,
 }
 
 /// The requests of a group of clients: where they are sent, which, for how long, and on how many connections.
 #[derive(Clone, Debug)]
 pub struct ClientPlan {
+    /// Addresses that the clients send to.
     pub targets: Vec<SocketAddr>,
+    /// Request classes that the clients send.
     pub request_classes: Vec<ClientRequestClass>,
     /// Name and relative share of each tenant.
     pub tenants: Vec<(String, f64)>,
+    /// Number of client connections.
     pub connections: usize,
+    /// Time during which requests are scheduled.
     pub duration: Duration,
     pub seed: u64,
     /// Distinguishes the request ids of this plan from those of other plans.
@@ -52,10 +59,12 @@
 pub struct RequestRate(AtomicU64);
 
 impl RequestRate {
+    /// Creates a rate in requests per second.
     pub fn new(per_second: f64) -> RequestRate {
         RequestRate(AtomicU64::new(per_second.to_bits()))
     }
 
+    /// Changes the rate, in requests per second, also for running clients.
     pub fn set(&self, per_second: f64) {
         self.0.store(per_second.to_bits(), Ordering::Relaxed);
     }
--- a/crates/lab/src/sockets/child.rs
+++ b/crates/lab/src/sockets/child.rs
@@ -83,6 +83,7 @@
         spawn_with_log(command, log).map(HelperProcess)
     }
 
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.0.id()
     }
@@ -137,6 +138,7 @@
         })
     }
 
+    /// Waits until the sidecar is ready; an error if it exits or is not ready within `READY_TIMEOUT`.
     pub fn wait_ready(&mut self) -> Result<(), String> {
         let began = Instant::now();
         loop {
@@ -167,6 +169,7 @@
         health_check().unwrap_or(false)
     }
 
+    /// Returns the id of the current process.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
@@ -182,6 +185,7 @@
         }
     }
 
+    /// Returns the last lines of the log, at most `LOG_LINES_IN_ERRORS`; empty if it cannot be read.
     pub fn last_log_lines(&self) -> String {
         let text = fs::read_to_string(&self.log_file).unwrap_or_default();
         let lines: Vec<&str> = text.lines().collect();
@@ -203,6 +207,7 @@
         lines.lines().map(str::to_string).collect()
     }
 
+    /// Kills the process with SIGKILL and waits until it has ended.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -222,6 +227,7 @@
         Ok(())
     }
 
+    /// Sends a signal to the process; does nothing if it has exited.
     pub fn signal(&self, signal: Signal) {
         // Signalling fails if the process has exited, which needs no handling.
         if let Some(pid) = Pid::from_raw(self.child.id() as i32) {
--- a/crates/lab/src/sockets/discovery.rs
+++ b/crates/lab/src/sockets/discovery.rs
@@ -17,9 +17,13 @@
 /// One server's entry in the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Entry {
+    /// Id of the server.
     pub id: String,
+    /// Address of the server.
     pub address: SocketAddr,
+    /// Name of the server's zone.
     pub zone: String,
+    /// Index of the server's cell.
     pub cell: u32,
     /// `ready`, `draining`, or `gone`.
     pub state: &'static str,
@@ -40,6 +44,7 @@
 /// An injected fault of discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiscoveryFault {
+    /// No fault.
     #[default]
     None,
     /// Requests get a 503 and waiting watches end.
@@ -72,6 +77,7 @@
 
 /// A running test discovery, with a thread for each connection.
 pub struct Discovery {
+    /// Loopback address that the discovery listens at.
     pub address: SocketAddr,
     list: Mutex<List>,
     changed: Condvar,
@@ -79,6 +85,7 @@
 }
 
 impl Discovery {
+    /// Starts a discovery with an empty list on an unused loopback port; an error if the port cannot be bound.
     pub fn start() -> io::Result<Arc<Discovery>> {
         let listener = bind_loopback()?;
         let discovery = Arc::new(Discovery {
@@ -131,6 +138,7 @@
         self.list().entries.get(id).map(|(_, entry)| entry.clone())
     }
 
+    /// Sets the fault unless it is already in force.
     pub fn set_fault_if_changed(&self, fault: DiscoveryFault) {
         let now = self.list().fault;
         if now != fault {
@@ -138,6 +146,7 @@
         }
     }
 
+    /// Sets the fault and wakes all watches; changes that were not sent before are then sent as a complete list.
     pub fn set_fault(&self, fault: DiscoveryFault) {
         let mut list = self.list();
         list.generation += 1;
--- a/crates/lab/src/sockets/fleet.rs
+++ b/crates/lab/src/sockets/fleet.rs
@@ -62,6 +62,7 @@
     pub half_open_before: Option<Instant>,
     /// Start of the current process, from which the server warms up; None if it is warm.
     pub cold_since: Option<Instant>,
+    /// Start of draining; `None` if the server is not draining.
     pub draining_since: Option<Instant>,
     /// A false load that is reported instead of the real one.
     pub false_load: Option<crate::plan::FalseLoad>,
@@ -90,6 +91,7 @@
 #[derive(Clone, Debug)]
 pub struct ServerConfig {
     pub name: String,
+    /// Number of requests that are processed at the same time.
     pub cores: usize,
     pub queue_limit: usize,
     /// Speed when warm; 1 is nominal.
@@ -111,7 +113,9 @@
 /// The limit of rule 4: a cold server is overloaded by more than `multiple` times the work that it can do in a window.
 #[derive(Clone, Copy, Debug)]
 pub struct OverloadLimit {
+    /// Multiple of the work that the server can do in the window.
     pub multiple: f64,
+    /// Length of the window.
     pub window: Duration,
     /// Fewer requests than this within a window never overload a server.
     pub min_requests: usize,
@@ -119,6 +123,7 @@
 
 /// A running test server.
 pub struct Server {
+    /// Properties that do not change.
     pub config: ServerConfig,
     pub address: SocketAddr,
     state: Mutex<ServerState>,
@@ -139,6 +144,7 @@
 
 /// The servers of a tier; dropping the group stops them.
 pub struct ServerGroup {
+    /// The servers, in the order in which they were added.
     pub servers: Vec<Arc<Server>>,
 }
 
@@ -148,10 +154,12 @@
 }
 
 impl ServerGroup {
+    /// Creates a group without servers.
     pub fn empty() -> ServerGroup {
         ServerGroup { servers: Vec::new() }
     }
 
+    /// Starts a server on an unused loopback port and adds it; an error if the port or thread cannot be created.
     pub fn add(
         &mut self,
         config: ServerConfig,
@@ -199,6 +207,7 @@
         }
     }
 
+    /// Returns a copy of the current state.
     pub fn state(&self) -> ServerState {
         lock(&self.state).clone()
     }
--- a/crates/lab/src/sockets/ledger.rs
+++ b/crates/lab/src/sockets/ledger.rs
@@ -28,10 +28,12 @@
 }
 
 impl RuleChecker {
+    /// Creates a checker whose times count from `start`.
     pub fn new(start: Instant) -> RuleChecker {
         RuleChecker { start, observations: Mutex::default() }
     }
 
+    /// Returns the time since the start.
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
--- a/crates/lab/src/sockets/load.rs
+++ b/crates/lab/src/sockets/load.rs
@@ -14,32 +14,50 @@
 /// A load: its target addresses, request class, connections, rate and duration.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
+    /// Addresses that the clients send to.
     pub targets: Vec<SocketAddr>,
+    /// Name of the request class; its requests are idempotent.
     pub request_class: String,
+    /// Number of client connections.
     pub connections: usize,
     /// Requests per second; at 0, each connection sends its next request as soon as one is answered.
     pub rate: f64,
+    /// Time limit of a request.
     pub time_limit: Duration,
     /// Requests scheduled before this time are not counted.
     pub warmup: Duration,
+    /// Counted time after the warm-up.
     pub duration: Duration,
+    /// Seed of the clients' random choices and part of the request ids.
     pub seed: u64,
 }
 
 /// Counts and latencies of a load. Latencies are in milliseconds, from the scheduled send to the last byte.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct LoadResults {
+    /// Number of client connections.
     pub connections: usize,
+    /// Counted time in seconds.
     pub seconds: f64,
+    /// Number of answered requests.
     pub answered: u64,
+    /// Number of requests rejected with the assurance that a retry is safe.
     pub declined: u64,
+    /// Number of requests that ended with an error that does not say whether a retry is safe.
     pub terminated: u64,
+    /// Number of requests without a final answer.
     pub lost: u64,
+    /// Answered requests per second of the counted time.
     pub answered_per_s: f64,
+    /// Median latency of the answers.
     pub p50: f64,
+    /// 90th percentile of the latency.
     pub p90: f64,
+    /// 99th percentile of the latency.
     pub p99: f64,
+    /// 99.9th percentile of the latency.
     pub p999: f64,
+    /// Maximum latency of an answer.
     #[serde(rename = "most")]
     pub max: f64,
 }
--- a/crates/lab/src/sockets/message.rs
+++ b/crates/lab/src/sockets/message.rs
@@ -14,7 +14,9 @@
 pub struct HttpMessage {
     /// Method and path of a request, such as `GET /view`, or the status code of a response.
     pub start_line: String,
+    /// Names and values of the headers.
     pub headers: Vec<(String, String)>,
+    /// The body; empty if the message has none.
     pub body: Vec<u8>,
 }
 
@@ -30,10 +32,12 @@
         self.start_line.parse().ok()
     }
 
+    /// Returns the method of a request.
     pub fn method(&self) -> &str {
         self.start_line.split(' ').next().unwrap_or("")
     }
 
+    /// Returns the path of a request; empty if the start line has none.
     pub fn path(&self) -> &str {
         self.start_line.split(' ').nth(1).unwrap_or("")
     }
@@ -46,6 +50,7 @@
 
 /// One side of an HTTP connection.
 pub struct Peer {
+    /// The connection's socket.
     pub stream: TcpStream,
     buffer: Vec<u8>,
     /// Number of received bytes in the buffer.
@@ -69,6 +74,7 @@
 }
 
 impl Peer {
+    /// Creates a peer on a connected socket and disables Nagle's algorithm.
     pub fn new(stream: TcpStream) -> Peer {
         // Otherwise a small message may wait for the acknowledgement of the one before.
         let _ = stream.set_nodelay(true);
@@ -110,6 +116,7 @@
         let _ = self.stream.set_read_timeout(timeout);
     }
 
+    /// Writes all bytes, or returns the socket's error.
     pub fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes)
     }
--- a/crates/lab/src/sockets/scripted.rs
+++ b/crates/lab/src/sockets/scripted.rs
@@ -65,6 +65,7 @@
 
 /// A running test server; its thread ends with the process.
 pub struct ScriptedServer {
+    /// Loopback address that the server listens at.
     pub address: SocketAddr,
     record: Arc<Mutex<ServerRecord>>,
 }
@@ -74,6 +75,7 @@
 }
 
 impl ScriptedServer {
+    /// Starts a server on an unused loopback port; an error if the port cannot be bound.
     pub fn start(behavior: ScriptedBehavior) -> io::Result<ScriptedServer> {
         let listener = bind_loopback()?;
         let address = listener.local_addr()?;
@@ -88,6 +90,7 @@
         Ok(ScriptedServer { address, record })
     }
 
+    /// Locks the server's record and returns it; the server waits for the lock meanwhile.
     pub fn record(&self) -> MutexGuard<'_, ServerRecord> {
         lock(&self.record)
     }
--- a/crates/lab/src/sockets/settings.rs
+++ b/crates/lab/src/sockets/settings.rs
@@ -6,16 +6,27 @@
 
 /// Parameters of one sidecar's configuration that are not part of the scenario.
 pub struct SidecarParameters<'a> {
+    /// Name of the sidecar.
     pub name: &'a str,
+    /// Address that the sidecar listens at.
     pub listen: SocketAddr,
+    /// Address of the discovery.
     pub discovery: SocketAddr,
+    /// Endpoint list that the sidecar starts with.
     pub initial_endpoints: Value,
+    /// Index of the tier of servers behind the sidecar.
     pub tier: usize,
+    /// Number of replicas in front of the tier.
     pub replicas: usize,
+    /// Number of this replica, from 0.
     pub ordinal: usize,
+    /// Index of the replica's zone.
     pub zone: usize,
+    /// Seed of the sidecar's random choices.
     pub seed: u64,
+    /// Limit of open sockets.
     pub sockets: usize,
+    /// Memory limit in megabytes.
     pub memory_mb: usize,
 }
 
--- a/crates/lab/src/sockets/watches.rs
+++ b/crates/lab/src/sockets/watches.rs
@@ -30,10 +30,15 @@
 /// Totals since the start; `open_connections` is the current number.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WatchCounts {
+    /// Number of requests received.
     pub requests: u64,
+    /// Number of responses sent.
     pub responses: u64,
+    /// Number of bytes received.
     pub bytes_in: u64,
+    /// Number of bytes sent.
     pub bytes_out: u64,
+    /// Number of connections that are open now.
     pub open_connections: u64,
     /// Processor time of the serving thread, in nanoseconds; 0 if the system does not report it.
     pub cpu_ns: u64,
@@ -59,6 +64,7 @@
 
 /// A discovery server for watches of one endpoint list. Dropping it stops its thread.
 pub struct WatchServer {
+    /// Loopback address that the server listens at.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     thread: Option<JoinHandle<()>>,
@@ -73,6 +79,7 @@
 }
 
 impl WatchServer {
+    /// Starts the server on an unused loopback port; an error if the port, poller or thread cannot be created.
     pub fn start() -> io::Result<WatchServer> {
         let listener = bind_loopback()?;
         listener.set_nonblocking(true)?;
@@ -119,6 +126,7 @@
         let _ = self.shared.poller.notify();
     }
 
+    /// Returns the totals since the start.
     pub fn counts(&self) -> WatchCounts {
         let value = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let Counters { requests, responses, bytes_in, bytes_out, open_connections } = &self.shared.counters;
--- a/crates/lab/src/tally.rs
+++ b/crates/lab/src/tally.rs
@@ -14,17 +14,26 @@
 /// One second of a run. Offered utility counts at the arrival of an operation, earned utility at the answer.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub struct Second {
+    /// Utility offered by operations that arrived in this second.
     pub offered: f64,
+    /// Utility earned by answers in this second.
     pub earned: f64,
+    /// Number of operations that arrived.
     #[serde(rename = "came")]
     pub arrived: u32,
+    /// Number of answered requests.
     pub answered: u32,
+    /// Number of requests that a replica rejected, with retries by the client being safe.
     pub declined: u32,
+    /// Number of requests that ended with an error that does not say whether a retry is safe.
     pub terminated: u32,
+    /// Number of requests whose client disconnected first.
     pub left: u32,
+    /// Number of requests without a final answer.
     pub lost: u32,
     /// Median and 99th percentile of the latency of the answers, in milliseconds.
     pub p50: f64,
+    /// 99th percentile of the latency of the answers, in milliseconds.
     pub p99: f64,
     /// Requests at a server divided by its cores, as the mean over all servers.
     pub load: f64,
@@ -37,6 +46,7 @@
 pub struct EjectionNote {
     /// Seconds since the start.
     pub at: f64,
+    /// Number of the replica.
     #[serde(rename = "copy")]
     pub replica: usize,
     /// The replica's log line, such as `mark s3`, `return s3` or `mark zone b left`.
@@ -70,15 +80,23 @@
     /// Earned utility as a fraction of the offered utility.
     #[serde(rename = "kept")]
     pub utility_fraction: f64,
+    /// Number of operations that arrived.
     #[serde(rename = "came")]
     pub arrived: u64,
+    /// Number of answered requests.
     pub answered: u64,
+    /// Number of requests that earned utility.
     #[serde(rename = "in_goal")]
     pub within_objective: u64,
+    /// Number of requests that a replica rejected, with retries by the client being safe.
     pub declined: u64,
+    /// Number of requests that ended with an error that does not say whether a retry is safe.
     pub terminated: u64,
+    /// Number of requests whose client disconnected first.
     pub left: u64,
+    /// Number of requests without a final answer.
     pub lost: u64,
+    /// Number of attempts.
     #[serde(rename = "relays")]
     pub attempts: u64,
     /// Attempts divided by arrived operations.
@@ -86,8 +104,11 @@
     pub attempts_per_request: f64,
     /// Percentiles of the latency from the arrival of a request to its answer, in milliseconds.
     pub p50: f64,
+    /// 90th percentile of the latency, in milliseconds.
     pub p90: f64,
+    /// 99th percentile of the latency, in milliseconds.
     pub p99: f64,
+    /// 99.9th percentile of the latency, in milliseconds.
     pub p999: f64,
     /// Requests that were refused because no replica ran or the bound on open requests was reached.
     #[serde(rename = "unheard")]
@@ -95,8 +116,10 @@
     /// Attempts at servers that were down or unreachable, and the time of the last one in seconds since the start.
     #[serde(default, rename = "vain")]
     pub unreachable_attempts: u64,
+    /// Time of the last attempt at an unreachable server, in seconds since the start; 0 without one.
     #[serde(default, rename = "vain_last")]
     pub last_unreachable_at: f64,
+    /// Earned utility as a fraction of the offered utility, by tenant; 1 for a tenant that offered none.
     pub tenants: Vec<f64>,
     /// Attempts at each tier, in order of the tiers.
     #[serde(default)]
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -37,8 +37,11 @@
 /// The result of one simulated run.
 #[derive(Clone, Debug)]
 pub struct Run {
+    /// Totals without the settling time.
     pub totals: Totals,
+    /// One entry for each ended second.
     pub seconds: Vec<Second>,
+    /// Notes of replicas on ejections, returns and zones.
     pub ejections: Vec<EjectionNote>,
     /// The first breaches, up to a bound; `breach_counts` counts all of them.
     pub breaches: Vec<Breach>,
